--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,7 @@
 # All commands run on a fresh machine with Go and make alone.
 
 GOLANGCI_VERSION := v2.15.0
+GOPLS_VERSION := v0.23.0
 BUF_VERSION := v1.75.0
 PROTOC_GEN_GO_VERSION := v1.36.12
 PROTOC_GEN_GO_GRPC_VERSION := v1.6.2
@@ -8,7 +9,7 @@
 export GOBIN := $(CURDIR)/bin
 PACKAGES := ./... ./cmd/...
 
-.PHONY: test lint fix build generate measure soak fuzz
+.PHONY: test lint fix build generate measure soak fuzz rename
 
 # The tests that KNOWN-RED.txt lists, as go test -skip takes them; empty without any.
 KNOWN_RED = $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\) |.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
@@ -55,6 +56,14 @@
 	GOWORK=off go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_VERSION)
 	mv bin/golangci-lint $@
 
+# Renames an identifier in all modules: AT=FILE:LINE:COLUMN TO=NAME.
+rename: bin/gopls-$(GOPLS_VERSION)
+	$< rename -w $(AT) $(TO)
+
+bin/gopls-$(GOPLS_VERSION):
+	GOWORK=off go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+	mv bin/gopls $@
+
 # Writes the generated code anew; it is committed, so that a build needs none
 # of these tools.
 generate:
