--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -215,7 +215,7 @@
 			told = append(told, backend.ID+" "+wait.String())
 		}
 		b.Release(acquire(t, b, prompt(7)), slipwick.EvidenceUnreachable)
-		if want := id + " " + shortOuting.String(); len(told) != 1 || told[0] != want {
+		if want := id + " " + shortEjection.String(); len(told) != 1 || told[0] != want {
 			t.Errorf("got told of %v, want %s", told, want)
 		}
 		lease := acquire(t, b, prompt(7))
@@ -223,9 +223,9 @@
 			t.Errorf("got %s right after it was unreachable", id)
 		}
 		b.Release(lease, slipwick.EvidenceGood)
-		time.Sleep(shortOuting)
+		time.Sleep(shortEjection)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
-			t.Errorf("after %v: got %s, want %s again", shortOuting, got, id)
+			t.Errorf("after %v: got %s, want %s again", shortEjection, got, id)
 		}
 	})
 }
@@ -276,11 +276,11 @@
 		if got := load(); got != 2 {
 			t.Errorf("told by all peers: got load %v, want 2", got)
 		}
-		time.Sleep(toldLife + time.Millisecond)
+		time.Sleep(remoteCountsLifetime + time.Millisecond)
 		if got := load(); got != 50 {
 			t.Errorf("told too long ago: got load %v, want the reported 50", got)
 		}
-		time.Sleep(reportLife)
+		time.Sleep(loadReportLifetime)
 		if got := load(); got != 1 {
 			t.Errorf("nothing fresh: got load %v, want the router's own 1", got)
 		}
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -18,7 +18,7 @@
 func plainChoice(b *Balancer, ask *Ask, now time.Time, decay float64) *server {
 	var usable []*server
 	for _, s := range b.pools[ask.Pool] {
-		if !s.Leaving && !slices.Contains(ask.Avoid, s.ID) && !b.isOutLocked(s, now) {
+		if !s.Leaving && !slices.Contains(ask.Avoid, s.ID) && !b.isUnavailableLocked(s, now) {
 			usable = append(usable, s)
 		}
 	}
@@ -31,7 +31,7 @@
 			continue
 		}
 		below = append(below, s)
-		if b.homes.has(prompt, s) {
+		if b.cacheIndex.holds(prompt, s) {
 			holding = append(holding, s)
 		}
 	}
@@ -54,8 +54,8 @@
 func plainLoads(b *Balancer, usable []*server, now time.Time, decay float64) (each []float64, mean float64) {
 	told, complete := make(map[uint64]int), len(b.peers) > 0
 	for _, id := range b.peers {
-		h, known := b.heard[id]
-		complete = complete && known && now.Sub(h.at) <= toldLife
+		h, known := b.countsByRouter[id]
+		complete = complete && known && now.Sub(h.receivedAt) <= remoteCountsLifetime
 		for _, in := range h.inFlight {
 			told[in.Server] += in.Count
 		}
@@ -68,13 +68,13 @@
 	// bound but for the rounding.
 	usual = usual * decay / float64(len(usable))
 	for _, s := range usable {
-		others := usualReport(usable, now)
+		others := meanReportedLoad(usable, now)
 		if complete {
 			others = float64(told[s.hash])
-		} else if reported, ok := s.others(now); ok {
+		} else if reported, ok := s.inFlightElsewhere(now); ok {
 			others = float64(reported)
 		}
-		load := float64(s.inFlight) + others + float64(b.others)*surge(s.sends*decay, usual)
+		load := float64(s.inFlight) + others + float64(b.otherRouters)*expectedExcess(s.sends*decay, usual)
 		load = max(load, float64(s.inFlight))
 		each = append(each, load)
 		mean += load
@@ -83,12 +83,12 @@
 }
 
 func plainLeastReading(b *Balancer, prompt uint64, below []*server, now time.Time) *server {
-	holders, _ := b.homes.holders.Peek(prompt)
+	holders, _ := b.cacheIndex.holders.Peek(prompt)
 	var near []*server
 	for _, s := range below {
 		if slices.ContainsFunc(holders, func(hash uint64) bool {
 			holder := b.hashes[hash]
-			return holder != nil && b.isReachableLocked(holder, now) && holder.DataCentre == s.DataCentre
+			return holder != nil && b.canFetchFromLocked(holder, now) && holder.DataCentre == s.DataCentre
 		}) {
 			near = append(near, s)
 		}
@@ -99,13 +99,13 @@
 	slices.SortFunc(below, func(x, y *server) int {
 		return cmp.Compare(placement.Score(prompt, y.hash), placement.Score(prompt, x.hash))
 	})
-	rankLead := b.paceLocked("p").reading.Tokens(rankLeadTime)
+	rankLead := b.paceLocked("p").prefill.Tokens(rankLeadTime)
 	var best *server
 	bestCost := 0
 	for rank, s := range below {
-		cost := rank*rankLead + s.reading
+		cost := rank*rankLead + s.prefillTokens
 		for _, id := range b.peers {
-			for _, in := range b.heard[id].inFlight {
+			for _, in := range b.countsByRouter[id].inFlight {
 				if in.Server == s.hash {
 					cost += in.Reading
 				}
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -20,19 +20,19 @@
 	// coldShare of the limit is what the sharers use together. As much again is
 	// there for a second set of them, as routers on both sides of a split, or the
 	// ones that were frozen and those that took their place, count themselves.
-	coldShare = 0.5
+	sharedPart = 0.5
 	// leastPart is what one sharer may send in a second at least, if the limit
 	// allows it: less would make a part that few of a router's requests fit.
-	leastPart = 3
+	minSharerLimit = 3
 	// coldWindow is the second that the limit holds for, and what sends may differ
 	// by in their time on the way.
 	coldWindow = 1200 * time.Millisecond
 )
 
 // coldShares is how a limit is shared out in a fleet.
-func (l *ColdLimit) coldShares(routers int) (sharers, part int) {
-	shared := int(coldShare * l.Most)
-	sharers = max(min(shared/leastPart, routers), 1)
+func (l *ColdLimit) split(routers int) (sharers, part int) {
+	shared := int(sharedPart * l.Most)
+	sharers = max(min(shared/minSharerLimit, routers), 1)
 	return sharers, shared / sharers
 }
 
@@ -51,15 +51,15 @@
 // mayGetColdLocked tells whether this router may send to a cold server now. One whose
 // rank changed waits for a window: the router that was a sharer before it may have
 // used its part within it.
-func (b *Balancer) mayGetColdLocked(s *server, now time.Time) bool {
+func (b *Balancer) maySendToColdLocked(s *server, now time.Time) bool {
 	limit := b.coldLimits[s.Pool]
-	sharers, part := limit.coldShares(len(b.ranking.live))
+	sharers, part := limit.split(len(b.ranking.live))
 	rank := b.rankLocked(s)
-	ranked := rank.changedAt
-	if b.began.After(ranked) {
-		ranked = b.began
+	rankedAt := rank.changedAt
+	if b.began.After(rankedAt) {
+		rankedAt = b.began
 	}
-	if b.ranking.live == nil || rank.before >= sharers || now.Sub(ranked) < coldWindow {
+	if b.ranking.live == nil || rank.routersBefore >= sharers || now.Sub(rankedAt) < coldWindow {
 		return false
 	}
 	for len(s.coldSends) > 0 && now.Sub(s.coldSends[0]) >= coldWindow {
@@ -71,22 +71,22 @@
 const (
 	// pressedShare of the slots taken, in the mean, is from when on cold engines are
 	// used beside the others: these are slower by then than a cold one.
-	pressedShare = 0.3
+	busyShare = 0.3
 	// reliefShare of a cold engine's slots is what this router uses at most.
-	reliefShare = 0.3
+	maxColdLoadShare = 0.3
 )
 
 // reliefLocked gives a cold engine for a request while the others are pressed. Its
 // sharers fill it first, up to their part: chosen like any other it would get next to
 // nothing, as each of them has so many others to choose from.
-func (b *Balancer) reliefLocked(mean float64) *server {
-	var relief *server
+func (b *Balancer) coldOverflowLocked(mean float64) *server {
+	var overflow *server
 	for _, s := range b.scratch.cold {
 		slots := float64(s.EffectiveSlots())
-		if mean >= pressedShare*slots && float64(s.inFlight) < reliefShare*slots &&
-			(relief == nil || s.inFlight < relief.inFlight) {
-			relief = s
+		if mean >= busyShare*slots && float64(s.inFlight) < maxColdLoadShare*slots &&
+			(overflow == nil || s.inFlight < overflow.inFlight) {
+			overflow = s
 		}
 	}
-	return relief
+	return overflow
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -215,8 +215,8 @@
 		for key := range uint64(30) {
 			acquire(t, b, prompt(100+key))
 		}
-		if got := float64(cold.inFlight); got == 0 || got > reliefShare*12+1 {
-			t.Errorf("got %v requests at the cold engine when the others are pressed, want 1 to %v", got, reliefShare*12+1)
+		if got := float64(cold.inFlight); got == 0 || got > maxColdLoadShare*12+1 {
+			t.Errorf("got %v requests at the cold engine when the others are pressed, want 1 to %v", got, maxColdLoadShare*12+1)
 		}
 		time.Sleep(2 * time.Second)
 		if b.isColdLocked(cold, time.Now()) {
--- a/balance/cutoff_test.go
+++ b/balance/cutoff_test.go
@@ -50,7 +50,7 @@
 			f.tellOutcomes()
 			out := 0
 			for _, s := range f.routers[1].servers {
-				if f.routers[1].isOutLocked(s, time.Now()) {
+				if f.routers[1].isUnavailableLocked(s, time.Now()) {
 					out++
 				}
 			}
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -23,7 +23,7 @@
 	defer b.mu.Unlock()
 	out := 0
 	for _, s := range b.servers {
-		if b.isOutLocked(s, time.Now()) {
+		if b.isUnavailableLocked(s, time.Now()) {
 			out++
 		}
 	}
@@ -36,9 +36,9 @@
 		id := home(7, 3)
 		waiting := acquire(t, b, prompt(7))
 		b.Began(waiting)
-		time.Sleep(leastSilence)
+		time.Sleep(minSilence)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
-			t.Errorf("after %v: got %s, want %s still", leastSilence, got, id)
+			t.Errorf("after %v: got %s, want %s still", minSilence, got, id)
 		}
 		time.Sleep(time.Millisecond)
 		lease := acquire(t, b, prompt(7))
@@ -85,11 +85,11 @@
 			}
 			b.Release(lease, slipwick.EvidenceNone)
 		}
-		time.Sleep(errorOuting)
+		time.Sleep(errorEjection)
 		b.HearOutcomes([]Outcomes{bad, bad})
-		time.Sleep(errorOuting)
+		time.Sleep(errorEjection)
 		if got := outNow(b); got != 1 {
-			t.Errorf("when it fails again: got %d left out after %v, want it out for longer", got, errorOuting)
+			t.Errorf("when it fails again: got %d left out after %v, want it out for longer", got, errorEjection)
 		}
 	})
 }
@@ -97,7 +97,7 @@
 func TestOutcomesAreToldOnceAndWithFailuresAlone(t *testing.T) {
 	b := newTestBalancer(1)
 	end := func(evidence slipwick.Evidence) { b.Release(acquire(t, b, plain), evidence) }
-	for range 3 * maxUntold {
+	for range 3 * maxUnsentSuccesses {
 		end(slipwick.EvidenceGood)
 	}
 	if got := b.Tell().Outcomes; len(got) != 0 {
@@ -105,8 +105,8 @@
 	}
 	end(slipwick.EvidenceError)
 	got := b.Tell().Outcomes
-	if len(got) != 1 || got[0].Good != maxUntold || got[0].Failed != 1 {
-		t.Errorf("got %v, want %d good and 1 failed", got, maxUntold)
+	if len(got) != 1 || got[0].Good != maxUnsentSuccesses || got[0].Failed != 1 {
+		t.Errorf("got %v, want %d good and 1 failed", got, maxUnsentSuccesses)
 	}
 	if got := b.Tell().Outcomes; len(got) != 0 {
 		t.Errorf("told again: got %v, want nothing", got)
@@ -164,7 +164,7 @@
 				o.Good, o.Failed = 0, 1
 			}
 			b.HearOutcomes([]Outcomes{o})
-			if got, limit := outNow(b), (size+outShare-1)/outShare; got > limit {
+			if got, limit := outNow(b), (size+ejectableOneIn-1)/ejectableOneIn; got > limit {
 				r.Fatalf("got %d of %d left out, want at most %d", got, size, limit)
 			}
 		}
@@ -209,11 +209,11 @@
 		outcomes = 10000
 	)
 	for _, share := range []float64{0.05, 0.15, 0.3} {
-		outings := 0
+		consecutiveEjections := 0
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newTestBalancer(7)
-				b.OnOut = func(slipwick.Backend, time.Duration) { outings++ }
+				b.OnOut = func(slipwick.Backend, time.Duration) { consecutiveEjections++ }
 				random := rand.New(rand.NewPCG(seed, 2))
 				b.Draw = random.Float64
 				for range outcomes {
@@ -227,7 +227,7 @@
 				}
 			})
 		}
-		if got, most := outings, seeds*outcomes/500; got > most {
+		if got, most := consecutiveEjections, seeds*outcomes/500; got > most {
 			t.Errorf("%v fail: got %d times one left out in %d outcomes, want %d at most", share, got, seeds*outcomes, most)
 		}
 	}
--- a/balance/evacuation.go
+++ b/balance/evacuation.go
@@ -23,7 +23,7 @@
 }
 
 // takesNew tells whether the server may get new requests at all, from any router.
-func (s *server) takesNew() bool {
+func (s *server) acceptsNew() bool {
 	return !s.isLeaving() && !s.evacuated
 }
 
@@ -43,5 +43,5 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s, now := lease.server, clock.Now()
-	return b.servers[s.ID] == s && s.takesNew() && !s.said.isResting(now) && (lease.isCold || !b.isColdLocked(s, now))
+	return b.servers[s.ID] == s && s.acceptsNew() && !s.notices.isResting(now) && (lease.isCold || !b.isColdLocked(s, now))
 }
--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -36,9 +36,9 @@
 	for _, pool := range pools {
 		for _, s := range b.pools[pool] {
 			switch {
-			case s.covered:
+			case s.cacheKnown:
 				q.Known = append(q.Known, s.hash)
-			case s.takesNew() && !s.said.isResting(now):
+			case s.acceptsNew() && !s.notices.isResting(now):
 				q.Wanted = append(q.Wanted, s.hash)
 			}
 		}
@@ -56,29 +56,29 @@
 func (b *Balancer) Knowledge(q *Question) Knowledge {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	lacking := make(map[uint64]*server)
+	requested := make(map[uint64]*server)
 	if len(q.Wanted) > 0 {
 		for _, hash := range q.Wanted {
-			if s := b.hashes[hash]; s != nil && s.covered {
-				lacking[hash] = s
+			if s := b.hashes[hash]; s != nil && s.cacheKnown {
+				requested[hash] = s
 			}
 		}
 	} else {
 		for hash, s := range b.hashes {
-			if s.covered {
-				lacking[hash] = s
+			if s.cacheKnown {
+				requested[hash] = s
 			}
 		}
 		for _, hash := range q.Known {
-			delete(lacking, hash)
+			delete(requested, hash)
 		}
 	}
 	k := Knowledge{}
-	if len(lacking) == 0 {
+	if len(requested) == 0 {
 		return k
 	}
-	k.Covered = slices.Collect(maps.Keys(lacking))
-	k.Reads = b.homes.all(lacking)
+	k.Covered = slices.Collect(maps.Keys(requested))
+	k.Reads = b.cacheIndex.locations(requested)
 	return k
 }
 
@@ -89,26 +89,26 @@
 	defer b.mu.Unlock()
 	for _, hash := range k.Covered {
 		if s := b.hashes[hash]; s != nil {
-			s.covered = true
+			s.cacheKnown = true
 		}
 	}
 }
 
 // likelyRanks is how many engines, by a part's rank, a prompt may have been placed
 // at while those before were busy.
-const likelyRanks = 12
+const maxLikelyRank = 12
 
 // isLikelyLocked tells whether a part was probably placed at the engine for its
 // rank. Most of what engines keep are the ends of prompts that nobody will ask for
 // again: these lie where the prompt was sent, at any rank. Of a large pool few of
 // them are taken for parts that requests share, and what routers that start learn
 // and tell each other is as much as there is to know.
-func (b *Balancer) isLikelyLocked(part uint64, s *server) bool {
-	own, before := placement.Score(part, s.hash), 0
+func (b *Balancer) isLikelyPlacementLocked(part uint64, s *server) bool {
+	own, higherRanked := placement.Score(part, s.hash), 0
 	for _, other := range b.pools[s.Pool] {
 		if placement.Score(part, other.hash) > own {
-			before++
-			if before == likelyRanks {
+			higherRanked++
+			if higherRanked == maxLikelyRank {
 				return false
 			}
 		}
@@ -126,25 +126,25 @@
 		return
 	}
 	for _, part := range parts {
-		if b.isLikelyLocked(part, s) {
-			b.homes.heard(part, s.hash)
+		if b.isLikelyPlacementLocked(part, s) {
+			b.cacheIndex.addReported(part, s.hash)
 		}
 	}
-	s.covered = true
+	s.cacheKnown = true
 }
 
 // HasHome tells whether a listed engine is known to keep the whole shared part
 // of the prompt.
-func (b *Balancer) HasHome(ask *Ask) bool {
+func (b *Balancer) HasHome(request *Ask) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(ask.Prompt) == 0 {
+	if len(request.Prompt) == 0 {
 		return false
 	}
-	holders, _ := b.homes.holders.Peek(ask.Prompt[len(ask.Prompt)-1].Key)
+	holders, _ := b.cacheIndex.holders.Peek(request.Prompt[len(request.Prompt)-1].Key)
 	return slices.ContainsFunc(holders, func(hash uint64) bool {
 		s := b.hashes[hash]
-		return s != nil && s.Pool == ask.Pool && !s.isLeaving()
+		return s != nil && s.Pool == request.Pool && !s.isLeaving()
 	})
 }
 
@@ -157,7 +157,7 @@
 	now := clock.Now()
 	var engines []slipwick.Backend
 	for _, s := range b.pools[pool] {
-		if s.takesNew() && !s.said.isResting(now) && !s.covered {
+		if s.acceptsNew() && !s.notices.isResting(now) && !s.cacheKnown {
 			engines = append(engines, s.Backend)
 		}
 	}
@@ -171,7 +171,7 @@
 	defer b.mu.Unlock()
 	b.empty = true
 	for _, s := range b.servers {
-		s.covered = true
+		s.cacheKnown = true
 	}
 }
 
@@ -179,5 +179,5 @@
 func (b *Balancer) KnownParts() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.homes.holders.Len()
+	return b.cacheIndex.holders.Len()
 }
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -20,22 +20,22 @@
 	server *server
 	// hasPrompt says that the request has one, toRead how many of its tokens the
 	// engine had to read when it was chosen, sentAt when it was sent.
-	hasPrompt bool
-	toRead    int
-	sentAt    time.Time
+	hasPrompt             bool
+	promptTokensToPrefill int
+	sentAt                time.Time
 	// heardAt is when the answer began or went on last, longestPause the longest
 	// time in between.
-	heardAt      time.Time
-	longestPause time.Duration
+	lastActivityAt time.Time
+	longestPause   time.Duration
 	// part and begun are the reading that this request is the first of.
-	part  uint64
-	begun *reading
+	part    uint64
+	prefill *prefill
 	// isSlow says that its answer began several times later than such usually do.
 	isSlow bool
 	// isCold says that the backend server was cold when it was chosen.
 	isCold bool
-	// reading is how many tokens the engine has to read for it yet.
-	reading int
+	// pendingPrefill is how many tokens the engine has to read for it yet.
+	pendingPrefill int
 }
 
 // Load is what a backend server says of itself.
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -67,14 +67,14 @@
 			added[s.hash] = true
 		}
 	}
-	b.addToldOfLocked(added)
-	b.forgetNoticesLocked()
+	b.addRemoteCountsOfLocked(added)
+	b.dropOldNoticesLocked()
 }
 
 // listLocked takes an entry, and tells whether it is of a life that was not listed.
 func (b *Balancer) listLocked(listed *Listed, since time.Time) (s *server, isNew bool) {
 	s = b.servers[listed.ID]
-	isBack := s != nil && !s.isLifeOf(listed)
+	isBack := s != nil && !s.isSameIncarnation(listed)
 	isNew = s == nil || isBack
 	if isBack {
 		b.unlistLocked(s)
@@ -83,8 +83,8 @@
 	}
 	if isNew {
 		s = newServer(*listed, since)
-		s.covered = s.covered || b.empty
-		s.said = b.notices[s.hash]
+		s.cacheKnown = s.cacheKnown || b.empty
+		s.notices = b.notices[s.hash]
 		if !since.IsZero() {
 			s.coldUntil = since.Add(b.coldLimits[listed.Pool].New)
 		}
@@ -94,17 +94,17 @@
 		known.Born = s.Born
 	}
 	if !isNew && known.Pool != s.Pool {
-		b.leavePoolLocked(s)
+		b.removeFromPoolLocked(s)
 	}
 	s.Listed = known
 	s.evacuated = b.evacuated[s.DataCentre]
 	if known.ColdUntil.After(s.coldUntil) {
 		s.coldUntil = known.ColdUntil
 	}
-	b.holdLocked(s, !since.IsZero())
+	b.noteVersionLocked(s, !since.IsZero())
 	b.servers[s.ID], b.hashes[s.hash] = s, s
-	if s.place < 0 {
-		s.place = len(b.pools[s.Pool])
+	if s.poolIndex < 0 {
+		s.poolIndex = len(b.pools[s.Pool])
 		b.pools[s.Pool] = append(b.pools[s.Pool], s)
 	}
 	return s, isNew
@@ -114,30 +114,30 @@
 func (b *Balancer) unlistLocked(s *server) {
 	delete(b.servers, s.ID)
 	delete(b.hashes, s.hash)
-	b.leavePoolLocked(s)
-	b.orphanLocked(s.hash)
+	b.removeFromPoolLocked(s)
+	b.markUnlistedLocked(s.hash)
 }
 
 // leavePoolLocked takes a server out of its pool: the last one gets its place.
-func (b *Balancer) leavePoolLocked(s *server) {
+func (b *Balancer) removeFromPoolLocked(s *server) {
 	pool := b.pools[s.Pool]
 	last := len(pool) - 1
-	pool[s.place] = pool[last]
-	pool[s.place].place = s.place
+	pool[s.poolIndex] = pool[last]
+	pool[s.poolIndex].poolIndex = s.poolIndex
 	pool[last] = nil
 	b.pools[s.Pool] = pool[:last]
-	s.place = -1
+	s.poolIndex = -1
 }
 
 // addToldOfLocked adds what other routers have told of servers that were not listed then.
-func (b *Balancer) addToldOfLocked(added map[uint64]bool) {
+func (b *Balancer) addRemoteCountsOfLocked(added map[uint64]bool) {
 	if len(added) == 0 {
 		return
 	}
 	for _, id := range b.peers {
-		for _, in := range b.heard[id].inFlight {
+		for _, in := range b.countsByRouter[id].inFlight {
 			if added[in.Server] {
-				b.addToldLocked([]InFlight{in}, 1)
+				b.addRemoteCountsLocked([]InFlight{in}, 1)
 			}
 		}
 	}
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -68,9 +68,9 @@
 			if got, want := summary(byChanges), summary(whole); !slices.Equal(got, want) {
 				t.Fatalf("got %v, want %v", got, want)
 			}
-			for _, in := range byChanges.heard["peer"].inFlight {
-				if s := byChanges.hashes[in.Server]; s != nil && s.told != in.Count {
-					t.Fatalf("%s: got %d told, want %d", s.ID, s.told, in.Count)
+			for _, in := range byChanges.countsByRouter["peer"].inFlight {
+				if s := byChanges.hashes[in.Server]; s != nil && s.remoteInFlight != in.Count {
+					t.Fatalf("%s: got %d told, want %d", s.ID, s.remoteInFlight, in.Count)
 				}
 			}
 		}
@@ -94,7 +94,7 @@
 	var lines []string
 	for name, pool := range b.pools {
 		for i, s := range pool {
-			lines = append(lines, fmt.Sprint(name, s.Life(), s.Leaving, s.told, s.place == i, b.hashes[s.hash] == s))
+			lines = append(lines, fmt.Sprint(name, s.Life(), s.Leaving, s.remoteInFlight, s.poolIndex == i, b.hashes[s.hash] == s))
 		}
 	}
 	slices.Sort(lines)
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -13,8 +13,8 @@
 	// loadShare of what the promise allows beyond the mean is used, and
 	// slackMargin of its slack is not: the rest is for what other routers send
 	// meanwhile.
-	loadShare   = 0.6
-	slackMargin = 1
+	usedLoadShare = 0.6
+	reservedSlack = 1
 )
 
 // loadsLocked gives, until it is called again, the load of each backend server: this router's requests and
@@ -22,15 +22,15 @@
 // the mean of what others report.
 func (b *Balancer) loadsLocked(servers []*server, now time.Time) []float64 {
 	each := b.scratch.costs[:0]
-	complete, usual := b.allToldLocked(now), 0.0
+	complete, typical := b.hasAllUpdatesLocked(now), 0.0
 	if !complete {
-		usual = usualReport(servers, now)
+		typical = meanReportedLoad(servers, now)
 	}
 	for _, s := range servers {
-		others := usual
+		others := typical
 		if complete {
-			others = float64(s.told)
-		} else if reported, ok := s.others(now); ok {
+			others = float64(s.remoteInFlight)
+		} else if reported, ok := s.inFlightElsewhere(now); ok {
 			others = float64(reported)
 		}
 		each = append(each, float64(s.inFlight)+others)
@@ -41,13 +41,13 @@
 
 // expectedLocked gives the loads with what the other routers probably sent since
 // they told.
-func (b *Balancer) expectedLocked(
+func (b *Balancer) expectedLoadsLocked(
 	servers []*server, now time.Time, decay float64,
 ) (each []float64, mean float64) {
 	known := b.loadsLocked(servers, now)
-	usual, others := usualSends(servers, decay), float64(b.others)
+	typical, others := meanSends(servers, decay), float64(b.otherRouters)
 	for i, s := range servers {
-		known[i] = max(known[i]+others*surge(s.sends*decay, usual), float64(s.inFlight))
+		known[i] = max(known[i]+others*expectedExcess(s.sends*decay, typical), float64(s.inFlight))
 		mean += known[i]
 	}
 	return known, mean / float64(max(len(servers), 1))
@@ -58,27 +58,27 @@
 // that are sound. Cold ones do not count: as a part of a pool came back, the bound would be so low
 // that prompts had to move from where they are kept.
 func (b *Balancer) poolMeanLocked(usable []*server, mean float64, now time.Time) float64 {
-	if len(b.scratch.spared) == 0 {
+	if len(b.scratch.paused) == 0 {
 		return mean
 	}
-	sum, complete := mean*float64(len(usable)), b.allToldLocked(now)
-	for _, s := range b.scratch.spared {
+	sum, complete := mean*float64(len(usable)), b.hasAllUpdatesLocked(now)
+	for _, s := range b.scratch.paused {
 		sum += float64(s.inFlight)
 		if complete {
-			sum += float64(s.told)
-		} else if reported, ok := s.others(now); ok {
+			sum += float64(s.remoteInFlight)
+		} else if reported, ok := s.inFlightElsewhere(now); ok {
 			sum += float64(reported)
 		}
 	}
-	return sum / float64(max(len(usable)+len(b.scratch.spared), 1))
+	return sum / float64(max(len(usable)+len(b.scratch.paused), 1))
 }
 
 // usualReport is the mean of what backend servers reported lately of other
 // routers' requests.
-func usualReport(servers []*server, now time.Time) float64 {
+func meanReportedLoad(servers []*server, now time.Time) float64 {
 	known, sum := 0, 0
 	for _, s := range servers {
-		if others, ok := s.others(now); ok {
+		if others, ok := s.inFlightElsewhere(now); ok {
 			known++
 			sum += others
 		}
@@ -99,7 +99,7 @@
 // loadBound is the load from which on an engine gets no more while others are
 // below it, by the mean of the pool.
 func (b *Balancer) loadBound(mean float64) float64 {
-	return (1+loadShare*(b.LoadFactor-1))*mean + max(b.LoadSlack-slackMargin, 0)
+	return (1+usedLoadShare*(b.LoadFactor-1))*mean + max(b.LoadSlack-reservedSlack, 0)
 }
 
 // usableBoundLocked is the bound for the usable engines, by the mean of the pool: with
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -11,10 +11,10 @@
 	// leavingLapse is how long after it last said so a server counts as leaving whose
 	// successor can't be told from it by its entry. What leaves lives on for many
 	// seconds; one that was replaced goes without work for this long.
-	leavingLapse = 30 * time.Second
+	leavingExpiry = 30 * time.Second
 	// noticesKept is for how long what a server said is kept after its entry went: an
 	// entry that lapsed as the store was away is back some seconds after its return.
-	noticesKept = 10 * time.Minute
+	noticeRetention = 10 * time.Minute
 )
 
 // notices are what one life of a backend server said of itself in its answers. A server
@@ -25,7 +25,7 @@
 	// leavingAt is when an answer said last that it leaves; zero if none did. lapses is
 	// after how long that counts no more; 0 if it always does.
 	leavingAt time.Time
-	lapses    time.Duration
+	expiry    time.Duration
 	// restUntil is until when it wants nothing from this router.
 	restUntil time.Time
 }
@@ -33,12 +33,12 @@
 // saysLeaving tells whether the server said in an answer that it leaves. Most servers never
 // said anything, and have no notices at all.
 func (n *notices) saysLeaving() bool {
-	return n != nil && !n.leavingAt.IsZero() && (n.lapses == 0 || clock.Since(n.leavingAt) < n.lapses)
+	return n != nil && !n.leavingAt.IsZero() && (n.expiry == 0 || clock.Since(n.leavingAt) < n.expiry)
 }
 
 // isLeaving tells whether the server leaves, by the list or by its own word.
 func (s *server) isLeaving() bool {
-	return s.Leaving || s.said.saysLeaving()
+	return s.Leaving || s.notices.saysLeaving()
 }
 
 // rest is for how long it wants nothing from this router.
@@ -56,42 +56,42 @@
 
 // noticesOfLocked gives those of a server's life to add to. They are kept when its entry
 // goes: it may lapse, and come back, while the server lives.
-func (b *Balancer) noticesOfLocked(life uint64) *notices {
+func (b *Balancer) ensureNoticesLocked(life uint64) *notices {
 	n := b.notices[life]
 	if n == nil {
 		n = &notices{}
 		if b.InPlace {
-			n.lapses = leavingLapse
+			n.expiry = leavingExpiry
 		}
 		b.notices[life] = n
 	}
 	if s := b.hashes[life]; s != nil {
-		s.said = n
+		s.notices = n
 	}
 	return n
 }
 
 // orphanLocked notes that a life is no longer listed. What it never said is forgotten.
-func (b *Balancer) orphanLocked(life uint64) {
+func (b *Balancer) markUnlistedLocked(life uint64) {
 	if n := b.notices[life]; n == nil || n.leavingAt.IsZero() && n.restUntil.IsZero() {
 		delete(b.notices, life)
 		return
 	}
-	b.orphans[life] = true
+	b.unlistedNotices[life] = true
 }
 
 // forgetNoticesLocked drops those of lives that are no longer listed, after a while.
-func (b *Balancer) forgetNoticesLocked() {
+func (b *Balancer) dropOldNoticesLocked() {
 	now := clock.Now()
-	for life := range b.orphans {
+	for life := range b.unlistedNotices {
 		n := b.notices[life]
 		if b.hashes[life] != nil || n == nil {
-			delete(b.orphans, life)
+			delete(b.unlistedNotices, life)
 			continue
 		}
-		if !n.isResting(now) && now.Sub(n.leavingAt) > noticesKept {
+		if !n.isResting(now) && now.Sub(n.leavingAt) > noticeRetention {
 			delete(b.notices, life)
-			delete(b.orphans, life)
+			delete(b.unlistedNotices, life)
 		}
 	}
 }
@@ -103,7 +103,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.noticedLocked(lease.server, notice)
+	b.receiveNoticeLocked(lease.server, notice)
 }
 
 // NoticedBy takes what a backend server said of itself in an answer to something else than
@@ -115,14 +115,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if s := b.servers[backend.ID]; s != nil && s.Life() == backend.Life() {
-		b.noticedLocked(s, notice)
+		b.receiveNoticeLocked(s, notice)
 	}
 }
 
 // noticedLocked takes a notice that this router was given, and has the others told.
-func (b *Balancer) noticedLocked(s *server, notice slipwick.Notice) {
-	if b.noticeLocked(s, notice) && notice.Leaving && len(b.leaving) < maxReads {
-		b.leaving = append(b.leaving, s.hash)
+func (b *Balancer) receiveNoticeLocked(s *server, notice slipwick.Notice) {
+	if b.applyNoticeLocked(s, notice) && notice.Leaving && len(b.pendingLeaving) < maxPendingReads {
+		b.pendingLeaving = append(b.pendingLeaving, s.hash)
 	}
 }
 
@@ -134,7 +134,7 @@
 	defer b.mu.Unlock()
 	for _, hash := range servers {
 		if s := b.hashes[hash]; s != nil {
-			b.noticeLocked(s, slipwick.Notice{
+			b.applyNoticeLocked(s, slipwick.Notice{
 				Leaving: true,
 			})
 		}
@@ -142,23 +142,23 @@
 }
 
 // noticeLocked tells whether the notice is news.
-func (b *Balancer) noticeLocked(s *server, notice slipwick.Notice) bool {
+func (b *Balancer) applyNoticeLocked(s *server, notice slipwick.Notice) bool {
 	// The entry may have lapsed, and come back, while the request was under way.
-	now, said := clock.Now(), b.noticesOfLocked(s.hash)
-	isNews := notice.Leaving && !said.saysLeaving() || notice.Rest > 0 && !said.isResting(now)
+	now, known := clock.Now(), b.ensureNoticesLocked(s.hash)
+	isNew := notice.Leaving && !known.saysLeaving() || notice.Rest > 0 && !known.isResting(now)
 	if notice.Leaving {
-		said.leavingAt = now
+		known.leavingAt = now
 	}
-	if until := now.Add(notice.Rest); notice.Rest > 0 && until.After(said.restUntil) {
-		said.restUntil = until
+	if until := now.Add(notice.Rest); notice.Rest > 0 && until.After(known.restUntil) {
+		known.restUntil = until
 	}
 	if b.hashes[s.hash] == nil {
-		b.orphans[s.hash] = true
+		b.unlistedNotices[s.hash] = true
 	}
-	if isNews {
+	if isNew {
 		b.OnNotice(s.Backend, notice)
 	}
-	return isNews
+	return isNew
 }
 
 // Notices counts the listed backend servers that leave, and those that want nothing from
@@ -171,7 +171,7 @@
 		if s.isLeaving() {
 			leaving++
 		}
-		if s.said.isResting(now) {
+		if s.notices.isResting(now) {
 			resting++
 		}
 	}
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -23,7 +23,7 @@
 	if s == nil {
 		t.Fatalf("no backend server %s is listed", id)
 	}
-	return leaseOf(s)
+	return newLease(s)
 }
 
 // chosen gives which backend servers requests go to, all of which are still in progress.
@@ -217,7 +217,7 @@
 	failing := leaseAt(t, b, "p-2")
 	for range 20 {
 		b.mu.Lock()
-		b.observeLocked(failing.server, slipwick.EvidenceError, time.Now())
+		b.recordEvidenceLocked(failing.server, slipwick.EvidenceError, time.Now())
 		b.mu.Unlock()
 	}
 	if got := outNow(b); got > 0 {
@@ -234,9 +234,9 @@
 			b.InPlace = inPlace
 			b.SetBackends(listed(2))
 			say(t, b, "p-0", leaves)
-			time.Sleep(leavingLapse / 2)
+			time.Sleep(leavingExpiry / 2)
 			say(t, b, "p-0", leaves)
-			time.Sleep(leavingLapse - time.Millisecond)
+			time.Sleep(leavingExpiry - time.Millisecond)
 			if got := chosen(t, b, 20)["p-0"]; got > 0 {
 				t.Errorf("in place %t: got %d of 20 requests before the word lapsed, want none", inPlace, got)
 			}
@@ -259,7 +259,7 @@
 			say(t, b, list[1].ID, leaves)
 			time.Sleep(time.Second)
 		}
-		if got, want := len(b.notices), int(noticesKept/time.Second)+2; got > want {
+		if got, want := len(b.notices), int(noticeRetention/time.Second)+2; got > want {
 			t.Errorf("got %d notices kept, want at most %d", got, want)
 		}
 	})
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -38,7 +38,7 @@
 func TestPatienceIsUnknownAtTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		for range slownessLeast - 1 {
+		for range minSlownessSamples - 1 {
 			serve(t, b, plain, 10*time.Millisecond)
 		}
 		if got := patienceOf(t, b, plain); got != 0 {
@@ -60,8 +60,8 @@
 		for range 512 {
 			serve(t, b, plain, time.Millisecond)
 		}
-		if got := patienceOf(t, b, plain); got != leastPatience {
-			t.Errorf("got %v for a fast service, want the floor, %v", got, leastPatience)
+		if got := patienceOf(t, b, plain); got != minFirstByteTimeout {
+			t.Errorf("got %v for a fast service, want the floor, %v", got, minFirstByteTimeout)
 		}
 	})
 }
@@ -86,7 +86,7 @@
 		}
 		expectBetween(t, "a short prompt", patienceOf(t, b, shared(1, 100)), time.Second, 1500*time.Millisecond)
 		expectBetween(t, "a long prompt", patienceOf(t, b, shared(2, 20000)), 4*time.Second, 6500*time.Millisecond)
-		if got := b.paces["p"].reading.Tokens(longReadTime); got > 1200 {
+		if got := b.paces["p"].prefill.Tokens(longPrefillTime); got > 1200 {
 			t.Errorf("got %d tokens for a long prompt, want about 800", got)
 		}
 	})
@@ -120,7 +120,7 @@
 func TestSlowPoolIsNotSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		for range 2 * slownessLeast {
+		for range 2 * minSlownessSamples {
 			serve(t, b, prompt(7), 900*time.Millisecond)
 		}
 		id := home(7, 3)
@@ -129,9 +129,9 @@
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
 			t.Errorf("after 2 s: got %s, want %s still", got, id)
 		}
-		time.Sleep(mostSilence)
+		time.Sleep(maxSilence)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got == id {
-			t.Errorf("after %v: got %s, want another", 2*time.Second+mostSilence, got)
+			t.Errorf("after %v: got %s, want another", 2*time.Second+maxSilence, got)
 		}
 		b.Release(waiting, slipwick.EvidenceNone)
 	})
@@ -176,7 +176,7 @@
 			for range 2 * pausesWindow {
 				stream(pause)
 			}
-			if got, want := b.PausePatience(lease), patienceFactor*pause; got != want {
+			if got, want := b.PausePatience(lease), timeoutFactor*pause; got != want {
 				t.Errorf("pauses of %v: got %v, want %v", pause, got, want)
 			}
 		}
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -10,55 +10,55 @@
 // byPromptLocked takes an engine that has the prompt cached and is not loaded
 // above the bound; without one, the engine below the bound that has the least to
 // read; and when all are above it, the least loaded.
-func (b *Balancer) byPromptLocked(ask *Ask, pool, usable []*server, now time.Time, decay float64) *Lease {
-	parts := ask.keys()
+func (b *Balancer) chooseByPromptLocked(request *Ask, pool, usable []*server, now time.Time, decay float64) *Lease {
+	parts := request.keys()
 	prompt := parts[len(parts)-1]
-	each, mean := b.expectedLocked(usable, now, decay)
+	each, mean := b.expectedLoadsLocked(usable, now, decay)
 	bound := b.usableBoundLocked(usable, mean, now)
-	holders, _ := b.homes.holders.Peek(prompt)
+	holders, _ := b.cacheIndex.holders.Peek(prompt)
 	best := candidate{}
 	for i, s := range usable {
 		if each[i] >= bound {
 			continue
 		}
 		c := candidate{
-			server: s,
-			has:    slices.Contains(holders, s.hash),
-			near:   s.DataCentre == b.DataCentre,
-			score:  placement.Score(prompt, s.hash),
+			server:  s,
+			has:     slices.Contains(holders, s.hash),
+			isLocal: s.DataCentre == b.DataCentre,
+			score:   placement.Score(prompt, s.hash),
 		}
-		if c.betterThan(&best) {
+		if c.isBetterThan(&best) {
 			best = c
 		}
 	}
 	chosen := best.server
 	switch {
 	case chosen == nil:
-		chosen = usable[spread(each, b.unheardLocked(usable, decay), b.Draw())]
+		chosen = usable[chooseByWaterFilling(each, b.unreportedRequestsLocked(usable, decay), b.Draw())]
 	case !best.has:
-		chosen = b.leastReadingLocked(prompt, usable, each, bound, now)
+		chosen = b.leastPrefillLocked(prompt, usable, each, bound, now)
 	}
-	if relief := b.reliefLocked(mean); relief != nil {
-		chosen = relief
+	if overflow := b.coldOverflowLocked(mean); overflow != nil {
+		chosen = overflow
 	}
-	lease := leaseOf(chosen)
+	lease := newLease(chosen)
 	lease.hasPrompt = true
-	lease.reading = ask.Own
-	has := b.homes.has(prompt, chosen)
+	lease.pendingPrefill = request.Own
+	has := b.cacheIndex.holds(prompt, chosen)
 	if !has {
-		lease.reading = ask.tokens()
+		lease.pendingPrefill = request.tokens()
 	}
-	lease.toRead = lease.reading
-	holder := b.holderLocked(ask, parts, pool, chosen, now)
+	lease.promptTokensToPrefill = lease.pendingPrefill
+	holder := b.fetchSourceLocked(request, parts, pool, chosen, now)
 	if holder != nil {
 		lease.FetchFrom = holder.Address
 	}
-	if has || holder != nil && b.homes.has(prompt, holder) {
-		b.awaitReadingLocked(ask, prompt, lease, now)
+	if has || holder != nil && b.cacheIndex.holds(prompt, holder) {
+		b.awaitPrefillLocked(request, prompt, lease, now)
 	} else {
-		b.beginReadingLocked(prompt, lease, now)
+		b.startPrefillLocked(prompt, lease, now)
 	}
-	b.ranLocked(parts, chosen)
+	b.recordCachedPartsLocked(parts, chosen)
 	return lease
 }
 
@@ -67,7 +67,7 @@
 // behind the next and still get a prompt that it does not have. It keeps routers,
 // which know of each other's readings late, from choosing the same engine for
 // all prompts.
-func (b *Balancer) leastReadingLocked(
+func (b *Balancer) leastPrefillLocked(
 	prompt uint64, usable []*server, each []float64, bound float64, now time.Time,
 ) *server {
 	below := b.scratch.below[:0]
@@ -77,13 +77,13 @@
 		}
 	}
 	b.scratch.below = below
-	below = b.nearHoldersLocked(prompt, below, now)
+	below = b.preferHolderDataCentresLocked(prompt, below, now)
 	scores := b.scratch.scores[:0]
 	for _, s := range below {
 		scores = append(scores, placement.Score(prompt, s.hash))
 	}
 	b.scratch.scores = scores
-	rankLead := b.paceLocked(usable[0].Pool).reading.Tokens(rankLeadTime)
+	rankLead := b.paceLocked(usable[0].Pool).prefill.Tokens(rankLeadTime)
 	var best *server
 	bestCost := 0
 	// The ranks are gone through only as far as one may cost less.
@@ -91,7 +91,7 @@
 		i := indexOfMax(scores)
 		s := below[i]
 		scores[i] = 0
-		if cost := rank*rankLead + max(s.reading+s.toldReading, 0); best == nil || cost < bestCost {
+		if cost := rank*rankLead + max(s.prefillTokens+s.remotePrefillTokens, 0); best == nil || cost < bestCost {
 			best, bestCost = s, cost
 		}
 	}
@@ -112,11 +112,11 @@
 // nearHoldersLocked moves those of the engines to the front, and gives them, that
 // are in the data centre of one that has the prompt and can be reached: they fetch
 // it in half of the time. Without any it gives all.
-func (b *Balancer) nearHoldersLocked(prompt uint64, engines []*server, now time.Time) []*server {
-	known, _ := b.homes.holders.Peek(prompt)
+func (b *Balancer) preferHolderDataCentresLocked(prompt uint64, engines []*server, now time.Time) []*server {
+	known, _ := b.cacheIndex.holders.Peek(prompt)
 	var holds []string
 	for _, hash := range known {
-		if holder := b.hashes[hash]; holder != nil && b.isReachableLocked(holder, now) {
+		if holder := b.hashes[hash]; holder != nil && b.canFetchFromLocked(holder, now) {
 			holds = append(holds, holder.DataCentre)
 		}
 	}
@@ -138,27 +138,27 @@
 	server *server
 	// has says that it is known to have the prompt cached.
 	has bool
-	// near says that it is in the router's data centre; among several that
-	// have the prompt, near ones save bytes between data centres.
-	near  bool
-	score uint64
+	// isLocal says that it is in the router's data centre; among several that
+	// have the prompt, isLocal ones save bytes between data centres.
+	isLocal bool
+	score   uint64
 }
 
-func (c *candidate) betterThan(other *candidate) bool {
+func (c *candidate) isBetterThan(other *candidate) bool {
 	if other.server == nil || c.has != other.has {
 		return other.server == nil || c.has
 	}
-	if c.has && c.near != other.near {
-		return c.near
+	if c.has && c.isLocal != other.isLocal {
+		return c.isLocal
 	}
 	return c.score > other.score
 }
 
 // ranLocked notes, and later tells the other routers, where parts are kept.
-func (b *Balancer) ranLocked(parts []uint64, s *server) {
+func (b *Balancer) recordCachedPartsLocked(parts []uint64, s *server) {
 	for _, part := range parts {
-		if b.homes.ran(part, s.hash) && len(b.reads) < maxReads {
-			b.reads = append(b.reads, Read{
+		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingReads) < maxPendingReads {
+			b.pendingReads = append(b.pendingReads, Read{
 				Part:   part,
 				Server: s.hash,
 			})
@@ -170,43 +170,43 @@
 // its first parts, if it is not the chosen one: one that is known to keep the
 // prompt; the best ranked of those that were listed before the chosen one, if
 // its cache is not known; one that is known to keep the first parts.
-func (b *Balancer) holderLocked(ask *Ask, parts []uint64, pool []*server, chosen *server, now time.Time) *server {
+func (b *Balancer) fetchSourceLocked(request *Ask, parts []uint64, pool []*server, chosen *server, now time.Time) *server {
 	usable := func(engine uint64) *server {
-		if s := b.hashes[engine]; s != nil && ask.allows(s) && b.isReachableLocked(s, now) {
+		if s := b.hashes[engine]; s != nil && request.allows(s) && b.canFetchFromLocked(s, now) {
 			return s
 		}
 		return nil
 	}
 	prompt := parts[len(parts)-1]
-	if holder, known := b.homes.holder(parts[len(parts)-1:], chosen, usable); known {
+	if holder, known := b.cacheIndex.findHolder(parts[len(parts)-1:], chosen, usable); known {
 		return holder
 	}
-	if home := b.likelyHomeLocked(ask, prompt, pool, chosen, now); home != chosen && home != nil && !home.covered {
-		return home
+	if likely := b.likelyHolderLocked(request, prompt, pool, chosen, now); likely != chosen && likely != nil && !likely.cacheKnown {
+		return likely
 	}
-	holder, _ := b.homes.holder(parts[:len(parts)-1], chosen, usable)
+	holder, _ := b.cacheIndex.findHolder(parts[:len(parts)-1], chosen, usable)
 	return holder
 }
 
 // likelyHomeLocked gives the best ranked engine for a prompt of those that were listed
 // before the chosen one, or the chosen one if it is that.
-func (b *Balancer) likelyHomeLocked(ask *Ask, prompt uint64, pool []*server, chosen *server, now time.Time) *server {
-	var home *server
-	var homeScore uint64
+func (b *Balancer) likelyHolderLocked(request *Ask, prompt uint64, pool []*server, chosen *server, now time.Time) *server {
+	var likely *server
+	var likelyScore uint64
 	for _, s := range pool {
-		if b.isOutLocked(s, now) || !ask.allows(s) || s != chosen && s.since.After(chosen.since) {
+		if b.isUnavailableLocked(s, now) || !request.allows(s) || s != chosen && s.listedAt.After(chosen.listedAt) {
 			continue
 		}
-		if s == chosen && now.Sub(s.since) < settledAfter {
+		if s == chosen && now.Sub(s.listedAt) < cacheWarmupTime {
 			continue
 		}
-		if score := placement.Score(prompt, s.hash); home == nil || score > homeScore {
-			home, homeScore = s, score
+		if score := placement.Score(prompt, s.hash); likely == nil || score > likelyScore {
+			likely, likelyScore = s, score
 		}
 	}
-	return home
+	return likely
 }
 
 // settledAfter is how long an engine has to be listed for its prompts to count
 // as cached there.
-const settledAfter = 20 * time.Second
+const cacheWarmupTime = 20 * time.Second
--- a/balance/ranking.go
+++ b/balance/ranking.go
@@ -23,10 +23,10 @@
 // routerRank is how this router ranks for a server, by a version of the ranking.
 type routerRank struct {
 	version uint64
-	// before counts the routers that rank before this one, changedAt is when one of
-	// these came or went last, if that was within coldWindow before it was ranked.
-	before    int
-	changedAt time.Time
+	// routersBefore counts the routers that rank routersBefore this one, changedAt is when one of
+	// these came or went last, if that was within coldWindow routersBefore it was ranked.
+	routersBefore int
+	changedAt     time.Time
 }
 
 // SetRouters takes the IDs of the routers that live, this one among them or not.
@@ -63,18 +63,18 @@
 	if s.rank.version == r.version {
 		return &s.rank
 	}
-	isBefore := func(router uint64) bool { return router != r.self && scoresHigher(s, router, r.self) }
+	ranksBefore := func(router uint64) bool { return router != r.self && scoresHigher(s, router, r.self) }
 	s.rank = routerRank{
 		version:   r.version,
 		changedAt: s.rank.changedAt,
 	}
 	for router := range r.live {
-		if isBefore(router) {
-			s.rank.before++
+		if ranksBefore(router) {
+			s.rank.routersBefore++
 		}
 	}
 	for router, at := range r.recent {
-		if at.After(s.rank.changedAt) && isBefore(router) {
+		if at.After(s.rank.changedAt) && ranksBefore(router) {
 			s.rank.changedAt = at
 		}
 	}
--- a/balance/ranking_test.go
+++ b/balance/ranking_test.go
@@ -53,7 +53,7 @@
 		known := names[:10]
 		for _, live := range [][]string{known, names, names[5:], names[:1], names} {
 			time.Sleep(2 * coldWindow)
-			before := b.rankLocked(s).before
+			before := b.rankLocked(s).routersBefore
 			b.SetRouters("r0", live)
 			rank := b.rankLocked(s)
 			want := 0
@@ -62,8 +62,8 @@
 					want++
 				}
 			}
-			if rank.before != want {
-				t.Errorf("%d routers: got rank %d, want %d", len(live), rank.before, want)
+			if rank.routersBefore != want {
+				t.Errorf("%d routers: got rank %d, want %d", len(live), rank.routersBefore, want)
 			}
 			if changed := rank.changedAt.Equal(time.Now()); before != want && !changed {
 				t.Errorf("%d routers: got a rank that changed %v ago, want now", len(live), time.Since(rank.changedAt))
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -98,15 +98,15 @@
 func TestReadingsAreForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(4)
-		for key := range uint64(3 * readingsKept) {
+		for key := range uint64(3 * maxPrefills) {
 			acquire(t, b, longPrompt(key))
 		}
-		if got := len(b.readings); got > readingsKept {
-			t.Errorf("got %d readings, want at most %d", got, readingsKept)
+		if got := len(b.prefills); got > maxPrefills {
+			t.Errorf("got %d readings, want at most %d", got, maxPrefills)
 		}
 		time.Sleep(longestWait + time.Millisecond)
 		acquire(t, b, longPrompt(1<<40))
-		if got := len(b.readings); got > 1 {
+		if got := len(b.prefills); got > 1 {
 			t.Errorf("got %d readings later, want the newest alone", got)
 		}
 	})
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -141,7 +141,7 @@
 			s.inFlight = s.EffectiveSlots()
 		}
 		for range 20 {
-			lease := leaseOf(s)
+			lease := newLease(s)
 			s.inFlight++
 			b.Release(lease, slipwick.EvidenceShed)
 		}
--- a/balance/sleep_test.go
+++ b/balance/sleep_test.go
@@ -21,13 +21,13 @@
 			lease := acquire(t, b, &Ask{Pool: "p"})
 			b.Release(lease, slipwick.EvidenceRefused)
 			b.Hear("r", 1, []InFlight{{Server: b.servers[lease.Backend.ID].hash, Count: 9}})
-			if !b.allToldLocked(clock.Now()) || !b.isOutLocked(b.servers[lease.Backend.ID], clock.Now()) {
+			if !b.hasAllUpdatesLocked(clock.Now()) || !b.isUnavailableLocked(b.servers[lease.Backend.ID], clock.Now()) {
 				t.Fatal("got what was just told and judged not believed")
 			}
 			time.Sleep(100 * time.Millisecond)
 			ahead += sleep
 			clock.Notice()
-			if b.allToldLocked(clock.Now()) {
+			if b.hasAllUpdatesLocked(clock.Now()) {
 				t.Errorf("after %v: got counts believed that are older than a second", sleep)
 			}
 			for _, s := range b.States() {
--- a/balance/spread.go
+++ b/balance/spread.go
@@ -8,27 +8,27 @@
 // unheardLocked is how many requests all routers have at the servers that none
 // has told of yet: those of the last moment that still run. Each router sends
 // about as many as this one.
-func (b *Balancer) unheardLocked(servers []*server, decay float64) float64 {
+func (b *Balancer) unreportedRequestsLocked(servers []*server, decay float64) float64 {
 	if len(servers) == 0 {
 		return 0
 	}
-	each := usualSends(servers, decay)
-	usual := b.paceLocked(servers[0].Pool).within(usualShare, 0)
-	if usual > 0 && usual < unheardTime {
-		each *= float64(usual) / float64(unheardTime)
+	each := meanSends(servers, decay)
+	typical := b.paceLocked(servers[0].Pool).responseTimeQuantile(medianQuantile, 0)
+	if typical > 0 && typical < updateDelay {
+		each *= float64(typical) / float64(updateDelay)
 	}
-	return each * float64(len(servers)) * float64(b.others+1)
+	return each * float64(len(servers)) * float64(b.otherRouters+1)
 }
 
 // leastUnheard is what is spread in any case: the request itself.
-const leastUnheard = 1
+const minUnreported = 1
 
-// spread chooses a server for a request, by what its choice costs, so that what
+// chooseByWaterFilling chooses a server for a request, by what its choice costs, so that what
 // the routers have not told each other yet fills the cheapest servers to one
 // level: were all to choose the cheapest, it would get everything until the next
 // telling. It gives an index; draw is a number from 0 to 1 by chance.
-func spread(costs []float64, unheard, draw float64) int {
-	level := fillLevel(costs, max(unheard, leastUnheard))
+func chooseByWaterFilling(costs []float64, unreported, draw float64) int {
+	level := fillLevel(costs, max(unreported, minUnreported))
 	sum := 0.0
 	for _, cost := range costs {
 		sum += max(level-cost, 0)
--- a/balance/state.go
+++ b/balance/state.go
@@ -52,16 +52,16 @@
 			ColdMS:     max(s.coldUntil.Sub(now).Milliseconds(), 0),
 			Leaving:    s.Leaving,
 
-			SaysLeaving: s.said.saysLeaving(),
-			RestMS:      s.said.rest(now).Milliseconds(),
+			SaysLeaving: s.notices.saysLeaving(),
+			RestMS:      s.notices.rest(now).Milliseconds(),
 
-			Out:       now.Before(s.outUntil),
-			Silent:    b.isSilentLocked(s, now),
+			Out:       now.Before(s.ejectedUntil),
+			Silent:    b.isUnresponsiveLocked(s, now),
 			InFlight:  s.inFlight,
 			ErrorRate: s.errors.rate,
 		}
 		if state.Out {
-			state.OutMS = s.outUntil.Sub(now).Milliseconds()
+			state.OutMS = s.ejectedUntil.Sub(now).Milliseconds()
 		}
 		states = append(states, state)
 	}
--- a/balance/surge.go
+++ b/balance/surge.go
@@ -8,17 +8,17 @@
 const (
 	// unheardTime is how long a router does not know yet what the others send: a
 	// telling comes five times a second, and may be passed on by a hub.
-	unheardTime = 200 * time.Millisecond
+	updateDelay = 200 * time.Millisecond
 	// countAnew is after how long the servers' sends are counted for a new
 	// moment: what was counted long before has decayed to nothing.
-	countAnew = 20 * unheardTime
+	sendsRebaseInterval = 20 * updateDelay
 )
 
 // decayLocked is what remains now of a request that was sent at sendsFrom.
 func (b *Balancer) decayLocked(now time.Time) float64 {
 	age := now.Sub(b.sendsFrom)
-	decay := math.Exp(-age.Seconds() / unheardTime.Seconds())
-	if age <= countAnew {
+	decay := math.Exp(-age.Seconds() / updateDelay.Seconds())
+	if age <= sendsRebaseInterval {
 		return decay
 	}
 	for _, s := range b.servers {
@@ -29,13 +29,13 @@
 }
 
 // noteSend takes a request of this router, which decays from now on.
-func (s *server) noteSend(decay float64) {
+func (s *server) recordSend(decay float64) {
 	s.sends += 1 / decay
 }
 
 // usualSends is how many each of the servers got from this router in the last
 // moment, in the mean.
-func usualSends(servers []*server, decay float64) float64 {
+func meanSends(servers []*server, decay float64) float64 {
 	sum := 0.0
 	for _, s := range servers {
 		sum += s.sends
@@ -43,16 +43,16 @@
 	return sum * decay / float64(max(len(servers), 1))
 }
 
-// surge is how many more requests than usual another router has probably sent to
+// expectedExcess is how many more requests than usual another router has probably sent to
 // a server in the last moment, unheard yet, by what this one sent there and what
 // is usual. Routers choose alike: what this one sent tells of the others, and the
 // less the fewer it sends. Without it all would send what they all like to the same
 // server until the next telling.
-func surge(sent, usual float64) float64 {
-	if usual <= 0 {
+func expectedExcess(sent, typical float64) float64 {
+	if typical <= 0 {
 		return 0
 	}
 	// The mean of a Poisson rate, given an exponential prior around the usual.
-	expected := usual * (1 + sent) / (1 + usual)
-	return expected - usual
+	expected := typical * (1 + sent) / (1 + typical)
+	return expected - typical
 }
--- a/balance/told.go
+++ b/balance/told.go
@@ -41,16 +41,16 @@
 
 const (
 	// toldLife is how long counts of another router are believed.
-	toldLife = time.Second
+	remoteCountsLifetime = time.Second
 	// maxReads bounds what waits to be told; more is forgotten.
-	maxReads = 512
+	maxPendingReads = 512
 )
 
-// heard is the latest that another router told.
-type heard struct {
-	at       time.Time
-	sequence uint64
-	inFlight []InFlight
+// remoteCounts is the latest that another router told.
+type remoteCounts struct {
+	receivedAt time.Time
+	sequence   uint64
+	inFlight   []InFlight
 }
 
 // Tell gives what there is to tell the other routers. Reads, outcomes and those that
@@ -59,18 +59,18 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	told := Told{
-		Reads:   b.reads,
-		Leaving: b.leaving,
+		Reads:   b.pendingReads,
+		Leaving: b.pendingLeaving,
 	}
-	b.reads, b.leaving = nil, nil
-	b.tellTrialsLocked(&told)
-	for s := range b.inUse {
+	b.pendingReads, b.pendingLeaving = nil, nil
+	b.addCanaryCountsLocked(&told)
+	for s := range b.active {
 		if b.hashes[s.hash] != s {
 			// It is no longer listed.
-			delete(b.inUse, s)
+			delete(b.active, s)
 			continue
 		}
-		if good, failed := s.errors.untold(); failed > 0 {
+		if good, failed := s.errors.takeUnsent(); failed > 0 {
 			told.Outcomes = append(told.Outcomes, Outcomes{
 				Server: s.hash,
 				Good:   good,
@@ -81,10 +81,10 @@
 			told.InFlight = append(told.InFlight, InFlight{
 				Server:  s.hash,
 				Count:   s.inFlight,
-				Reading: max(s.reading, 0),
+				Reading: max(s.prefillTokens, 0),
 			})
 		} else {
-			delete(b.inUse, s)
+			delete(b.active, s)
 		}
 	}
 	return told
@@ -94,8 +94,8 @@
 func (b *Balancer) TellReads() []Read {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	reads := b.reads
-	b.reads = nil
+	reads := b.pendingReads
+	b.pendingReads = nil
 	return reads
 }
 
@@ -104,17 +104,17 @@
 func (b *Balancer) Hear(router string, sequence uint64, list []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if sequence <= b.heard[router].sequence {
+	if sequence <= b.countsByRouter[router].sequence {
 		return
 	}
 	if slices.Contains(b.peers, router) {
-		b.addToldLocked(b.heard[router].inFlight, -1)
-		b.addToldLocked(list, 1)
+		b.addRemoteCountsLocked(b.countsByRouter[router].inFlight, -1)
+		b.addRemoteCountsLocked(list, 1)
 	}
-	b.heard[router] = heard{
-		at:       clock.Now(),
-		sequence: sequence,
-		inFlight: list,
+	b.countsByRouter[router] = remoteCounts{
+		receivedAt: clock.Now(),
+		sequence:   sequence,
+		inFlight:   list,
 	}
 }
 
@@ -122,32 +122,32 @@
 func (b *Balancer) HearMore(router string, list []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h := b.heard[router]
-	h.at = clock.Now()
+	h := b.countsByRouter[router]
+	h.receivedAt = clock.Now()
 	h.inFlight = append(h.inFlight, list...)
-	b.heard[router] = h
+	b.countsByRouter[router] = h
 	if slices.Contains(b.peers, router) {
-		b.addToldLocked(list, 1)
+		b.addRemoteCountsLocked(list, 1)
 	}
 }
 
 // addToldLocked adds counts, times the sign, to the servers' sums.
-func (b *Balancer) addToldLocked(list []InFlight, sign int) {
+func (b *Balancer) addRemoteCountsLocked(list []InFlight, sign int) {
 	for _, in := range list {
 		if s := b.hashes[in.Server]; s != nil {
-			s.told += sign * in.Count
-			s.toldReading += sign * in.Reading
+			s.remoteInFlight += sign * in.Count
+			s.remotePrefillTokens += sign * in.Reading
 		}
 	}
 }
 
 // sumToldLocked sums what those that tell this router told.
-func (b *Balancer) sumToldLocked() {
+func (b *Balancer) recountRemoteLocked() {
 	for _, s := range b.servers {
-		s.told, s.toldReading = 0, 0
+		s.remoteInFlight, s.remotePrefillTokens = 0, 0
 	}
 	for _, id := range b.peers {
-		b.addToldLocked(b.heard[id].inFlight, 1)
+		b.addRemoteCountsLocked(b.countsByRouter[id].inFlight, 1)
 	}
 }
 
@@ -157,7 +157,7 @@
 	defer b.mu.Unlock()
 	for _, read := range reads {
 		if s := b.hashes[read.Server]; s != nil {
-			b.homes.heard(read.Part, s.hash)
+			b.cacheIndex.addReported(read.Part, s.hash)
 		}
 	}
 }
@@ -168,15 +168,15 @@
 	now := clock.Now()
 	for _, read := range reads {
 		s := b.hashes[read.Server]
-		if known, _ := b.homes.holders.Peek(read.Part); len(known) > 0 || s == nil {
+		if known, _ := b.cacheIndex.holders.Peek(read.Part); len(known) > 0 || s == nil {
 			continue
 		}
 		// How much is read is not told.
 		p := b.paceLocked(s.Pool)
-		b.readings.begin(read.Part, &reading{
-			engine: read.Server,
-			began:  now,
-			until:  now.Add(p.readBy(p.reading.Tokens(toldReadTime))),
+		b.prefills.start(read.Part, &prefill{
+			engine:    read.Server,
+			startedAt: now,
+			deadline:  now.Add(p.maxPrefillTime(p.prefill.Tokens(remotePrefillTime))),
 		})
 	}
 	b.mu.Unlock()
@@ -201,27 +201,27 @@
 func (b *Balancer) SetPeers(ids []string, others int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.others = others
+	b.otherRouters = others
 	if slices.Equal(b.peers, ids) {
 		return
 	}
 	b.peers = ids
-	live := make(map[string]heard, len(ids))
+	live := make(map[string]remoteCounts, len(ids))
 	for _, id := range ids {
-		if h, ok := b.heard[id]; ok {
+		if h, ok := b.countsByRouter[id]; ok {
 			live[id] = h
 		}
 	}
-	b.heard = live
-	b.sumToldLocked()
+	b.countsByRouter = live
+	b.recountRemoteLocked()
 }
 
 // allToldLocked tells whether all that tell this router did lately: the servers'
 // sums then stand for the fleet.
-func (b *Balancer) allToldLocked(now time.Time) bool {
+func (b *Balancer) hasAllUpdatesLocked(now time.Time) bool {
 	for _, id := range b.peers {
-		h, known := b.heard[id]
-		if !known || now.Sub(h.at) > toldLife {
+		h, known := b.countsByRouter[id]
+		if !known || now.Sub(h.receivedAt) > remoteCountsLifetime {
 			return false
 		}
 	}
--- a/balance/told_test.go
+++ b/balance/told_test.go
@@ -22,11 +22,11 @@
 		}
 		b.Release(first, slipwick.EvidenceGood)
 		b.Release(second, slipwick.EvidenceGood)
-		if got := len(b.inUse); got != 2 {
+		if got := len(b.active); got != 2 {
 			t.Errorf("%d servers: got %d to look at, want 2", servers, got)
 		}
 		b.Tell()
-		if got := len(b.inUse); got != 0 {
+		if got := len(b.active); got != 0 {
 			t.Errorf("%d servers: got %d to look at when nothing runs, want none", servers, got)
 		}
 	}
@@ -79,7 +79,7 @@
 			told.InFlight = append(told.InFlight, InFlight{
 				Server:  s.hash,
 				Count:   s.inFlight,
-				Reading: max(s.reading, 0),
+				Reading: max(s.prefillTokens, 0),
 			})
 		}
 	}
--- a/balance/trial.go
+++ b/balance/trial.go
@@ -28,17 +28,17 @@
 	Good, Bad int
 }
 
-// trial is a Trial with what it has shown.
-type trial struct {
+// canaryState is a Trial with what it has shown.
+type canaryState struct {
 	Trial
-	// old and fresh are the counts of both sides.
-	old, fresh versionCounts
+	// stable and canary are the counts of both sides.
+	stable, canary versionCounts
 }
 
 // versionCounts are those of one side, with what is yet to be told to other routers.
 type versionCounts struct {
 	VersionCounts
-	untold VersionCounts
+	unsent VersionCounts
 	// key names the side to other routers, as the hash of a server's life does a server.
 	key uint64
 }
@@ -51,36 +51,36 @@
 	c.Bad += bad
 }
 
-func (c *versionCounts) note(isBad bool) {
+func (c *versionCounts) record(isBad bool) {
 	if isBad {
 		c.add(0, 1)
-		c.untold.Bad++
+		c.unsent.Bad++
 		return
 	}
 	c.add(1, 0)
-	c.untold.Good++
+	c.unsent.Good++
 }
 
 // SetTrials takes the trials of pools, by name. What was counted for one that goes on is kept.
 func (b *Balancer) SetTrials(trials map[string]Trial) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	known := b.trials
-	b.trials = make(map[string]*trial, len(trials))
+	known := b.canaries
+	b.canaries = make(map[string]*canaryState, len(trials))
 	for pool, t := range trials {
 		entry := known[pool]
 		if entry == nil || entry.Version != t.Version {
-			entry = &trial{
-				old: versionCounts{
+			entry = &canaryState{
+				stable: versionCounts{
 					key: placement.IDHash(pool + "\x00old\x00" + t.Version),
 				},
-				fresh: versionCounts{
+				canary: versionCounts{
 					key: placement.IDHash(pool + "\x00new\x00" + t.Version),
 				},
 			}
 		}
 		entry.Trial = t
-		b.trials[pool] = entry
+		b.canaries[pool] = entry
 	}
 }
 
@@ -88,83 +88,83 @@
 func (b *Balancer) TrialCounts(pool string) TrialCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.trials[pool]
+	t := b.canaries[pool]
 	if t == nil {
 		return TrialCounts{}
 	}
 	return TrialCounts{
-		Old: t.old.VersionCounts,
-		New: t.fresh.VersionCounts,
+		Old: t.stable.VersionCounts,
+		New: t.canary.VersionCounts,
 	}
 }
 
 // onTrialLocked gives the servers of a pool that the request may go to by the pool's trial,
 // and by which versions are held.
-func (b *Balancer) onTrialLocked(pool []*server, ask *Ask, now time.Time) []*server {
-	t, held := b.trials[ask.Pool], b.heldLocked(ask.Pool, now)
+func (b *Balancer) splitByVersionLocked(pool []*server, request *Ask, now time.Time) []*server {
+	t, held := b.canaries[request.Pool], b.heldVersionsLocked(request.Pool, now)
 	if t == nil && len(held) == 0 {
 		return pool
 	}
-	old, fresh := b.scratch.old[:0], b.scratch.fresh[:0]
+	old, canary := b.scratch.stable[:0], b.scratch.canary[:0]
 	for _, s := range pool {
 		switch {
 		case t != nil && s.Version == t.Version:
-			fresh = append(fresh, s)
+			canary = append(canary, s)
 		case !held[s.Version]:
 			old = append(old, s)
 		}
 	}
-	b.scratch.old, b.scratch.fresh = old, fresh
+	b.scratch.stable, b.scratch.canary = old, canary
 	if t == nil || t.Share <= 0 {
 		return old
 	}
-	if len(old) == 0 || len(fresh) > 0 && b.Draw() < t.Share {
-		return fresh
+	if len(old) == 0 || len(canary) > 0 && b.Draw() < t.Share {
+		return canary
 	}
 	return old
 }
 
 // noteTrialLocked takes how a request of this router ended, if its pool has a trial. Servers
 // that can't be reached or end tell nothing of their version.
-func (b *Balancer) noteTrialLocked(lease *Lease, evidence slipwick.Evidence) {
-	t := b.trials[lease.server.Pool]
+func (b *Balancer) recordCanaryResultLocked(lease *Lease, evidence slipwick.Evidence) {
+	t := b.canaries[lease.server.Pool]
 	if t == nil {
 		return
 	}
-	side := &t.old
+	side := &t.stable
 	if lease.server.Version == t.Version {
-		side = &t.fresh
+		side = &t.canary
 	}
 	switch evidence {
 	case slipwick.EvidenceGood:
-		side.note(lease.isSlow)
+		side.record(lease.isSlow)
 	case slipwick.EvidenceError, slipwick.EvidenceTimeout:
-		side.note(true)
+		side.record(true)
 	default:
 	}
 }
 
 // tellTrialsLocked adds what is to be told of trials to what is told of servers.
-func (b *Balancer) tellTrialsLocked(told *Told) {
-	for _, t := range b.trials {
-		for _, side := range []*versionCounts{&t.old, &t.fresh} {
-			if side.untold == (VersionCounts{}) {
+func (b *Balancer) addCanaryCountsLocked(told *Told) {
+	for _, t := range b.canaries {
+		for _, side := range []*versionCounts{&t.stable, &t.canary} {
+			if side.unsent == (VersionCounts{}) {
 				continue
 			}
 			told.Outcomes = append(told.Outcomes, Outcomes{
 				Server: side.key,
-				Good:   side.untold.Good,
-				Failed: side.untold.Bad,
+				Good:   side.unsent.Good,
+				Failed: side.unsent.Bad,
 			})
-			side.untold = VersionCounts{}
+			side.unsent = VersionCounts{}
 		}
 	}
 }
 
 // hearTrialLocked takes what another router told of a trial.
-func (b *Balancer) hearTrialLocked(o *Outcomes) {
-	for _, t := range b.trials {
-		for _, side := range []*versionCounts{&t.old, &t.fresh} {
+func (b *Balancer) receiveCanaryCountsLocked(o *Outcomes) {
+	for _, t := range b.canaries {
+		for _, side := range []*versionCounts{&t.stable, &t.canary} {
 			if side.key == o.Server {
 				side.add(o.Good, o.Failed)
 			}
@@ -174,11 +174,11 @@
 
 // holdTime bounds how long a version is held that no order is known to name: nobody can tell
 // while the store is away, and then no server can enter itself either.
-const holdTime = 2 * time.Second
+const maxVersionHold = 2 * time.Second
 
 // holdLocked notes a version that turns up in a pool. Servers of an order's version may be
 // known before the order is, and would get their full part of the requests until then.
-func (b *Balancer) holdLocked(s *server, isLate bool) {
+func (b *Balancer) noteVersionLocked(s *server, isNewlyListed bool) {
 	if !b.HoldVersions || s.Version == "" {
 		return
 	}
@@ -191,16 +191,16 @@
 		return
 	}
 	versions[s.Version] = time.Time{}
-	if isLate {
+	if isNewlyListed {
 		versions[s.Version] = clock.Now()
 	}
 }
 
 // heldLocked gives the versions of a pool that are held.
-func (b *Balancer) heldLocked(pool string, now time.Time) map[string]bool {
+func (b *Balancer) heldVersionsLocked(pool string, now time.Time) map[string]bool {
 	var held map[string]bool
 	for version, since := range b.versions[pool] {
-		if !since.IsZero() && since.After(b.ordersAsOf) && now.Sub(since) < holdTime {
+		if !since.IsZero() && since.After(b.rolloutsAsOf) && now.Sub(since) < maxVersionHold {
 			if held == nil {
 				held = make(map[string]bool)
 			}
@@ -215,7 +215,7 @@
 func (b *Balancer) OrdersKnown(asOf time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if asOf.After(b.ordersAsOf) {
-		b.ordersAsOf = asOf
+	if asOf.After(b.rolloutsAsOf) {
+		b.rolloutsAsOf = asOf
 	}
 }
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -146,11 +146,11 @@
 		b.ChangeBackends(&Changes{
 			Listed: versions("v3", 300),
 		})
-		if !b.heldLocked("p", time.Now())["v3"] {
+		if !b.heldVersionsLocked("p", time.Now())["v3"] {
 			t.Error("got the next version not held")
 		}
-		time.Sleep(holdTime)
-		if len(b.heldLocked("p", time.Now())) > 0 {
+		time.Sleep(maxVersionHold)
+		if len(b.heldVersionsLocked("p", time.Now())) > 0 {
 			t.Error("got a version held for good while orders can't be known")
 		}
 	})
