--- a/balance/ask.go
+++ b/balance/ask.go
@@ -2,47 +2,46 @@
 
 import "slices"
 
-// Ask says what a request needs.
+// Request describes what a request needs from a backend server.
 type Ask struct {
 	Pool string
-	// Prompt has the parts of the request's prompt that other requests share,
-	// in order; empty without a prompt.
+	// Prompt has the parts of the prompt that the request shares with others, in order. It is
+	// empty for a request without a prompt.
 	Prompt []Part
-	// Own is how many tokens of the prompt are the request's alone.
+	// UniqueTokens is the number of prompt tokens that no other request shares.
 	Own int
-	// Avoid lists the IDs of backend servers that the request has tried.
+	// Exclude lists the IDs of backend servers that the request has tried already.
 	Avoid []string
-	// Regions are those whose backend servers may get the request or anything of
-	// its prompt; nil allows all, an empty list none.
+	// Regions are the regions whose backend servers may get the request or anything of its
+	// prompt. Nil allows all, an empty list none.
 	Regions []string
-	// Sound asks for a backend server that is not left out; without one there
-	// is none.
+	// HealthyOnly excludes ejected backend servers even if no others are left.
 	Sound bool
 }
 
-// allows tells whether the request may go to the region of a backend server.
-func (a *Ask) allows(s *server) bool {
-	return a.Regions == nil || slices.Contains(a.Regions, s.Region)
+// allows reports whether the request may go to the region of the server.
+func (r *Ask) allows(s *server) bool {
+	return r.Regions == nil || slices.Contains(r.Regions, s.Region)
 }
 
-// Part is one part of a prompt.
+// Part is a section of a prompt, identified by Key.
 type Part struct {
 	Key    uint64
 	Tokens int
 }
 
-func (a *Ask) keys() []uint64 {
-	keys := make([]uint64, 0, len(a.Prompt))
-	for _, part := range a.Prompt {
+func (r *Ask) keys() []uint64 {
+	keys := make([]uint64, 0, len(r.Prompt))
+	for _, part := range r.Prompt {
 		keys = append(keys, part.Key)
 	}
 	return keys
 }
 
-// tokens counts the whole prompt.
-func (a *Ask) tokens() int {
-	sum := a.Own
-	for _, part := range a.Prompt {
+// tokens returns the length of the whole prompt in tokens.
+func (r *Ask) tokens() int {
+	sum := r.Own
+	for _, part := range r.Prompt {
 		sum += part.Tokens
 	}
 	return sum
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -10,87 +10,90 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// farCost is what a backend server in another data centre costs in the choice among
-// plain services, in requests in flight.
+// remoteDataCentreCost is added to the load of a server in another data centre when a plain
+// service is chosen, in requests in flight.
 const remoteDataCentreCost = 1.5
 
-// Balancer chooses among the backend servers of all pools. It is safe for
-// concurrent use. Set the exported fields before the first call.
+// Balancer chooses among the backend servers of all pools. It is safe for concurrent use. Set
+// the exported fields before the first call.
 type Balancer struct {
-	// DataCentre is the router's own.
+	// DataCentre is the data centre of this router.
 	DataCentre string
-	// LoadFactor and LoadSlack are the promise on an engine's load: at most the
-	// factor times the pool's mean, and the slack. New sets the defaults.
+	// LoadFactor and LoadSlack bound the load of an engine to LoadFactor times the pool's mean
+	// load plus LoadSlack requests. New sets the defaults.
 	LoadFactor float64
 	LoadSlack  float64
-	// OnLongRead is called when an engine gets a long prompt to read, which
-	// delays all else there: other routers are to know soon. It must not call
-	// back.
+	// OnLongPrefill is called when an engine gets a long prompt to prefill, which delays all
+	// other requests there, so that other routers can be informed soon. It must not call back
+	// into the balancer.
 	OnLongRead func()
-	// OnOut is told of each backend server that is left out for a while, and
-	// for how long. It must not call back.
+	// OnEjected is called for each backend server that is ejected, with the duration. It must
+	// not call back into the balancer.
 	OnOut func(backend slipwick.Backend, wait time.Duration)
-	// OnNotice is told of what a backend server says of itself that was not known. It
-	// must not call back.
+	// OnNotice is called when a backend server announces something about itself that was not
+	// known. It must not call back into the balancer.
 	OnNotice func(backend slipwick.Backend, notice slipwick.Notice)
-	// InPlace says that backend servers may be replaced under the same entry, as in a
-	// list that operators write: what one said of its leaving then lapses.
+	// EntriesReused says that a backend server may be replaced by another under the same entry,
+	// as in a list that operators write. A server's announcement that it is leaving then
+	// expires.
 	InPlace bool
-	// HoldVersions has servers of a version that is new in its pool wait until it is known
-	// whether an order names it.
+	// HoldVersions holds back servers of a version that is new in its pool until it is known
+	// whether a rollout names that version.
 	HoldVersions bool
-	// Switches are for comparisons.
+	// Switches select alternative decisions for comparisons.
 	Switches Switches
-	// Draw gives a number from 0 to 1 by chance. New sets the default.
+	// Random returns a random number in [0, 1). New sets the default.
 	Draw func() float64
 
 	mu         sync.Mutex
 	servers    map[string]*server
 	pools      map[string][]*server
 	cacheIndex *cacheIndex
-	// hashes finds backend servers by the hash of their ID.
+	// hashes has the backend servers by the hash of their incarnation.
 	hashes map[uint64]*server
-	// inUse are the servers that there may be something to tell of: of a large pool a
-	// router uses few at a time.
+	// active has the servers that an update to other routers may have to mention. A router uses
+	// only a few servers of a large pool at a time.
 	active map[*server]bool
-	// notices are what backend servers said of themselves, by the hash of their life.
+	// notices has what backend servers announced about themselves, by the hash of their
+	// incarnation.
 	notices map[uint64]*notices
-	// orphans are the lives among these that are no longer listed.
+	// unlistedNotices has the keys of notices whose incarnation is no longer listed.
 	unlistedNotices map[uint64]bool
-	// peers are those that tell this router, others counts the routers that they
-	// speak for, heard is what they told last, reads and leaving what is to be told
-	// them.
+	// peers are the IDs of the senders whose updates this router receives, otherRouters is the
+	// number of routers that these represent, countsByRouter has their latest counts.
+	// pendingReads and pendingLeaving are what the next update to them will contain.
 	peers          []string
 	otherRouters   int
 	countsByRouter map[string]remoteCounts
 	pendingReads   []Read
 	pendingLeaving []uint64
-	// prefills are the prompts that are read for the first time.
+	// prefills has the prompts that an engine prefills for the first time.
 	prefills prefills
-	// paces are what the pools' requests showed.
+	// paces has the response times measured for each pool.
 	paces map[string]*poolPace
-	// firstListed is when the first list came; empty says that engines keep
-	// nothing at the router's start.
+	// firstListed is when the first list was received. empty says that no engine had anything
+	// cached when the router started.
 	firstListed time.Time
 	empty       bool
-	// canaries are those of pools, versions when each version turned up in a pool that had
-	// none of it; zero if it was there at first. ordersAsOf is as of when orders are known.
+	// canaries has the canary of each pool. versions has when each version first appeared in a
+	// pool that had no server of it, zero if it was there at first. All rollouts that the store
+	// had at rolloutsAsOf are known.
 	canaries     map[string]*canaryState
 	versions     map[string]map[string]time.Time
 	rolloutsAsOf time.Time
-	// evacuated are the data centres whose servers get nothing new.
+	// evacuated has the data centres whose servers get no new requests.
 	evacuated map[string]bool
-	// coldLimits bound what cold servers get, by pool, began is when the balancer was
-	// made.
+	// coldLimits has the limit for cold servers of each pool, began is when the balancer was
+	// created.
 	coldLimits map[string]ColdLimit
 	ranking    routerRanking
 	began      time.Time
-	// sendsFrom is the moment that the servers' sends are counted for.
+	// sendsFrom is the time to which the servers' decayed send counts refer.
 	sendsFrom time.Time
 	scratch   scratch
 }
 
-// New makes a balancer without backend servers.
+// New returns a balancer without backend servers.
 func New(dataCentre string) *Balancer {
 	return &Balancer{
 		DataCentre:      dataCentre,
@@ -115,8 +118,8 @@
 	}
 }
 
-// Acquire chooses a backend server and counts the request there. The error is
-// an *slipwick.Error with OutcomeNotRun.
+// Acquire chooses a backend server and counts the request there. The error is a *slipwick.Error
+// with OutcomeNotRun.
 func (b *Balancer) Acquire(request *Ask) (*Lease, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -138,7 +141,8 @@
 	}
 	if b.isColdLocked(lease.server, now) {
 		lease.server.coldSends = append(lease.server.coldSends, now)
-		// What is sent counts for the second in which it was chosen.
+		// The request counts towards the limit for the second in which the server was chosen,
+		// so it must not wait for a prefill.
 		lease.isCold, lease.Wait, lease.Read = true, 0, nil
 	}
 	if lease.server.inFlight == 0 {
@@ -154,17 +158,18 @@
 	return lease, nil
 }
 
-// heldBack is when a request is to come back that no backend server may get by the
-// operators' will: that changes seldom, and routers learn of it within about a second.
+// withheldRetryDelay is the Retry-After for requests whose backend servers are all excluded by
+// configuration or evacuation. That changes seldom, and routers learn of a change within about
+// a second.
 const withheldRetryDelay = time.Second
 
-// whyNoneLocked tells why no backend server may get the request, and when to come back
-// if what keeps them from it is known to end.
+// noBackendErrorLocked returns an error that says why no backend server may get the request,
+// with a Retry-After if the reason is known to end.
 func (b *Balancer) noBackendErrorLocked(pool []*server, request *Ask, now time.Time) error {
-	none := &slipwick.Error{
+	err := &slipwick.Error{
 		Kind:    slipwick.KindNoBackend,
-		Message: "no backend server of pool " + request.Pool + " takes requests",
-		Remedy:  "check the pool's backend servers; try again after a moment",
+		Message: "no backend server of pool " + request.Pool + " accepts requests",
+		Remedy:  "check the pool's backend servers; retry after a moment",
 		Outcome: slipwick.OutcomeNotRun,
 	}
 	leaving, evacuated, elsewhere, resting, rest := 0, 0, 0, 0, time.Duration(0)
@@ -186,19 +191,19 @@
 	switch {
 	case leaving == len(pool) || leaving+evacuated+elsewhere+resting < len(pool):
 	case resting > 0:
-		none.RetryAfter = rest
-		none.Message = "all backend servers of pool " + request.Pool + " that may get the request want none for now"
-		none.Remedy = "come back when the first has rested; add backend servers if it happens often"
+		err.RetryAfter = rest
+		err.Message = "all backend servers of pool " + request.Pool + " that may get the request asked for a pause"
+		err.Remedy = "retry when the first pause is over; add backend servers if this happens often"
 	case evacuated > 0:
-		none.RetryAfter = withheldRetryDelay
-		none.Message = "all data centres with backend servers of pool " + request.Pool + " are evacuated"
-		none.Remedy = "end an evacuation"
+		err.RetryAfter = withheldRetryDelay
+		err.Message = "all data centres with backend servers of pool " + request.Pool + " are evacuated"
+		err.Remedy = "end the evacuation of a data centre"
 	default:
-		none.RetryAfter = withheldRetryDelay
-		none.Message = "no backend server of pool " + request.Pool + " is in a region that the request may go to"
-		none.Remedy = "compare the regions of the route and of the workspace"
+		err.RetryAfter = withheldRetryDelay
+		err.Message = "no backend server of pool " + request.Pool + " is in a region that the request allows"
+		err.Remedy = "compare the allowed regions of the route and of the workspace with those of the backend servers"
 	}
-	return none
+	return err
 }
 
 func newLease(s *server) *Lease {
@@ -208,9 +213,10 @@
 	}
 }
 
-// usableLocked gives the backend servers that may get the request. Cold ones that may
-// get it now, and then those that are left out, count when no other is left; those that
-// leave or asked for rest do not.
+// usableLocked returns the backend servers that may get the request. If no other is left, it
+// returns the cold ones with capacity left in their limit, and failing these the ejected ones,
+// but never those that are leaving or asked for a pause. The slice is valid until the next
+// call.
 func (b *Balancer) usableLocked(pool []*server, request *Ask, now time.Time) []*server {
 	usable, cold, out := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.ejected[:0]
 	paused := b.scratch.paused[:0]
@@ -243,7 +249,8 @@
 	return out
 }
 
-// leastLoadedLocked gives one of the least loaded, near ones before far ones.
+// leastLoadedLocked returns one of the least loaded servers, with a preference for the router's
+// own data centre.
 func (b *Balancer) leastLoadedLocked(usable []*server, now time.Time, decay float64) *server {
 	costs, _ := b.expectedLoadsLocked(usable, now, decay)
 	for i, s := range usable {
@@ -254,7 +261,7 @@
 	return usable[chooseByWaterFilling(costs, b.unreportedRequestsLocked(usable, decay), b.Draw())]
 }
 
-// Reported takes the load that a backend server told with an answer.
+// RecordLoad takes the load that a backend server reported in a response.
 func (b *Balancer) Reported(lease *Lease, load Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -264,8 +271,8 @@
 	s.reportedAt = clock.Now()
 }
 
-// Began notes that a backend server has begun to answer, and so has read the
-// prompt.
+// RecordResponseStart notes that a backend server has begun to respond and thus has finished
+// the prefill.
 func (b *Balancer) Began(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -276,7 +283,7 @@
 	b.endPrefillLocked(lease)
 }
 
-// Release ends a lease and tells what the request showed.
+// Release ends a lease and records the outcome of its request.
 func (b *Balancer) Release(lease *Lease, evidence slipwick.Evidence) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -291,12 +298,12 @@
 	b.recordEvidenceLocked(lease.server, evidence, clock.Now())
 }
 
-// Abandon gives a lease back that nothing was sent for.
+// Abandon ends a lease for which no request was sent.
 func (b *Balancer) Abandon(lease *Lease) {
 	b.Release(lease, slipwick.EvidenceNone)
 }
 
-// Heard notes that the backend server goes on with an answer.
+// RecordProgress notes that the backend server has sent more of its response.
 func (b *Balancer) Heard(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -2,55 +2,55 @@
 
 import "time"
 
-// ColdLimit bounds what a pool's backend servers get while they are cold.
+// ColdLimit limits the requests to a pool's backend servers while they are cold.
 type ColdLimit struct {
-	// Most is how many requests one may get in any second, of all routers; 0 sets
-	// no bound.
+	// MaxPerSecond is how many requests all routers together may send to one server in any
+	// second. With 0 there is no limit.
 	Most float64
-	// New is how long one that is listed anew counts as cold, where entries do not
-	// tell it.
+	// NewServerTime is how long a newly listed server counts as cold if its entry does not say.
 	New time.Duration
 }
 
-// A cold server is used by a few routers of the fleet, its sharers: those that rank
-// first for it among all that live. Each sends up to its part of the limit in any
-// second, and the other routers nothing. An even split over the fleet would leave each a
-// part too small for one request.
+// Only a few routers of the fleet, the sharers, send to a cold server: those that rank first
+// for it among all live routers. Each sends up to its part of the limit in any second. If the
+// limit were split evenly over the fleet, the part of a router would be too small for a single
+// request.
 const (
-	// coldShare of the limit is what the sharers use together. As much again is
-	// there for a second set of them, as routers on both sides of a split, or the
-	// ones that were frozen and those that took their place, count themselves.
+	// sharedPart is the fraction of the limit that the sharers use together. As much again is
+	// left for a second set of sharers, which can exist when the fleet is partitioned, or when
+	// routers that were frozen resume after others have replaced them.
 	sharedPart = 0.5
-	// leastPart is what one sharer may send in a second at least, if the limit
-	// allows it: less would make a part that few of a router's requests fit.
+	// minSharerLimit is the least that one sharer may send in a second if the limit allows it.
+	// With a smaller part, few of a router's requests would fit.
 	minSharerLimit = 3
-	// coldWindow is the second that the limit holds for, and what sends may differ
-	// by in their time on the way.
+	// coldWindow is the second for which the limit holds, plus the possible difference in
+	// network delay between requests.
 	coldWindow = 1200 * time.Millisecond
 )
 
-// coldShares is how a limit is shared out in a fleet.
+// split returns how many routers share the limit and how many requests each may send in a
+// second.
 func (l *ColdLimit) split(routers int) (sharers, part int) {
 	shared := int(sharedPart * l.Most)
 	sharers = max(min(shared/minSharerLimit, routers), 1)
 	return sharers, shared / sharers
 }
 
-// SetColdLimits takes the limits of pools, by name.
+// SetColdLimits sets the limits for cold servers by pool name.
 func (b *Balancer) SetColdLimits(limits map[string]ColdLimit) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.coldLimits = limits
 }
 
-// isColdLocked tells whether a server is cold, and its pool has a limit for such.
+// isColdLocked reports whether a server is cold and its pool has a limit for cold servers.
 func (b *Balancer) isColdLocked(s *server, now time.Time) bool {
 	return now.Before(s.coldUntil) && b.coldLimits[s.Pool].Most > 0
 }
 
-// mayGetColdLocked tells whether this router may send to a cold server now. One whose
-// rank changed waits for a window: the router that was a sharer before it may have
-// used its part within it.
+// maySendToColdLocked reports whether this router may send to a cold server now. A router whose
+// rank changed waits for a window first, because the router that was a sharer before may have
+// used its part within that window.
 func (b *Balancer) maySendToColdLocked(s *server, now time.Time) bool {
 	limit := b.coldLimits[s.Pool]
 	sharers, part := limit.split(len(b.ranking.live))
@@ -69,16 +69,16 @@
 }
 
 const (
-	// pressedShare of the slots taken, in the mean, is from when on cold engines are
-	// used beside the others: these are slower by then than a cold one.
+	// busyShare is the mean fraction of slots in use from which on cold engines are used as
+	// well. At that load the other engines are slower than a cold one.
 	busyShare = 0.3
-	// reliefShare of a cold engine's slots is what this router uses at most.
+	// maxColdLoadShare is the fraction of a cold engine's slots that this router uses at most.
 	maxColdLoadShare = 0.3
 )
 
-// reliefLocked gives a cold engine for a request while the others are pressed. Its
-// sharers fill it first, up to their part: chosen like any other it would get next to
-// nothing, as each of them has so many others to choose from.
+// coldOverflowLocked returns a cold engine for a request while the others are busy, or nil. The
+// sharers prefer it up to their part of the limit: if it were chosen like any other engine, it
+// would get almost no requests, because each sharer has so many others to choose from.
 func (b *Balancer) coldOverflowLocked(mean float64) *server {
 	var overflow *server
 	for _, s := range b.scratch.cold {
--- a/balance/errors.go
+++ b/balance/errors.go
@@ -9,40 +9,42 @@
 )
 
 const (
-	// outcomeWeight is the share of the latest outcome in the error rate: about
-	// the last ten count, of all routers.
+	// outcomeWeight is the weight of the latest outcome in the error rate, which thus covers
+	// about the last ten outcomes of all routers.
 	outcomeWeight = 0.1
-	// errorLimit is the error rate from which on a backend server is left out,
-	// if it is errorFactor times as high as that of the others: what fails
-	// everywhere is no reason to avoid one.
+	// errorLimit is the error rate above which a backend server is ejected, if it is also
+	// errorFactor times as high as that of the others: requests that fail on every server are
+	// no reason to eject one.
 	errorLimit  = 0.2
 	errorFactor = 2
-	// chanceDeviations more than the others' is what no server fails by chance.
+	// chanceDeviations is how many standard deviations above the others' error rate a server
+	// has to be: no server gets there by chance.
 	chanceDeviations = 4
-	// trialRate is the error rate that it comes back with: a few failures more
-	// have it left out again, for longer.
+	// rateAfterEjection is the error rate that a server starts with after an ejection: a few
+	// more failures eject it again, for longer.
 	rateAfterEjection = 0.12
-	// soundRate is the error rate below which earlier times out are forgotten.
+	// healthyRate is the error rate below which earlier ejections are forgotten.
 	healthyRate = 0.05
-	// errorOuting is how long one is left out the first time: failures that
-	// come by chance are rare enough for it, and others take its work.
+	// errorEjection is the duration of the first ejection for errors. Ejections by chance are
+	// rare enough, and other servers can take the load meanwhile.
 	errorEjection = time.Second
-	// outShare is the part of a pool, one in so many and rounded up, that may be
-	// left out for failures: the others have to carry its work.
+	// ejectableOneIn bounds the ejected servers to one in so many of a pool, rounded up: the
+	// others have to carry the load.
 	ejectableOneIn = 3
-	// maxUntold bounds the good outcomes that are told with the next failure:
-	// more would only say that it was sound long before.
+	// maxUnsentSuccesses bounds the successes that are sent together with the next failure.
+	// More would only say that the server was healthy long before.
 	maxUnsentSuccesses = 20
 )
 
-// errorRate is the share of a backend server's latest requests that failed.
+// errorRate is a moving average of the failures among a backend server's latest requests.
 type errorRate struct {
 	rate float64
-	// good and failed are outcomes of this router that are not told yet.
+	// good and failed count the outcomes of this router that were not sent to other routers
+	// yet.
 	good, failed int
 }
 
-// add takes outcomes, of this router or others.
+// add takes outcomes of any router.
 func (e *errorRate) add(good, failed int) {
 	n := good + failed
 	if n <= 0 {
@@ -63,7 +65,8 @@
 	e.add(1, 0)
 }
 
-// takeUnsent gives what there is to tell: nothing without a failure.
+// takeUnsent returns and resets the counts to send. Successes alone are not worth an update, so
+// without a failure it returns zeros and keeps the counts.
 func (e *errorRate) takeUnsent() (good, failed int) {
 	if e.failed == 0 {
 		return 0, 0
@@ -73,13 +76,15 @@
 	return good, failed
 }
 
-// noteOutcomeLocked takes how a request of this router ended, to be told.
+// recordOutcomeLocked records the outcome of a request of this router, for the next update as
+// well.
 func (b *Balancer) recordOutcomeLocked(s *server, failed bool) {
 	s.errors.record(failed)
 	b.active[s] = true
 }
 
-// observeLocked takes what one request of this router showed.
+// recordEvidenceLocked updates a server's state by the evidence that a request of this router
+// gave.
 func (b *Balancer) recordEvidenceLocked(s *server, evidence slipwick.Evidence, now time.Time) {
 	switch evidence {
 	case slipwick.EvidenceNone:
@@ -88,8 +93,9 @@
 			b.OnOut(s.Backend, s.ejectedUntil.Sub(now))
 		}
 	case slipwick.EvidenceRefused:
-		// Other routers are told: each sends there so seldom that all would find
-		// out for themselves. Of a way that is cut, routers tell nothing.
+		// Each router sends to one server so seldom that all would have to find out for
+		// themselves, so the failure is sent to them. A broken network path is not sent, as it
+		// concerns only this router.
 		b.recordOutcomeLocked(s, true)
 		if s.eject(now, shortEjection) {
 			b.OnOut(s.Backend, s.ejectedUntil.Sub(now))
@@ -107,20 +113,21 @@
 	}
 }
 
-// hasRoomLocked tells whether a server has a slot free, by what is known of all routers.
-// One that turns requests away though it has is as good as failing: it answers at once,
-// holds nothing, and so looks the least loaded, until the budget of repeats is spent on it.
-// One that is full refuses for its load, which leaving it out would only move.
+// hasFreeSlotLocked reports whether a server has a free slot, by the load known of all routers.
+// A server that sheds requests in spite of that is as bad as one that fails: it responds at
+// once, holds nothing and so looks the least loaded, until the retry budget is spent on it. A
+// full server sheds because of its load, which an ejection would only move elsewhere.
 func (b *Balancer) hasFreeSlotLocked(s *server, now time.Time) bool {
 	return b.loadsLocked([]*server{s}, now)[0] < float64(s.EffectiveSlots())
 }
 
-// judgeLocked leaves a backend server out that fails more than the others.
+// ejectIfFailingLocked ejects a server that fails more often than the others.
 func (b *Balancer) ejectIfFailingLocked(s *server, now time.Time) {
 	if s.errors.rate < healthyRate {
 		s.consecutiveEjections = 0
 	}
-	// The bound by the others' rates is errorLimit at least, and costs a look at each.
+	// errorRateLimitLocked is at least errorLimit and iterates over the pool, so the cheap
+	// comparison comes first.
 	if s.errors.rate <= errorLimit || s.errors.rate <= b.errorRateLimitLocked(s) || b.atEjectionLimitLocked(s, now) {
 		return
 	}
@@ -130,16 +137,17 @@
 	}
 }
 
-// errorBoundLocked is the error rate that a backend server may have, by that of
-// the others of its pool.
+// errorRateLimitLocked returns the highest error rate for which a server is not ejected, given
+// the rates of the others in its pool.
 func (b *Balancer) errorRateLimitLocked(s *server) float64 {
 	others := b.otherServersErrorRateLocked(s)
-	// The rate of a server that fails like the others deviates by so much.
+	// This is the standard deviation of the moving average for a server that fails as often as
+	// the others.
 	deviation := math.Sqrt(others * (1 - others) * outcomeWeight / (2 - outcomeWeight))
 	return max(errorLimit, errorFactor*others, others+chanceDeviations*deviation)
 }
 
-// tooManyOutLocked tells whether the pool can spare no more of its servers.
+// atEjectionLimitLocked reports whether the pool has no further servers to spare.
 func (b *Balancer) atEjectionLimitLocked(s *server, now time.Time) bool {
 	pool := b.pools[s.Pool]
 	out := 0
@@ -151,7 +159,7 @@
 	return ejectableOneIn*(out+1) > len(pool)+ejectableOneIn-1
 }
 
-// othersRateLocked is the mean error rate of the pool's other backend servers.
+// otherServersErrorRateLocked returns the mean error rate of the pool's other servers.
 func (b *Balancer) otherServersErrorRateLocked(s *server) float64 {
 	sum, n := 0.0, 0
 	for _, other := range b.pools[s.Pool] {
@@ -163,8 +171,8 @@
 	return sum / float64(max(n, 1))
 }
 
-// Overdue notes that the backend server has let a request wait for so long that
-// its answer would be late. The request goes on.
+// RecordOverdue counts a failure for a backend server that has let a request wait for so long
+// that the response will be late. The request goes on.
 func (b *Balancer) Overdue(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -172,7 +180,7 @@
 	b.ejectIfFailingLocked(lease.server, clock.Now())
 }
 
-// HearOutcomes takes how requests of other routers ended.
+// ReceiveOutcomes takes the outcomes of requests of other routers.
 func (b *Balancer) HearOutcomes(outcomes []Outcomes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/evacuation.go
+++ b/balance/evacuation.go
@@ -4,12 +4,12 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// SetEvacuated takes the data centres whose backend servers are to get nothing new.
-// What runs there goes on, and other engines fetch prompts from there. At the end of
-// an evacuation the homes of prompts are elsewhere, where they were asked for
-// meanwhile: nothing moves back but by need, so that no crowd meets engines that have
-// become cold before their entries tell it. To count them as cold until these had the
-// time to would leave them nearly idle for that long.
+// SetEvacuated sets the data centres whose backend servers get no new requests. Running
+// requests go on, and other engines still fetch prompts from there. When an evacuation ends,
+// prompts are cached elsewhere, where they were needed meanwhile, and move back only as load
+// requires: this way no burst of requests meets engines that have become cold before their
+// entries say so. Counting them as cold until the entries could have been updated would leave
+// them nearly idle for that long.
 func (b *Balancer) SetEvacuated(dataCentres []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -22,13 +22,13 @@
 	}
 }
 
-// takesNew tells whether the server may get new requests at all, from any router.
+// acceptsNew reports whether any router may send new requests to the server.
 func (s *server) acceptsNew() bool {
 	return !s.isLeaving() && !s.evacuated
 }
 
-// Expects tells whether the lease's backend server is listed and not about to leave, so
-// that its end is none that was planned.
+// IsStaying reports whether the lease's backend server is listed and not leaving, so that an
+// end of its process would be unplanned.
 func (b *Balancer) Expects(lease *Lease) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -36,9 +36,9 @@
 	return b.servers[s.ID] == s && !s.isLeaving()
 }
 
-// StillTakes tells whether the lease's backend server may still get the request,
-// which was not sent at once: not if it leaves, is evacuated, asked for rest or became
-// cold meanwhile.
+// StillAccepts reports whether the lease's backend server may still get the request, when it
+// was not sent at once. It may not if meanwhile it is leaving, evacuated, asked for a pause or
+// became cold.
 func (b *Balancer) StillTakes(lease *Lease) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// homesKept bounds the parts of prompts whose engines a router remembers;
-	// an entry takes about 200 bytes.
+	// maxCachedParts bounds the prompt parts whose engines a router remembers. An entry takes
+	// about 200 bytes.
 	maxCachedParts = 1 << 14
-	// holdersKept is how many engines are remembered for a part.
+	// maxHoldersPerPart bounds the engines that are remembered for a part.
 	maxHoldersPerPart = 4
 )
 
-// cacheIndex remembers which engines ran each part of a prompt, the latest first.
-// Engines stand by the hash of their ID: one whose entry lapses and comes back
-// has kept its cache.
+// cacheIndex records which engines have each prompt part cached, the latest first. It
+// identifies engines by the hash of their incarnation, because one whose entry expires and
+// reappears has kept its cache.
 type cacheIndex struct {
 	holders *lru.LRU[uint64, []uint64]
 }
 
 func newCacheIndex() *cacheIndex {
-	// The size is positive, the only thing that NewLRU refuses.
+	// NewLRU fails only for a size that is not positive.
 	holders, _ := lru.NewLRU[uint64, []uint64](maxCachedParts, nil)
 	return &cacheIndex{
 		holders: holders,
 	}
 }
 
-// addLocal notes that an engine read a part; isNew says that it was not known to.
+// addLocal records that an engine prefilled a part for this router. isNew says that this was
+// not known.
 func (h *cacheIndex) addLocal(part, engine uint64) (isNew bool) {
 	known, _ := h.holders.Get(part)
 	if len(known) > 0 && known[0] == engine {
@@ -45,7 +46,7 @@
 	return !slices.Contains(known, engine)
 }
 
-// addReported notes that an engine read a part for another router.
+// addReported records that an engine prefilled a part for another router.
 func (h *cacheIndex) addReported(part, engine uint64) {
 	known, _ := h.holders.Get(part)
 	if slices.Contains(known, engine) {
@@ -57,14 +58,14 @@
 	h.holders.Add(part, append(slices.Clone(known), engine))
 }
 
-// holds tells whether an engine is known to have a part.
+// holds reports whether an engine is known to have a part cached.
 func (h *cacheIndex) holds(part uint64, s *server) bool {
 	known, _ := h.holders.Peek(part)
 	return slices.Contains(known, s.hash)
 }
 
-// findHolder finds the engine that has the most of a prompt's parts beyond what the
-// chosen one has; known is false if none of the parts is known to be anywhere.
+// findHolder returns the usable engine with the longest cached prefix beyond that of the chosen
+// one, or nil. known is false if no usable engine is known to have any of the parts cached.
 func (h *cacheIndex) findHolder(
 	parts []uint64, chosen *server, usable func(engine uint64) *server,
 ) (s *server, known bool) {
@@ -82,7 +83,7 @@
 	return nil, false
 }
 
-// locations gives every part and the engines that keep it, of those that are listed.
+// locations returns every part with each of the given engines that have it cached.
 func (h *cacheIndex) locations(listed map[uint64]*server) []Read {
 	var reads []Read
 	for _, part := range h.holders.Keys() {
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -94,7 +94,9 @@
 	var lines []string
 	for name, pool := range b.pools {
 		for i, s := range pool {
-			lines = append(lines, fmt.Sprint(name, s.Life(), s.Leaving, s.remoteInFlight, s.poolIndex == i, b.hashes[s.hash] == s))
+			lines = append(lines, fmt.Sprint(
+				name, s.Life(), s.Leaving, s.remoteInFlight, s.poolIndex == i, b.hashes[s.hash] == s,
+			))
 		}
 	}
 	slices.Sort(lines)
