--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -9,26 +9,26 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Knowledge is what a router knows of the caches of engines, by the hash of
-// their ID.
+// CacheSnapshot is what a router knows of the caches of engines, which it identifies by the
+// hash of their incarnation.
 type Knowledge struct {
-	// Covered are the engines whose caches it knows, but for what was read
-	// there within the last moments.
+	// Engines are those whose caches the router knows, except for what was cached there within
+	// the last moments.
 	Covered []uint64
-	// Reads are all parts that are known to be kept, of any engine.
+	// CachedParts has all prompt parts that these engines are known to have cached.
 	Reads []Read
 }
 
-// Question is which caches a router asks another about, by the hash of the engine: all but
-// those that it knows, or those that it wants to know, whichever are fewer. Routers of a
-// fleet that restarts ask each other many times.
+// CacheQuery says which caches a router asks another about, by the hash of the engine's
+// incarnation: all but the Known ones, or the Wanted ones, whichever list is shorter. Routers
+// of a fleet that restarts ask each other many times.
 type Question struct {
 	Known  []uint64
 	Wanted []uint64
 }
 
-// Question gives what to ask another router about the engines of the pools; ok is false if
-// nothing is missing.
+// CacheQuery returns what to ask another router about the engines of the pools. ok is false if
+// no cache is unknown.
 func (b *Balancer) Question(pools []string) (q Question, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,7 +52,7 @@
 	return q, ok
 }
 
-// Knowledge gives what this router knows of the caches of engines that another asks about.
+// CacheSnapshot returns what this router knows of the caches that a query asks for.
 func (b *Balancer) Knowledge(q *Question) Knowledge {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -82,7 +82,7 @@
 	return k
 }
 
-// Learn takes what another router knows.
+// MergeCacheSnapshot adds what another router knows.
 func (b *Balancer) Learn(k *Knowledge) {
 	b.HearReads(k.Reads)
 	b.mu.Lock()
@@ -94,15 +94,15 @@
 	}
 }
 
-// likelyRanks is how many engines, by a part's rank, a prompt may have been placed
-// at while those before were busy.
+// maxLikelyRank is how many engines, in the rank order of a prompt part, count as places where
+// its prompt may have been sent while engines with a better rank were busy.
 const maxLikelyRank = 12
 
-// isLikelyLocked tells whether a part was probably placed at the engine for its
-// rank. Most of what engines keep are the ends of prompts that nobody will ask for
-// again: these lie where the prompt was sent, at any rank. Of a large pool few of
-// them are taken for parts that requests share, and what routers that start learn
-// and tell each other is as much as there is to know.
+// isLikelyPlacementLocked reports whether a part was probably cached on the engine because of
+// its rank. Most of what engines have cached are the ends of prompts that nobody will request
+// again. These are wherever the prompt was sent, at any rank. In a large pool the rank filters
+// out most of them, which limits what starting routers fetch and send each other to the parts
+// that requests share.
 func (b *Balancer) isLikelyPlacementLocked(part uint64, s *server) bool {
 	own, higherRanked := placement.Score(part, s.hash), 0
 	for _, other := range b.pools[s.Pool] {
@@ -116,8 +116,8 @@
 	return true
 }
 
-// Keeps takes the parts that an engine says it keeps, those that were probably
-// placed there.
+// RecordCachedParts takes the parts that an engine lists as cached, and records those that were
+// probably placed there.
 func (b *Balancer) Keeps(id string, parts []uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -133,8 +133,8 @@
 	s.cacheKnown = true
 }
 
-// HasHome tells whether a listed engine is known to keep the whole shared part
-// of the prompt.
+// HasCachedPrompt reports whether a listed engine of the pool is known to have all shared parts
+// of the prompt cached.
 func (b *Balancer) HasHome(request *Ask) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -148,9 +148,9 @@
 	})
 }
 
-// Uncovered gives the engines of a pool whose caches this router does not
-// know, without those that get nothing new, or want nothing for now: to tell a cache is
-// work as well.
+// EnginesWithUnknownCaches returns the engines of a pool whose caches this router does not
+// know. It leaves out engines that accept no new requests or asked for a pause, because listing
+// a cache costs an engine work as well.
 func (b *Balancer) Uncovered(pool string) []slipwick.Backend {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -164,8 +164,8 @@
 	return engines
 }
 
-// CoverAll notes that no engine keeps anything yet that this router does not
-// know: the whole fleet starts for the first time.
+// MarkCachesKnown notes that no engine has anything cached that this router does not know, as
+// when the whole fleet starts for the first time.
 func (b *Balancer) CoverAll() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -175,7 +175,8 @@
 	}
 }
 
-// KnownParts counts the parts that are known to be kept somewhere.
+// CachedPartCount returns the number of prompt parts that are known to be cached on some
+// engine.
 func (b *Balancer) KnownParts() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/listed.go
+++ b/balance/listed.go
@@ -6,17 +6,17 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Listed is a backend server as the list of backend servers has it.
+// Listed is an entry of the list of backend servers.
 type Listed struct {
 	slipwick.Backend
 	Pool string
-	// Version is that of its software; empty if it tells none.
+	// Version is the version of the server's software. It is empty if unknown.
 	Version string
-	// Leaving says that it gets nothing new.
+	// Leaving says that the server accepts no new requests.
 	Leaving bool
-	// ColdTime is how much longer the backend server said that it is cold, when it
-	// entered itself; ColdUntil is when that ends, counted from when the entry was
-	// learnt.
+	// ColdTime is the remaining time for which the backend server counted as cold when it
+	// registered itself. ColdUntil is the end of that time, counted from when the entry was
+	// received.
 	ColdTime  time.Duration
 	ColdUntil time.Time
 }
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -7,16 +7,16 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Changes are what differs between two states of the list of backend servers. Lists of
-// large fleets change all the time, by a few entries each: what a change costs goes by
-// these, and not by how many are listed.
+// Changes is the difference between two states of the list of backend servers. Lists of large
+// fleets change all the time, by a few entries each. The cost of a change depends on the number
+// of these, not on the length of the list.
 type Changes struct {
-	// Listed are the entries that are new or differ, Gone the IDs of those that went.
+	// Listed has the entries that are new or differ, Removed the IDs of those that are gone.
 	Listed []Listed
 	Gone   []string
 }
 
-// SetBackends takes the whole list of backend servers.
+// SetBackends replaces the whole list of backend servers.
 func (b *Balancer) SetBackends(list []Listed) {
 	listed := make(map[string]bool, len(list))
 	for i := range list {
@@ -35,7 +35,7 @@
 	b.changeLocked(&changes)
 }
 
-// ChangeBackends takes changes of the list of backend servers.
+// ChangeBackends applies changes to the list of backend servers.
 func (b *Balancer) ChangeBackends(changes *Changes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 	since := now
 	if now.Sub(b.firstListed) < LateListing {
-		// They were there before this router.
+		// These servers started before this router.
 		since = time.Time{}
 	}
 	for _, id := range changes.Gone {
@@ -71,14 +71,14 @@
 	b.dropOldNoticesLocked()
 }
 
-// listLocked takes an entry, and tells whether it is of a life that was not listed.
+// listLocked applies an entry. isNew says that its incarnation was not listed before.
 func (b *Balancer) listLocked(listed *Listed, since time.Time) (s *server, isNew bool) {
 	s = b.servers[listed.ID]
 	isBack := s != nil && !s.isSameIncarnation(listed)
 	isNew = s == nil || isBack
 	if isBack {
 		b.unlistLocked(s)
-		// It began after this router did, and so keeps nothing yet.
+		// This incarnation started after the router, so its cache is empty.
 		since = clock.Now()
 	}
 	if isNew {
@@ -110,7 +110,7 @@
 	return s, isNew
 }
 
-// unlistLocked forgets a server that is no longer listed. Leases that hold it end as usual.
+// unlistLocked removes a server that is no longer listed. Leases that refer to it end as usual.
 func (b *Balancer) unlistLocked(s *server) {
 	delete(b.servers, s.ID)
 	delete(b.hashes, s.hash)
@@ -118,7 +118,7 @@
 	b.markUnlistedLocked(s.hash)
 }
 
-// leavePoolLocked takes a server out of its pool: the last one gets its place.
+// removeFromPoolLocked removes a server from its pool by moving the last one to its index.
 func (b *Balancer) removeFromPoolLocked(s *server) {
 	pool := b.pools[s.Pool]
 	last := len(pool) - 1
@@ -129,7 +129,8 @@
 	s.poolIndex = -1
 }
 
-// addToldOfLocked adds what other routers have told of servers that were not listed then.
+// addRemoteCountsOfLocked adds the counts that other routers had sent for servers before these
+// were listed.
 func (b *Balancer) addRemoteCountsOfLocked(added map[uint64]bool) {
 	if len(added) == 0 {
 		return
@@ -143,14 +144,14 @@
 	}
 }
 
-// IsListed tells whether the life of a backend server is listed.
+// IsListed reports whether an incarnation of a backend server is listed.
 func (b *Balancer) IsListed(life string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.hashes[placement.IDHash(life)] != nil
 }
 
-// Listed counts the backend servers that are listed.
+// ServerCount returns the number of listed backend servers.
 func (b *Balancer) Listed() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// The promised bound on an engine's load where no settings name one: factor * mean +
-// slack.
+// Defaults of the bound on an engine's load, which is factor * mean + slack.
 const (
 	DefaultLoadFactor = 2
 	DefaultLoadSlack  = 3
 )
 
 const (
-	// loadShare of what the promise allows beyond the mean is used, and
-	// slackMargin of its slack is not: the rest is for what other routers send
-	// meanwhile.
+	// usedLoadShare is the fraction of the allowed load above the mean that a router uses, and
+	// reservedSlack the part of the slack that it leaves unused. The rest is for requests that
+	// other routers send meanwhile.
 	usedLoadShare = 0.6
 	reservedSlack = 1
 )
 
-// loadsLocked gives, until it is called again, the load of each backend server: this router's requests and
-// those of the others, as they told, else as the backend server reported, else
-// the mean of what others report.
+// loadsLocked returns the load of each backend server: the requests of this router plus those
+// of the others. The latter are taken from the other routers' updates, or else from what the
+// server reported, or else they are the mean of what the other servers reported. The slice is
+// valid until the next call.
 func (b *Balancer) loadsLocked(servers []*server, now time.Time) []float64 {
 	each := b.scratch.costs[:0]
 	complete, typical := b.hasAllUpdatesLocked(now), 0.0
@@ -39,8 +39,8 @@
 	return each
 }
 
-// expectedLocked gives the loads with what the other routers probably sent since
-// they told.
+// expectedLoadsLocked returns the loads plus the requests that other routers have probably sent
+// since their last update, and the mean of these sums.
 func (b *Balancer) expectedLoadsLocked(
 	servers []*server, now time.Time, decay float64,
 ) (each []float64, mean float64) {
@@ -53,10 +53,11 @@
 	return known, mean / float64(max(len(servers), 1))
 }
 
-// poolMeanLocked is the mean load of the usable servers of a pool, which is given, and
-// those that are evacuated or rest: the promise on an engine's load is by the mean of all
-// that are sound. Cold ones do not count: as a part of a pool came back, the bound would be so low
-// that prompts had to move from where they are kept.
+// poolMeanLocked returns the mean load of the given usable servers and the paused ones, that is
+// those evacuated or asking for a pause, because the bound on an engine's load refers to the
+// mean of all healthy servers. Cold servers do not count: while part of a pool comes back, they
+// would lower the bound so far that prompts had to move away from the engines that have them
+// cached.
 func (b *Balancer) poolMeanLocked(usable []*server, mean float64, now time.Time) float64 {
 	if len(b.scratch.paused) == 0 {
 		return mean
@@ -73,8 +74,8 @@
 	return sum / float64(max(len(usable)+len(b.scratch.paused), 1))
 }
 
-// usualReport is the mean of what backend servers reported lately of other
-// routers' requests.
+// meanReportedLoad returns the mean number of other routers' requests in the servers' recent
+// load reports.
 func meanReportedLoad(servers []*server, now time.Time) float64 {
 	known, sum := 0, 0
 	for _, s := range servers {
@@ -89,22 +90,22 @@
 	return float64(sum) / float64(known)
 }
 
-// SetLoadBound changes the promise on an engine's load.
+// SetLoadBound sets LoadFactor and LoadSlack.
 func (b *Balancer) SetLoadBound(factor, slack float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.LoadFactor, b.LoadSlack = factor, slack
 }
 
-// loadBound is the load from which on an engine gets no more while others are
-// below it, by the mean of the pool.
+// loadBound returns the load at which an engine gets no more requests while others are below
+// it, given the mean load of the pool.
 func (b *Balancer) loadBound(mean float64) float64 {
 	return (1+usedLoadShare*(b.LoadFactor-1))*mean + max(b.LoadSlack-reservedSlack, 0)
 }
 
-// usableBoundLocked is the bound for the usable engines, by the mean of the pool: with
-// those that are spared, which hold less and less. The bound leaves each a request
-// above the usable ones' mean, or none could get any.
+// usableBoundLocked returns the load bound for the usable engines. The mean that it is based on
+// includes paused servers, whose load keeps falling. The bound is therefore at least one
+// request above the usable engines' own mean, or none of them could get any.
 func (b *Balancer) usableBoundLocked(usable []*server, mean float64, now time.Time) float64 {
 	all := b.poolMeanLocked(usable, mean, now)
 	return max(b.loadBound(all), mean+1)
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -8,40 +8,41 @@
 )
 
 const (
-	// leavingLapse is how long after it last said so a server counts as leaving whose
-	// successor can't be told from it by its entry. What leaves lives on for many
-	// seconds; one that was replaced goes without work for this long.
+	// leavingExpiry is how long a server counts as leaving after its last announcement, if its
+	// entry does not distinguish it from its successor. A server that is leaving runs on for
+	// many seconds. A successor gets no requests for this long.
 	leavingExpiry = 30 * time.Second
-	// noticesKept is for how long what a server said is kept after its entry went: an
-	// entry that lapsed as the store was away is back some seconds after its return.
+	// noticeRetention is how long notices are kept after the server's entry is gone. An entry
+	// that expired while the store was away reappears some seconds after the store does.
 	noticeRetention = 10 * time.Minute
 )
 
-// notices are what one life of a backend server said of itself in its answers. A server
-// says that it leaves, or wants rest, before any list can say so, and also while the
-// list's store is away: its own word binds at once, whatever the list says. It can't be
-// taken back: a life that leaves ends, and the next one has notices of its own.
+// notices is what one incarnation of a backend server announced about itself in its responses.
+// A server announces that it is leaving, or asks for a pause, before any list can say so, and
+// also while the list's store is away. Its announcement takes effect at once, whatever the list
+// says. It cannot be withdrawn: an incarnation that is leaving ends, and the next one has
+// notices of its own.
 type notices struct {
-	// leavingAt is when an answer said last that it leaves; zero if none did. lapses is
-	// after how long that counts no more; 0 if it always does.
+	// leavingAt is when a response last announced that the server is leaving, zero if none did.
+	// The announcement is ignored after expiry, or never if that is 0.
 	leavingAt time.Time
 	expiry    time.Duration
-	// restUntil is until when it wants nothing from this router.
+	// restUntil is the end of the pause that the server asked this router for.
 	restUntil time.Time
 }
 
-// saysLeaving tells whether the server said in an answer that it leaves. Most servers never
-// said anything, and have no notices at all.
+// saysLeaving reports whether the server announced that it is leaving. The receiver may be nil,
+// as most servers never announce anything.
 func (n *notices) saysLeaving() bool {
 	return n != nil && !n.leavingAt.IsZero() && (n.expiry == 0 || clock.Since(n.leavingAt) < n.expiry)
 }
 
-// isLeaving tells whether the server leaves, by the list or by its own word.
+// isLeaving reports whether the server is leaving, by the list or its own announcement.
 func (s *server) isLeaving() bool {
 	return s.Leaving || s.notices.saysLeaving()
 }
 
-// rest is for how long it wants nothing from this router.
+// rest returns the remaining pause that the server asked this router for.
 func (n *notices) rest(now time.Time) time.Duration {
 	if n == nil {
 		return 0
@@ -49,13 +50,13 @@
 	return max(n.restUntil.Sub(now), 0)
 }
 
-// isResting tells whether it wants nothing from this router for now.
+// isResting reports whether the server asked this router for a pause that is not over.
 func (n *notices) isResting(now time.Time) bool {
 	return n.rest(now) > 0
 }
 
-// noticesOfLocked gives those of a server's life to add to. They are kept when its entry
-// goes: it may lapse, and come back, while the server lives.
+// ensureNoticesLocked returns the notices of an incarnation, and creates them if needed. They
+// outlive its entry, which may expire and reappear while the server runs.
 func (b *Balancer) ensureNoticesLocked(life uint64) *notices {
 	n := b.notices[life]
 	if n == nil {
@@ -71,7 +72,8 @@
 	return n
 }
 
-// orphanLocked notes that a life is no longer listed. What it never said is forgotten.
+// markUnlistedLocked notes that an incarnation is no longer listed, and drops its notices if
+// they are empty.
 func (b *Balancer) markUnlistedLocked(life uint64) {
 	if n := b.notices[life]; n == nil || n.leavingAt.IsZero() && n.restUntil.IsZero() {
 		delete(b.notices, life)
@@ -80,7 +82,7 @@
 	b.unlistedNotices[life] = true
 }
 
-// forgetNoticesLocked drops those of lives that are no longer listed, after a while.
+// dropOldNoticesLocked drops notices of incarnations that have not been listed for a while.
 func (b *Balancer) dropOldNoticesLocked() {
 	now := clock.Now()
 	for life := range b.unlistedNotices {
@@ -96,7 +98,8 @@
 	}
 }
 
-// Noticed takes what a backend server said of itself in an answer to the lease's request.
+// RecordNotice takes what a backend server announced about itself in the response to the
+// lease's request.
 func (b *Balancer) Noticed(lease *Lease, notice slipwick.Notice) {
 	if !notice.Leaving && notice.Rest <= 0 {
 		return
@@ -106,8 +109,9 @@
 	b.receiveNoticeLocked(lease.server, notice)
 }
 
-// NoticedBy takes what a backend server said of itself in an answer to something else than
-// a request, if the life that was asked is the one listed.
+// RecordNoticeFrom takes what a backend server announced about itself in a response to
+// something other than a request. It is ignored unless the incarnation that was asked is the
+// one listed.
 func (b *Balancer) NoticedBy(backend *slipwick.Backend, notice slipwick.Notice) {
 	if !notice.Leaving && notice.Rest <= 0 {
 		return
@@ -119,16 +123,18 @@
 	}
 }
 
-// noticedLocked takes a notice that this router was given, and has the others told.
+// receiveNoticeLocked applies a notice that this router received from the server, and queues it
+// for the other routers.
 func (b *Balancer) receiveNoticeLocked(s *server, notice slipwick.Notice) {
 	if b.applyNoticeLocked(s, notice) && notice.Leaving && len(b.pendingLeaving) < maxPendingReads {
 		b.pendingLeaving = append(b.pendingLeaving, s.hash)
 	}
 }
 
-// HearLeaving takes which backend servers told other routers that they leave. Each router
-// sends so seldom to one server of a large fleet that without it every router would find
-// out for itself, with a request that the server may not live to answer.
+// ReceiveLeaving takes the backend servers that announced to other routers that they are
+// leaving. In a large fleet each router sends to one server so seldom that otherwise every
+// router would find out by a request of its own, which the server may not run long enough to
+// answer.
 func (b *Balancer) HearLeaving(servers []uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -141,9 +147,9 @@
 	}
 }
 
-// noticeLocked tells whether the notice is news.
+// applyNoticeLocked applies a notice and reports whether it says anything new.
 func (b *Balancer) applyNoticeLocked(s *server, notice slipwick.Notice) bool {
-	// The entry may have lapsed, and come back, while the request was under way.
+	// The entry may have expired, and reappeared, while the request was in flight.
 	now, known := clock.Now(), b.ensureNoticesLocked(s.hash)
 	isNew := notice.Leaving && !known.saysLeaving() || notice.Rest > 0 && !known.isResting(now)
 	if notice.Leaving {
@@ -161,8 +167,8 @@
 	return isNew
 }
 
-// Notices counts the listed backend servers that leave, and those that want nothing from
-// this router for now.
+// Notices counts the listed backend servers that are leaving, and those that asked this router
+// for a pause.
 func (b *Balancer) Notices() (leaving, resting int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -7,56 +7,56 @@
 	"github.com/slipwick/slipwick/pace"
 )
 
-// The figures of what a backend server is expected to take.
+// Constants for the time that a backend server is expected to take.
 const (
-	// slownessLeast requests have to be seen before the times of a pool count.
+	// minSlownessSamples is how many response times of a pool are needed before they are used.
 	minSlownessSamples = 32
-	// pausesWindow is how many streams are remembered by their longest pause,
-	// pausesLeast how many have to be seen before it counts.
+	// pausesWindow is how many streams are remembered by their longest pause, minPauseSamples
+	// how many are needed before these are used.
 	pausesWindow    = 256
 	minPauseSamples = 32
-	// lateShare of the requests begin to be answered within the time that one
-	// may take; usualShare is the middle.
+	// lateQuantile is the quantile of the response times that a request may take,
+	// medianQuantile that of a usual request.
 	lateQuantile   = 0.99
 	medianQuantile = 0.5
-	// patienceFactor times that is how long a request waits before it goes on
-	// elsewhere, silenceFactor times it how long a backend server with requests
-	// in flight may say nothing before new ones go elsewhere.
+	// timeoutFactor times the late quantile is how long a request waits before it is sent
+	// elsewhere. silenceFactor times it is how long a backend server with requests in flight
+	// may send nothing before new requests go elsewhere.
 	timeoutFactor = 2
 	silenceFactor = 4
-	// leastPatience is some round trips and a pause of a busy server;
-	// leastSilence and mostSilence bound the silence: engines say something with
-	// every step, and callers leave within some seconds.
+	// minFirstByteTimeout allows for some round trips and a pause of a busy server. minSilence
+	// and maxSilence bound the silence: engines send something with every step, and callers
+	// give up within some seconds.
 	minFirstByteTimeout = 100 * time.Millisecond
 	minSilence          = 500 * time.Millisecond
 	maxSilence          = 4 * time.Second
-	// longReadTime of reading makes a prompt long: other routers hear of it
-	// before it is over. rankLeadTime of reading is by how much an engine may be
-	// behind the next in a prompt's ranks.
+	// longPrefillTime is the prefill time from which a prompt counts as long, so that other
+	// routers are informed before the prefill is over. rankLeadTime is how much more prefill
+	// work an engine may have than the next one in the rank order of a prompt.
 	longPrefillTime = 40 * time.Millisecond
 	rankLeadTime    = 15 * time.Millisecond
-	// toldReadTime of reading is expected of a prompt that is read for another
+	// remotePrefillTime is the assumed prefill time of a prompt that is prefilled for another
 	// router.
 	remotePrefillTime = 160 * time.Millisecond
-	// baseMargin and readingMargin times what was learnt is how long a prompt is
-	// waited for that an engine reads, mostReadingWait bounds it.
+	// baseMargin and prefillMargin are the factors on the measured times that limit how long to
+	// wait for an engine's prefill. maxPrefillWait is the upper bound.
 	baseMargin     = 1.5
 	prefillMargin  = 1.2
 	maxPrefillWait = 2 * time.Second
 )
 
-// poolPace is what a pool's requests showed of its pace.
+// poolPace has the response times measured for a pool.
 type poolPace struct {
-	// isEngines says that the pool's requests have prompts.
+	// hasPrompts says that the pool's requests have prompts.
 	hasPrompts bool
 	prefill    *pace.Reading
-	// slowness has the times until answers began.
+	// slowness has the times until responses began.
 	slowness *pace.Slowness
-	// pauses are the longest pauses of streams that came whole, in nanoseconds.
+	// pauses has the longest pause of each stream that completed, in nanoseconds.
 	pauses *pace.Window
 }
 
-// paceLocked gives a pool's pace.
+// paceLocked returns the pace of a pool, and creates it if needed.
 func (b *Balancer) paceLocked(pool string) *poolPace {
 	p := b.paces[pool]
 	if p == nil {
@@ -77,8 +77,8 @@
 	return p
 }
 
-// undisturbed is what an engine takes alone; plain services have no measure of
-// their requests, so that all count alike.
+// unloadedTime returns the response time of an engine without other requests. Nothing is known
+// of the size of requests to plain services, so all of them count the same.
 func (p *poolPace) unloadedTime(tokens int) time.Duration {
 	if !p.hasPrompts {
 		return time.Millisecond
@@ -86,8 +86,8 @@
 	return p.prefill.Time(tokens)
 }
 
-// within is the time in which a share of such requests begin to be answered; 0
-// while too little is known.
+// responseTimeQuantile returns the time within which a fraction of the requests with as many
+// tokens to prefill get the start of their response, 0 while too few were measured.
 func (p *poolPace) responseTimeQuantile(share float64, tokens int) time.Duration {
 	if p.slowness.Len() < minSlownessSamples {
 		return 0
@@ -95,33 +95,33 @@
 	return p.slowness.Within(share, tokens)
 }
 
-// readBy is how long an engine reads a prompt at most.
+// maxPrefillTime returns how long an engine prefills a prompt at most.
 func (p *poolPace) maxPrefillTime(tokens int) time.Duration {
 	base := p.prefill.Base()
 	wait := baseMargin*float64(base) + prefillMargin*float64(p.prefill.Time(tokens)-base)
 	return min(time.Duration(wait), maxPrefillWait)
 }
 
-// silence is how long a server with so much to read may say nothing.
+// maxSilenceFor returns how long a server with that many tokens to prefill may send nothing.
 func (p *poolPace) maxSilenceFor(tokens int) time.Duration {
 	limit := silenceFactor * p.responseTimeQuantile(lateQuantile, tokens)
 	return min(max(limit, minSilence), maxSilence)
 }
 
-// Sent notes that the lease's request is about to be sent.
+// RecordSend notes that the lease's request is about to be sent.
 func (b *Balancer) Sent(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	lease.sentAt = clock.Now()
 }
 
-// LearnPace takes the time in which the lease's request began to be answered,
-// now, with a success.
+// RecordResponseTime takes the time until the response to the lease's request began. Call it at
+// that moment, and only for a success.
 func (b *Balancer) LearnPace(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if lease.sentAt.IsZero() || lease.isCold {
-		// What a cold server takes tells nothing of the others.
+		// Response times of cold servers say nothing about the others.
 		return
 	}
 	elapsed, p := clock.Since(lease.sentAt), b.paceLocked(lease.server.Pool)
@@ -135,8 +135,8 @@
 	}
 }
 
-// Patience is how long the lease's request should wait for the first byte of its
-// answer, by what the pool's took lately; 0 while too little is known.
+// FirstByteTimeout returns how long the lease's request should wait for the first byte of its
+// response, by the pool's recent response times, or 0 while too few were measured.
 func (b *Balancer) Patience(lease *Lease) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -147,9 +147,8 @@
 	return max(timeoutFactor*late, minFirstByteTimeout)
 }
 
-// PausePatience is how long a stream of the lease's pool should be waited for that
-// has begun and says nothing, by what the pool's paused lately; 0 while too little
-// is known.
+// StreamIdleTimeout returns how long to wait for more of a stream that has begun, by the pool's
+// recent pauses, or 0 while too few were measured.
 func (b *Balancer) PausePatience(lease *Lease) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -160,16 +159,16 @@
 	return time.Duration(timeoutFactor * pauses.Quantile(lateQuantile))
 }
 
-// ReadTime is how long an engine of the pool takes at most until the answer begins,
-// if it has to read the whole prompt.
+// MaxPrefillTime returns the longest time until the response begins if an engine of the pool
+// has to prefill the whole prompt.
 func (b *Balancer) ReadTime(request *Ask) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.paceLocked(request.Pool).maxPrefillTime(request.tokens())
 }
 
-// ReadingTime is how long an engine of the pool reads the whole prompt, beside what
-// it takes for any request.
+// PrefillTime returns how long an engine of the pool prefills the whole prompt, without the
+// base time of any request.
 func (b *Balancer) ReadingTime(request *Ask) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -177,8 +176,8 @@
 	return reading.Time(request.tokens()) - reading.Base()
 }
 
-// Usual is how long such a request of the pool usually takes until its answer
-// begins; 0 while too little is known.
+// MedianResponseTime returns the median time until the response to such a request of the pool
+// begins, or 0 while too few were measured.
 func (b *Balancer) Usual(request *Ask) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -7,9 +7,9 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// byPromptLocked takes an engine that has the prompt cached and is not loaded
-// above the bound; without one, the engine below the bound that has the least to
-// read; and when all are above it, the least loaded.
+// chooseByPromptLocked chooses an engine that has the prompt cached and is below the load
+// bound. Without one, it chooses the engine below the bound with the least prefill work, and if
+// all are above it, the least loaded.
 func (b *Balancer) chooseByPromptLocked(request *Ask, pool, usable []*server, now time.Time, decay float64) *Lease {
 	parts := request.keys()
 	prompt := parts[len(parts)-1]
@@ -62,11 +62,10 @@
 	return lease
 }
 
-// leastReadingLocked gives the engine, below the bound, that has the least to
-// read before it, with a lead by the prompt's ranks: by so much an engine may be
-// behind the next and still get a prompt that it does not have. It keeps routers,
-// which know of each other's readings late, from choosing the same engine for
-// all prompts.
+// leastPrefillLocked returns the engine below the load bound with the least prefill work, with
+// a lead by rank: an engine may have rankLeadTime more work than the next one in the prompt's
+// rank order and still get the prompt. Routers learn late of each other's prefills, and without
+// the lead they would choose the same engine for all prompts.
 func (b *Balancer) leastPrefillLocked(
 	prompt uint64, usable []*server, each []float64, bound float64, now time.Time,
 ) *server {
@@ -86,7 +85,7 @@
 	rankLead := b.paceLocked(usable[0].Pool).prefill.Tokens(rankLeadTime)
 	var best *server
 	bestCost := 0
-	// The ranks are gone through only as far as one may cost less.
+	// A lower rank is considered only while its lead could still make it the cheapest.
 	for rank := 0; rank < len(below) && (best == nil || rank*rankLead < bestCost); rank++ {
 		i := indexOfMax(scores)
 		s := below[i]
@@ -98,7 +97,7 @@
 	return best
 }
 
-// indexOfMax gives the index of the highest score.
+// indexOfMax returns the index of the highest score.
 func indexOfMax(scores []uint64) int {
 	best := 0
 	for i, score := range scores {
@@ -109,9 +108,9 @@
 	return best
 }
 
-// nearHoldersLocked moves those of the engines to the front, and gives them, that
-// are in the data centre of one that has the prompt and can be reached: they fetch
-// it in half of the time. Without any it gives all.
+// preferHolderDataCentresLocked returns the engines that are in the same data centre as a
+// reachable engine that has the prompt cached, because they fetch it in half the time. Without
+// any it returns all engines. It reorders the slice.
 func (b *Balancer) preferHolderDataCentresLocked(prompt uint64, engines []*server, now time.Time) []*server {
 	known, _ := b.cacheIndex.holders.Peek(prompt)
 	var holds []string
@@ -133,13 +132,13 @@
 	return engines[:near]
 }
 
-// candidate is an engine that a prompt could go to.
+// candidate is an engine that a prompt could be sent to.
 type candidate struct {
 	server *server
-	// has says that it is known to have the prompt cached.
+	// has says that the engine is known to have the prompt cached.
 	has bool
-	// isLocal says that it is in the router's data centre; among several that
-	// have the prompt, isLocal ones save bytes between data centres.
+	// isLocal says that the engine is in the router's data centre. Among several that have the
+	// prompt cached, a local one saves traffic between data centres.
 	isLocal bool
 	score   uint64
 }
@@ -154,7 +153,7 @@
 	return c.score > other.score
 }
 
-// ranLocked notes, and later tells the other routers, where parts are kept.
+// recordCachedPartsLocked records where parts are cached, also for the next update.
 func (b *Balancer) recordCachedPartsLocked(parts []uint64, s *server) {
 	for _, part := range parts {
 		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingReads) < maxPendingReads {
@@ -166,11 +165,13 @@
 	}
 }
 
-// holderLocked gives the engine that most probably has the prompt cached, or
-// its first parts, if it is not the chosen one: one that is known to keep the
-// prompt; the best ranked of those that were listed before the chosen one, if
-// its cache is not known; one that is known to keep the first parts.
-func (b *Balancer) fetchSourceLocked(request *Ask, parts []uint64, pool []*server, chosen *server, now time.Time) *server {
+// fetchSourceLocked returns the engine from which the chosen one should fetch the prompt or its
+// first parts, or nil. In this order it is one that is known to have the whole prompt cached,
+// the best ranked engine of those listed before the chosen one if its cache is not known, or
+// one that is known to have the first parts cached.
+func (b *Balancer) fetchSourceLocked(
+	request *Ask, parts []uint64, pool []*server, chosen *server, now time.Time,
+) *server {
 	usable := func(engine uint64) *server {
 		if s := b.hashes[engine]; s != nil && request.allows(s) && b.canFetchFromLocked(s, now) {
 			return s
@@ -181,16 +182,19 @@
 	if holder, known := b.cacheIndex.findHolder(parts[len(parts)-1:], chosen, usable); known {
 		return holder
 	}
-	if likely := b.likelyHolderLocked(request, prompt, pool, chosen, now); likely != chosen && likely != nil && !likely.cacheKnown {
+	if likely := b.likelyHolderLocked(request, prompt, pool, chosen, now); likely != chosen &&
+		likely != nil && !likely.cacheKnown {
 		return likely
 	}
 	holder, _ := b.cacheIndex.findHolder(parts[:len(parts)-1], chosen, usable)
 	return holder
 }
 
-// likelyHomeLocked gives the best ranked engine for a prompt of those that were listed
-// before the chosen one, or the chosen one if it is that.
-func (b *Balancer) likelyHolderLocked(request *Ask, prompt uint64, pool []*server, chosen *server, now time.Time) *server {
+// likelyHolderLocked returns the best ranked engine for a prompt among the chosen one and those
+// listed before it.
+func (b *Balancer) likelyHolderLocked(
+	request *Ask, prompt uint64, pool []*server, chosen *server, now time.Time,
+) *server {
 	var likely *server
 	var likelyScore uint64
 	for _, s := range pool {
@@ -207,6 +211,6 @@
 	return likely
 }
 
-// settledAfter is how long an engine has to be listed for its prompts to count
-// as cached there.
+// cacheWarmupTime is how long an engine has to be listed before the prompts that rank it first
+// count as cached there.
 const cacheWarmupTime = 20 * time.Second
--- a/balance/ranking.go
+++ b/balance/ranking.go
@@ -8,28 +8,28 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// routerRanking is which routers live, by the hash of their ID, and who came or went
-// within the last coldWindow. Cold servers alone are ranked by it, when a request looks at
-// one: a fleet that starts learns of its routers one by one, and ranking all servers each
-// time would cost the product of both.
+// routerRanking has the live routers by the hash of their ID, and those that joined or left
+// within the last coldWindow. It is used only for cold servers, each ranked when a request
+// considers it: a starting fleet learns of its routers one by one, and ranking all servers each
+// time would cost servers times routers.
 type routerRanking struct {
 	self uint64
 	live map[uint64]bool
-	// version counts the changes of live, recent is when each of those came or went.
+	// version counts the changes of live, recent is when each router joined or left.
 	version uint64
 	recent  map[uint64]time.Time
 }
 
-// routerRank is how this router ranks for a server, by a version of the ranking.
+// routerRank is the rank of this router for a server, at a version of the ranking.
 type routerRank struct {
 	version uint64
-	// routersBefore counts the routers that rank routersBefore this one, changedAt is when one of
-	// these came or went last, if that was within coldWindow routersBefore it was ranked.
+	// routersBefore counts the routers that rank before this one. changedAt is when one of
+	// these last joined or left, if that was within coldWindow before the ranking.
 	routersBefore int
 	changedAt     time.Time
 }
 
-// SetRouters takes the IDs of the routers that live, this one among them or not.
+// SetRouters sets the IDs of the live routers. ids may include self.
 func (b *Balancer) SetRouters(self string, ids []string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,7 +57,7 @@
 	r.version++
 }
 
-// rankLocked gives how this router ranks for a server.
+// rankLocked returns the rank of this router for a server.
 func (b *Balancer) rankLocked(s *server) *routerRank {
 	r := &b.ranking
 	if s.rank.version == r.version {
@@ -81,7 +81,7 @@
 	return &s.rank
 }
 
-// scoresHigher tells whether one router ranks before another for a server.
+// scoresHigher reports whether one router ranks before another for a server.
 func scoresHigher(s *server, router, other uint64) bool {
 	return placement.Score(s.hash, router) > placement.Score(s.hash, other)
 }
--- a/balance/reading.go
+++ b/balance/reading.go
@@ -2,63 +2,64 @@
 
 import "time"
 
-// readingsKept bounds the readings that are remembered.
+// maxPrefills bounds the prefills that are remembered.
 const maxPrefills = 512
 
-// prefill is a prompt that an engine reads for the first time. Requests for
-// the same prompt that come meanwhile would have it read again, at this engine
-// or at another that fetches from it: they wait.
+// prefill is a prompt that an engine prefills for the first time. Other requests for the same
+// prompt wait for it. Otherwise the prompt would be prefilled twice, on this engine or on
+// another that could fetch it from this one.
 type prefill struct {
 	engine    uint64
 	startedAt time.Time
-	// deadline is when the prompt is read at the latest.
+	// deadline is when the prefill is over at the latest.
 	deadline time.Time
-	// done is closed when the engine has begun to answer; nil for readings of
-	// other routers.
+	// done is closed when the engine has begun to respond. It is nil for prefills of other
+	// routers.
 	done chan struct{}
 }
 
-// prefills are those of the last moments, by the last shared part.
+// prefills has the recent prefills by the last shared part of their prompt.
 type prefills map[uint64]*prefill
 
-// start notes a reading, unless the prompt is being read already.
-func (r prefills) start(part uint64, begun *prefill) bool {
-	if known := r[part]; known != nil && begun.startedAt.Before(known.deadline) {
+// start records a prefill. It returns false if the prompt is being prefilled already, or too
+// many prefills are under way.
+func (p prefills) start(part uint64, started *prefill) bool {
+	if known := p[part]; known != nil && started.startedAt.Before(known.deadline) {
 		return false
 	}
-	if len(r) >= maxPrefills {
-		r.dropExpired(begun.startedAt)
+	if len(p) >= maxPrefills {
+		p.dropExpired(started.startedAt)
 	}
-	if len(r) >= maxPrefills {
+	if len(p) >= maxPrefills {
 		return false
 	}
-	r[part] = begun
+	p[part] = started
 	return true
 }
 
-// dropExpired drops readings that nobody waits for any more.
-func (r prefills) dropExpired(now time.Time) {
-	for part, known := range r {
+// dropExpired drops prefills whose deadline is over.
+func (p prefills) dropExpired(now time.Time) {
+	for part, known := range p {
 		if now.After(known.deadline) {
-			delete(r, part)
+			delete(p, part)
 		}
 	}
 }
 
-// beginReadingLocked notes that an engine reads a prompt for the lease.
+// startPrefillLocked records that an engine prefills a prompt for the lease.
 func (b *Balancer) startPrefillLocked(part uint64, lease *Lease, now time.Time) {
-	begun := &prefill{
+	started := &prefill{
 		engine:    lease.server.hash,
 		startedAt: now,
 		deadline:  now.Add(b.paceLocked(lease.server.Pool).maxPrefillTime(lease.promptTokensToPrefill)),
 		done:      make(chan struct{}),
 	}
-	if b.prefills.start(part, begun) {
-		lease.part, lease.prefill = part, begun
+	if b.prefills.start(part, started) {
+		lease.part, lease.prefill = part, started
 	}
 }
 
-// endReadingLocked lets those go on that wait for the lease's reading.
+// endPrefillLocked wakes the requests that wait for the lease's prefill.
 func (b *Balancer) endPrefillLocked(lease *Lease) {
 	if lease.prefill == nil {
 		return
@@ -70,13 +71,13 @@
 	lease.prefill = nil
 }
 
-// awaitReadingLocked has the lease wait if the prompt is being read for the
-// first time. An engine other than the one that reads it fetches it from there.
+// awaitPrefillLocked delays the lease if its prompt is being prefilled for the first time. An
+// engine other than the one that prefills it will fetch it from there.
 func (b *Balancer) awaitPrefillLocked(request *Ask, part uint64, lease *Lease, now time.Time) {
 	tokens := request.tokens()
 	known, p := b.prefills[part], b.paceLocked(lease.server.Pool)
 	if known == nil || known.done == nil && tokens < p.prefill.Tokens(longPrefillTime) {
-		// Other routers tell of short readings when these are over.
+		// Short prefills of other routers are over before their updates arrive.
 		return
 	}
 	wait := known.startedAt.Add(p.maxPrefillTime(tokens)).Sub(now)
@@ -84,7 +85,7 @@
 		return
 	}
 	lease.Wait, lease.Read = wait, known.done
-	if reader := b.hashes[known.engine]; reader != nil && reader != lease.server && request.allows(reader) {
-		lease.FetchFrom = reader.Address
+	if source := b.hashes[known.engine]; source != nil && source != lease.server && request.allows(source) {
+		lease.FetchFrom = source.Address
 	}
 }
