--- a/balance/scratch.go
+++ b/balance/scratch.go
@@ -1,17 +1,17 @@
 package balance
 
-// scratch is the memory that one choice needs. It is used again by the next, so
-// that a choice allocates nothing that grows with the pool.
+// scratch has the buffers that one choice needs. The next choice reuses them, so that no choice
+// allocates memory in proportion to the pool.
 type scratch struct {
-	// usable are the servers that a request may go to, cold those that are cold and
-	// may get it too, ejected those that are left ejected, below the engines below the
-	// bound.
+	// usable has the servers that a request may go to, cold the cold ones that may get it as
+	// well, ejected the ejected ones, below the engines below the load bound.
 	usable, cold, ejected, below []*server
-	// spared are those of evacuated data centres, and those that asked for rest.
+	// paused has the evacuated servers and those that asked for a pause.
 	paused []*server
-	// stable and canary are the servers of a pool on both sides of its trial.
+	// stable and canary split the servers of a pool during a canary.
 	stable, canary []*server
-	// costs are those of the usable servers, scores the ranks of those below.
+	// costs has the costs of the usable servers, scores the rendezvous scores of those below
+	// the load bound.
 	costs  []float64
 	scores []uint64
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -7,74 +7,75 @@
 )
 
 const (
-	// reportLife is how long a report of load is believed: at the rates
-	// designed for, a router hears from each engine about once a second.
+	// loadReportLifetime is how long a load report is used. At the request rates in the design,
+	// a router gets one from each engine about once a second.
 	loadReportLifetime = 1500 * time.Millisecond
-	// shortOuting and longOuting bound how long one is left out.
+	// shortEjection is the shortest and maxEjection the longest duration of an ejection.
 	shortEjection = 500 * time.Millisecond
 	maxEjection   = 4 * time.Second
 )
 
-// LateListing is how long after a router's first list backend servers turn up
-// that were there before: entries that lapsed while the store was away come back
-// within about 2 s of its return.
+// RelistWindow is how long after a router's first list a newly listed backend server may have
+// been running before the router: entries that expired while the store was away reappear within
+// about 2 s of its return.
 const LateListing = 4 * time.Second
 
-// server is one backend server as the balancer knows it.
+// server is the balancer's state of a backend server.
 type server struct {
 	Listed
-	// poolIndex is its index in its pool; -1 in none.
+	// poolIndex is the index in the pool, -1 if the server is in none.
 	poolIndex int
-	// hash names this life of it: what routers know and tell of a server belongs to
-	// one, so that nothing of an earlier life is believed of a later one, nor changes
-	// it when it comes late. It ranks by it as well: ranked by its ID alone, one that
-	// is back would get the prompts again that it lost.
+	// hash identifies the incarnation. What routers know and tell each other of a server
+	// belongs to one incarnation, so that nothing about an earlier one is applied to a later
+	// one, also if it arrives late. The hash also determines the server's rank. If the ID did,
+	// a restarted server would get the same prompts again although its cache is lost.
 	hash uint64
-	// listedAt is when it was first listed; zero if it was there when the router
-	// began.
+	// listedAt is when the server was first listed, zero if it was there when the router
+	// started.
 	listedAt time.Time
-	// covered says that the router knows what it has cached: it was listed
-	// empty, or its cache was learnt after a start.
+	// cacheKnown says that the router knows what the server has cached, because its cache was
+	// empty when it was listed or has been fetched since.
 	cacheKnown bool
 	// inFlight counts the leases of this router.
 	inFlight int
-	// prefillTokens counts the tokens that it has to read for this router before
-	// its answers begin.
+	// prefillTokens counts the tokens that the server has yet to prefill for this router.
 	prefillTokens int
 
-	// reported is the load of all routers that it told at reportedAt, when
-	// this router had reportedOwn requests there.
+	// reported is the load by all routers that the server reported at reportedAt, when this
+	// router had reportedOwn requests there.
 	reported    int
 	reportedOwn int
 	reportedAt  time.Time
 
-	// heardAt is when it last said anything to this router, waitingSince since
-	// when requests of this router are in flight there.
+	// lastActivityAt is when the server last sent anything to this router, busySince since when
+	// this router has had requests in flight there.
 	lastActivityAt time.Time
 	busySince      time.Time
 
-	// sends are this router's of the last moment, as counted for the balancer's
-	// sendsFrom.
+	// sends is a decaying count of the requests that this router sent, relative to the
+	// balancer's sendsFrom.
 	sends float64
 
-	// remoteInFlight counts the requests that the others remoteInFlight, toldReading the tokens that
-	// it has to read for them yet.
+	// remoteInFlight counts the requests of the other routers by their updates,
+	// remotePrefillTokens the tokens that the server has yet to prefill for these.
 	remoteInFlight, remotePrefillTokens int
 
-	// evacuated says that its data centre is.
+	// evacuated says that the server's data centre is evacuated.
 	evacuated bool
-	// coldUntil is until when it counts as cold. coldSends are when this router sent
-	// to it lately while it was, the earliest first, rank how this router ranks for it.
+	// coldUntil is the end of the time for which the server counts as cold. coldSends are the
+	// times at which this router recently sent to it while it was cold, the earliest first,
+	// rank is the rank of this router for it.
 	coldUntil time.Time
 	coldSends []time.Time
 	rank      routerRank
 
-	// notices is what this life of it notices of itself; nil if it notices nothing.
+	// notices is what this incarnation announced about itself, nil if nothing.
 	notices *notices
 
 	errors errorRate
-	// outings counts the times in a row that it was left out. failing says that
-	// it is out for requests that failed, and can still be fetched from.
+	// consecutiveEjections counts the ejections in a row. ejectedForErrors says that the
+	// current one is for failed requests, so that other engines can still fetch from the
+	// server.
 	consecutiveEjections int
 	ejectedUntil         time.Time
 	ejectedForErrors     bool
@@ -86,18 +87,19 @@
 		hash:      placement.IDHash(listed.Life()),
 		poolIndex: -1,
 		listedAt:  since,
-		// One that comes after the router's start has nothing cached yet.
+		// The cache of a server that starts after the router is empty.
 		cacheKnown: !since.IsZero(),
 	}
 }
 
-// isLifeOf tells whether an entry is of the same life. One that leaves out when its
-// server began says nothing of it.
+// isSameIncarnation reports whether an entry is of the same incarnation. An entry without a
+// start time matches any.
 func (s *server) isSameIncarnation(listed *Listed) bool {
 	return listed.Born == 0 || listed.Born == s.Born
 }
 
-// inFlightElsewhere is what the other routers have there; ok says that it is known.
+// inFlightElsewhere returns how many requests the other routers have there by the latest load
+// report. ok is false without a recent one.
 func (s *server) inFlightElsewhere(now time.Time) (count int, ok bool) {
 	if s.reportedAt.IsZero() || now.Sub(s.reportedAt) > loadReportLifetime {
 		return 0, false
@@ -105,13 +107,13 @@
 	return max(s.reported-s.reportedOwn, 0), true
 }
 
-// isOutLocked tells whether the server gets nothing new for now: it is left out
-// for its failures, or says nothing though it has requests to answer.
+// isUnavailableLocked reports whether the server gets no new requests for now, because it is
+// ejected or does not respond to those in flight.
 func (b *Balancer) isUnavailableLocked(s *server, now time.Time) bool {
 	return now.Before(s.ejectedUntil) || b.isUnresponsiveLocked(s, now)
 }
 
-// isReachableLocked tells whether another engine may fetch from the server.
+// canFetchFromLocked reports whether another engine may fetch from the server.
 func (b *Balancer) canFetchFromLocked(s *server, now time.Time) bool {
 	if s.evacuated && b.Switches.ForgetEvacuated {
 		return false
@@ -119,8 +121,8 @@
 	return !b.isUnresponsiveLocked(s, now) && (s.ejectedForErrors || !now.Before(s.ejectedUntil))
 }
 
-// isSilentLocked tells whether the server has said nothing for longer than its
-// pool's do, with as much to read.
+// isUnresponsiveLocked reports whether the server has requests in flight but has sent nothing
+// for longer than servers of its pool do with as many tokens to prefill.
 func (b *Balancer) isUnresponsiveLocked(s *server, now time.Time) bool {
 	if s.inFlight == 0 {
 		return false
@@ -129,7 +131,8 @@
 	return silentFor > minSilence && silentFor > b.paceLocked(s.Pool).maxSilenceFor(s.prefillTokens)
 }
 
-// leaveOut leaves it out, for longer each time in a row; false if it is out.
+// eject ejects the server, for twice as long each time in a row up to maxEjection. It returns
+// false if the server is ejected already.
 func (s *server) eject(now time.Time, first time.Duration) bool {
 	if now.Before(s.ejectedUntil) {
 		return false
--- a/balance/spread.go
+++ b/balance/spread.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// unheardLocked is how many requests all routers have at the servers that none
-// has told of yet: those of the last moment that still run. Each router sends
-// about as many as this one.
+// unreportedRequestsLocked estimates how many requests of all routers are in flight at the
+// servers that no update has reported yet. It assumes that each router sends about as many as
+// this one.
 func (b *Balancer) unreportedRequestsLocked(servers []*server, decay float64) float64 {
 	if len(servers) == 0 {
 		return 0
@@ -20,13 +20,13 @@
 	return each * float64(len(servers)) * float64(b.otherRouters+1)
 }
 
-// leastUnheard is what is spread in any case: the request itself.
+// minUnreported is the least amount that is distributed: the request itself.
 const minUnreported = 1
 
-// chooseByWaterFilling chooses a server for a request, by what its choice costs, so that what
-// the routers have not told each other yet fills the cheapest servers to one
-// level: were all to choose the cheapest, it would get everything until the next
-// telling. It gives an index; draw is a number from 0 to 1 by chance.
+// chooseByWaterFilling chooses a server by its cost at random, such that the requests not yet
+// reported between routers fill the cheapest servers up to a common level. If all routers chose
+// the cheapest server, it would get every request until the next update. It returns an index.
+// draw is a random number in [0, 1).
 func chooseByWaterFilling(costs []float64, unreported, draw float64) int {
 	level := fillLevel(costs, max(unreported, minUnreported))
 	sum := 0.0
@@ -43,7 +43,7 @@
 	return slices.Index(costs, slices.Min(costs))
 }
 
-// fillLevel is the level to which the amount fills the cheapest.
+// fillLevel returns the level up to which the amount fills the cheapest.
 func fillLevel(costs []float64, amount float64) float64 {
 	sorted := slices.Sorted(slices.Values(costs))
 	below := 0.0
--- a/balance/state.go
+++ b/balance/state.go
@@ -7,36 +7,36 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// State is what the balancer knows of a backend server, for operators.
+// State is the balancer's view of a backend server, for operators.
 type State struct {
 	ID         string `json:"id"`
 	Pool       string `json:"pool"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Leaving says that it gets nothing new as it ends, Out that it gets
-	// nothing new for its failures, for OutMS milliseconds yet, Silent that it
-	// has not said anything for a while.
-	// Evacuated says that its data centre is, ColdMS for how many milliseconds yet it
-	// gets little as it is cold.
+	// Evacuated says that the server's data centre is evacuated, ColdMS for how many
+	// milliseconds it still gets few requests because it is cold.
 	Evacuated bool  `json:"evacuated"`
 	ColdMS    int64 `json:"cold_ms"`
 
+	// Leaving says that the server gets no new requests because it is ending.
 	Leaving bool `json:"leaving"`
-	// SaysLeaving says that it said so in an answer, RestMS for how many milliseconds
-	// yet it wants nothing from this router.
+	// SaysLeaving says that the server announced in a response that it is leaving, RestMS for
+	// how many milliseconds it still wants no requests from this router.
 	SaysLeaving bool  `json:"says_leaving"`
 	RestMS      int64 `json:"rest_ms"`
 
+	// Out says that the server gets no new requests because it is ejected, OutMS for how many
+	// milliseconds more, Silent that it has not sent anything for a while.
 	Out    bool  `json:"out"`
 	OutMS  int64 `json:"out_ms"`
 	Silent bool  `json:"silent"`
 	// InFlight counts this router's requests there.
 	InFlight int `json:"in_flight"`
-	// ErrorRate is the share of the latest requests of all routers that failed.
+	// ErrorRate is the failure rate of the latest requests of all routers.
 	ErrorRate float64 `json:"error_rate"`
 }
 
-// States gives all backend servers by pool and ID.
+// States returns all backend servers by pool and ID.
 func (b *Balancer) States() []State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/surge.go
+++ b/balance/surge.go
@@ -6,15 +6,15 @@
 )
 
 const (
-	// unheardTime is how long a router does not know yet what the others send: a
-	// telling comes five times a second, and may be passed on by a hub.
+	// updateDelay is how long it takes until a router knows what the others send: updates are
+	// sent five times a second, and a hub may relay them.
 	updateDelay = 200 * time.Millisecond
-	// countAnew is after how long the servers' sends are counted for a new
-	// moment: what was counted long before has decayed to nothing.
+	// sendsRebaseInterval is how often the send counts are rebased to the current time. What
+	// was counted that long before has decayed to nothing.
 	sendsRebaseInterval = 20 * updateDelay
 )
 
-// decayLocked is what remains now of a request that was sent at sendsFrom.
+// decayLocked returns what remains now of a request that was sent at sendsFrom.
 func (b *Balancer) decayLocked(now time.Time) float64 {
 	age := now.Sub(b.sendsFrom)
 	decay := math.Exp(-age.Seconds() / updateDelay.Seconds())
@@ -28,13 +28,13 @@
 	return 1
 }
 
-// noteSend takes a request of this router, which decays from now on.
+// recordSend counts a request of this router, which decays from now on.
 func (s *server) recordSend(decay float64) {
 	s.sends += 1 / decay
 }
 
-// usualSends is how many each of the servers got from this router in the last
-// moment, in the mean.
+// meanSends returns the mean number of requests that each of the servers recently got from this
+// router.
 func meanSends(servers []*server, decay float64) float64 {
 	sum := 0.0
 	for _, s := range servers {
@@ -43,11 +43,11 @@
 	return sum * decay / float64(max(len(servers), 1))
 }
 
-// expectedExcess is how many more requests than usual another router has probably sent to
-// a server in the last moment, unheard yet, by what this one sent there and what
-// is usual. Routers choose alike: what this one sent tells of the others, and the
-// less the fewer it sends. Without it all would send what they all like to the same
-// server until the next telling.
+// expectedExcess returns how many more requests than usual another router has probably sent to
+// a server since its last update, given what this router sent there and the usual number.
+// Routers choose alike, so what this one sent indicates what the others did, though less so the
+// fewer it sends. Without this estimate all routers would send to the server that they all
+// prefer until the next update.
 func expectedExcess(sent, typical float64) float64 {
 	if typical <= 0 {
 		return 0
--- a/balance/switches.go
+++ b/balance/switches.go
@@ -8,21 +8,21 @@
 	"github.com/pkg/errors"
 )
 
-// Switches turn decisions to the other way that was tried, so that both can be
-// compared on the same days without another build. None is on in use.
+// Switches select alternative decisions, so that they can be compared under the same conditions
+// without another build. None is set in production.
 type Switches struct {
-	// ColdAsOthers has cold engines be chosen like the others, within their limit,
-	// and not only while these are pressed.
+	// ColdAsOthers chooses cold engines like the others, within their limit, and not only while
+	// the others are busy.
 	ColdAsOthers bool
-	// WaitForHomes has requests that meet a router that has just started wait for
-	// their prompt's home for as long as they can still be in time.
+	// WaitForHomes makes requests on a router that has just started wait for the location of
+	// their cached prompt for as long as they can still meet their deadline.
 	WaitForHomes bool
-	// ForgetEvacuated has prompts be read again that only evacuated engines keep, and
-	// not fetched from there.
+	// ForgetEvacuated makes engines prefill prompts that only evacuated engines have cached,
+	// and not fetch them from there.
 	ForgetEvacuated bool
 }
 
-// byName gives each switch by its name on the command line.
+// byName returns each switch by its name on the command line.
 func (s *Switches) byName() map[string]*bool {
 	return map[string]*bool{
 		"cold-as-others":   &s.ColdAsOthers,
@@ -31,14 +31,14 @@
 	}
 }
 
-// ParseSwitches reads the names of those that are on.
+// ParseSwitches returns the switches with the given names set.
 func ParseSwitches(names []string) (Switches, error) {
 	var s Switches
 	known := s.byName()
 	for _, name := range names {
 		on := known[name]
 		if on == nil {
-			return Switches{}, errors.Errorf("there is no switch %s; name one of %s",
+			return Switches{}, errors.Errorf("unknown switch %q; known switches: %s",
 				name, strings.Join(slices.Sorted(maps.Keys(known)), ", "))
 		}
 		*on = true
--- a/balance/told.go
+++ b/balance/told.go
@@ -7,9 +7,9 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// Told is what one router tells the others of the backend servers it uses, by
-// the hash of their ID: its requests there, what engines read for it, how
-// requests ended where some failed, and which ones said that they leave.
+// Update is what one router sends the others about the backend servers that it uses, by the
+// hash of their incarnation: its requests there, what engines cached for it, the outcomes of
+// requests where some failed, and which servers announced that they are leaving.
 type Told struct {
 	InFlight []InFlight
 	Reads    []Read
@@ -17,8 +17,8 @@
 	Leaving  []uint64
 }
 
-// Outcomes counts requests that ended since they were told last, at a server or, in a trial, at
-// all servers of one side.
+// Outcomes counts the requests that ended since the last update, at a server or, in a canary,
+// at all servers of one side.
 type Outcomes struct {
 	Server uint64
 	Good   int
@@ -29,56 +29,56 @@
 type InFlight struct {
 	Server uint64
 	Count  int
-	// Reading is how many tokens it has to read for the router yet.
+	// PrefillTokens is how many tokens the server has yet to prefill for the router.
 	Reading int
 }
 
-// Read says that an engine read, and so keeps, a part of a prompt.
+// CachedPart says that an engine prefilled, and thus has cached, a part of a prompt.
 type Read struct {
 	Part   uint64
 	Server uint64
 }
 
 const (
-	// toldLife is how long counts of another router are believed.
+	// remoteCountsLifetime is how long the counts of another router are used.
 	remoteCountsLifetime = time.Second
-	// maxReads bounds what waits to be told; more is forgotten.
+	// maxPendingReads bounds the entries that wait for the next update. More are dropped.
 	maxPendingReads = 512
 )
 
-// remoteCounts is the latest that another router told.
+// remoteCounts has the latest counts of another router.
 type remoteCounts struct {
 	receivedAt time.Time
 	sequence   uint64
 	inFlight   []InFlight
 }
 
-// Tell gives what there is to tell the other routers. Reads, outcomes and those that
-// leave are told once.
+// TakeUpdate returns what there is to send to the other routers. It returns cached parts,
+// outcomes and leaving servers only once.
 func (b *Balancer) Tell() Told {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	told := Told{
+	update := Told{
 		Reads:   b.pendingReads,
 		Leaving: b.pendingLeaving,
 	}
 	b.pendingReads, b.pendingLeaving = nil, nil
-	b.addCanaryCountsLocked(&told)
+	b.addCanaryCountsLocked(&update)
 	for s := range b.active {
 		if b.hashes[s.hash] != s {
-			// It is no longer listed.
+			// The server is no longer listed.
 			delete(b.active, s)
 			continue
 		}
 		if good, failed := s.errors.takeUnsent(); failed > 0 {
-			told.Outcomes = append(told.Outcomes, Outcomes{
+			update.Outcomes = append(update.Outcomes, Outcomes{
 				Server: s.hash,
 				Good:   good,
 				Failed: failed,
 			})
 		}
 		if s.inFlight > 0 {
-			told.InFlight = append(told.InFlight, InFlight{
+			update.InFlight = append(update.InFlight, InFlight{
 				Server:  s.hash,
 				Count:   s.inFlight,
 				Reading: max(s.prefillTokens, 0),
@@ -87,20 +87,21 @@
 			delete(b.active, s)
 		}
 	}
-	return told
+	return update
 }
 
-// TellReads gives what engines read since it was told last, and nothing else.
+// TakeCachedParts returns only the parts that engines cached since the last update, and each
+// only once.
 func (b *Balancer) TellReads() []Read {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	reads := b.pendingReads
+	parts := b.pendingReads
 	b.pendingReads = nil
-	return reads
+	return parts
 }
 
-// Hear takes the counts that another router told; those that were overtaken
-// are dropped.
+// ReceiveCounts takes the counts of another router. It ignores counts that arrive after later
+// ones.
 func (b *Balancer) Hear(router string, sequence uint64, list []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -118,20 +119,20 @@
 	}
 }
 
-// HearMore takes more of the counts that another router told last.
+// ReceiveMoreCounts adds to the latest counts of another router.
 func (b *Balancer) HearMore(router string, list []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	h := b.countsByRouter[router]
-	h.receivedAt = clock.Now()
-	h.inFlight = append(h.inFlight, list...)
-	b.countsByRouter[router] = h
+	c := b.countsByRouter[router]
+	c.receivedAt = clock.Now()
+	c.inFlight = append(c.inFlight, list...)
+	b.countsByRouter[router] = c
 	if slices.Contains(b.peers, router) {
 		b.addRemoteCountsLocked(list, 1)
 	}
 }
 
-// addToldLocked adds counts, times the sign, to the servers' sums.
+// addRemoteCountsLocked adds counts, multiplied by sign, to the servers' sums.
 func (b *Balancer) addRemoteCountsLocked(list []InFlight, sign int) {
 	for _, in := range list {
 		if s := b.hashes[in.Server]; s != nil {
@@ -141,7 +142,7 @@
 	}
 }
 
-// sumToldLocked sums what those that tell this router told.
+// recountRemoteLocked recomputes the servers' sums from the counts of the current peers.
 func (b *Balancer) recountRemoteLocked() {
 	for _, s := range b.servers {
 		s.remoteInFlight, s.remotePrefillTokens = 0, 0
@@ -151,39 +152,39 @@
 	}
 }
 
-// HearReads takes what engines read for other routers.
-func (b *Balancer) HearReads(reads []Read) {
+// ReceiveCachedParts takes what engines cached for other routers.
+func (b *Balancer) HearReads(parts []Read) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, read := range reads {
-		if s := b.hashes[read.Server]; s != nil {
-			b.cacheIndex.addReported(read.Part, s.hash)
+	for _, part := range parts {
+		if s := b.hashes[part.Server]; s != nil {
+			b.cacheIndex.addReported(part.Part, s.hash)
 		}
 	}
 }
 
-// HearReadings takes what engines have just begun to read for other routers.
-func (b *Balancer) HearReadings(reads []Read) {
+// ReceivePrefills takes what engines have just begun to prefill for other routers.
+func (b *Balancer) HearReadings(parts []Read) {
 	b.mu.Lock()
 	now := clock.Now()
-	for _, read := range reads {
-		s := b.hashes[read.Server]
-		if known, _ := b.cacheIndex.holders.Peek(read.Part); len(known) > 0 || s == nil {
+	for _, part := range parts {
+		s := b.hashes[part.Server]
+		if known, _ := b.cacheIndex.holders.Peek(part.Part); len(known) > 0 || s == nil {
 			continue
 		}
-		// How much is read is not told.
+		// The length of the prompt is not sent.
 		p := b.paceLocked(s.Pool)
-		b.prefills.start(read.Part, &prefill{
-			engine:    read.Server,
+		b.prefills.start(part.Part, &prefill{
+			engine:    part.Server,
 			startedAt: now,
 			deadline:  now.Add(p.maxPrefillTime(p.prefill.Tokens(remotePrefillTime))),
 		})
 	}
 	b.mu.Unlock()
-	b.HearReads(reads)
+	b.HearReads(parts)
 }
 
-// InFlight counts the requests of all routers at a pool, as far as known.
+// InFlight returns the requests of all routers at a pool, as far as known.
 func (b *Balancer) InFlight(pool string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -195,9 +196,9 @@
 	return sum
 }
 
-// SetPeers takes the IDs of those that tell this router, and how many other
-// routers they speak for. Only when all of them have told their counts do these
-// stand for the fleet's.
+// SetPeers sets the IDs of the senders whose updates this router receives, and how many other
+// routers they represent. The counts stand for the fleet's only once all of these have sent
+// theirs.
 func (b *Balancer) SetPeers(ids []string, others int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -208,20 +209,20 @@
 	b.peers = ids
 	live := make(map[string]remoteCounts, len(ids))
 	for _, id := range ids {
-		if h, ok := b.countsByRouter[id]; ok {
-			live[id] = h
+		if c, ok := b.countsByRouter[id]; ok {
+			live[id] = c
 		}
 	}
 	b.countsByRouter = live
 	b.recountRemoteLocked()
 }
 
-// allToldLocked tells whether all that tell this router did lately: the servers'
-// sums then stand for the fleet.
+// hasAllUpdatesLocked reports whether all peers have sent counts recently, so that the servers'
+// sums stand for the fleet.
 func (b *Balancer) hasAllUpdatesLocked(now time.Time) bool {
 	for _, id := range b.peers {
-		h, known := b.countsByRouter[id]
-		if !known || now.Sub(h.receivedAt) > remoteCountsLifetime {
+		c, known := b.countsByRouter[id]
+		if !known || now.Sub(c.receivedAt) > remoteCountsLifetime {
 			return false
 		}
 	}
--- a/balance/trial.go
+++ b/balance/trial.go
@@ -8,42 +8,42 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Trial has a part of a pool's requests go to backend servers of a new version, and the others
-// to those of any other one.
+// Canary sends a share of a pool's requests to backend servers of a new version, and the others
+// to servers of any other version.
 type Trial struct {
-	// Version is the new one, Share the part of the requests that it gets: with 0 it gets
-	// none, whatever becomes of the others.
+	// Version is the new version, Share the fraction of the requests that it gets. With 0 it
+	// gets none, even if no other server is available.
 	Version string
 	Share   float64
 }
 
-// TrialCounts are a pool's answers during a trial, of all routers as far as told.
+// CanaryCounts has the outcomes in a pool during a canary, of all routers as far as known.
 type TrialCounts struct {
 	Old, New VersionCounts
 }
 
-// VersionCounts are answers that came well, and those that failed or came several times
-// slower than usual.
+// VersionCounts counts good responses, and bad ones: those that failed or began several times
+// later than usual.
 type VersionCounts struct {
 	Good, Bad int
 }
 
-// canaryState is a Trial with what it has shown.
+// canaryState is a Canary with its counts.
 type canaryState struct {
 	Trial
 	// stable and canary are the counts of both sides.
 	stable, canary versionCounts
 }
 
-// versionCounts are those of one side, with what is yet to be told to other routers.
+// versionCounts has the counts of one side, with those that were not sent to other routers yet.
 type versionCounts struct {
 	VersionCounts
 	unsent VersionCounts
-	// key names the side to other routers, as the hash of a server's life does a server.
+	// key identifies the side in updates, as the hash of the incarnation does a server.
 	key uint64
 }
 
-// slowFactor times the usual time until such a request's answer begins is slow.
+// A response is slow if it begins later than slowFactor times the usual time.
 const slowFactor = 3
 
 func (c *versionCounts) add(good, bad int) {
@@ -61,79 +61,79 @@
 	c.unsent.Good++
 }
 
-// SetTrials takes the trials of pools, by name. What was counted for one that goes on is kept.
-func (b *Balancer) SetTrials(trials map[string]Trial) {
+// SetCanaries sets the canaries by pool name. The counts of one that goes on are kept.
+func (b *Balancer) SetTrials(canaries map[string]Trial) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.canaries
-	b.canaries = make(map[string]*canaryState, len(trials))
-	for pool, t := range trials {
+	b.canaries = make(map[string]*canaryState, len(canaries))
+	for pool, c := range canaries {
 		entry := known[pool]
-		if entry == nil || entry.Version != t.Version {
+		if entry == nil || entry.Version != c.Version {
 			entry = &canaryState{
 				stable: versionCounts{
-					key: placement.IDHash(pool + "\x00old\x00" + t.Version),
+					key: placement.IDHash(pool + "\x00old\x00" + c.Version),
 				},
 				canary: versionCounts{
-					key: placement.IDHash(pool + "\x00new\x00" + t.Version),
+					key: placement.IDHash(pool + "\x00new\x00" + c.Version),
 				},
 			}
 		}
-		entry.Trial = t
+		entry.Trial = c
 		b.canaries[pool] = entry
 	}
 }
 
-// TrialCounts gives what a pool's trial has shown; zero without one.
+// CanaryCounts returns the counts of a pool's canary, or zeros without one.
 func (b *Balancer) TrialCounts(pool string) TrialCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	t := b.canaries[pool]
-	if t == nil {
+	c := b.canaries[pool]
+	if c == nil {
 		return TrialCounts{}
 	}
 	return TrialCounts{
-		Old: t.stable.VersionCounts,
-		New: t.canary.VersionCounts,
+		Old: c.stable.VersionCounts,
+		New: c.canary.VersionCounts,
 	}
 }
 
-// onTrialLocked gives the servers of a pool that the request may go to by the pool's trial,
-// and by which versions are held.
+// splitByVersionLocked returns the servers of a pool that the request may go to according to
+// the pool's canary and the versions that are held back.
 func (b *Balancer) splitByVersionLocked(pool []*server, request *Ask, now time.Time) []*server {
-	t, held := b.canaries[request.Pool], b.heldVersionsLocked(request.Pool, now)
-	if t == nil && len(held) == 0 {
+	c, held := b.canaries[request.Pool], b.heldVersionsLocked(request.Pool, now)
+	if c == nil && len(held) == 0 {
 		return pool
 	}
 	old, canary := b.scratch.stable[:0], b.scratch.canary[:0]
 	for _, s := range pool {
 		switch {
-		case t != nil && s.Version == t.Version:
+		case c != nil && s.Version == c.Version:
 			canary = append(canary, s)
 		case !held[s.Version]:
 			old = append(old, s)
 		}
 	}
 	b.scratch.stable, b.scratch.canary = old, canary
-	if t == nil || t.Share <= 0 {
+	if c == nil || c.Share <= 0 {
 		return old
 	}
-	if len(old) == 0 || len(canary) > 0 && b.Draw() < t.Share {
+	if len(old) == 0 || len(canary) > 0 && b.Draw() < c.Share {
 		return canary
 	}
 	return old
 }
 
-// noteTrialLocked takes how a request of this router ended, if its pool has a trial. Servers
-// that can't be reached or end tell nothing of their version.
+// recordCanaryResultLocked counts the outcome of a request of this router if its pool has a
+// canary. Servers that cannot be reached, or end, say nothing about their version.
 func (b *Balancer) recordCanaryResultLocked(lease *Lease, evidence slipwick.Evidence) {
-	t := b.canaries[lease.server.Pool]
-	if t == nil {
+	c := b.canaries[lease.server.Pool]
+	if c == nil {
 		return
 	}
-	side := &t.stable
-	if lease.server.Version == t.Version {
-		side = &t.canary
+	side := &c.stable
+	if lease.server.Version == c.Version {
+		side = &c.canary
 	}
 	switch evidence {
 	case slipwick.EvidenceGood:
@@ -144,14 +144,14 @@
 	}
 }
 
-// tellTrialsLocked adds what is to be told of trials to what is told of servers.
-func (b *Balancer) addCanaryCountsLocked(told *Told) {
-	for _, t := range b.canaries {
-		for _, side := range []*versionCounts{&t.stable, &t.canary} {
+// addCanaryCountsLocked adds the unsent canary counts to an update.
+func (b *Balancer) addCanaryCountsLocked(update *Told) {
+	for _, c := range b.canaries {
+		for _, side := range []*versionCounts{&c.stable, &c.canary} {
 			if side.unsent == (VersionCounts{}) {
 				continue
 			}
-			told.Outcomes = append(told.Outcomes, Outcomes{
+			update.Outcomes = append(update.Outcomes, Outcomes{
 				Server: side.key,
 				Good:   side.unsent.Good,
 				Failed: side.unsent.Bad,
@@ -161,10 +161,10 @@
 	}
 }
 
-// hearTrialLocked takes what another router told of a trial.
+// receiveCanaryCountsLocked takes canary counts of another router.
 func (b *Balancer) receiveCanaryCountsLocked(o *Outcomes) {
-	for _, t := range b.canaries {
-		for _, side := range []*versionCounts{&t.stable, &t.canary} {
+	for _, c := range b.canaries {
+		for _, side := range []*versionCounts{&c.stable, &c.canary} {
 			if side.key == o.Server {
 				side.add(o.Good, o.Failed)
 			}
@@ -172,12 +172,13 @@
 	}
 }
 
-// holdTime bounds how long a version is held that no order is known to name: nobody can tell
-// while the store is away, and then no server can enter itself either.
+// maxVersionHold bounds how long a version is held back that no known rollout names. While the
+// store is away nobody can tell whether one does, but then no server can register either.
 const maxVersionHold = 2 * time.Second
 
-// holdLocked notes a version that turns up in a pool. Servers of an order's version may be
-// known before the order is, and would get their full part of the requests until then.
+// noteVersionLocked records a version that appears in a pool. Servers of a rollout's version
+// may be listed before the rollout is known, and would get a full share of the requests until
+// then.
 func (b *Balancer) noteVersionLocked(s *server, isNewlyListed bool) {
 	if !b.HoldVersions || s.Version == "" {
 		return
@@ -196,7 +197,7 @@
 	}
 }
 
-// heldLocked gives the versions of a pool that are held.
+// heldVersionsLocked returns the versions of a pool that are held back.
 func (b *Balancer) heldVersionsLocked(pool string, now time.Time) map[string]bool {
 	var held map[string]bool
 	for version, since := range b.versions[pool] {
@@ -210,8 +211,8 @@
 	return held
 }
 
-// OrdersKnown notes that all orders are known that the store had at the time: versions that
-// turned up before and are named in none are used like any other.
+// RolloutsKnown notes that all rollouts are known that the store had at the time. Versions that
+// appeared earlier and are named in none are used like any other.
 func (b *Balancer) OrdersKnown(asOf time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
