--- a/directory/askstore.go
+++ b/directory/askstore.go
@@ -12,18 +12,18 @@
 const (
 	// storePatience is how long a list from the store may take before another
 	// router is asked: some tens of its usual answers.
-	storePatience = 300 * time.Millisecond
+	storeHedgeDelay = 300 * time.Millisecond
 	// askAgain is the pause until the store is asked for a list once more while
 	// it has not answered: a store that had fallen silent never answers what it
 	// was asked then, while a slow one needs its time, and one that sends page after page
 	// is waited for.
-	askAgain = 500 * time.Millisecond
+	storeRetryInterval = 500 * time.Millisecond
 	// listedAtOnce is how many objects stores give in one answer at least.
-	listedAtOnce = 200
+	storePageSize = 200
 )
 
 // listed is how one list ended.
-type listed struct {
+type listResult struct {
 	batch slipwick.FeedBatch
 	err   error
 	// fromStore says that the store gave it, and not another router.
@@ -38,73 +38,73 @@
 	// repeats says that the store is asked again while it does not answer: one that had
 	// fallen silent never answers what it was asked then. Whether it answers another
 	// router by now is asked in any case.
-	repeats bool
+	retriesStore bool
 	// suffices tells which copies of others will do.
-	suffices func(*found) bool
+	suffices func(*peerAnswer) bool
 
-	fromStore  chan listed
-	fromOthers chan found
-	progress   chan struct{}
+	fromStore chan listResult
+	fromPeers chan peerAnswer
+	progress  chan struct{}
 	// pending counts the calls to the store, asking says that others are asked.
-	pending int
-	asking  bool
+	pending     int
+	askingPeers bool
 }
 
 // listStore runs a list.
 func (s *Shared) listStore(
-	ctx context.Context, place *fleet.Place, repeats bool, suffices func(*found) bool,
-) listed {
+	ctx context.Context, place *fleet.Place, repeats bool, suffices func(*peerAnswer) bool,
+) listResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	list := &storeList{
-		shared:     s,
-		place:      place,
-		repeats:    repeats,
-		suffices:   suffices,
-		fromStore:  make(chan listed, s.Rhythm.orDefault().List/askAgain+1),
-		fromOthers: make(chan found, 1),
-		progress:   make(chan struct{}, 1),
+		shared:       s,
+		place:        place,
+		retriesStore: repeats,
+		suffices:     suffices,
+		fromStore:    make(chan listResult, s.Rhythm.orDefault().List/storeRetryInterval+1),
+		fromPeers:    make(chan peerAnswer, 1),
+		progress:     make(chan struct{}, 1),
 	}
 	return list.run(ctx)
 }
 
-func (l *storeList) run(ctx context.Context) listed {
+func (l *storeList) run(ctx context.Context) listResult {
 	l.askStore(ctx)
-	patience := time.NewTimer(storePatience)
-	defer patience.Stop()
-	again := time.NewTicker(askAgain)
-	defer again.Stop()
-	var failed listed
+	hedge := time.NewTimer(storeHedgeDelay)
+	defer hedge.Stop()
+	retry := time.NewTicker(storeRetryInterval)
+	defer retry.Stop()
+	var failure listResult
 	for {
 		select {
 		case <-l.progress:
-			patience.Reset(storePatience)
-			again.Reset(askAgain)
-			l.shared.noteLoading(askAgain)
-		case <-again.C:
-			if l.repeats {
+			hedge.Reset(storeHedgeDelay)
+			retry.Reset(storeRetryInterval)
+			l.shared.noteLoading(storeRetryInterval)
+		case <-retry.C:
+			if l.retriesStore {
 				l.askStore(ctx)
 			}
-			l.askOthers(ctx)
-		case <-patience.C:
-			l.askOthers(ctx)
+			l.askPeers(ctx)
+		case <-hedge.C:
+			l.askPeers(ctx)
 		case answer := <-l.fromStore:
-			l.shared.noteStore(answer.err)
+			l.shared.recordStoreResult(answer.err)
 			if answer.err == nil {
 				return answer
 			}
 			l.pending--
-			failed = answer
-			l.askOthers(ctx)
-		case found := <-l.fromOthers:
-			l.asking = false
+			failure = answer
+			l.askPeers(ctx)
+		case found := <-l.fromPeers:
+			l.askingPeers = false
 			if l.suffices(&found) {
-				return listed{
+				return listResult{
 					batch: found.batch,
 				}
 			}
 			if l.pending == 0 {
-				return failed
+				return failure
 			}
 		}
 	}
@@ -114,7 +114,7 @@
 	l.pending++
 	go func() {
 		batch, err := l.shared.fromStore(tracePages(ctx, l.progress))
-		l.fromStore <- listed{
+		l.fromStore <- listResult{
 			batch:     batch,
 			err:       err,
 			fromStore: true,
@@ -123,12 +123,12 @@
 }
 
 // askOthers asks the other routers, unless they are being asked.
-func (l *storeList) askOthers(ctx context.Context) {
-	if l.asking {
+func (l *storeList) askPeers(ctx context.Context) {
+	if l.askingPeers {
 		return
 	}
-	l.asking = true
-	go func() { l.fromOthers <- l.shared.listRouters(ctx, l.shared.candidates(l.place), otherPatience) }()
+	l.askingPeers = true
+	go func() { l.fromPeers <- l.shared.listPeers(ctx, l.shared.candidates(l.place), peerTimeout) }()
 }
 
 // tracePages has the channel tell that a list of many pages goes on: whoever asks for the
@@ -149,9 +149,9 @@
 }
 
 // noteLoading has routers that ask for the copy here know that it is under way.
-func (s *Shared) noteLoading(lasts time.Duration) {
-	if s.Copy != nil && lasts > 0 {
-		s.Copy.Loading(lasts)
+func (s *Shared) noteLoading(duration time.Duration) {
+	if s.Copy != nil && duration > 0 {
+		s.Copy.Loading(duration)
 	}
 }
 
@@ -159,7 +159,7 @@
 // here and would take several calls to list. A store that came back from a copy of itself has
 // to be listed: its revisions may stand for other states.
 func (s *Shared) fromStore(ctx context.Context) (slipwick.FeedBatch, error) {
-	if s.Copy == nil || s.Copy.Len() <= listedAtOnce {
+	if s.Copy == nil || s.Copy.Len() <= storePageSize {
 		return s.Store.List(ctx)
 	}
 	known := s.Copy.Position()
@@ -178,7 +178,7 @@
 ) (slipwick.FeedBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+s.Rhythm.orDefault().Margin)
 	defer cancel()
-	if s.hasFailed() {
+	if s.isStoreFailing() {
 		return s.fromStore(ctx)
 	}
 	return s.Store.Watch(ctx, after, wait)
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -16,14 +16,14 @@
 	// failed call to count as away: entries lapse after some missed heartbeats,
 	// and the store may have been away for the servers longer than for this
 	// router.
-	awayShare = 1.25
+	outageShare = 1.25
 	// DefaultHeartbeat is taken where no settings name one.
 	DefaultHeartbeat = 1200 * time.Millisecond
 	// returnTime is how long servers have after the store's return to enter
 	// themselves again: they do within about 2 s. returnShare of the time after
 	// which one that is gone gets nothing new bounds it.
-	returnTime  = 1900 * time.Millisecond
-	returnShare = 0.95
+	reregisterTime  = 1900 * time.Millisecond
+	reregisterShare = 0.95
 )
 
 // Backends keeps the list of backend servers. Set the exported fields before
@@ -39,21 +39,21 @@
 
 	mu      sync.Mutex
 	entries map[string]balance.Listed
-	lapsed  map[string]balance.Listed
+	expired map[string]balance.Listed
 	// ids are the backend servers that are published, by the name of their entry.
 	ids map[string]string
 	// answered is when the latest answer came, confirmed when the store was in its state.
-	answered, confirmed time.Time
+	answeredAt, confirmedAt time.Time
 	// failed says that the latest call did, away that the store gave no answer for some time.
-	failed, away bool
+	failed, inOutage bool
 	// grace is until when entries that vanish count as lapsed.
-	grace time.Time
-	timer *time.Timer
+	graceUntil time.Time
+	graceTimer *time.Timer
 	// fellBack says that the next changes are those of the first list since the store
 	// came back from a copy.
-	fellBack   bool
+	restored   bool
 	departures departures
-	settled    *time.Timer
+	trustTimer *time.Timer
 }
 
 // NewBackends makes an empty list.
@@ -61,7 +61,7 @@
 	return &Backends{
 		OnChange: onChange,
 		entries:  make(map[string]balance.Listed),
-		lapsed:   make(map[string]balance.Listed),
+		expired:  make(map[string]balance.Listed),
 		ids:      make(map[string]string),
 
 		departures: newDepartures(),
@@ -76,40 +76,40 @@
 func (b *Backends) FellBack(age, steady time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.fellBack = true
-	b.returnedLocked(clock.Now(), b.returnWithin(math.MaxInt64, math.MaxInt64)-steady)
-	b.settleAfterLocked(age)
+	b.restored = true
+	b.startGraceLocked(clock.Now(), b.gracePeriod(math.MaxInt64, math.MaxInt64)-steady)
+	b.scheduleTrustLocked(age)
 }
 
 // settleAfterLocked has what is doubted be believed lapseBeats after the store is known to have
 // answered, age ago, if it is still listed then: by that time it has dropped what nobody
 // renews, whenever this router heard of it.
-func (b *Backends) settleAfterLocked(age time.Duration) {
-	if b.settled != nil {
-		b.settled.Stop()
+func (b *Backends) scheduleTrustLocked(age time.Duration) {
+	if b.trustTimer != nil {
+		b.trustTimer.Stop()
 	}
-	b.settled = time.AfterFunc(max(lapseBeats*b.heartbeat()-age, 0), b.settle)
+	b.trustTimer = time.AfterFunc(max(expiryHeartbeats*b.heartbeat()-age, 0), b.trustListed)
 }
 
 // settle believes what the store still lists, unless it has been silent of late.
-func (b *Backends) settle() {
+func (b *Backends) trustListed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.interruptedLocked() {
-		b.settleAfterLocked(0)
+	if b.isUnresponsiveLocked() {
+		b.scheduleTrustLocked(0)
 		return
 	}
-	if len(b.departures.doubted) > 0 {
-		doubted := slices.Collect(maps.Keys(b.departures.doubted))
-		clear(b.departures.doubted)
-		b.publishLocked(doubted)
+	if len(b.departures.suspect) > 0 {
+		suspect := slices.Collect(maps.Keys(b.departures.suspect))
+		clear(b.departures.suspect)
+		b.publishLocked(suspect)
 	}
 }
 
 // interruptedLocked tells whether the store has answered nothing lately: a store that was
 // away may give what nobody renews its time anew.
-func (b *Backends) interruptedLocked() bool {
-	return b.failed || clock.Since(b.answered) > b.awayAfter()
+func (b *Backends) isUnresponsiveLocked() bool {
+	return b.failed || clock.Since(b.answeredAt) > b.outageAfter()
 }
 
 // Answered notes that the store answered, how long ago it was in the state of the answer, and
@@ -118,18 +118,18 @@
 func (b *Backends) Answered(age, steady time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.interruptedLocked() && len(b.departures.doubted) > 0 {
-		b.settleAfterLocked(age)
+	if b.isUnresponsiveLocked() && len(b.departures.suspect) > 0 {
+		b.scheduleTrustLocked(age)
 	}
-	before, confirmed := b.answered, b.confirmed
-	b.answered = clock.Now()
-	b.confirmed = b.answered.Add(-age)
+	previous, confirmed := b.answeredAt, b.confirmedAt
+	b.answeredAt = clock.Now()
+	b.confirmedAt = b.answeredAt.Add(-age)
 	b.failed = false
 	// One that came back from a copy has its time already.
-	wasAway := b.away && !b.fellBack
-	b.away = false
-	if wasAway {
-		b.returnedLocked(b.answered, b.returnWithin(b.answered.Sub(before), b.answered.Sub(confirmed))-steady)
+	wasInOutage := b.inOutage && !b.restored
+	b.inOutage = false
+	if wasInOutage {
+		b.startGraceLocked(b.answeredAt, b.gracePeriod(b.answeredAt.Sub(previous), b.answeredAt.Sub(confirmed))-steady)
 	}
 }
 
@@ -138,11 +138,11 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failed = true
-	b.away = b.away || clock.Since(b.answered) > b.awayAfter()
+	b.inOutage = b.inOutage || clock.Since(b.answeredAt) > b.outageAfter()
 }
 
-func (b *Backends) awayAfter() time.Duration {
-	return time.Duration(awayShare * float64(b.heartbeat()))
+func (b *Backends) outageAfter() time.Duration {
+	return time.Duration(outageShare * float64(b.heartbeat()))
 }
 
 func (b *Backends) heartbeat() time.Duration {
@@ -157,43 +157,43 @@
 // alone, which followed a slow one, while the store served others: what vanished may have
 // gone as soon as the latest copy before it was confirmed, which is unconfirmed ago, and is
 // kept no longer than that time from there.
-func (b *Backends) returnWithin(silence, unconfirmed time.Duration) time.Duration {
+func (b *Backends) gracePeriod(outage, unconfirmed time.Duration) time.Duration {
 	if b.Leave <= 0 {
-		return returnTime
+		return reregisterTime
 	}
-	leave := time.Duration(returnShare * float64(b.Leave))
-	if silence < leave {
-		return min(returnTime, leave-unconfirmed)
+	leave := time.Duration(reregisterShare * float64(b.Leave))
+	if outage < leave {
+		return min(reregisterTime, leave-unconfirmed)
 	}
-	return min(returnTime, leave)
+	return min(reregisterTime, leave)
 }
 
-func (b *Backends) returnedLocked(now time.Time, within time.Duration) {
-	b.grace = now.Add(within)
-	if b.timer != nil {
-		b.timer.Stop()
+func (b *Backends) startGraceLocked(now time.Time, within time.Duration) {
+	b.graceUntil = now.Add(within)
+	if b.graceTimer != nil {
+		b.graceTimer.Stop()
 	}
-	b.timer = time.AfterFunc(within, b.dropLapsed)
+	b.graceTimer = time.AfterFunc(within, b.dropExpired)
 }
 
 // dropLapsed removes what did not come back in time.
-func (b *Backends) dropLapsed() {
+func (b *Backends) dropExpired() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.lapsed) == 0 {
+	if len(b.expired) == 0 {
 		return
 	}
-	lapsed := slices.Collect(maps.Keys(b.lapsed))
-	clear(b.lapsed)
-	b.publishLocked(lapsed)
+	expired := slices.Collect(maps.Keys(b.expired))
+	clear(b.expired)
+	b.publishLocked(expired)
 }
 
 // Change takes changes.
 func (b *Backends) Change(changes []Change[balance.Listed]) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	isFirst := b.fellBack
-	b.fellBack = false
+	isRestored := b.restored
+	b.restored = false
 	if len(b.entries) == 0 && len(b.ids) == 0 {
 		b.entries = make(map[string]balance.Listed, len(changes))
 		b.ids = make(map[string]string, len(changes))
@@ -206,18 +206,18 @@
 		case c.Invalid:
 			// It names no server to use, whatever it did before. What runs there goes on.
 			delete(b.entries, c.Name)
-			delete(b.lapsed, c.Name)
+			delete(b.expired, c.Name)
 		case !c.Gone:
-			b.judgeLocked(c.Name, &c.Value, isFirst)
+			b.checkEntryLocked(c.Name, &c.Value, isRestored)
 			c.Value.ColdUntil = clock.Now().Add(c.Value.ColdTime)
 			b.entries[c.Name] = c.Value
-			delete(b.lapsed, c.Name)
+			delete(b.expired, c.Name)
 		case known:
 			delete(b.entries, c.Name)
-			isDoubted := b.departures.doubted[c.Name]
-			b.departures.gone(c.Name, &listed)
-			if !isDoubted {
-				b.vanishedLocked(c.Name, listed)
+			isSuspect := b.departures.suspect[c.Name]
+			b.departures.removed(c.Name, &listed)
+			if !isSuspect {
+				b.keepExpiredLocked(c.Name, listed)
 			}
 		}
 	}
@@ -226,23 +226,23 @@
 
 // judgeLocked doubts an entry of the first list since the store's return, if its server
 // had left, and believes one that was written since.
-func (b *Backends) judgeLocked(name string, told *balance.Listed, isFirst bool) {
+func (b *Backends) checkEntryLocked(name string, received *balance.Listed, isRestored bool) {
 	var known *balance.Listed
 	if listed, ok := b.entries[name]; ok {
 		known = &listed
 	}
-	if isFirst {
-		b.departures.judge(name, known, told)
+	if isRestored {
+		b.departures.checkRestored(name, known, received)
 		return
 	}
-	b.departures.written(name, known, told)
+	b.departures.checkWritten(name, known, received)
 }
 
 // vanishedLocked keeps an entry that vanished while the store was away, unless
 // its server was leaving anyway.
-func (b *Backends) vanishedLocked(name string, listed balance.Listed) {
-	if clock.Now().Before(b.grace) && !listed.Leaving {
-		b.lapsed[name] = listed
+func (b *Backends) keepExpiredLocked(name string, listed balance.Listed) {
+	if clock.Now().Before(b.graceUntil) && !listed.Leaving {
+		b.expired[name] = listed
 	}
 }
 
@@ -255,9 +255,9 @@
 	for _, name := range names {
 		listed, ok := b.entries[name]
 		if ok {
-			listed.Leaving = listed.Leaving || b.departures.doubted[name]
+			listed.Leaving = listed.Leaving || b.departures.suspect[name]
 		} else {
-			listed, ok = b.lapsed[name]
+			listed, ok = b.expired[name]
 		}
 		if id := b.ids[name]; id != "" && (!ok || id != listed.ID) {
 			changes.Gone = append(changes.Gone, id)
--- a/directory/copyof_test.go
+++ b/directory/copyof_test.go
@@ -32,13 +32,13 @@
 	if err := c.reach(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
-	batch, err := c.to.follower.Mirror.AwaitList(ctx, firstWait)
+	batch, err := c.to.follower.Mirror.AwaitList(ctx, firstCopyWait)
 	batch.Hops++
 	if err == nil && c.from.fleet.sends > 0 {
 		return c.send(ctx, &batch)
 	}
 	if err == nil {
-		tellBegun(ctx)
+		notifyBegin(ctx)
 	}
 	if err == nil && c.from.fleet.listTime > 0 {
 		sleep(ctx, c.from.fleet.listTime)
@@ -56,10 +56,10 @@
 		}
 	})
 	if isRefused {
-		return slipwick.FeedBatch{}, loading(askAgain)
+		return slipwick.FeedBatch{}, loadingError(storeRetryInterval)
 	}
 	defer c.to.set(func(r *followingRouter) { r.sending-- })
-	tellBegun(ctx)
+	notifyBegin(ctx)
 	sleep(ctx, time.Duration(c.from.fleet.sends)*c.from.fleet.listTime)
 	return *batch, ctx.Err()
 }
--- a/directory/departures.go
+++ b/directory/departures.go
@@ -11,14 +11,14 @@
 const (
 	// departedKept is for how long it is remembered that a server left: longer than the
 	// copies are old that a store comes back from.
-	departedKept = time.Minute
+	departureTTL = time.Minute
 	// sweepPause lies between two looks for what need not be remembered any more: when
 	// many servers go at once, each would go through all of them.
-	sweepPause = time.Second
+	sweepInterval = time.Second
 	// lapseBeats heartbeats after its return a store has dropped what nobody renews, and
 	// routers know it: three of them, three more if it was interrupted just before, and
 	// the time of an interruption too short to be noticed.
-	lapseBeats = 8
+	expiryHeartbeats = 8
 )
 
 // departures remember which lives of servers left, were gone or were replaced. A store that
@@ -26,74 +26,74 @@
 // they leave, or until it drops what nobody renews. Such an entry is doubted: its server gets
 // nothing new until it has outlived that.
 type departures struct {
-	left    map[string]departure
-	sweptAt time.Time
+	departed map[string]departure
+	sweptAt  time.Time
 	// doubted has the names of entries.
-	doubted map[string]bool
+	suspect map[string]bool
 }
 
 // departure is when a life was known to leave last. Said tells that it said so itself: it
 // does not come back, while an entry may lapse whose server lives.
 type departure struct {
-	at   time.Time
-	said bool
+	at        time.Time
+	announced bool
 }
 
 func newDepartures() departures {
 	return departures{
-		left:    make(map[string]departure),
-		doubted: make(map[string]bool),
+		departed: make(map[string]departure),
+		suspect:  make(map[string]bool),
 	}
 }
 
 // note remembers that a life left.
-func (d *departures) note(listed *balance.Listed) {
+func (d *departures) record(listed *balance.Listed) {
 	now := clock.Now()
-	if now.Sub(d.sweptAt) > sweepPause {
+	if now.Sub(d.sweptAt) > sweepInterval {
 		d.sweptAt = now
-		maps.DeleteFunc(d.left, func(_ string, departed departure) bool { return now.Sub(departed.at) > departedKept })
+		maps.DeleteFunc(d.departed, func(_ string, departed departure) bool { return now.Sub(departed.at) > departureTTL })
 	}
-	d.left[listed.Life()] = departure{
-		at:   now,
-		said: listed.Leaving || d.left[listed.Life()].said,
+	d.departed[listed.Life()] = departure{
+		at:        now,
+		announced: listed.Leaving || d.departed[listed.Life()].announced,
 	}
 }
 
 // gone notes that an entry is.
-func (d *departures) gone(name string, listed *balance.Listed) {
-	d.note(listed)
-	delete(d.doubted, name)
+func (d *departures) removed(name string, listed *balance.Listed) {
+	d.record(listed)
+	delete(d.suspect, name)
 }
 
 // judge doubts an entry of the copy, or takes it as it is. The entry that was known before is
 // nil if there was none; a life that began earlier than the known one is over.
-func (d *departures) judge(name string, known, told *balance.Listed) {
-	if known != nil && told.Born != 0 && told.Born < known.Born {
-		d.doubted[name] = true
+func (d *departures) checkRestored(name string, known, received *balance.Listed) {
+	if known != nil && received.Born != 0 && received.Born < known.Born {
+		d.suspect[name] = true
 		return
 	}
-	if told.Leaving {
-		d.note(told)
+	if received.Leaving {
+		d.record(received)
 	}
-	departed, ok := d.left[told.Life()]
-	if ok && !told.Leaving && clock.Since(departed.at) <= departedKept {
-		d.doubted[name] = true
+	departed, ok := d.departed[received.Life()]
+	if ok && !received.Leaving && clock.Since(departed.at) <= departureTTL {
+		d.suspect[name] = true
 		return
 	}
-	delete(d.doubted, name)
+	delete(d.suspect, name)
 }
 
 // written takes an entry that its server wrote. The life that it takes the place of is over.
-func (d *departures) written(name string, known, told *balance.Listed) {
-	if known != nil && known.Life() != told.Life() {
-		d.gone(name, known)
+func (d *departures) checkWritten(name string, known, received *balance.Listed) {
+	if known != nil && known.Life() != received.Life() {
+		d.removed(name, known)
 	}
 	switch {
-	case told.Leaving:
-		d.note(told)
-		delete(d.doubted, name)
-	case !d.left[told.Life()].said:
-		delete(d.left, told.Life())
-		delete(d.doubted, name)
+	case received.Leaving:
+		d.record(received)
+		delete(d.suspect, name)
+	case !d.departed[received.Life()].announced:
+		delete(d.departed, received.Life())
+		delete(d.suspect, name)
 	}
 }
--- a/directory/encoding.go
+++ b/directory/encoding.go
@@ -70,7 +70,7 @@
 }
 
 // likelyEntries bounds the room made for entries before they have come.
-const likelyEntries = 16 << 10
+const maxPreallocated = 16 << 10
 
 func decodeProtobuf(r protodelim.Reader) (slipwick.FeedBatch, error) {
 	var head directorypb.Batch
@@ -78,7 +78,7 @@
 		return slipwick.FeedBatch{}, err
 	}
 	batch := slipwick.FeedBatch{
-		Entries:  make([]slipwick.FeedEntry, 0, min(head.GetEntries(), likelyEntries)),
+		Entries:  make([]slipwick.FeedEntry, 0, min(head.GetEntries(), maxPreallocated)),
 		Whole:    head.GetWhole(),
 		Skipping: head.GetSkipping(),
 		Timeline: head.GetTimeline(),
--- a/directory/evacuations.go
+++ b/directory/evacuations.go
@@ -20,9 +20,9 @@
 	mu sync.Mutex
 	// known are those that the store lists, kept those that a copy of it lacked, by the
 	// names of their objects.
-	known, kept map[string]string
-	grace       time.Time
-	timer       *time.Timer
+	listed, retained map[string]string
+	graceUntil       time.Time
+	graceTimer       *time.Timer
 }
 
 // NewEvacuations makes an empty list.
@@ -30,8 +30,8 @@
 	return &Evacuations{
 		OnChange: onChange,
 		Within:   within,
-		known:    make(map[string]string),
-		kept:     make(map[string]string),
+		listed:   make(map[string]string),
+		retained: make(map[string]string),
 	}
 }
 
@@ -43,18 +43,18 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	within := e.Within - steady
-	e.grace = clock.Now().Add(within)
-	if e.timer != nil {
-		e.timer.Stop()
+	e.graceUntil = clock.Now().Add(within)
+	if e.graceTimer != nil {
+		e.graceTimer.Stop()
 	}
-	e.timer = time.AfterFunc(within, e.dropKept)
+	e.graceTimer = time.AfterFunc(within, e.dropRetained)
 }
 
-func (e *Evacuations) dropKept() {
+func (e *Evacuations) dropRetained() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if len(e.kept) > 0 {
-		clear(e.kept)
+	if len(e.retained) > 0 {
+		clear(e.retained)
 		e.publishLocked()
 	}
 }
@@ -67,20 +67,20 @@
 		if c.Invalid {
 			continue
 		}
-		if dataCentre, ok := e.known[c.Name]; ok && c.Gone && clock.Now().Before(e.grace) {
-			e.kept[c.Name] = dataCentre
+		if dataCentre, ok := e.listed[c.Name]; ok && c.Gone && clock.Now().Before(e.graceUntil) {
+			e.retained[c.Name] = dataCentre
 		}
-		delete(e.known, c.Name)
+		delete(e.listed, c.Name)
 		if !c.Gone {
-			e.known[c.Name] = c.Value
-			delete(e.kept, c.Name)
+			e.listed[c.Name] = c.Value
+			delete(e.retained, c.Name)
 		}
 	}
 	e.publishLocked()
 }
 
 func (e *Evacuations) publishLocked() {
-	all := slices.AppendSeq(slices.Collect(maps.Values(e.known)), maps.Values(e.kept))
+	all := slices.AppendSeq(slices.Collect(maps.Values(e.listed)), maps.Values(e.retained))
 	slices.Sort(all)
 	e.OnChange(slices.Compact(all))
 }
--- a/directory/fellback_test.go
+++ b/directory/fellback_test.go
@@ -123,7 +123,7 @@
 // store drops it after three renewals were missed, counts them anew if it is interrupted, and
 // an interruption is noticed if it is longer than some part of a heartbeat.
 func TestServerThatCameBackBeforeTheReturnServesAgain(t *testing.T) {
-	const within = 2*modelLapse + time.Duration(awayShare*float64(modelBeat)) + modelLeave
+	const within = 2*modelLapse + time.Duration(outageShare*float64(modelBeat)) + modelLeave
 	synctest.Test(t, func(t *testing.T) {
 		f := fallBackFleet(t, func(s *modelStore) { s.removeServer("c") })
 		time.Sleep(within)
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -15,12 +15,12 @@
 const (
 	// firstPause and lastPause bound the pause after a failed call; it
 	// doubles in between.
-	firstPause = 100 * time.Millisecond
-	lastPause  = 500 * time.Millisecond
+	minBackoff = 100 * time.Millisecond
+	maxBackoff = 500 * time.Millisecond
 	// startPause bounds it at a router that knows nothing yet, and so serves
 	// nobody, and at one that may still learn in time of what changed since its
 	// last answer.
-	startPause = 200 * time.Millisecond
+	maxUrgentBackoff = 200 * time.Millisecond
 )
 
 // Change is one decoded object that changed.
@@ -65,14 +65,14 @@
 	// current. listed says that a list was current, so that a watch may follow, watched
 	// that the latest answer was a watch's. pause is that after the next failure.
 	position        slipwick.Position
-	answered        time.Time
+	answeredAt      time.Time
 	listed, watched bool
-	pause           time.Duration
+	backoff         time.Duration
 	// latest are the objects known, kept only where they have an order, compared what was
 	// read of those of the batch being taken.
-	latest   map[string]T
-	compared map[string]reading[T]
-	done     chan struct{}
+	latest  map[string]T
+	decoded map[string]decodeResult[T]
+	done    chan struct{}
 }
 
 // NewFollower makes a follower of the feed.
@@ -88,9 +88,9 @@
 		OnFellBack: func(slipwick.Position, *slipwick.FeedBatch) {},
 		OnAnswer:   func(*slipwick.FeedBatch) {},
 
-		latest:   make(map[string]T),
-		compared: make(map[string]reading[T]),
-		done:     make(chan struct{}),
+		latest:  make(map[string]T),
+		decoded: make(map[string]decodeResult[T]),
+		done:    make(chan struct{}),
 	}
 }
 
@@ -103,20 +103,20 @@
 func (f *Follower[T]) Run(ctx context.Context) {
 	defer close(f.done)
 	f.Rhythm = f.Rhythm.orDefault()
-	f.watched, f.pause, f.answered = true, firstPause, clock.Now()
+	f.watched, f.backoff, f.answeredAt = true, minBackoff, clock.Now()
 	for {
-		batch, err := f.call(ctx)
+		batch, err := f.callFeed(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err == nil {
-			err = follows(&batch, f.position)
+			err = checkSuccessor(&batch, f.position)
 		}
 		if err != nil {
-			f.fail(ctx, err)
+			f.handleFailure(ctx, err)
 			continue
 		}
-		f.take(ctx, &batch)
+		f.handleBatch(ctx, &batch)
 	}
 }
 
@@ -124,7 +124,7 @@
 // while the changes since may be too many to be read in time. A history that is lost is made
 // up for at once; one that is lost again before a watch brought anything is not, lest the
 // store is called without a pause.
-func (f *Follower[T]) fail(ctx context.Context, err error) {
+func (f *Follower[T]) handleFailure(ctx context.Context, err error) {
 	f.OnError(err)
 	f.Mirror.Fail()
 	f.listed = false
@@ -132,52 +132,52 @@
 		f.watched = false
 		return
 	}
-	f.rest(ctx)
+	f.waitBackoff(ctx)
 }
 
 // take takes an answer.
-func (f *Follower[T]) take(ctx context.Context, batch *slipwick.FeedBatch) {
-	fellBack := batch.Timeline > f.position.Timeline && f.position.Timeline != 0
-	if fellBack {
+func (f *Follower[T]) handleBatch(ctx context.Context, batch *slipwick.FeedBatch) {
+	isRestored := batch.Timeline > f.position.Timeline && f.position.Timeline != 0
+	if isRestored {
 		f.OnFellBack(f.position, batch)
 	}
 	isCurrent := batch.Age <= f.Rhythm.Age
 	if isCurrent {
-		f.answered = clock.Now()
+		f.answeredAt = clock.Now()
 		f.OnAnswer(batch)
 	}
-	f.keepLatest(batch)
-	changes := f.decode(f.Mirror.Apply(batch))
-	if len(changes) > 0 || fellBack || f.position.Revision == 0 {
+	f.dropOutdated(batch)
+	changes := f.decodeChanges(f.Mirror.Apply(batch))
+	if len(changes) > 0 || isRestored || f.position.Revision == 0 {
 		f.OnChange(changes)
 	}
 	if f.watched = f.listed; f.watched {
-		f.pause = firstPause
+		f.backoff = minBackoff
 	}
 	f.position, f.listed = batch.Position(), isCurrent
 	switch {
 	case !isCurrent:
 		// Another router's old copy: the store is away, and is not to be
 		// called more often for it. On its return a list answers at once.
-		f.rest(ctx)
+		f.waitBackoff(ctx)
 	case len(changes) > 0:
 		sleep(ctx, f.Rhythm.Gather)
 	}
 }
 
 // rest waits for the pause, which grows, by how long ago the latest answer came.
-func (f *Follower[T]) rest(ctx context.Context) {
-	rest(ctx, f.pause)
-	most := lastPause
-	if clock.Since(f.answered) < f.Rhythm.List {
-		most = startPause
+func (f *Follower[T]) waitBackoff(ctx context.Context) {
+	sleepJittered(ctx, f.backoff)
+	limit := maxBackoff
+	if clock.Since(f.answeredAt) < f.Rhythm.List {
+		limit = maxUrgentBackoff
 	}
-	f.pause = min(2*f.pause, most)
+	f.backoff = min(2*f.backoff, limit)
 }
 
 // call asks the feed. An answer that came while the box was suspended is older by that
 // time than whoever answered could know.
-func (f *Follower[T]) call(ctx context.Context) (batch slipwick.FeedBatch, err error) {
+func (f *Follower[T]) callFeed(ctx context.Context) (batch slipwick.FeedBatch, err error) {
 	clock.Notice()
 	slept := clock.Slept()
 	if f.listed {
@@ -191,33 +191,33 @@
 }
 
 // keepLatest puts what is known in the place of earlier states of it.
-func (f *Follower[T]) keepLatest(batch *slipwick.FeedBatch) {
+func (f *Follower[T]) dropOutdated(batch *slipwick.FeedBatch) {
 	if f.Outdated == nil {
 		return
 	}
 	for i := range batch.Entries {
 		e := &batch.Entries[i]
-		value, ok := f.Mirror.value(e.Name)
+		value, ok := f.Mirror.lookup(e.Name)
 		if !ok || e.Gone || bytes.Equal(value, e.Value) {
 			continue
 		}
 		known, isKnown := f.latest[e.Name]
 		// What can't be read is told as such with the changes.
-		told, err := f.Decode(e.Name, e.Value)
-		if err == nil && isKnown && f.Outdated(known, told) {
+		received, err := f.Decode(e.Name, e.Value)
+		if err == nil && isKnown && f.Outdated(known, received) {
 			e.Value = value
 			continue
 		}
-		f.compared[e.Name] = reading[T]{
+		f.decoded[e.Name] = decodeResult[T]{
 			encoded: e.Value,
-			value:   told,
+			value:   received,
 			err:     err,
 		}
 	}
 }
 
 // reading is what an object's value says, or what is wrong with it.
-type reading[T any] struct {
+type decodeResult[T any] struct {
 	encoded []byte
 	value   T
 	err     error
@@ -225,15 +225,15 @@
 
 // read reads an object, once for each batch: a large fleet reads a configuration of hundreds of
 // routes at the same moment at all routers.
-func (f *Follower[T]) read(e *slipwick.FeedEntry) (T, error) {
-	if r, ok := f.compared[e.Name]; ok && bytes.Equal(r.encoded, e.Value) {
+func (f *Follower[T]) decodeOnce(e *slipwick.FeedEntry) (T, error) {
+	if r, ok := f.decoded[e.Name]; ok && bytes.Equal(r.encoded, e.Value) {
 		return r.value, r.err
 	}
 	return f.Decode(e.Name, e.Value)
 }
 
-func (f *Follower[T]) decode(entries []slipwick.FeedEntry) []Change[T] {
-	defer clear(f.compared)
+func (f *Follower[T]) decodeChanges(entries []slipwick.FeedEntry) []Change[T] {
+	defer clear(f.decoded)
 	changes := make([]Change[T], 0, len(entries))
 	for _, e := range entries {
 		change := Change[T]{
@@ -242,7 +242,7 @@
 		}
 		if !e.Gone {
 			var err error
-			change.Value, err = f.read(&e)
+			change.Value, err = f.decodeOnce(&e)
 			change.Invalid = err != nil
 			f.OnInvalid(e.Name, err)
 			if f.Outdated != nil && err == nil {
@@ -259,18 +259,18 @@
 // follows tells what is wrong with an answer that can't be taken after what is known: it
 // is older, or has the changes of another timeline, whose revisions were counted from
 // another state. Together they would be a state that the store never had.
-func follows(batch *slipwick.FeedBatch, known slipwick.Position) error {
+func checkSuccessor(batch *slipwick.FeedBatch, known slipwick.Position) error {
 	switch {
 	case batch.Position().Before(known):
-		return older(batch, known)
+		return olderError(batch, known)
 	case !batch.Whole && batch.Timeline != 0 && batch.Timeline != known.Timeline:
-		return fellBack()
+		return timelineChangedError()
 	}
 	return nil
 }
 
 // fellBack is the error of a watch from a position of another timeline.
-func fellBack() error {
+func timelineChangedError() error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindHistoryLost,
 		Message: "the store came back from a copy since the position",
@@ -280,14 +280,14 @@
 
 // older is the error of an answer that is older than what is known, as another router's
 // old copy may be.
-func older(batch *slipwick.FeedBatch, known slipwick.Position) error {
+func olderError(batch *slipwick.FeedBatch, known slipwick.Position) error {
 	return errors.Errorf("the answer of timeline %d, revision %d, through %d routers is older than what is known,"+
 		" timeline %d, revision %d; the newer state stays in use",
 		batch.Timeline, batch.Revision, batch.Hops, known.Timeline, known.Revision)
 }
 
 // rest waits for about the pause, so that routers do not call all at once.
-func rest(ctx context.Context, pause time.Duration) {
+func sleepJittered(ctx context.Context, pause time.Duration) {
 	sleep(ctx, pause/2+time.Duration(rand.Int64N(int64(pause))))
 }
 
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -72,7 +72,7 @@
 		if got, want := state(), []string{"a1", "b1"}; !slices.Equal(got, want) {
 			t.Errorf("outage: got %v, want %v", got, want)
 		}
-		time.Sleep(2 * lastPause)
+		time.Sleep(2 * maxBackoff)
 		if got, want := state(), []string{"a1", "c1"}; !slices.Equal(got, want) {
 			t.Errorf("after it: got %v, want %v", got, want)
 		}
@@ -112,7 +112,7 @@
 		store.Apply(batch(2, false, "a2"))
 		store.fail(nil)
 		before := store.listed()
-		time.Sleep(2 * lastPause)
+		time.Sleep(2 * maxBackoff)
 		if got, want := state(), []string{"a2"}; !slices.Equal(got, want) || store.listed() == before {
 			t.Errorf("got %v and %d lists, want %v by a list", got, store.listed()-before, want)
 		}
@@ -152,7 +152,7 @@
 		answers.Store(0)
 		const outage = 10 * time.Second
 		time.Sleep(outage)
-		if got, limit := store.called()-before, int(outage/(lastPause/2)); got > limit {
+		if got, limit := store.called()-before, int(outage/(maxBackoff/2)); got > limit {
 			t.Errorf("got %d calls in %v, want at most %d", got, outage, limit)
 		}
 		if got := answers.Load(); got > 0 {
@@ -160,7 +160,7 @@
 		}
 		store.Apply(batch(2, true, "a2"))
 		store.fail(nil)
-		time.Sleep(2 * lastPause)
+		time.Sleep(2 * maxBackoff)
 		synctest.Wait()
 		if answers.Load() == 0 {
 			t.Error("got no answer after the store's return")
@@ -187,7 +187,7 @@
 			defer stop()
 			time.Sleep(outage)
 			store.hang(false)
-			time.Sleep(askAgain + 2*startPause)
+			time.Sleep(storeRetryInterval + 2*maxUrgentBackoff)
 			if got, want := state(), []string{"a1"}; !slices.Equal(got, want) {
 				t.Errorf("outage of %v: got %v after it, want %v", outage, got, want)
 			}
@@ -199,7 +199,7 @@
 func TestSlowStoreIsGivenTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
-		store.slow = 3 * askAgain / 2
+		store.slow = 3 * storeRetryInterval / 2
 		state, stop := follow(t, &Shared{
 			Store: store,
 			Peers: &fakePeers{
@@ -207,7 +207,7 @@
 			},
 		})
 		defer stop()
-		time.Sleep(2 * askAgain)
+		time.Sleep(2 * storeRetryInterval)
 		if got, want := state(), []string{"a1"}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v by the first call", got, want)
 		}
@@ -226,7 +226,7 @@
 		store.Mirror = NewMirror()
 		store.Apply(batch(3, true, "a3"))
 		store.fail(nil)
-		time.Sleep(2 * lastPause)
+		time.Sleep(2 * maxBackoff)
 		if got, want := state(), []string{"a5", "b5"}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v to stay", got, want)
 		}
@@ -278,7 +278,7 @@
 }
 
 func (f *forgetful) Watch(ctx context.Context, _ slipwick.Position, _ time.Duration) (slipwick.FeedBatch, error) {
-	return f.answer(ctx, func() (slipwick.FeedBatch, error) { return slipwick.FeedBatch{}, fellBack() })
+	return f.answer(ctx, func() (slipwick.FeedBatch, error) { return slipwick.FeedBatch{}, timelineChangedError() })
 }
 
 // TestFollowerPausesWhenHistoryIsLostAgainAndAgain bounds the calls to a store that can't tell
@@ -296,7 +296,7 @@
 		cancel()
 		// A list and a watch after each pause, of at least half of the longest, and those
 		// of the first second, while pauses grow.
-		if got, want := store.called(), 2*int(period/(lastPause/2))+20; got > want {
+		if got, want := store.called(), 2*int(period/(maxBackoff/2))+20; got > want {
 			t.Errorf("got %d calls in %v, want at most %d", got, period, want)
 		}
 		stop()
--- a/directory/following_test.go
+++ b/directory/following_test.go
@@ -138,7 +138,7 @@
 				return
 			case <-ticker.C:
 				f.store.mu.Lock()
-				f.store.confirmed = time.Now()
+				f.store.confirmedAt = time.Now()
 				f.store.mu.Unlock()
 			}
 		}
--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -67,7 +67,7 @@
 func TestLoadingIsNoReasonToWaitForEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirrors := []*Mirror{NewMirror(), NewMirror()}
-		mirrors[0].Loading(askAgain)
+		mirrors[0].Loading(storeRetryInterval)
 		started := time.Now()
 		for i := 0; ; i++ {
 			_, err := mirrors[i%2].AwaitList(t.Context(), 10*time.Millisecond)
@@ -79,8 +79,8 @@
 				mirrors[(i+1)%2].Loading(busy.RetryAfter)
 			}
 		}
-		if took := time.Since(started); took > askAgain+20*time.Millisecond {
-			t.Errorf("got routers that wait for each other for %v, want %v at most", took, askAgain)
+		if took := time.Since(started); took > storeRetryInterval+20*time.Millisecond {
+			t.Errorf("got routers that wait for each other for %v, want %v at most", took, storeRetryInterval)
 		}
 	})
 }
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -12,7 +12,7 @@
 )
 
 // anewShare of a watch's wait has to be over for a confirmation to end it.
-const anewShare = 0.5
+const reconfirmShare = 0.5
 
 // Mirror is a copy of a feed's objects, and a feed itself for other routers.
 type Mirror struct {
@@ -23,12 +23,12 @@
 	gaps    []gap
 	// position is the store's that the copy stands for; forgotten is the
 	// revision up to which changes are not remembered.
-	position  slipwick.Position
-	forgotten uint64
+	position         slipwick.Position
+	discardedThrough uint64
 	// confirmed is when the store was known to be in this state; failing says
 	// that the latest call did not confirm it.
-	confirmed time.Time
-	failing   bool
+	confirmedAt time.Time
+	failing     bool
 	// steadySince is since when the store has been known, here or at a router on the way,
 	// to answer without a silence or a return from a copy.
 	steadySince time.Time
@@ -55,35 +55,35 @@
 func (m *Mirror) Apply(batch *slipwick.FeedBatch) []slipwick.FeedEntry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	isAnother := batch.Timeline != m.position.Timeline
+	isNewTimeline := batch.Timeline != m.position.Timeline
 	var differing []slipwick.FeedEntry
 	if len(m.entries) == 0 {
 		m.entries = make(map[string][]byte, len(batch.Entries))
 		differing = make([]slipwick.FeedEntry, 0, len(batch.Entries))
 	}
 	if batch.Whole {
-		differing = append(differing, m.missingLocked(batch)...)
+		differing = append(differing, m.removeMissingLocked(batch)...)
 	}
 	for _, e := range batch.Entries {
 		if m.applyLocked(e, batch.Revision, batch.Whole) {
 			differing = append(differing, e)
 		}
 	}
-	if isAnother || m.failing {
+	if isNewTimeline || m.failing {
 		m.steadySince = clock.Now().Add(-batch.Steady)
 	}
 	switch {
-	case isAnother || m.position.IsZero():
-		m.changes, m.gaps, m.forgotten = nil, nil, batch.Revision
+	case isNewTimeline || m.position.IsZero():
+		m.changes, m.gaps, m.discardedThrough = nil, nil, batch.Revision
 	case (batch.Whole || batch.Skipping) && m.position.Revision < batch.Revision:
-		m.gapLocked(batch.Revision)
+		m.addGapLocked(batch.Revision)
 	}
-	if isAnother || m.position.Revision < batch.Revision {
+	if isNewTimeline || m.position.Revision < batch.Revision {
 		m.position = batch.Position()
 	}
-	m.confirmed, m.hops = clock.Now().Add(-batch.Age), batch.Hops
+	m.confirmedAt, m.hops = clock.Now().Add(-batch.Age), batch.Hops
 	m.failing = false
-	m.wakeLocked()
+	m.notifyLocked()
 	return differing
 }
 
@@ -102,7 +102,7 @@
 }
 
 // value gives an object's value.
-func (m *Mirror) value(name string) ([]byte, bool) {
+func (m *Mirror) lookup(name string) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	value, ok := m.entries[name]
@@ -110,25 +110,25 @@
 }
 
 // missingLocked gives the removals of what a whole batch lacks.
-func (m *Mirror) missingLocked(batch *slipwick.FeedBatch) []slipwick.FeedEntry {
+func (m *Mirror) removeMissingLocked(batch *slipwick.FeedBatch) []slipwick.FeedEntry {
 	present := make(map[string]bool, len(batch.Entries))
 	for _, e := range batch.Entries {
 		present[e.Name] = true
 	}
-	var gone []slipwick.FeedEntry
+	var removals []slipwick.FeedEntry
 	for name := range m.entries {
 		if !present[name] {
 			e := slipwick.FeedEntry{
 				Name: name,
 				Gone: true,
 			}
-			gone = append(gone, e)
+			removals = append(removals, e)
 		}
 	}
-	for _, e := range gone {
+	for _, e := range removals {
 		m.applyLocked(e, batch.Revision, batch.Whole)
 	}
-	return gone
+	return removals
 }
 
 func (m *Mirror) applyLocked(e slipwick.FeedEntry, revision uint64, whole bool) (differs bool) {
@@ -153,8 +153,8 @@
 		name:     e.Name,
 		revision: revision,
 	})
-	if most := max(keptChanges, changesFactor*len(m.entries)); len(m.changes) > most {
-		m.forgotten = max(m.forgotten, m.changes[0].revision)
+	if limit := max(minChangesKept, changesPerObject*len(m.entries)); len(m.changes) > limit {
+		m.discardedThrough = max(m.discardedThrough, m.changes[0].revision)
 		m.changes = m.changes[1:]
 	}
 	return differs
@@ -166,11 +166,11 @@
 	defer m.mu.Unlock()
 	if !m.failing {
 		m.failing = true
-		m.wakeLocked()
+		m.notifyLocked()
 	}
 }
 
-func (m *Mirror) wakeLocked() {
+func (m *Mirror) notifyLocked() {
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
@@ -180,8 +180,8 @@
 func (m *Mirror) List(context.Context) (slipwick.FeedBatch, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.confirmed.IsZero() {
-		return slipwick.FeedBatch{}, notCurrent()
+	if m.confirmedAt.IsZero() {
+		return slipwick.FeedBatch{}, notCurrentError()
 	}
 	batch := m.batchLocked(true)
 	batch.Entries = make([]slipwick.FeedEntry, 0, len(m.entries))
@@ -199,7 +199,7 @@
 		Whole:    whole,
 		Timeline: m.position.Timeline,
 		Revision: m.position.Revision,
-		Age:      clock.Since(m.confirmed),
+		Age:      clock.Since(m.confirmedAt),
 		Steady:   clock.Since(m.steadySince),
 		Hops:     m.hops,
 	}
@@ -209,8 +209,8 @@
 func (m *Mirror) AwaitList(ctx context.Context, wait time.Duration) (slipwick.FeedBatch, error) {
 	m.awaitCopy(ctx, wait)
 	batch, err := m.List(ctx)
-	if left := m.loadingFor(); err != nil && left > 0 {
-		return slipwick.FeedBatch{}, loading(left)
+	if left := m.loadingLeft(); err != nil && left > 0 {
+		return slipwick.FeedBatch{}, loadingError(left)
 	}
 	return batch, err
 }
@@ -218,7 +218,7 @@
 // awaitCopy waits until there is a copy.
 func (m *Mirror) awaitCopy(ctx context.Context, wait time.Duration) {
 	m.mu.Lock()
-	isEmpty, changed := m.confirmed.IsZero(), m.changed
+	isEmpty, changed := m.confirmedAt.IsZero(), m.changed
 	m.mu.Unlock()
 	if !isEmpty {
 		return
@@ -235,15 +235,15 @@
 // Loading notes that a list was seen to be under way, and for how long that counts. Routers
 // that ask meanwhile are told so, and for how long it does yet: the store is not asked by
 // others for a list that takes its time, and no two routers wait for each other's word.
-func (m *Mirror) Loading(lasts time.Duration) {
+func (m *Mirror) Loading(duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if until := clock.Now().Add(lasts); until.After(m.loadingUntil) {
+	if until := clock.Now().Add(duration); until.After(m.loadingUntil) {
 		m.loadingUntil = until
 	}
 }
 
-func (m *Mirror) loadingFor() time.Duration {
+func (m *Mirror) loadingLeft() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.loadingUntil.Sub(clock.Now())
@@ -251,12 +251,12 @@
 
 // loading is the error of a router to which a list is under way, or that sends its own to
 // others; it counts for so long.
-func loading(lasts time.Duration) error {
+func loadingError(retryAfter time.Duration) error {
 	return &slipwick.Error{
 		Kind:       slipwick.KindOverloaded,
 		Message:    "this router is receiving its first copy, or sends it to others",
 		Remedy:     "ask again, or another router",
-		RetryAfter: lasts,
+		RetryAfter: retryAfter,
 	}
 }
 
@@ -268,16 +268,16 @@
 // position: it gives the changes since, also of a copy that is not current.
 func (m *Mirror) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	if wait <= 0 {
-		batch, _, err := m.since(after, true)
+		batch, _, err := m.changesSince(after, true)
 		return batch, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	anew := clock.Now().Add(time.Duration(anewShare * float64(wait)))
+	freshAfter := clock.Now().Add(time.Duration(reconfirmShare * float64(wait)))
 	for ended := false; ; {
-		batch, changed, err := m.since(after, false)
-		isAnew := clock.Now().Add(-batch.Age).After(anew)
-		if err != nil || ended || isAnew || len(batch.Entries) > 0 {
+		batch, changed, err := m.changesSince(after, false)
+		isFresh := clock.Now().Add(-batch.Age).After(freshAfter)
+		if err != nil || ended || isFresh || len(batch.Entries) > 0 {
 			return batch, err
 		}
 		select {
@@ -292,15 +292,15 @@
 
 // since gives the changes after the position, and a channel that is closed at
 // the next one. A copy that is not current gives them to whoever takes old ones.
-func (m *Mirror) since(after slipwick.Position, takesOld bool) (slipwick.FeedBatch, <-chan struct{}, error) {
+func (m *Mirror) changesSince(after slipwick.Position, acceptStale bool) (slipwick.FeedBatch, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case m.confirmed.IsZero(), m.failing && !takesOld, isLater(after.Timeline, m.position.Timeline):
-		return slipwick.FeedBatch{}, nil, notCurrent()
+	case m.confirmedAt.IsZero(), m.failing && !acceptStale, isLater(after.Timeline, m.position.Timeline):
+		return slipwick.FeedBatch{}, nil, notCurrentError()
 	case isLater(m.position.Timeline, after.Timeline):
-		return slipwick.FeedBatch{}, nil, fellBack()
-	case after.Revision < m.forgotten, m.isInGapLocked(after.Revision):
+		return slipwick.FeedBatch{}, nil, timelineChangedError()
+	case after.Revision < m.discardedThrough, m.isInGapLocked(after.Revision):
 		return slipwick.FeedBatch{}, nil, &slipwick.Error{
 			Kind:    slipwick.KindHistoryLost,
 			Message: "this router does not remember the changes since the revision",
@@ -310,12 +310,12 @@
 	batch := m.batchLocked(false)
 	batch.Skipping = slices.ContainsFunc(m.gaps, func(g gap) bool { return g.from >= after.Revision })
 	changed := m.changes[m.firstAfterLocked(after.Revision):]
-	told := make(map[string]bool, len(changed))
+	seen := make(map[string]bool, len(changed))
 	for _, c := range changed {
-		if told[c.name] {
+		if seen[c.name] {
 			continue
 		}
-		told[c.name] = true
+		seen[c.name] = true
 		value, isListed := m.entries[c.name]
 		batch.Entries = append(batch.Entries, slipwick.FeedEntry{
 			Name:  c.name,
@@ -331,7 +331,7 @@
 	return timeline > other && other != 0
 }
 
-func notCurrent() error {
+func notCurrentError() error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindNotCurrent,
 		Message: "this router's copy is not current",
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -64,7 +64,7 @@
 		7: {"-b"},
 		8: nil,
 	} {
-		got, _, err := m.since(at(after), false)
+		got, _, err := m.changesSince(at(after), false)
 		if err != nil {
 			t.Fatalf("after %d: %v", after, err)
 		}
@@ -73,7 +73,7 @@
 			t.Errorf("after %d: got revision %d, want 8", after, got.Revision)
 		}
 	}
-	if _, _, err := m.since(at(4), false); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
+	if _, _, err := m.changesSince(at(4), false); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
 		t.Errorf("after 4, before the copy began: got %v, want history lost", err)
 	}
 }
@@ -107,14 +107,14 @@
 func TestMirrorForgetsOldRemovalsAloud(t *testing.T) {
 	m := NewMirror()
 	m.Apply(batch(1, true))
-	for i := range uint64(keptChanges/2 + 1) {
+	for i := range uint64(minChangesKept/2 + 1) {
 		m.Apply(batch(2+2*i, false, "a1"))
 		m.Apply(batch(3+2*i, false, "a"))
 	}
-	if _, _, err := m.since(at(1), false); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
+	if _, _, err := m.changesSince(at(1), false); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
 		t.Errorf("got %v, want history lost", err)
 	}
-	if _, _, err := m.since(at(3), false); err != nil {
+	if _, _, err := m.changesSince(at(3), false); err != nil {
 		t.Errorf("after the first removal, all later ones being remembered: got %v", err)
 	}
 }
@@ -130,12 +130,12 @@
 	m := NewMirror()
 	m.Apply(batch(1, true, "a1", "b1"))
 	m.Apply(batch(5, true, "a1", "b1"))
-	if got, _, err := m.since(at(3), false); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
+	if got, _, err := m.changesSince(at(3), false); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
 		t.Errorf("got %+v and %v since a revision in the gap, want kind %s", got, err, slipwick.KindHistoryLost)
 	}
 	m.Apply(batch(5, true, "a1", "b1"))
 	m.Apply(batch(6, false, "a2"))
-	got, _, err := m.since(at(5), false)
+	got, _, err := m.changesSince(at(5), false)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -165,7 +165,7 @@
 			Value: []byte("2"),
 		})
 		m.Apply(&later)
-		got, _, err := m.since(at(3), false)
+		got, _, err := m.changesSince(at(3), false)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -175,7 +175,7 @@
 
 // TestMirrorRemembersALargeLoss has half of a pool go at once.
 func TestMirrorRemembersALargeLoss(t *testing.T) {
-	const servers = 3 * keptChanges
+	const servers = 3 * minChangesKept
 	m := NewMirror()
 	list, loss := batch(1, true), batch(2, false)
 	for i := range servers {
@@ -192,7 +192,7 @@
 	}
 	m.Apply(list)
 	m.Apply(loss)
-	got, _, err := m.since(at(1), false)
+	got, _, err := m.changesSince(at(1), false)
 	if err != nil || len(got.Entries) != servers/2 {
 		t.Errorf("got %d changes and %v, want %d", len(got.Entries), err, servers/2)
 	}
@@ -226,12 +226,12 @@
 		m.Apply(batch(1, true, "a1", "b1"))
 	}
 	first.Apply(batch(5, true, "a1", "b2"))
-	difference, _, err := first.since(at(1), false)
+	difference, _, err := first.changesSince(at(1), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	second.Apply(&difference)
-	if got, _, err := second.since(at(3), false); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
+	if got, _, err := second.changesSince(at(3), false); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
 		t.Errorf("got %+v and %v since a revision in the gap, want kind %s", got, err, slipwick.KindHistoryLost)
 	}
 }
@@ -245,12 +245,12 @@
 	}
 	first.Apply(batch(2, false, "a"))
 	first.Apply(batch(4, false, "a1"))
-	difference, _, err := first.since(at(1), false)
+	difference, _, err := first.changesSince(at(1), false)
 	if err != nil {
 		t.Fatal(err)
 	}
 	expectNames(t, "copy that differs in nothing", second.Apply(&difference))
-	got, _, err := second.since(at(2), false)
+	got, _, err := second.changesSince(at(2), false)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/directory/mirrorchanges.go
+++ b/directory/mirrorchanges.go
@@ -9,8 +9,8 @@
 // changesFactor for each object if that is more: when a part of a large pool goes at once,
 // the rest of the fleet is still told the difference.
 const (
-	keptChanges   = 2048
-	changesFactor = 2
+	minChangesKept   = 2048
+	changesPerObject = 2
 )
 
 // change is an object that changed, and the revision that brought it.
@@ -29,24 +29,24 @@
 }
 
 // gapsKept is how many gaps are remembered, with the changes before them.
-const gapsKept = 16
+const maxGaps = 16
 
 // gapLocked notes that the copy was not followed from its position to the revision.
-func (m *Mirror) gapLocked(to uint64) {
+func (m *Mirror) addGapLocked(to uint64) {
 	m.gaps = append(m.gaps, gap{
 		from: m.position.Revision,
 		to:   to,
 	})
-	if len(m.gaps) > gapsKept {
-		m.forgetLocked(m.gaps[0].to)
+	if len(m.gaps) > maxGaps {
+		m.discardChangesLocked(m.gaps[0].to)
 		m.gaps = m.gaps[1:]
 	}
 }
 
 // forgetLocked forgets the changes up to a revision.
-func (m *Mirror) forgetLocked(to uint64) {
-	m.forgotten = max(m.forgotten, to)
-	m.changes = m.changes[m.firstAfterLocked(m.forgotten):]
+func (m *Mirror) discardChangesLocked(to uint64) {
+	m.discardedThrough = max(m.discardedThrough, to)
+	m.changes = m.changes[m.firstAfterLocked(m.discardedThrough):]
 }
 
 // firstAfterLocked is the index of the first change after a revision.
--- a/directory/model_test.go
+++ b/directory/model_test.go
@@ -114,7 +114,7 @@
 		for i := range events {
 			events[i].befall(h)
 		}
-		time.Sleep(lapseBeats*modelBeat + 3*modelLeave)
+		time.Sleep(expiryHeartbeats*modelBeat + 3*modelLeave)
 		close(ended)
 		<-done
 		violations = h.violations
--- a/directory/modelhistory_test.go
+++ b/directory/modelhistory_test.go
@@ -216,7 +216,7 @@
 		}
 		for _, s := range h.servers {
 			// What a copy lists of a server that was gone before it is doubted for a while.
-			sure := lapseBeats*modelBeat + modelLeave
+			sure := expiryHeartbeats*modelBeat + modelLeave
 			listed := now.Sub(s.listedSince)
 			if !s.listedSince.IsZero() && min(listed, calm) > sure && !r.sendsTo(s.id, s.life) {
 				h.violateLocked("%s sends nothing to %s, which the store has listed for %v", r.self.ID, s.id, listed)
--- a/directory/refused_test.go
+++ b/directory/refused_test.go
@@ -36,7 +36,7 @@
 			Mirrors: map[string]*Mirror{
 				"f": mirror,
 			},
-			sending: sendsAtOnce,
+			sending: maxLargeSends,
 		}
 		const asked = 100
 		var before, after runtime.MemStats
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -26,12 +26,12 @@
 var _ slipwick.Feed = (*Relay)(nil)
 
 // firstWait is how long a router that starts too may take to have a copy at all.
-const firstWait = 150 * time.Millisecond
+const firstCopyWait = 150 * time.Millisecond
 
 // List gives the whole copy.
 func (r *Relay) List(ctx context.Context) (slipwick.FeedBatch, error) {
 	return r.get(ctx, url.Values{
-		"wait": {firstWait.String()},
+		"wait": {firstCopyWait.String()},
 	})
 }
 
@@ -64,12 +64,12 @@
 	request.Header.Set("Accept-Encoding", "gzip")
 	response, err := r.HTTP.Do(request)
 	if err != nil {
-		return slipwick.FeedBatch{}, unavailable(r.Address, err)
+		return slipwick.FeedBatch{}, unavailableError(r.Address, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	switch response.StatusCode {
 	case http.StatusOK:
-		tellBegun(ctx)
+		notifyBegin(ctx)
 	case http.StatusGone:
 		return slipwick.FeedBatch{}, &slipwick.Error{
 			Kind:    slipwick.KindHistoryLost,
@@ -77,40 +77,40 @@
 			Remedy:  "list again",
 		}
 	case http.StatusServiceUnavailable:
-		return slipwick.FeedBatch{}, notCurrent()
+		return slipwick.FeedBatch{}, notCurrentError()
 	case http.StatusTooManyRequests:
 		// What is no number says nothing.
 		left, _ := strconv.ParseInt(response.Header.Get(loadingHeader), 10, 64)
-		return slipwick.FeedBatch{}, loading(min(time.Duration(left)*time.Millisecond, askAgain))
+		return slipwick.FeedBatch{}, loadingError(min(time.Duration(left)*time.Millisecond, storeRetryInterval))
 	default:
-		return slipwick.FeedBatch{}, unavailable(r.Address, nil)
+		return slipwick.FeedBatch{}, unavailableError(r.Address, nil)
 	}
 	batch, err := readBatch(response)
 	if err != nil {
-		return slipwick.FeedBatch{}, unavailable(r.Address, err)
+		return slipwick.FeedBatch{}, unavailableError(r.Address, err)
 	}
 	return batch, nil
 }
 
 // begunKey is the context's key of what is told that a router's answer with its copy begins.
-type begunKey struct{}
+type beginHookKey struct{}
 
-func withBegun(ctx context.Context, onBegun func()) context.Context {
-	return context.WithValue(ctx, begunKey{}, onBegun)
+func withBeginHook(ctx context.Context, onBegin func()) context.Context {
+	return context.WithValue(ctx, beginHookKey{}, onBegin)
 }
 
 // tellBegun tells whoever waits for the answer that it begins.
-func tellBegun(ctx context.Context) {
-	if onBegun, ok := ctx.Value(begunKey{}).(func()); ok {
-		onBegun()
+func notifyBegin(ctx context.Context) {
+	if onBegin, ok := ctx.Value(beginHookKey{}).(func()); ok {
+		onBegin()
 	}
 }
 
 // oldestCopy and mostHops bound what another router may say of its copy: one that is
 // older than a year, or came over more routers than a fleet has, is not believed.
 const (
-	oldestCopy = 365 * 24 * time.Hour
-	mostHops   = 10_000
+	maxCopyAge = 365 * 24 * time.Hour
+	maxHops    = 10_000
 )
 
 // maxCopyBytes bounds what is read of a copy: some times the largest that the
@@ -136,12 +136,12 @@
 	if err != nil {
 		hops = 1
 	}
-	if age < 0 || age > oldestCopy.Milliseconds() || hops < 0 || hops > mostHops {
+	if age < 0 || age > maxCopyAge.Milliseconds() || hops < 0 || hops > maxHops {
 		return slipwick.FeedBatch{}, errors.Errorf("a copy of %d ms after %d routers can't be", age, hops)
 	}
 	// Routers of before do not tell it, nor timelines.
 	steady, err := strconv.ParseInt(response.Header.Get(steadyHeader), 10, 64)
-	if err != nil || steady < 0 || steady > oldestCopy.Milliseconds() {
+	if err != nil || steady < 0 || steady > maxCopyAge.Milliseconds() {
 		steady = 0
 	}
 	batch.Age, batch.Hops = time.Duration(age)*time.Millisecond, hops+1
@@ -149,7 +149,7 @@
 	return batch, nil
 }
 
-func unavailable(address string, cause error) error {
+func unavailableError(address string, cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindUnavailable,
 		Message: "no current copy at router " + address,
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -39,7 +39,7 @@
 	Mirrors map[string]*Mirror
 
 	mu      sync.Mutex
-	encoded map[relayKey][]byte
+	encoded map[answerKey][]byte
 	// sending counts the large answers that are being sent.
 	sending int
 }
@@ -47,7 +47,7 @@
 // relayKey names one answer by what it holds. Its position does not: a store that comes
 // back from a copy gives revisions out again, and a list of several pages may hold more
 // than its revision says.
-type relayKey struct {
+type answerKey struct {
 	encoding string
 	whole    bool
 	skipping bool
@@ -57,32 +57,32 @@
 
 // encodedKept bounds the answers that are kept encoded: those of both feeds, as
 // lists and since some revisions. Each is some times smaller than the copy.
-const encodedKept = 16
+const maxEncodedAnswers = 16
 
 // largeAnswer is from which size on sendsAtOnce answers at most are sent at a time: on a
 // small link those sent beside each other all come late. Who is turned away finds those that
 // have got theirs, so that the number of routers that have a copy grows by a factor with each
 // list, and the time for all with the logarithm of the fleet.
 const (
-	largeAnswer = 64 << 10
-	sendsAtOnce = 2
+	largeAnswerBytes = 64 << 10
+	maxLargeSends    = 2
 	// largeList is from how many objects on a list is large before it is made: when a fleet
 	// starts, hundreds of routers ask one for it at the same moment, and are refused.
-	largeList = 1024
+	largeListObjects = 1024
 )
 
 // beginSend tells whether a large answer may be sent now.
-func (s *RelayServer) beginSend() bool {
+func (s *RelayServer) acquireSend() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.sending >= sendsAtOnce {
+	if s.sending >= maxLargeSends {
 		return false
 	}
 	s.sending++
 	return true
 }
 
-func (s *RelayServer) endSend() {
+func (s *RelayServer) releaseSend() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.sending--
@@ -97,62 +97,62 @@
 		http.Error(w, "no such feed; ask for one that this router follows", http.StatusNotFound)
 		return
 	}
-	question, err := readQuestion(r)
+	query, err := parseQuery(r)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	isReserved := false
-	if !question.watch {
-		mirror.awaitCopy(r.Context(), question.wait)
-		question.wait = 0
-		if isReserved = mirror.Len() >= largeList; isReserved {
-			if !s.beginSend() {
-				refuseForNow(w, loading(askAgain))
+	if !query.watch {
+		mirror.awaitCopy(r.Context(), query.wait)
+		query.wait = 0
+		if isReserved = mirror.Len() >= largeListObjects; isReserved {
+			if !s.acquireSend() {
+				refuseLoading(w, loadingError(storeRetryInterval))
 				return
 			}
-			defer s.endSend()
+			defer s.releaseSend()
 		}
 	}
-	batch, err := question.ask(r.Context(), mirror)
+	batch, err := query.ask(r.Context(), mirror)
 	switch {
 	case slipwick.IsKind(err, slipwick.KindHistoryLost):
 		http.Error(w, err.Error(), http.StatusGone)
 	case slipwick.IsKind(err, slipwick.KindOverloaded):
-		refuseForNow(w, err)
+		refuseLoading(w, err)
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		s.answer(w, encodingFor(r), &batch, isReserved)
+		s.writeAnswer(w, encodingFor(r), &batch, isReserved)
 	}
 }
 
 // question is what another router asks of a copy.
-type question struct {
+type relayQuery struct {
 	watch bool
 	after slipwick.Position
 	wait  time.Duration
 }
 
-func readQuestion(r *http.Request) (question, error) {
+func parseQuery(r *http.Request) (relayQuery, error) {
 	query := r.URL.Query()
-	q := question{
+	q := relayQuery{
 		watch: query.Has("after"),
 	}
 	// Routers of before ask for a list without a wait.
 	if query.Has("wait") {
 		wait, err := time.ParseDuration(query.Get("wait"))
 		if err != nil {
-			return question{}, err
+			return relayQuery{}, err
 		}
-		q.wait = min(wait, longestRelay)
+		q.wait = min(wait, maxRelayWait)
 	}
 	if !q.watch {
 		return q, nil
 	}
 	var err error
 	if q.after.Revision, err = strconv.ParseUint(query.Get("after"), 10, 64); err != nil {
-		return question{}, err
+		return relayQuery{}, err
 	}
 	// Routers of before tell no timeline.
 	if query.Has("timeline") {
@@ -161,7 +161,7 @@
 	return q, err
 }
 
-func (q question) ask(ctx context.Context, mirror *Mirror) (slipwick.FeedBatch, error) {
+func (q relayQuery) ask(ctx context.Context, mirror *Mirror) (slipwick.FeedBatch, error) {
 	if q.watch {
 		return mirror.Watch(ctx, q.after, q.wait)
 	}
@@ -169,24 +169,24 @@
 }
 
 // answer sends a batch; isReserved says that it may be large.
-func (s *RelayServer) answer(w http.ResponseWriter, encoding string, batch *slipwick.FeedBatch, isReserved bool) {
-	body, err := s.encode(relayKey{
+func (s *RelayServer) writeAnswer(w http.ResponseWriter, encoding string, batch *slipwick.FeedBatch, isReserved bool) {
+	body, err := s.encodeCached(answerKey{
 		encoding: encoding,
 		whole:    batch.Whole,
 		skipping: batch.Skipping,
 		position: batch.Position(),
-		entries:  hashOf(batch.Entries),
+		entries:  hashEntries(batch.Entries),
 	}, batch)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	if len(body) >= largeAnswer && !isReserved {
-		if !s.beginSend() {
-			refuseForNow(w, loading(askAgain))
+	if len(body) >= largeAnswerBytes && !isReserved {
+		if !s.acquireSend() {
+			refuseLoading(w, loadingError(storeRetryInterval))
 			return
 		}
-		defer s.endSend()
+		defer s.releaseSend()
 	}
 	w.Header().Set("Content-Type", encoding)
 	w.Header().Set("Content-Encoding", "gzip")
@@ -199,16 +199,16 @@
 }
 
 // refuseForNow tells for how long a list is known to be under way.
-func refuseForNow(w http.ResponseWriter, err error) {
-	var busy *slipwick.Error
-	if errors.As(err, &busy) {
-		w.Header().Set(loadingHeader, strconv.FormatInt(busy.RetryAfter.Milliseconds(), 10))
+func refuseLoading(w http.ResponseWriter, err error) {
+	var loading *slipwick.Error
+	if errors.As(err, &loading) {
+		w.Header().Set(loadingHeader, strconv.FormatInt(loading.RetryAfter.Milliseconds(), 10))
 	}
 	http.Error(w, err.Error(), http.StatusTooManyRequests)
 }
 
 // hashOf gives a hash of the entries, in whatever order they stand.
-func hashOf(entries []slipwick.FeedEntry) uint64 {
+func hashEntries(entries []slipwick.FeedEntry) uint64 {
 	var sum uint64
 	var digest xxhash.Digest
 	for _, e := range entries {
@@ -227,7 +227,7 @@
 }
 
 // encode gives the answer's body, compressed.
-func (s *RelayServer) encode(key relayKey, batch *slipwick.FeedBatch) ([]byte, error) {
+func (s *RelayServer) encodeCached(key answerKey, batch *slipwick.FeedBatch) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if body, ok := s.encoded[key]; ok {
@@ -244,8 +244,8 @@
 	if err := compressor.Close(); err != nil {
 		return nil, err
 	}
-	if len(s.encoded) >= encodedKept || s.encoded == nil {
-		s.encoded = make(map[relayKey][]byte, encodedKept)
+	if len(s.encoded) >= maxEncodedAnswers || s.encoded == nil {
+		s.encoded = make(map[answerKey][]byte, maxEncodedAnswers)
 	}
 	s.encoded[key] = body.Bytes()
 	return body.Bytes(), nil
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -37,9 +37,9 @@
 	relayShare       = 0.45
 	relayMarginShare = 0.15
 	turnShare        = 0.08
-	noticeShare      = 0.1
-	gatherShare      = 0.04
-	outingShare      = 1.5
+	detectionShare   = 0.1
+	batchDelayShare  = 0.04
+	peerBackoffShare = 1.5
 	listShare        = 1
 )
 
@@ -49,8 +49,8 @@
 // a silent store.
 const (
 	DefaultWithin = 2 * time.Second
-	leastWithin   = 600 * time.Millisecond
-	mostWithin    = 4 * time.Second
+	minWithin     = 600 * time.Millisecond
+	maxWithin     = 4 * time.Second
 )
 
 // RhythmWithin gives the rhythm that has changes known within the time; 0
@@ -59,7 +59,7 @@
 	if within <= 0 {
 		within = DefaultWithin
 	}
-	within = min(max(within, leastWithin), mostWithin)
+	within = min(max(within, minWithin), maxWithin)
 	share := func(of float64) time.Duration {
 		return time.Duration(of * float64(within))
 	}
@@ -68,10 +68,10 @@
 		Margin:      share(marginShare),
 		Relay:       share(relayShare),
 		RelayMargin: share(relayMarginShare),
-		Age:         share(watchShare + marginShare + noticeShare),
+		Age:         share(watchShare + marginShare + detectionShare),
 		TurnStep:    share(turnShare),
-		Gather:      share(gatherShare),
-		Outing:      share(outingShare),
+		Gather:      share(batchDelayShare),
+		Outing:      share(peerBackoffShare),
 		List:        share(listShare),
 	}
 }
@@ -85,4 +85,4 @@
 }
 
 // longestRelay bounds the wait that a router grants another one's watch.
-const longestRelay = mostWithin
+const maxRelayWait = maxWithin
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -67,7 +67,7 @@
 				case slipwick.IsKind(err, slipwick.KindNotCurrent):
 					// The routers answer, and know nothing either: those whose
 					// turn it is ask the store.
-					time.Sleep(firstPause)
+					time.Sleep(minBackoff)
 				case err != nil:
 					t.Fatalf("%s: %v", name, err)
 				default:
--- a/directory/spread_test.go
+++ b/directory/spread_test.go
@@ -33,9 +33,9 @@
 // -measure-spread it tells the times for up to 1,000 routers, by to how many a router sends its
 // list at a time.
 func TestListSpreadsInTime(t *testing.T) {
-	sizes, sends := []int{62, 125}, []int{sendsAtOnce}
+	sizes, sends := []int{62, 125}, []int{maxLargeSends}
 	if *measureSpread {
-		sizes, sends = []int{125, 250, 500, 1000}, []int{1, sendsAtOnce, 4, 8}
+		sizes, sends = []int{125, 250, 500, 1000}, []int{1, maxLargeSends, 4, 8}
 	}
 	for _, size := range sizes {
 		for _, sends := range sends {
@@ -43,7 +43,7 @@
 				most, all, calls := spreadOf(t, size, sends)
 				t.Logf("%d routers, %d sends at once: nine tenths after %v, all after %v, %d calls",
 					size, sends, most, all, calls)
-				if sends == sendsAtOnce && all > fleetWithin {
+				if sends == maxLargeSends && all > fleetWithin {
 					t.Errorf("%d routers: got the list at all after %v, want it within %v", size, all, fleetWithin)
 				}
 			})
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -13,8 +13,8 @@
 	// startTurn is when the first routers beyond those that follow the store ask
 	// it at a start, if nobody has a copy by then, and startStep how much later
 	// the next are.
-	startTurn = 500 * time.Millisecond
-	startStep = 250 * time.Millisecond
+	startTurnDelay = 500 * time.Millisecond
+	startTurnStep  = 250 * time.Millisecond
 	// checkFactor times the age of a copy that counts as current is how long a
 	// router stays in the place of those that follow the store, or they out of it,
 	// before it looks again.
@@ -29,13 +29,13 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rhythm := s.Rhythm.orDefault()
-	since, first, step := s.confirmed, rhythm.Watch+rhythm.Margin, rhythm.TurnStep
+	since, first, step := s.confirmedAt, rhythm.Watch+rhythm.Margin, rhythm.TurnStep
 	if since.IsZero() {
-		since, first, step = s.started, startTurn, startStep
+		since, first, step = s.startedAt, startTurnDelay, startTurnStep
 	}
 	now := clock.Now()
 	if !answered {
-		return !s.confirmed.IsZero() || now.Sub(since) >= first
+		return !s.confirmedAt.IsZero() || now.Sub(since) >= first
 	}
 	if place.Turn < 0 || now.Sub(s.triedAt) < rhythm.Age {
 		return false
@@ -52,7 +52,7 @@
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, rhythm.List)
 	defer cancel()
-	answer := s.listStore(ctx, place, false, s.isOfUse)
+	answer := s.listStore(ctx, place, false, s.isUsable)
 	if answer.err != nil || !answer.fromStore {
 		return answer.batch, answer.err
 	}
@@ -67,7 +67,7 @@
 func (s *Shared) usesStore(ctx context.Context, place *fleet.Place) bool {
 	s.mu.Lock()
 	now := clock.Now()
-	watches, acting := place.Watches && now.After(s.avoidUntil), s.acting
+	watches, acting := place.Watches && now.After(s.avoidStoreUntil), s.acting
 	isDue := now.Sub(s.checkedAt) > time.Duration(checkFactor*float64(s.Rhythm.orDefault().Age))
 	if acting && isDue {
 		s.checkedAt = now
@@ -76,10 +76,10 @@
 	if watches || !acting || !isDue {
 		return watches || acting
 	}
-	found := s.listRouters(ctx, place.Relays, otherPatience)
+	found := s.listPeers(ctx, place.Relays, peerTimeout)
 	// The first that take the watchers' place stay there until a watcher follows
 	// the store again; the others may follow these.
-	if !found.current || place.Turn == 0 && found.batch.Hops > 1 {
+	if !found.isCurrent || place.Turn == 0 && found.batch.Hops > 1 {
 		return true
 	}
 	s.mu.Lock()
@@ -107,57 +107,57 @@
 	defer s.mu.Unlock()
 	s.acting = false
 	if othersReachIt {
-		s.avoidUntil = clock.Now().Add(time.Duration(checkFactor * float64(s.Rhythm.orDefault().Age)))
+		s.avoidStoreUntil = clock.Now().Add(time.Duration(checkFactor * float64(s.Rhythm.orDefault().Age)))
 		return
 	}
-	s.avoided = min(max(2*s.avoided, firstPause), lastPause)
-	s.avoidUntil = clock.Now().Add(s.avoided)
+	s.storeBackoff = min(max(2*s.storeBackoff, minBackoff), maxBackoff)
+	s.avoidStoreUntil = clock.Now().Add(s.storeBackoff)
 }
 
 // avoidIfOthersReachIt has a router that should follow the store leave it alone for long once
 // it hears that the store has answered others since it failed here.
 func (s *Shared) avoidIfOthersReachIt(place *fleet.Place, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
-	reach := place.Watches && !s.storeFailed.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailed)
+	othersReachIt := place.Watches && !s.storeFailedAt.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailedAt)
 	s.mu.Unlock()
-	if reach {
+	if othersReachIt {
 		s.avoidStore(true)
 	}
 }
 
 // untilStore bounds the wait at another router by when this one, if it should follow the
 // store, asks it again.
-func (s *Shared) untilStore(place *fleet.Place, wait time.Duration) time.Duration {
+func (s *Shared) boundRelayWait(place *fleet.Place, wait time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if left := s.avoidUntil.Sub(clock.Now()); place.Watches && left > 0 {
+	if left := s.avoidStoreUntil.Sub(clock.Now()); place.Watches && left > 0 {
 		return min(wait, left)
 	}
 	return wait
 }
 
 // noteStore ends the doubling once the store answers, and notes when it does not.
-func (s *Shared) noteStore(failure error) {
+func (s *Shared) recordStoreResult(failure error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
 	case failure == nil:
-		s.avoided, s.failing = 0, false
+		s.storeBackoff, s.storeFailing = 0, false
 	case !slipwick.IsKind(failure, slipwick.KindHistoryLost):
-		s.storeFailed, s.failing = clock.Now(), true
+		s.storeFailedAt, s.storeFailing = clock.Now(), true
 	}
 }
 
 // hasFailed tells whether the latest call to the store did.
-func (s *Shared) hasFailed() bool {
+func (s *Shared) isStoreFailing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.failing
+	return s.storeFailing
 }
 
 // useStoreAgain ends that: the others have no current copy either.
-func (s *Shared) useStoreAgain() {
+func (s *Shared) stopAvoidingStore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.avoidUntil = time.Time{}
+	s.avoidStoreUntil = time.Time{}
 }
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -169,11 +169,11 @@
 			want: slipwick.KindNotCurrent,
 		},
 	} {
-		if got, _, err := m.since(tc.after, false); !slipwick.IsKind(err, tc.want) {
+		if got, _, err := m.changesSince(tc.after, false); !slipwick.IsKind(err, tc.want) {
 			t.Errorf("%s: got %+v and %v, want kind %s", name, got, err, tc.want)
 		}
 	}
-	got, _, err := m.since(slipwick.Position{
+	got, _, err := m.changesSince(slipwick.Position{
 		Timeline: 2,
 		Revision: 4,
 	}, false)
