--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,4 +1,4 @@
-// Package directory follows what the store knows, the configuration and the
-// backend servers, through its outages: what was known stays in use, and what
-// lapsed while the store was away gets time to come back.
+// Package directory keeps each router's copies of what the store holds: the configuration, the
+// backend servers and the evacuated data centres. Copies stay in use while the store does not
+// answer, and entries that expired during an outage get time to be written again.
 package directory
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -13,69 +13,72 @@
 )
 
 const (
-	// firstPause and lastPause bound the pause after a failed call; it
-	// doubles in between.
+	// minBackoff and maxBackoff bound the pause after a failed call. It doubles with each
+	// consecutive failure.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
-	// startPause bounds it at a router that knows nothing yet, and so serves
-	// nobody, and at one that may still learn in time of what changed since its
-	// last answer.
+	// maxUrgentBackoff is the upper bound instead of maxBackoff while the latest answer, or the
+	// start, is less than Rhythm.List ago: a router that starts serves no requests without a
+	// copy, and one that has just lost its source can still learn of changes in time.
 	maxUrgentBackoff = 200 * time.Millisecond
 )
 
-// Change is one decoded object that changed.
+// Change is one object that changed, decoded.
 type Change[T any] struct {
 	Name string
-	// Gone says that the object was removed, Invalid that what it holds can't be read;
-	// Value is then empty.
+	// Gone is true if the object was removed, Invalid if its value could not be decoded. Value
+	// is the zero value in both cases.
 	Gone, Invalid bool
 	Value         T
 }
 
-// Follower follows one feed, decodes what changes and keeps a copy for other
+// Follower follows one feed: it decodes the objects that change and maintains a copy for other
 // routers. Set the exported fields before Run.
 type Follower[T any] struct {
 	Feed   slipwick.Feed
 	Mirror *Mirror
-	// Rhythm is how long to wait; the zero value stands for the default.
+	// Rhythm has the wait times; the zero value stands for the default.
 	Rhythm Rhythm
-	// Decode reads one object.
+	// Decode decodes one object.
 	Decode func(name string, value []byte) (T, error)
-	// Outdated tells whether an object is an earlier state of the one known, which it never
-	// replaces, whatever the store says; nil where objects have no such order. What is
-	// passed on to other routers goes by it too.
+	// Outdated reports whether a received object is an earlier state than the known one. Such
+	// an object never replaces the known one, neither here nor in the copy that other routers
+	// get, even if the store lists it. Nil if the states of an object have no order.
 	Outdated func(known, told T) bool
-	// OnChange takes the changes of each answer, with none when the first
-	// list, or that after OnFellBack, brings none; one call at a time.
+	// OnChange receives the changes of each answer. It is also called without changes if the
+	// first list, or the first one after a restore of the store, has none. Calls do not
+	// overlap.
 	OnChange func([]Change[T])
-	// OnError is told of failed calls.
+	// OnError receives the error of each failed call.
 	OnError func(error)
-	// OnInvalid is told of each object that can't be read, and why; that says nothing of
-	// the store. With nil it is told that the object can be read again, or is gone.
+	// OnInvalid is called with the reason for each object that cannot be decoded; this is no
+	// failure of the store. With a nil reason it reports that the object can be decoded again
+	// or was removed.
 	OnInvalid func(name string, reason error)
-	// OnFellBack is told, before OnAnswer and the changes, that the answer is the first
-	// of a store that came back from an older copy of itself: what it had acknowledged
-	// may be missing until its writers write it again.
+	// OnFellBack is called with the first answer of a store that was restored from a backup,
+	// before OnAnswer and OnChange. Writes that the store had acknowledged may be missing until
+	// their writers repeat them.
 	OnFellBack func(known slipwick.Position, batch *slipwick.FeedBatch)
-	// OnAnswer is told of each answer that the store gave lately, itself or
-	// through another router, before its changes.
+	// OnAnswer is called with each answer that is current, whether it came from the store or
+	// through another router, before its changes are delivered.
 	OnAnswer func(*slipwick.FeedBatch)
 
-	// position is the store's that is known, answered when an answer came last that was
-	// current. listed says that a list was current, so that a watch may follow, watched
-	// that the latest answer was a watch's. pause is that after the next failure.
+	// position is the store's position of the latest answer. answeredAt is when the latest
+	// current answer arrived. listed is true if the latest answer was current, so that a watch
+	// may follow; watched is true if that answer came from a watch, and at the start. backoff
+	// is the pause after the next failure.
 	position        slipwick.Position
 	answeredAt      time.Time
 	listed, watched bool
 	backoff         time.Duration
-	// latest are the objects known, kept only where they have an order, compared what was
-	// read of those of the batch being taken.
+	// latest has the decoded objects by name, if Outdated orders them. decoded has the objects
+	// that were decoded for the comparison within the current batch.
 	latest  map[string]T
 	decoded map[string]decodeResult[T]
 	done    chan struct{}
 }
 
-// NewFollower makes a follower of the feed.
+// NewFollower returns a follower of the feed that keeps its copy in mirror.
 func NewFollower[T any](feed slipwick.Feed, mirror *Mirror) *Follower[T] {
 	return &Follower[T]{
 		Feed:     feed,
@@ -94,12 +97,12 @@
 	}
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (f *Follower[T]) Done() <-chan struct{} {
 	return f.done
 }
 
-// Run follows the feed until ctx ends.
+// Run follows the feed until ctx ends. Call it once.
 func (f *Follower[T]) Run(ctx context.Context) {
 	defer close(f.done)
 	f.Rhythm = f.Rhythm.orDefault()
@@ -120,10 +123,10 @@
 	}
 }
 
-// fail goes on after a call without an answer to be taken, with a list: that is bounded,
-// while the changes since may be too many to be read in time. A history that is lost is made
-// up for at once; one that is lost again before a watch brought anything is not, lest the
-// store is called without a pause.
+// handleFailure continues after a failed call or an answer that was rejected. The next call is
+// a list: its size is bounded, while the changes since the position may be too many to receive
+// in time. After a lost history the list follows at once. If the history is lost again before a
+// watch succeeded, the back-off applies, so that the store is not called in a tight loop.
 func (f *Follower[T]) handleFailure(ctx context.Context, err error) {
 	f.OnError(err)
 	f.Mirror.Fail()
@@ -135,7 +138,7 @@
 	f.waitBackoff(ctx)
 }
 
-// take takes an answer.
+// handleBatch applies an answer and reports its changes.
 func (f *Follower[T]) handleBatch(ctx context.Context, batch *slipwick.FeedBatch) {
 	isRestored := batch.Timeline > f.position.Timeline && f.position.Timeline != 0
 	if isRestored {
@@ -157,15 +160,16 @@
 	f.position, f.listed = batch.Position(), isCurrent
 	switch {
 	case !isCurrent:
-		// Another router's old copy: the store is away, and is not to be
-		// called more often for it. On its return a list answers at once.
+		// A stale copy of another router means that the store does not answer; it must not be
+		// called more often because of that. Once the store is back, a list answers at once.
 		f.waitBackoff(ctx)
 	case len(changes) > 0:
 		sleep(ctx, f.Rhythm.Gather)
 	}
 }
 
-// rest waits for the pause, which grows, by how long ago the latest answer came.
+// waitBackoff waits for about the back-off and doubles it up to its bound, which depends on
+// when the latest answer arrived.
 func (f *Follower[T]) waitBackoff(ctx context.Context) {
 	sleepJittered(ctx, f.backoff)
 	limit := maxBackoff
@@ -175,8 +179,9 @@
 	f.backoff = min(2*f.backoff, limit)
 }
 
-// call asks the feed. An answer that came while the box was suspended is older by that
-// time than whoever answered could know.
+// callFeed watches the feed, or lists it if no watch may follow. If the box was suspended
+// during the call, that time is added to the answer's age, since the sender could not know of
+// it.
 func (f *Follower[T]) callFeed(ctx context.Context) (batch slipwick.FeedBatch, err error) {
 	clock.Notice()
 	slept := clock.Slept()
@@ -190,7 +195,8 @@
 	return batch, err
 }
 
-// keepLatest puts what is known in the place of earlier states of it.
+// dropOutdated replaces each received entry that is an earlier state than the known one by the
+// known one.
 func (f *Follower[T]) dropOutdated(batch *slipwick.FeedBatch) {
 	if f.Outdated == nil {
 		return
@@ -202,7 +208,7 @@
 			continue
 		}
 		known, isKnown := f.latest[e.Name]
-		// What can't be read is told as such with the changes.
+		// An entry that cannot be decoded is reported later, with the changes.
 		received, err := f.Decode(e.Name, e.Value)
 		if err == nil && isKnown && f.Outdated(known, received) {
 			e.Value = value
@@ -216,15 +222,15 @@
 	}
 }
 
-// reading is what an object's value says, or what is wrong with it.
+// decodeResult is the decoded form of an object's value, or the error of decoding it.
 type decodeResult[T any] struct {
 	encoded []byte
 	value   T
 	err     error
 }
 
-// read reads an object, once for each batch: a large fleet reads a configuration of hundreds of
-// routes at the same moment at all routers.
+// decodeOnce decodes an object, reusing the result of dropOutdated for the same batch: all
+// routers of a large fleet decode a configuration of hundreds of routes at the same moment.
 func (f *Follower[T]) decodeOnce(e *slipwick.FeedEntry) (T, error) {
 	if r, ok := f.decoded[e.Name]; ok && bytes.Equal(r.encoded, e.Value) {
 		return r.value, r.err
@@ -256,9 +262,9 @@
 	return changes
 }
 
-// follows tells what is wrong with an answer that can't be taken after what is known: it
-// is older, or has the changes of another timeline, whose revisions were counted from
-// another state. Together they would be a state that the store never had.
+// checkSuccessor returns an error if an answer must not be applied on top of the known
+// position: if it is older, or has the changes of another timeline, whose revisions count from
+// another state. Applying it would result in a state that the store never had.
 func checkSuccessor(batch *slipwick.FeedBatch, known slipwick.Position) error {
 	switch {
 	case batch.Position().Before(known):
@@ -269,29 +275,30 @@
 	return nil
 }
 
-// fellBack is the error of a watch from a position of another timeline.
+// timelineChangedError returns the error of a watch from a position of another timeline.
 func timelineChangedError() error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindHistoryLost,
-		Message: "the store came back from a copy since the position",
+		Message: "the store was restored from a backup since the requested position",
 		Remedy:  "list again",
 	}
 }
 
-// older is the error of an answer that is older than what is known, as another router's
-// old copy may be.
+// olderError returns the error of an answer that is older than the known position, such as the
+// stale copy of another router.
 func olderError(batch *slipwick.FeedBatch, known slipwick.Position) error {
-	return errors.Errorf("the answer of timeline %d, revision %d, through %d routers is older than what is known,"+
-		" timeline %d, revision %d; the newer state stays in use",
+	return errors.Errorf("the received timeline %d, revision %d (%d hops) is older than the known"+
+		" timeline %d, revision %d; keeping the known state",
 		batch.Timeline, batch.Revision, batch.Hops, known.Timeline, known.Revision)
 }
 
-// rest waits for about the pause, so that routers do not call all at once.
+// sleepJittered sleeps for a random time between a half and one and a half times the pause, so
+// that routers do not all call at once.
 func sleepJittered(ctx context.Context, pause time.Duration) {
 	sleep(ctx, pause/2+time.Duration(rand.Int64N(int64(pause))))
 }
 
-// sleep waits, or until ctx ends.
+// sleep waits for the pause or until ctx ends.
 func sleep(ctx context.Context, pause time.Duration) {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -11,38 +11,41 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// anewShare of a watch's wait has to be over for a confirmation to end it.
+// reconfirmShare is the part of a watch's wait that has to be over before a mere confirmation
+// of the copy ends the watch.
 const reconfirmShare = 0.5
 
-// Mirror is a copy of a feed's objects, and a feed itself for other routers.
+// Mirror is a copy of all objects of a feed, and serves them as a feed to other routers. It is
+// safe for concurrent use.
 type Mirror struct {
 	mu      sync.Mutex
 	entries map[string][]byte
-	// changes are the latest ones, the oldest first, and gaps what they lack.
+	// changes are the latest changes, oldest first. gaps are the ranges of revisions in which
+	// changes may be missing.
 	changes []change
 	gaps    []gap
-	// position is the store's that the copy stands for; forgotten is the
-	// revision up to which changes are not remembered.
+	// position is the state of the store that the copy holds. Changes up to the revision
+	// discardedThrough have been discarded.
 	position         slipwick.Position
 	discardedThrough uint64
-	// confirmed is when the store was known to be in this state; failing says
-	// that the latest call did not confirm it.
+	// confirmedAt is when the store was last known to be in this state. failing is true if the
+	// latest call did not confirm it.
 	confirmedAt time.Time
 	failing     bool
-	// steadySince is since when the store has been known, here or at a router on the way,
-	// to answer without a silence or a return from a copy.
+	// steadySince is the time since which the store has been known, to this router or one on
+	// the way, to answer without an outage or a restore from a backup.
 	steadySince time.Time
-	// hops counts the routers between the store and this copy.
+	// hops is the number of routers between the store and this copy.
 	hops int
-	// loadingUntil is until when a first list is known to be under way.
+	// loadingUntil is the time until which a first list counts as under way.
 	loadingUntil time.Time
-	// changed is closed at the next change of all that is above.
+	// changed is closed at the next change of any field above.
 	changed chan struct{}
 }
 
 var _ slipwick.Feed = (*Mirror)(nil)
 
-// NewMirror makes an empty copy, which is not current.
+// NewMirror returns an empty mirror, which is not current.
 func NewMirror() *Mirror {
 	return &Mirror{
 		entries: make(map[string][]byte),
@@ -51,7 +54,8 @@
 	}
 }
 
-// Apply takes a batch and gives the entries that differ from the copy.
+// Apply applies a batch and returns the entries that changed the copy. A whole batch also
+// removes the objects that it lacks; their removals are among the returned entries.
 func (m *Mirror) Apply(batch *slipwick.FeedBatch) []slipwick.FeedEntry {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -87,21 +91,21 @@
 	return differing
 }
 
-// Position is the state of the store that the copy stands for.
+// Position returns the store's position that the copy corresponds to.
 func (m *Mirror) Position() slipwick.Position {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.position
 }
 
-// Len counts the objects.
+// Len returns the number of objects.
 func (m *Mirror) Len() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return len(m.entries)
 }
 
-// value gives an object's value.
+// lookup returns an object's value, and whether the object exists.
 func (m *Mirror) lookup(name string) ([]byte, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -109,7 +113,7 @@
 	return value, ok
 }
 
-// missingLocked gives the removals of what a whole batch lacks.
+// removeMissingLocked removes the objects that a whole batch lacks and returns the removals.
 func (m *Mirror) removeMissingLocked(batch *slipwick.FeedBatch) []slipwick.FeedEntry {
 	present := make(map[string]bool, len(batch.Entries))
 	for _, e := range batch.Entries {
@@ -145,10 +149,11 @@
 		return false
 	}
 	if m.position.IsZero() {
-		// Nobody knows an earlier state.
+		// No other router can have seen an earlier state of this copy.
 		return differs
 	}
-	// What changed and is as it was again is told to those that know it in between.
+	// A change is recorded even if the value is what it was before: a router that saw the state
+	// in between needs it.
 	m.changes = append(m.changes, change{
 		name:     e.Name,
 		revision: revision,
@@ -160,7 +165,7 @@
 	return differs
 }
 
-// Fail notes that the copy could not be confirmed.
+// Fail records that the latest call did not confirm the copy, and wakes those that watch it.
 func (m *Mirror) Fail() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -175,8 +180,9 @@
 	m.changed = make(chan struct{})
 }
 
-// List gives the whole copy, also one that is not current: its age tells. A
-// router that starts while the store is away has nothing better.
+// List returns the whole copy, current or not; the batch's age tells. A router that starts
+// during an outage of the store has no better source. Before the first copy it returns a
+// KindNotCurrent error.
 func (m *Mirror) List(context.Context) (slipwick.FeedBatch, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -205,7 +211,9 @@
 	}
 }
 
-// AwaitList is List for a router that starts: it waits for the first copy.
+// AwaitList is List for a router that starts: it waits up to the given time for the first copy.
+// If there is none yet but a first list is under way, it returns a KindOverloaded error whose
+// RetryAfter is for how long the list counts as under way.
 func (m *Mirror) AwaitList(ctx context.Context, wait time.Duration) (slipwick.FeedBatch, error) {
 	m.awaitCopy(ctx, wait)
 	batch, err := m.List(ctx)
@@ -215,7 +223,7 @@
 	return batch, err
 }
 
-// awaitCopy waits until there is a copy.
+// awaitCopy blocks until there is a copy, the wait is over or ctx ends.
 func (m *Mirror) awaitCopy(ctx context.Context, wait time.Duration) {
 	m.mu.Lock()
 	isEmpty, changed := m.confirmedAt.IsZero(), m.changed
@@ -232,9 +240,10 @@
 	}
 }
 
-// Loading notes that a list was seen to be under way, and for how long that counts. Routers
-// that ask meanwhile are told so, and for how long it does yet: the store is not asked by
-// others for a list that takes its time, and no two routers wait for each other's word.
+// Loading records that a first list counts as under way for the given duration from now.
+// Routers that ask in the meantime get the remaining time as an error instead of a copy, so
+// that they do not send the store further requests for a list that takes long. Because the
+// remaining time is passed on, not the full one, two routers cannot keep each other waiting.
 func (m *Mirror) Loading(duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -249,23 +258,23 @@
 	return m.loadingUntil.Sub(clock.Now())
 }
 
-// loading is the error of a router to which a list is under way, or that sends its own to
-// others; it counts for so long.
+// loadingError returns the error of a router that is still receiving its first list, or is
+// sending its copy to other routers.
 func loadingError(retryAfter time.Duration) error {
 	return &slipwick.Error{
 		Kind:       slipwick.KindOverloaded,
-		Message:    "this router is receiving its first copy, or sends it to others",
-		Remedy:     "ask again, or another router",
+		Message:    "this router is still receiving its first copy, or is sending it to other routers",
+		Remedy:     "retry, or ask another router",
 		RetryAfter: retryAfter,
 	}
 }
 
-// Watch waits for changes after the position, or until the copy is confirmed
-// anew: those that follow this router then know the same without asking the
-// store. A copy that was confirmed just before does not end it, so that a router
-// that follows several is not told the same by each. It ends at once when the
-// copy is no longer confirmed. Without a wait it is what List is for one that knows a
-// position: it gives the changes since, also of a copy that is not current.
+// Watch waits for changes after a position, or until the copy is confirmed again, so that
+// followers of this router learn that the state still holds without asking the store. A
+// confirmation in the first part of the wait does not end it: a router that follows several
+// others would otherwise get the same confirmation from each. Watch returns at once with a
+// KindNotCurrent error when the copy is no longer confirmed. With no wait it returns the
+// changes since the position, even if the copy is not current.
 func (m *Mirror) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	if wait <= 0 {
 		batch, _, err := m.changesSince(after, true)
@@ -290,8 +299,8 @@
 	}
 }
 
-// since gives the changes after the position, and a channel that is closed at
-// the next one. A copy that is not current gives them to whoever takes old ones.
+// changesSince returns the changes after a position, and a channel that is closed at the next
+// change. With acceptStale it returns them even if the copy is not current.
 func (m *Mirror) changesSince(after slipwick.Position, acceptStale bool) (slipwick.FeedBatch, <-chan struct{}, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -303,7 +312,7 @@
 	case after.Revision < m.discardedThrough, m.isInGapLocked(after.Revision):
 		return slipwick.FeedBatch{}, nil, &slipwick.Error{
 			Kind:    slipwick.KindHistoryLost,
-			Message: "this router does not remember the changes since the revision",
+			Message: "this router no longer has the changes since the requested revision",
 			Remedy:  "list again",
 		}
 	}
@@ -326,7 +335,8 @@
 	return batch, m.changed, nil
 }
 
-// isLater tells whether a timeline is known to be later than another.
+// isLater reports whether a timeline is known to be later than another. A timeline of 0 is
+// unknown.
 func isLater(timeline, other uint64) bool {
 	return timeline > other && other != 0
 }
--- a/directory/mirrorchanges.go
+++ b/directory/mirrorchanges.go
@@ -5,33 +5,34 @@
 	"sort"
 )
 
-// keptChanges is how many changes are remembered for routers that follow this one, or
-// changesFactor for each object if that is more: when a part of a large pool goes at once,
-// the rest of the fleet is still told the difference.
+// A mirror keeps the latest minChangesKept changes, or changesPerObject for each object if that
+// is more: when a part of a large pool disappears at once, followers still get the difference
+// instead of a whole list.
 const (
 	minChangesKept   = 2048
 	changesPerObject = 2
 )
 
-// change is an object that changed, and the revision that brought it.
+// change is the name of an object that changed, and the revision of the change.
 type change struct {
 	name     string
 	revision uint64
 }
 
-// gap is from one revision to another, between which the copy was not followed. A list made
-// up for it, here or at the router that told the difference, which tells what there is and
-// not what changed: an object may have gone and come back as it was. Whoever knows a revision
-// in between may know it as gone, and would not be told; whoever knows the first one lacks
-// nothing.
+// gap is a range of revisions in which this copy missed changes, and which was closed by a list
+// here or at the router that sent the difference. A list shows the final state only: an object
+// may have been removed and written again with the same value in between. A follower whose
+// revision lies strictly inside a gap may have seen such an object as removed and would not get
+// it again, so it has to list. One at the first revision misses nothing.
 type gap struct {
 	from, to uint64
 }
 
-// gapsKept is how many gaps are remembered, with the changes before them.
+// maxGaps is how many gaps are kept. Beyond it the oldest gap is discarded, with the changes up
+// to its end.
 const maxGaps = 16
 
-// gapLocked notes that the copy was not followed from its position to the revision.
+// addGapLocked records a gap between the copy's revision and the given one.
 func (m *Mirror) addGapLocked(to uint64) {
 	m.gaps = append(m.gaps, gap{
 		from: m.position.Revision,
@@ -43,13 +44,13 @@
 	}
 }
 
-// forgetLocked forgets the changes up to a revision.
+// discardChangesLocked discards the changes up to a revision.
 func (m *Mirror) discardChangesLocked(to uint64) {
 	m.discardedThrough = max(m.discardedThrough, to)
 	m.changes = m.changes[m.firstAfterLocked(m.discardedThrough):]
 }
 
-// firstAfterLocked is the index of the first change after a revision.
+// firstAfterLocked returns the index of the first change after a revision.
 func (m *Mirror) firstAfterLocked(revision uint64) int {
 	return sort.Search(len(m.changes), func(i int) bool { return m.changes[i].revision > revision })
 }
