--- a/directory/askstore.go
+++ b/directory/askstore.go
@@ -10,47 +10,49 @@
 )
 
 const (
-	// storePatience is how long a list from the store may take before another
-	// router is asked: some tens of its usual answers.
+	// storeHedgeDelay is how long a list from the store may take before other routers are asked
+	// as well. It is some tens of times the store's usual response time.
 	storeHedgeDelay = 300 * time.Millisecond
-	// askAgain is the pause until the store is asked for a list once more while
-	// it has not answered: a store that had fallen silent never answers what it
-	// was asked then, while a slow one needs its time, and one that sends page after page
-	// is waited for.
+	// storeRetryInterval is the interval at which the store is sent another list request while
+	// it does not answer. A store that had stopped answering never answers the requests from
+	// that time. A slow store is given time, and one that delivers page after page is not asked
+	// again.
 	storeRetryInterval = 500 * time.Millisecond
-	// listedAtOnce is how many objects stores give in one answer at least.
+	// storePageSize is the least number of objects that stores return in one response.
 	storePageSize = 200
 )
 
-// listed is how one list ended.
+// listResult is the result of one list.
 type listResult struct {
 	batch slipwick.FeedBatch
 	err   error
-	// fromStore says that the store gave it, and not another router.
+	// fromStore is true if the batch came from the store and not from another router.
 	fromStore bool
 }
 
-// storeList is a list from the store that is under way, or from another router if the store
-// fails or lets it wait.
+// storeList is a running list from the store, which falls back to other routers if the store
+// fails or is slow.
 type storeList struct {
 	shared *Shared
 	place  *fleet.Place
-	// repeats says that the store is asked again while it does not answer: one that had
-	// fallen silent never answers what it was asked then. Whether it answers another
-	// router by now is asked in any case.
+	// retriesStore is true if the store is asked again while it does not answer, since a store
+	// that had stopped answering never answers earlier requests. Whether it answers other
+	// routers by now is asked in either case.
 	retriesStore bool
-	// suffices tells which copies of others will do.
+	// suffices reports whether a copy of another router is acceptable.
 	suffices func(*peerAnswer) bool
 
 	fromStore chan listResult
 	fromPeers chan peerAnswer
 	progress  chan struct{}
-	// pending counts the calls to the store, asking says that others are asked.
+	// pending is the number of calls to the store under way. askingPeers is true while other
+	// routers are asked.
 	pending     int
 	askingPeers bool
 }
 
-// listStore runs a list.
+// listStore lists from the store, and from other routers if the store fails or is slow. It
+// returns the first usable answer.
 func (s *Shared) listStore(
 	ctx context.Context, place *fleet.Place, repeats bool, suffices func(*peerAnswer) bool,
 ) listResult {
@@ -122,7 +124,7 @@
 	}()
 }
 
-// askOthers asks the other routers, unless they are being asked.
+// askPeers asks the other routers, unless that is under way already.
 func (l *storeList) askPeers(ctx context.Context) {
 	if l.askingPeers {
 		return
@@ -131,8 +133,8 @@
 	go func() { l.fromPeers <- l.shared.listPeers(ctx, l.shared.candidates(l.place), peerTimeout) }()
 }
 
-// tracePages has the channel tell that a list of many pages goes on: whoever asks for the
-// next one was given the one before.
+// tracePages signals progress for each page of a list after the first. The request for the next
+// page implies that the previous one has arrived.
 func tracePages(ctx context.Context, progress chan<- struct{}) context.Context {
 	pages := 0
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
@@ -148,16 +150,17 @@
 	})
 }
 
-// noteLoading has routers that ask for the copy here know that it is under way.
+// noteLoading makes routers that ask this one for its first copy learn that a list is under
+// way.
 func (s *Shared) noteLoading(duration time.Duration) {
 	if s.Copy != nil && duration > 0 {
 		s.Copy.Loading(duration)
 	}
 }
 
-// fromStore gives what the store knows: all of it, or what differs from a copy that is known
-// here and would take several calls to list. A store that came back from a copy of itself has
-// to be listed: its revisions may stand for other states.
+// fromStore returns what differs from the local copy if a list of it would take several pages,
+// else the whole list. If the store was restored from a backup it has to be listed, because its
+// revisions may stand for other states.
 func (s *Shared) fromStore(ctx context.Context) (slipwick.FeedBatch, error) {
 	if s.Copy == nil || s.Copy.Len() <= storePageSize {
 		return s.Store.List(ctx)
@@ -170,9 +173,9 @@
 	return batch, err
 }
 
-// watchStore waits for changes at the store. One that failed last is asked for a list: it may
-// have come back from a copy, and a watch from a revision that it gave out again would wait
-// for what comes after.
+// watchStore waits for changes at the store. After a failed call it lists instead: the store
+// may have been restored from a backup, and a watch from a revision that it assigned again
+// would miss the changes up to that revision.
 func (s *Shared) watchStore(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -5,15 +5,16 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// Peers are the other routers, as far as this one knows them.
+// Peers provides the other routers that this one knows. Implementations must be safe for
+// concurrent use.
 type Peers interface {
-	// Settled is closed once this router that has started knows the others, or
-	// has found none.
+	// Settled returns a channel that is closed once this router, after its start, has
+	// discovered the others or found none.
 	Settled() <-chan struct{}
-	// Place gives whom this router follows.
+	// Place returns this router's position in the relay tree: which routers it follows.
 	Place() fleet.Place
-	// Others gives the IDs of all other routers that live.
+	// Others returns the IDs of all other live routers.
 	Others() []string
-	// Relay gives another router's copy of the feed.
+	// Relay returns the copy of the named feed at the router with the ID.
 	Relay(id, feed string) slipwick.Feed
 }
--- a/directory/relayed.go
+++ b/directory/relayed.go
@@ -14,28 +14,28 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// found is what other routers answered.
+// peerAnswer is the answer of one or several other routers.
 type peerAnswer struct {
 	batch slipwick.FeedBatch
-	// any says that there is a copy, current that it is a current one, answered
-	// that some router answered at all.
+	// hasCopy is true if there is a copy, isCurrent if it is a current one, answered if any
+	// router answered at all.
 	hasCopy, isCurrent, answered bool
-	// busyFor is for how long a list counts as under way that a router receives, or sends
-	// to others.
+	// loadingFor is how long a first list counts as under way at a router that receives one or
+	// sends its copy to others.
 	loadingFor time.Duration
-	// begun says that it began to answer before it had answered.
+	// began is true if the response had begun before it was complete or the call failed.
 	began bool
 }
 
-// candidates gives the routers to ask, in order: those that this one follows, by
-// turns, then those in reserve, without those that failed lately, unless all did; then
-// some of all by chance. The first ones may all be cut off from the store while others
-// reach it: each router that has found one of these is found by others in turn.
+// candidates returns the routers to ask, in order: those that this one follows, in rotation,
+// then the reserves, both without those that failed lately unless all did; then some random
+// ones. The preferred ones may all be cut off from the store while others reach it. A router
+// that finds one of these by chance is in turn found by others.
 func (s *Shared) candidates(place *fleet.Place) []string {
 	return s.withRandomPeers(s.preferredPeers(place))
 }
 
-// withSome adds routers drawn from all others.
+// withRandomPeers appends routers drawn at random from all others.
 func (s *Shared) withRandomPeers(ids []string) []string {
 	others := slices.Clone(s.Peers.Others())
 	for added := 0; added < randomPeers && len(others) > 0; {
@@ -50,7 +50,7 @@
 	return ids
 }
 
-// preferred gives the routers that this one's place names.
+// preferredPeers returns the routers that this one's position in the relay tree names.
 func (s *Shared) preferredPeers(place *fleet.Place) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,16 +83,16 @@
 	return healthy[:min(len(healthy), maxPreferredPeers)]
 }
 
-// hedgeShare of the patience with a router is how long it is waited for before
-// the next is asked beside it, allFactor times the patience how long all may take to begin.
+// The next router is asked in parallel after hedgeShare of the timeout for one. All responses
+// together have to begin within listPeersFactor times that timeout.
 const (
 	hedgeShare      = 0.15
 	listPeersFactor = 1.25
 )
 
-// listRouters lists from one router after the other, each for so long at most,
-// until one has a current copy; else it gives an old one if there is any. While one is
-// sending its answer no other is asked: a large list takes what the link has.
+// listPeers lists from the routers in order, each limited by the timeout, until one returns a
+// current copy; otherwise it returns a stale one if there is any. While a response is being
+// received no further router is asked, because a large list takes the capacity of the link.
 func (s *Shared) listPeers(ctx context.Context, ids []string, patience time.Duration) peerAnswer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -148,8 +148,8 @@
 	return best
 }
 
-// listFrom asks another router for what it knows: all of it, or what differs from the copy
-// here.
+// fetchFrom reads from another router's feed what differs from the local copy, or all of it if
+// there is none.
 func (s *Shared) fetchFrom(ctx context.Context, feed slipwick.Feed) (slipwick.FeedBatch, error) {
 	if s.Copy == nil {
 		return feed.List(ctx)
@@ -165,7 +165,8 @@
 	return batch, err
 }
 
-// or joins two answers, neither of them current.
+// merge combines two answers without a current copy. Of two stale copies it keeps the later
+// one.
 func (f *peerAnswer) merge(other *peerAnswer) peerAnswer {
 	joined := peerAnswer{
 		batch:      f.batch,
@@ -179,8 +180,8 @@
 	return joined
 }
 
-// relayed calls another router's copy. The limit is for its answer to begin, which onBegun
-// is told of; the rest of it may take as long as a list.
+// queryPeer calls the feed of another router. Its response has to begin within limit, at which
+// onBegin is called; the rest may take as long as a list.
 func (s *Shared) queryPeer(ctx context.Context, id string, limit time.Duration, onBegin func(),
 	call func(context.Context, slipwick.Feed) (slipwick.FeedBatch, error),
 ) peerAnswer {
@@ -200,7 +201,7 @@
 		began: began.Load(),
 	}
 	if err == nil && s.isSuperseded(&batch) {
-		// The router has yet to learn what this one knows.
+		// The router has not learnt of the current timeline yet.
 		f.answered = true
 		return f
 	}
@@ -214,7 +215,7 @@
 	if isLoading {
 		f.loadingFor = loading.RetryAfter
 	}
-	// Routers that start together have no copy yet, and will soon.
+	// Routers that start at the same time have no copy yet, but will soon.
 	isStarting := lacksCopy && s.isEmpty()
 	if ctx.Err() == nil && !isLoading && !isStarting {
 		s.markFailed(id)
@@ -224,14 +225,14 @@
 	return f
 }
 
-// isOvertaken tells whether a copy is of a timeline that the store has left since.
+// isSuperseded reports whether a copy is of an earlier timeline than the known one.
 func (s *Shared) isSuperseded(batch *slipwick.FeedBatch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return isLater(s.position.Timeline, batch.Timeline)
 }
 
-// noteFailed has a router not asked for a while if there are others.
+// markFailed excludes a router from the candidates for a while, unless all have failed.
 func (s *Shared) markFailed(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -11,70 +11,72 @@
 )
 
 const (
-	// maxPreferredPeers is how many other routers are asked for a list at most that the
-	// place in the fleet names, drawnAsked how many more that are drawn from all, and
-	// otherPatience how long each may take.
+	// A list asks at most maxPreferredPeers of the routers that the position in the relay tree
+	// names, then randomPeers drawn from all others, each for up to peerTimeout.
 	maxPreferredPeers = 4
 	randomPeers       = 2
 	peerTimeout       = 200 * time.Millisecond
-	// discoveryInterval is how often a router that starts, and does not know the others yet, asks
-	// some for a copy. It waits for loneTime until it knows any.
+	// A router that starts and has not discovered the other routers yet asks some for a copy
+	// every discoveryInterval. If it knows none after aloneWait, it stops waiting for them.
 	discoveryInterval = 100 * time.Millisecond
 	aloneWait         = 300 * time.Millisecond
-	// newsMarginShare of the wait of a watch is by how much a copy has to be confirmed
-	// later than what is known here to be news: those of one round differ by less.
+	// newsMarginShare is the part of a watch's wait by which another router's copy has to be
+	// confirmed later than the local one to count as fresher. Copies that were confirmed in the
+	// same round differ by less.
 	newsMarginShare = 0.25
 )
 
-// Shared follows the store at a few routers of the fleet, and at the others
-// the copies of these: calls to the store do not grow with the fleet. A router
-// whose way fails asks others; it takes the place of those that follow the store
-// when nobody else has a current copy and its turn has come, or when nobody
-// answers it. Set the exported fields before use.
+// Shared is a feed that a few routers of the fleet read from the store and all others from the
+// copies of these routers, so that the load on the store does not grow with the fleet. A router
+// whose peers fail asks other ones. It reads from the store in place of the watchers if all
+// peers lack a current copy and its turn has come, or if no peer answers. Set the exported
+// fields before use.
 type Shared struct {
 	Name  string
 	Store slipwick.Feed
 	Peers Peers
-	// Copy is what is known: other routers are asked for what differs from it. Without
-	// one they are asked for all.
+	// Copy is the local copy: other routers and the store are then asked for the difference
+	// from it where possible. If nil, they are asked for whole lists.
 	Copy *Mirror
-	// Rhythm is how long to wait; the zero value stands for the default.
+	// Rhythm has the wait times; the zero value stands for the default.
 	Rhythm Rhythm
 
 	mu       sync.Mutex
 	failedAt map[string]time.Time
-	// turn chooses among the routers that are followed; stays says that it does
-	// not go on to the next.
+	// failedAt is when each peer failed last, by ID. turn selects the peer to follow in
+	// rotation; keepsTurn suppresses the next advance of turn.
 	turn      int
 	keepsTurn bool
-	// started is when this router knew the others, confirmed when the store was
-	// known to be in the state known here; zero before.
+	// startedAt is when this router had discovered the others. confirmedAt is when the store
+	// was last known to be in the state known here. Both are zero before.
 	startedAt, confirmedAt time.Time
-	// position is the latest that was told, reusedAt when another router's copy
-	// was gone on with last that said nothing new.
+	// position is the latest position returned. reusedAt is when a copy of another router that
+	// had nothing new was last returned.
 	position slipwick.Position
 	reusedAt time.Time
-	// acting says that this router follows the store in the place of those that
-	// should, checkedAt when it looked last whether they do again, triedAt when it
-	// asked the store last in their place.
+	// acting is true while this router reads from the store in place of the watchers. checkedAt
+	// is when it last checked whether the watchers have a current copy again, triedAt when it
+	// last tried the store in their place.
 	acting             bool
 	checkedAt, triedAt time.Time
-	// avoidUntil is until when a router that should follow the store, and is
-	// refused, follows others that reach it; avoided is how long it did last though
-	// nobody was known to reach it.
+	// avoidStoreUntil is until when a watcher that cannot reach the store follows routers that
+	// can. storeBackoff is the latest such pause when no other router was known to reach the
+	// store either.
 	avoidStoreUntil time.Time
 	storeBackoff    time.Duration
-	// askedAgain is the confirmation after which the outings were ended last.
+	// retriedAllFor is the value of confirmedAt at which failedAt was last cleared: that is done
+	// once in an outage of the store.
 	retriedAllFor time.Time
-	// storeFailed is when a call to the store failed last, failing says that the latest did.
+	// storeFailedAt is when a call to the store last failed. storeFailing is true if the latest
+	// one did.
 	storeFailedAt time.Time
 	storeFailing  bool
 }
 
 var _ slipwick.Feed = (*Shared)(nil)
 
-// List lists from the store if this router follows it, else from the routers
-// that it follows.
+// List lists from the store if this router follows it, else from other routers. Without a local
+// copy, a stale copy is returned if no current one is available.
 func (s *Shared) List(ctx context.Context) (slipwick.FeedBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.Rhythm.orDefault().List)
 	defer cancel()
@@ -100,19 +102,19 @@
 	case !found.hasCopy || !s.isEmpty():
 		return slipwick.FeedBatch{}, notCurrentError()
 	}
-	// To a router that has none an old copy will do: what changed since comes with
-	// a watch.
+	// A router without a copy accepts a stale one; the following watch brings the changes
+	// since.
 	return s.record(found.batch, nil)
 }
 
-// isEmpty tells whether this router has had no copy yet.
+// isEmpty reports whether this router has had no copy yet.
 func (s *Shared) isEmpty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.position.IsZero()
 }
 
-// begin has the turns at the store count from when this router knew the others.
+// markStarted starts the wait for this router's turn at the store, at the first call.
 func (s *Shared) markStarted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -121,9 +123,9 @@
 	}
 }
 
-// settle waits, at the first list, until this router knows the others: whom it follows
-// depends on them, and of a few that it knows it would often be the one to ask the store.
-// Meanwhile some of these may have a copy.
+// awaitPeers blocks, at the first list, until this router has discovered the others. Which
+// routers it follows depends on them; with only a few known it would often conclude that it has
+// to ask the store itself. In the meantime it asks the known ones for a current copy.
 func (s *Shared) awaitPeers(ctx context.Context) peerAnswer {
 	s.mu.Lock()
 	isFirst := s.startedAt.IsZero()
@@ -151,7 +153,7 @@
 	}
 }
 
-// noted remembers when the store was known to be in the state of the answer.
+// record updates confirmedAt and position from an answer.
 func (s *Shared) record(batch slipwick.FeedBatch, err error) (slipwick.FeedBatch, error) {
 	if err != nil {
 		return slipwick.FeedBatch{}, err
@@ -171,9 +173,9 @@
 	return batch, nil
 }
 
-// sinceReturnLocked is how long ago the store may have come back from a copy: not before it
-// was known last to be in the timeline known here, or away. A router that had not asked it
-// for long can't tell.
+// stableForLocked returns for how long the store is known not to have been restored from a
+// backup. The restore cannot be earlier than the last time at which the store was confirmed in
+// the known timeline, or failed. It returns 0 if that is too long ago to tell.
 func (s *Shared) stableForLocked() time.Duration {
 	last := s.confirmedAt
 	if s.storeFailedAt.After(last) {
@@ -185,7 +187,8 @@
 	return 0
 }
 
-// Watch waits for changes at another router or the store.
+// Watch waits for changes at the store if this router follows it, else at another router. If
+// the store fails, it returns a current copy of another router if there is one.
 func (s *Shared) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	place := s.Peers.Place()
 	if !s.usesStore(ctx, &place) {
@@ -205,10 +208,10 @@
 	return s.record(found.batch, nil)
 }
 
-// watchRouters waits at the router whose turn it is; when it fails, the others
-// are asked for lists. Time was lost then, and a watch brings every version since,
-// which a slow link may not carry in time when versions come in quick succession;
-// a list brings the newest alone.
+// watchPeers watches the copy of the peer whose turn it is. If that fails, it lists from other
+// routers instead of watching them: time has been lost, and a watch brings every version since
+// the position, which a slow link may not carry in time when versions follow each other
+// quickly. A list has the newest version only.
 func (s *Shared) watchPeers(
 	ctx context.Context, place *fleet.Place, after slipwick.Position,
 ) (slipwick.FeedBatch, error) {
@@ -240,18 +243,18 @@
 	return slipwick.FeedBatch{}, notCurrentError()
 }
 
-// stay has the router that was watched last watched once more, if it is overdue:
-// it waits itself for a router that is silent, and will soon have found another.
-// The next one by turns may be that silent router.
+// setKeepsTurn makes the next call use the same peer again if the peer's copy is overdue. An
+// overdue peer is itself waiting for a silent router and will soon have found another one. The
+// next peer in rotation may be that silent router.
 func (s *Shared) setKeepsTurn(overdue bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keepsTurn = overdue
 }
 
-// askAllAgainLocked ends the outings once in a silence of the store: nobody knows more
-// than this router, and those that had no current copy a moment ago may be the first to
-// have one.
+// retryAllPeersLocked clears the back-off of all failed peers, once for each value of
+// confirmedAt. No peer knows more than this router then, and those without a current copy a
+// moment ago may be the first to have one.
 func (s *Shared) retryAllPeersLocked() {
 	if s.retriedAllFor.Equal(s.confirmedAt) {
 		return
@@ -260,26 +263,25 @@
 	clear(s.failedAt)
 }
 
-// isNews tells whether a current copy was confirmed since the store answered here: it
-// reaches others. What they knew before it fell silent for this router says nothing of
-// that, and routers that took it for a sign of it would all wait for each other.
+// isFresher reports whether a current copy was confirmed later than the local one, which proves
+// that the store answers other routers. A copy from before the store stopped answering here
+// proves nothing; if it counted, all routers would wait for each other.
 func (s *Shared) isFresher(f *peerAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return f.isCurrent && clock.Now().Add(-f.batch.Age).After(s.confirmedAt.Add(s.newsMargin()))
 }
 
-// newsMargin is by how much a copy has to be confirmed later than what is known here to be
-// news.
+// newsMargin returns by how much a copy has to be confirmed later than the local one to count
+// as fresher.
 func (s *Shared) newsMargin() time.Duration {
 	return time.Duration(newsMarginShare * float64(s.Rhythm.orDefault().Watch))
 }
 
-// isOfUse tells whether a current copy of a router that this one does not follow is
-// to be gone on with. Copies are confirmed with every round of watches: one that is
-// older waits itself for a router that is silent. Others know for a while what they
-// knew when the store fell silent: to be told it again is of use, but not without a
-// pause.
+// isUsable reports whether to continue with the current copy of a router that this one does not
+// follow. Copies are confirmed with every round of watches; one that is older comes from a
+// router that is itself waiting for a silent one. When the store stops answering, other routers
+// have what they knew before for a while; returning that again is useful, but with a pause.
 func (s *Shared) isUsable(f *peerAnswer) bool {
 	if !f.isCurrent {
 		return false
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -10,21 +10,19 @@
 )
 
 const (
-	// startTurn is when the first routers beyond those that follow the store ask
-	// it at a start, if nobody has a copy by then, and startStep how much later
-	// the next are.
+	// At a start without any copy, the first routers besides the watchers ask the store after
+	// startTurnDelay, and each further group startTurnStep later.
 	startTurnDelay = 500 * time.Millisecond
 	startTurnStep  = 250 * time.Millisecond
-	// checkFactor times the age of a copy that counts as current is how long a
-	// router stays in the place of those that follow the store, or they out of it,
-	// before it looks again.
+	// checkFactor times Rhythm.Age is how long a router that acts in place of the watchers, or
+	// a watcher that avoids the store, stays so before it checks again.
 	checkFactor = 1.5
 )
 
-// mayTakeOver tells whether this router, to which no other gave a current copy,
-// may ask the store instead. Without any answer it is cut off from the others,
-// and goes at once. With answers the others lack a copy too, and routers go by
-// turns: the store may be away for all of them.
+// mayTakeOver reports whether this router may ask the store after no other router gave it a
+// current copy. If none answered at all, it is cut off from the others and need not wait. If
+// some answered, they have no current copy either, perhaps because the store is down for all,
+// and routers ask it in turns.
 func (s *Shared) mayTakeOver(place *fleet.Place, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -43,8 +41,8 @@
 	return now.Sub(since) >= first+time.Duration(place.Turn)*step
 }
 
-// takeOver lists from the store in the place of the routers that should, unless it
-// answers one of these meanwhile.
+// takeOver lists from the store in place of the watchers, unless one of them gets a current
+// copy in the meantime.
 func (s *Shared) takeOver(ctx context.Context, place *fleet.Place) (slipwick.FeedBatch, error) {
 	rhythm := s.Rhythm.orDefault()
 	s.mu.Lock()
@@ -62,8 +60,8 @@
 	return answer.batch, nil
 }
 
-// usesStore tells whether this router asks the store itself. One that does in the
-// place of others looks now and then whether these do again.
+// usesStore reports whether this router calls the store itself. A router that acts in place of
+// the watchers checks from time to time whether these have a current copy again.
 func (s *Shared) usesStore(ctx context.Context, place *fleet.Place) bool {
 	s.mu.Lock()
 	now := clock.Now()
@@ -77,8 +75,8 @@
 		return watches || acting
 	}
 	found := s.listPeers(ctx, place.Relays, peerTimeout)
-	// The first that take the watchers' place stay there until a watcher follows
-	// the store again; the others may follow these.
+	// The routers whose turn is first keep acting until a watcher follows the store again; the
+	// others may follow these.
 	if !found.isCurrent || place.Turn == 0 && found.batch.Hops > 1 {
 		return true
 	}
@@ -88,8 +86,8 @@
 	return false
 }
 
-// stopActing has a router no longer ask the store in the place of others when the
-// store does not answer it: it waits for its turn again.
+// stopActing ends acting in place of the watchers if a call to the store failed. The router
+// then waits for its turn again.
 func (s *Shared) stopActing(failure error) {
 	if failure == nil {
 		return
@@ -99,9 +97,9 @@
 	s.acting = false
 }
 
-// avoidStore has a router that the store refuses follow others, for long if they reach
-// it. Else the store may be back for all in a moment: it is asked again after a pause that
-// doubles.
+// avoidStore makes a watcher that the store does not answer follow other routers, for a long
+// time if these reach the store. Otherwise the store may be back for all at any moment, so it
+// is asked again after a pause that doubles each time.
 func (s *Shared) avoidStore(othersReachIt bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,8 +112,8 @@
 	s.avoidStoreUntil = clock.Now().Add(s.storeBackoff)
 }
 
-// avoidIfOthersReachIt has a router that should follow the store leave it alone for long once
-// it hears that the store has answered others since it failed here.
+// avoidIfOthersReachIt makes a watcher avoid the store for a long time once it learns that the
+// store has answered other routers since it failed here.
 func (s *Shared) avoidIfOthersReachIt(place *fleet.Place, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
 	othersReachIt := place.Watches && !s.storeFailedAt.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailedAt)
@@ -125,8 +123,8 @@
 	}
 }
 
-// untilStore bounds the wait at another router by when this one, if it should follow the
-// store, asks it again.
+// boundRelayWait limits the wait at another router to the time at which this router, if it is a
+// watcher, asks the store again.
 func (s *Shared) boundRelayWait(place *fleet.Place, wait time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -136,7 +134,8 @@
 	return wait
 }
 
-// noteStore ends the doubling once the store answers, and notes when it does not.
+// recordStoreResult resets the pause when the store answers, and records a failure when it does
+// not. A lost history is no failure of the store.
 func (s *Shared) recordStoreResult(failure error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -148,14 +147,15 @@
 	}
 }
 
-// hasFailed tells whether the latest call to the store did.
+// isStoreFailing reports whether the latest call to the store failed.
 func (s *Shared) isStoreFailing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.storeFailing
 }
 
-// useStoreAgain ends that: the others have no current copy either.
+// stopAvoidingStore lets a watcher ask the store again at once, since the other routers have no
+// current copy either.
 func (s *Shared) stopAvoidingStore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
