--- a/directory/backends.go
+++ b/directory/backends.go
@@ -12,51 +12,52 @@
 )
 
 const (
-	// awayShare of a heartbeat is how long the store has to be silent at a
-	// failed call to count as away: entries lapse after some missed heartbeats,
-	// and the store may have been away for the servers longer than for this
-	// router.
+	// The store counts as down at a failed call if its latest answer is older than outageShare
+	// of a heartbeat. Entries expire after a few missed heartbeats, and the store may have been
+	// unreachable for the servers for longer than for this router.
 	outageShare = 1.25
-	// DefaultHeartbeat is taken where no settings name one.
+	// DefaultHeartbeat is the heartbeat interval if the settings have none.
 	DefaultHeartbeat = 1200 * time.Millisecond
-	// returnTime is how long servers have after the store's return to enter
-	// themselves again: they do within about 2 s. returnShare of the time after
-	// which one that is gone gets nothing new bounds it.
+	// reregisterTime is how long servers have to write their entries again after an outage of
+	// the store; they do so within about 2 s. It is bounded by reregisterShare of
+	// Backends.Leave.
 	reregisterTime  = 1900 * time.Millisecond
 	reregisterShare = 0.95
 )
 
-// Backends keeps the list of backend servers. Set the exported fields before
-// the first call.
+// Backends maintains the list of backend servers from the changes of their entries. Set the
+// exported fields before the first call. It is safe for concurrent use.
 type Backends struct {
-	// OnChange takes the changes of the list, one call at a time; none if an answer
-	// brought none.
+	// OnChange receives the changes of the list, which are empty if an answer had none. Calls
+	// do not overlap, and must not call back into the list.
 	OnChange func(*balance.Changes)
-	// Heartbeat is how often servers renew their entries, Leave the time after
-	// which one that leaves or is gone gets nothing new; 0 stands for the
-	// defaults.
+	// Heartbeat is the interval at which servers renew their entries. Leave is the time after
+	// which a server that leaves, or is gone, gets no new requests. With 0, DefaultHeartbeat
+	// applies and reregisterTime has no bound.
 	Heartbeat, Leave time.Duration
 
 	mu      sync.Mutex
 	entries map[string]balance.Listed
 	expired map[string]balance.Listed
-	// ids are the backend servers that are published, by the name of their entry.
+	// ids has the IDs of the published backend servers, by the name of their entry.
 	ids map[string]string
-	// answered is when the latest answer came, confirmed when the store was in its state.
+	// answeredAt is when the latest answer arrived, confirmedAt when the store was in its
+	// state.
 	answeredAt, confirmedAt time.Time
-	// failed says that the latest call did, away that the store gave no answer for some time.
+	// failed is true if the latest call failed, inOutage if the store had not answered for some
+	// time.
 	failed, inOutage bool
-	// grace is until when entries that vanish count as lapsed.
+	// graceUntil is until when entries that disappear count as expired, and stay in use.
 	graceUntil time.Time
 	graceTimer *time.Timer
-	// fellBack says that the next changes are those of the first list since the store
-	// came back from a copy.
+	// restored is true if the next changes are from the first list after the store was restored
+	// from a backup.
 	restored   bool
 	departures departures
 	trustTimer *time.Timer
 }
 
-// NewBackends makes an empty list.
+// NewBackends returns an empty list that reports its changes to onChange.
 func NewBackends(onChange func(*balance.Changes)) *Backends {
 	return &Backends{
 		OnChange: onChange,
@@ -68,11 +69,12 @@
 	}
 }
 
-// FellBack notes that the store came back from a copy of itself, before the changes that
-// this makes: what the copy lacks may have come since, as if it had lapsed, and what it
-// lists may have left since. Steady is how long ago the fleet knew. This is no gap of this
-// router's own, so that what is missing has the whole time to be written again. Age is how
-// long ago the store was in the state of the answer.
+// FellBack starts a grace period after the store was restored from a backup. Call it before
+// Change with the resulting changes. Entries that the backup lacks may have been written after
+// it, and are treated as if they had expired; entries that it has may belong to servers that
+// have left since. Steady is how long ago the fleet noticed the restore. This router had no
+// outage of its own, so servers get the full time to write their entries again. Age is how long
+// ago the store was in the state of the answer.
 func (b *Backends) FellBack(age, steady time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -81,9 +83,9 @@
 	b.scheduleTrustLocked(age)
 }
 
-// settleAfterLocked has what is doubted be believed lapseBeats after the store is known to have
-// answered, age ago, if it is still listed then: by that time it has dropped what nobody
-// renews, whenever this router heard of it.
+// scheduleTrustLocked makes entries that are suspect, and still listed by then, trusted
+// expiryHeartbeats after the store is known to have answered, which was age ago. The store has
+// removed entries that nobody renews by that time, no matter when this router learnt of it.
 func (b *Backends) scheduleTrustLocked(age time.Duration) {
 	if b.trustTimer != nil {
 		b.trustTimer.Stop()
@@ -91,7 +93,8 @@
 	b.trustTimer = time.AfterFunc(max(expiryHeartbeats*b.heartbeat()-age, 0), b.trustListed)
 }
 
-// settle believes what the store still lists, unless it has been silent of late.
+// trustListed trusts all suspect entries that the store still lists. If the store has not
+// answered lately it starts the wait again.
 func (b *Backends) trustListed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -106,15 +109,16 @@
 	}
 }
 
-// interruptedLocked tells whether the store has answered nothing lately: a store that was
-// away may give what nobody renews its time anew.
+// isUnresponsiveLocked reports whether the store has not answered lately. A store that was down
+// may restart the expiry time of entries that nobody renews.
 func (b *Backends) isUnresponsiveLocked() bool {
 	return b.failed || clock.Since(b.answeredAt) > b.outageAfter()
 }
 
-// Answered notes that the store answered, how long ago it was in the state of the answer, and
-// for how long it has been known to answer: it is back if it was away. One that has answered
-// others since before this router's silence was not.
+// Answered records an answer of the store and ends an outage. Age is how long ago the store was
+// in the state of the answer, steady for how long it has been known to answer. If the store
+// answered other routers since before this router's outage, the outage was this router's alone
+// and leaves no grace period.
 func (b *Backends) Answered(age, steady time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -125,7 +129,7 @@
 	b.answeredAt = clock.Now()
 	b.confirmedAt = b.answeredAt.Add(-age)
 	b.failed = false
-	// One that came back from a copy has its time already.
+	// After a restore the grace period is already running.
 	wasInOutage := b.inOutage && !b.restored
 	b.inOutage = false
 	if wasInOutage {
@@ -133,7 +137,7 @@
 	}
 }
 
-// Failed notes that a call to the store failed.
+// Failed records a failed call to the store.
 func (b *Backends) Failed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -152,11 +156,11 @@
 	return b.Heartbeat
 }
 
-// returnWithin is how long servers have to enter themselves again after a silence. One that
-// is shorter than the time after which what is gone gets nothing new may be this router's
-// alone, which followed a slow one, while the store served others: what vanished may have
-// gone as soon as the latest copy before it was confirmed, which is unconfirmed ago, and is
-// kept no longer than that time from there.
+// gracePeriod returns how long servers have to write their entries again after an outage. An
+// outage shorter than Leave may have affected only this router, through a slow peer, while the
+// store served others. Entries may then have disappeared as early as the latest copy before the
+// outage was confirmed, which was unconfirmed ago, and are kept no longer than Leave from that
+// time.
 func (b *Backends) gracePeriod(outage, unconfirmed time.Duration) time.Duration {
 	if b.Leave <= 0 {
 		return reregisterTime
@@ -176,7 +180,7 @@
 	b.graceTimer = time.AfterFunc(within, b.dropExpired)
 }
 
-// dropLapsed removes what did not come back in time.
+// dropExpired removes the expired entries that were not written again in time.
 func (b *Backends) dropExpired() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -188,7 +192,7 @@
 	b.publishLocked(expired)
 }
 
-// Change takes changes.
+// Change applies changes of entries and reports the resulting changes of the list.
 func (b *Backends) Change(changes []Change[balance.Listed]) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,7 +208,8 @@
 		listed, known := b.entries[c.Name]
 		switch {
 		case c.Invalid:
-			// It names no server to use, whatever it did before. What runs there goes on.
+			// An entry that cannot be decoded names no server to use, whatever it named before.
+			// Requests that already run on that server go on.
 			delete(b.entries, c.Name)
 			delete(b.expired, c.Name)
 		case !c.Gone:
@@ -224,8 +229,8 @@
 	b.publishLocked(names)
 }
 
-// judgeLocked doubts an entry of the first list since the store's return, if its server
-// had left, and believes one that was written since.
+// checkEntryLocked marks an entry as suspect if it is from the first list after a restore and
+// its server had left, and trusts one that was written later.
 func (b *Backends) checkEntryLocked(name string, received *balance.Listed, isRestored bool) {
 	var known *balance.Listed
 	if listed, ok := b.entries[name]; ok {
@@ -238,16 +243,16 @@
 	b.departures.checkWritten(name, known, received)
 }
 
-// vanishedLocked keeps an entry that vanished while the store was away, unless
-// its server was leaving anyway.
+// keepExpiredLocked keeps an entry that disappeared within the grace period, unless its server
+// was leaving anyway.
 func (b *Backends) keepExpiredLocked(name string, listed balance.Listed) {
 	if clock.Now().Before(b.graceUntil) && !listed.Leaving {
 		b.expired[name] = listed
 	}
 }
 
-// publishLocked tells of the entries with the names: what is published of each goes by its
-// entry alone.
+// publishLocked reports the named entries. What is published for each depends on that entry
+// only.
 func (b *Backends) publishLocked(names []string) {
 	changes := balance.Changes{
 		Listed: make([]balance.Listed, 0, len(names)),
--- a/directory/departures.go
+++ b/directory/departures.go
@@ -9,31 +9,32 @@
 )
 
 const (
-	// departedKept is for how long it is remembered that a server left: longer than the
-	// copies are old that a store comes back from.
+	// departureTTL is how long departures are remembered. It is longer than the age of backups
+	// that a store is restored from.
 	departureTTL = time.Minute
-	// sweepPause lies between two looks for what need not be remembered any more: when
-	// many servers go at once, each would go through all of them.
+	// sweepInterval is the least time between two removals of outdated departures. Without it,
+	// each of many servers that leave at once would cause a pass over all of them.
 	sweepInterval = time.Second
-	// lapseBeats heartbeats after its return a store has dropped what nobody renews, and
-	// routers know it: three of them, three more if it was interrupted just before, and
-	// the time of an interruption too short to be noticed.
+	// expiryHeartbeats is the number of heartbeats after a restore by which the store has
+	// removed entries that nobody renews, and routers know it: three for the expiry, three more
+	// if an interruption just before had restarted it, and the time of an interruption too
+	// short to notice.
 	expiryHeartbeats = 8
 )
 
-// departures remember which lives of servers left, were gone or were replaced. A store that
-// comes back from a copy may list them as ready once more, until their servers say again that
-// they leave, or until it drops what nobody renews. Such an entry is doubted: its server gets
-// nothing new until it has outlived that.
+// departures records which incarnations of servers have left, disappeared or been replaced. A
+// store that was restored from a backup may list them as ready again, until their servers
+// announce once more that they leave, or until it removes entries that nobody renews. Such an
+// entry is suspect: its server gets no new requests until the entry has outlasted that time.
 type departures struct {
 	departed map[string]departure
 	sweptAt  time.Time
-	// doubted has the names of entries.
+	// suspect has the names of suspect entries.
 	suspect map[string]bool
 }
 
-// departure is when a life was known to leave last. Said tells that it said so itself: it
-// does not come back, while an entry may lapse whose server lives.
+// departure is when an incarnation was last known to leave. announced is true if it said so
+// itself: it will not come back, whereas an entry can also expire while its server lives.
 type departure struct {
 	at        time.Time
 	announced bool
@@ -46,7 +47,7 @@
 	}
 }
 
-// note remembers that a life left.
+// record remembers that an incarnation has left.
 func (d *departures) record(listed *balance.Listed) {
 	now := clock.Now()
 	if now.Sub(d.sweptAt) > sweepInterval {
@@ -59,14 +60,15 @@
 	}
 }
 
-// gone notes that an entry is.
+// removed handles the removal of an entry.
 func (d *departures) removed(name string, listed *balance.Listed) {
 	d.record(listed)
 	delete(d.suspect, name)
 }
 
-// judge doubts an entry of the copy, or takes it as it is. The entry that was known before is
-// nil if there was none; a life that began earlier than the known one is over.
+// checkRestored marks an entry of a restored store as suspect or as trusted. Known is the entry
+// before the restore, nil if there was none; an incarnation that started before the known one
+// has ended.
 func (d *departures) checkRestored(name string, known, received *balance.Listed) {
 	if known != nil && received.Born != 0 && received.Born < known.Born {
 		d.suspect[name] = true
@@ -83,7 +85,8 @@
 	delete(d.suspect, name)
 }
 
-// written takes an entry that its server wrote. The life that it takes the place of is over.
+// checkWritten handles an entry that its server wrote. The incarnation that it replaces has
+// ended.
 func (d *departures) checkWritten(name string, known, received *balance.Listed) {
 	if known != nil && known.Life() != received.Life() {
 		d.removed(name, known)
--- a/directory/evacuations.go
+++ b/directory/evacuations.go
@@ -9,23 +9,24 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// Evacuations keeps the list of evacuated data centres. Set the exported fields before the
-// first call.
+// Evacuations maintains the list of evacuated data centres. Set the exported fields before the
+// first call. It is safe for concurrent use.
 type Evacuations struct {
-	// OnChange takes each new list, one call at a time.
+	// OnChange receives each new list, sorted. Calls do not overlap, and must not call back
+	// into the list.
 	OnChange func([]string)
-	// Within is the time that routers have to follow an evacuation.
+	// Within is the time in which routers have to follow an evacuation.
 	Within time.Duration
 
 	mu sync.Mutex
-	// known are those that the store lists, kept those that a copy of it lacked, by the
-	// names of their objects.
+	// listed has the data centres that the store lists, retained those that a restored store
+	// lacked, both by the name of their object.
 	listed, retained map[string]string
 	graceUntil       time.Time
 	graceTimer       *time.Timer
 }
 
-// NewEvacuations makes an empty list.
+// NewEvacuations returns an empty list that reports its changes to onChange.
 func NewEvacuations(within time.Duration, onChange func([]string)) *Evacuations {
 	return &Evacuations{
 		OnChange: onChange,
@@ -35,10 +36,11 @@
 	}
 }
 
-// FellBack notes that the store came back from a copy of itself; steady is how long ago the
-// fleet knew. An evacuation that the copy lacks may not have been taken back, but be about
-// to be written again: it holds for as long as taking it back may take. To send nothing to a
-// data centre for that long costs less than to send to one that is to be empty.
+// FellBack starts a grace period after the store was restored from a backup; steady is how long
+// ago the fleet noticed the restore. An evacuation that the backup lacks may not have been
+// ended but be about to be written again, so it stays in force for the time in which routers
+// have to follow its end. To send no requests to a data centre for that long costs less than to
+// send some to one that has to be empty.
 func (e *Evacuations) FellBack(steady time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -59,7 +61,8 @@
 	}
 }
 
-// Change takes changes. An object that can't be read leaves what it said before.
+// Change applies changes and reports the resulting list. An object that cannot be decoded keeps
+// its previous value.
 func (e *Evacuations) Change(changes []Change[string]) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
