--- a/directory/encoding.go
+++ b/directory/encoding.go
@@ -12,14 +12,15 @@
 	"github.com/slipwick/slipwick/directory/directorypb"
 )
 
-// Encodings of a copy. Routers of before know JSON alone, and ask for none by name. A router that
-// starts reads the entry of each backend server there is, which takes JSON several times as long.
+// Encodings of a copy. Older routers support JSON only and send no Accept header for it. A
+// router that starts decodes the entries of all backend servers, which takes several times as
+// long in JSON as in protobuf.
 const (
 	jsonType     = "application/json"
 	protobufType = "application/x-protobuf"
 )
 
-// encodingFor gives the encoding of the answer to a request.
+// encodingFor returns the encoding of the response to a request.
 func encodingFor(r *http.Request) string {
 	if r.Header.Get("Accept") == protobufType {
 		return protobufType
@@ -27,7 +28,7 @@
 	return jsonType
 }
 
-// encodeBatch writes a batch in an encoding.
+// encodeBatch writes a batch in the given encoding.
 func encodeBatch(w io.Writer, encoding string, batch *slipwick.FeedBatch) error {
 	if encoding == jsonType {
 		return json.NewEncoder(w).Encode(wireBatchOf(batch))
@@ -52,7 +53,7 @@
 	return err
 }
 
-// decodeBatch reads a batch in an encoding.
+// decodeBatch reads a batch in the given encoding.
 func decodeBatch(r io.Reader, encoding string) (slipwick.FeedBatch, error) {
 	if encoding == protobufType {
 		return decodeProtobuf(bufio.NewReader(r))
@@ -64,12 +65,14 @@
 	return wire.batch(), nil
 }
 
-// delimited reads messages as large as a copy may be: a configuration is one object.
+// delimited accepts messages as large as a whole copy, because a configuration is a single
+// object.
 var delimited = protodelim.UnmarshalOptions{
 	MaxSize: maxCopyBytes,
 }
 
-// likelyEntries bounds the room made for entries before they have come.
+// maxPreallocated bounds the entries for which memory is allocated before they arrive, since
+// their number is the sender's claim.
 const maxPreallocated = 16 << 10
 
 func decodeProtobuf(r protodelim.Reader) (slipwick.FeedBatch, error) {
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -15,9 +15,10 @@
 	"github.com/slipwick/slipwick/httpclient"
 )
 
-// Relay is the copy of a feed at another router.
+// Relay is a feed that reads another router's copy over HTTP.
 type Relay struct {
-	// Address is host:port of the router's peers' interface.
+	// Address is the host:port at which the router serves its peers. Name is the name of the
+	// feed.
 	Address string
 	Name    string
 	HTTP    *http.Client
@@ -25,18 +26,18 @@
 
 var _ slipwick.Feed = (*Relay)(nil)
 
-// firstWait is how long a router that starts too may take to have a copy at all.
+// firstCopyWait is how long a list waits for a router that is starting too and has no copy yet.
 const firstCopyWait = 150 * time.Millisecond
 
-// List gives the whole copy.
+// List returns the whole copy.
 func (r *Relay) List(ctx context.Context) (slipwick.FeedBatch, error) {
 	return r.get(ctx, url.Values{
 		"wait": {firstCopyWait.String()},
 	})
 }
 
-// Watch waits for changes of the copy, and lists it when the other router has
-// forgotten the changes since the revision.
+// Watch waits for changes of the copy. If the other router has discarded the changes since the
+// position, it lists the whole copy instead.
 func (r *Relay) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	batch, err := r.get(ctx, url.Values{
 		"after":    {strconv.FormatUint(after.Revision, 10)},
@@ -73,13 +74,13 @@
 	case http.StatusGone:
 		return slipwick.FeedBatch{}, &slipwick.Error{
 			Kind:    slipwick.KindHistoryLost,
-			Message: "router " + r.Address + " does not remember the changes since the revision",
+			Message: "router " + r.Address + " no longer has the changes since the requested revision",
 			Remedy:  "list again",
 		}
 	case http.StatusServiceUnavailable:
 		return slipwick.FeedBatch{}, notCurrentError()
 	case http.StatusTooManyRequests:
-		// What is no number says nothing.
+		// A missing or malformed header counts as 0.
 		left, _ := strconv.ParseInt(response.Header.Get(loadingHeader), 10, 64)
 		return slipwick.FeedBatch{}, loadingError(min(time.Duration(left)*time.Millisecond, storeRetryInterval))
 	default:
@@ -92,29 +93,30 @@
 	return batch, nil
 }
 
-// begunKey is the context's key of what is told that a router's answer with its copy begins.
+// beginHookKey is the context key of a function that is called when another router's response
+// begins.
 type beginHookKey struct{}
 
 func withBeginHook(ctx context.Context, onBegin func()) context.Context {
 	return context.WithValue(ctx, beginHookKey{}, onBegin)
 }
 
-// tellBegun tells whoever waits for the answer that it begins.
+// notifyBegin calls the context's hook, if any.
 func notifyBegin(ctx context.Context) {
 	if onBegin, ok := ctx.Value(beginHookKey{}).(func()); ok {
 		onBegin()
 	}
 }
 
-// oldestCopy and mostHops bound what another router may say of its copy: one that is
-// older than a year, or came over more routers than a fleet has, is not believed.
+// maxCopyAge and maxHops are the limits for what another router may claim of its copy: a year,
+// and more routers than any fleet has.
 const (
 	maxCopyAge = 365 * 24 * time.Hour
 	maxHops    = 10_000
 )
 
-// maxCopyBytes bounds what is read of a copy: some times the largest that the
-// size designed for needs.
+// maxCopyBytes limits the uncompressed size of a copy. It is several times what the largest
+// fleet that the design covers needs.
 const maxCopyBytes = 64 << 20
 
 func readBatch(response *http.Response) (slipwick.FeedBatch, error) {
@@ -128,18 +130,17 @@
 	}
 	age, err := strconv.ParseInt(response.Header.Get(ageHeader), 10, 64)
 	if err != nil {
-		return slipwick.FeedBatch{}, errors.Wrap(err, "a copy without its age")
+		return slipwick.FeedBatch{}, errors.Wrap(err, "missing or invalid header Slipwick-Age-Ms")
 	}
-	// Routers of before do not tell their hops; they follow the store or one that
-	// does.
+	// Older routers send no hops; they follow the store or a router that does.
 	hops, err := strconv.Atoi(response.Header.Get(hopsHeader))
 	if err != nil {
 		hops = 1
 	}
 	if age < 0 || age > maxCopyAge.Milliseconds() || hops < 0 || hops > maxHops {
-		return slipwick.FeedBatch{}, errors.Errorf("a copy of %d ms after %d routers can't be", age, hops)
+		return slipwick.FeedBatch{}, errors.Errorf("implausible copy: age of %d ms, %d hops", age, hops)
 	}
-	// Routers of before do not tell it, nor timelines.
+	// Older routers send no steady time, and no timelines either.
 	steady, err := strconv.ParseInt(response.Header.Get(steadyHeader), 10, 64)
 	if err != nil || steady < 0 || steady > maxCopyAge.Milliseconds() {
 		steady = 0
@@ -152,8 +153,8 @@
 func unavailableError(address string, cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindUnavailable,
-		Message: "no current copy at router " + address,
-		Remedy:  "none; another router or the store is asked",
+		Message: "cannot get a current copy from router " + address,
+		Remedy:  "none needed; another router or the store is asked instead",
 		Cause:   cause,
 	}
 }
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -15,38 +15,39 @@
 	"github.com/slipwick/slipwick"
 )
 
-// RelayPath is where a router serves its copies to other routers, by name.
+// RelayPath is the path prefix at which a router serves its copies to other routers; the name
+// of the feed follows.
 const RelayPath = "/copies/"
 
-// ageHeader tells the age of a copy in milliseconds: it differs between routers
-// that ask for the same, so that it is not in the body.
+// ageHeader has the age of a copy in milliseconds. It differs between routers that ask for the
+// same changes, so it is not part of the cached body.
 const ageHeader = "Slipwick-Age-Ms"
 
-// loadingHeader tells, beside 429, for how many milliseconds a list counts as under way.
+// loadingHeader has, in a 429 response, for how many milliseconds a list counts as under way.
 const loadingHeader = "Slipwick-Loading-Ms"
 
-// hopsHeader tells how many routers lie between the store and the copy.
+// hopsHeader has the number of routers between the store and the copy.
 const hopsHeader = "Slipwick-Hops"
 
-// steadyHeader tells for how many milliseconds the store has been known to answer without a
-// silence or a return from a copy.
+// steadyHeader has for how many milliseconds the store has been known to answer without an
+// outage or a restore from a backup.
 const steadyHeader = "Slipwick-Steady-Ms"
 
-// RelayServer serves copies of feeds to other routers. Most ask for the same
-// changes at the same moment, so that an answer is encoded and compressed once.
-// Set Mirrors before use.
+// RelayServer is an HTTP handler that serves copies of feeds to other routers. Most of them ask
+// for the same changes at the same moment, so each answer is encoded and compressed once. Set
+// Mirrors, by the names of the feeds, before use.
 type RelayServer struct {
 	Mirrors map[string]*Mirror
 
 	mu      sync.Mutex
 	encoded map[answerKey][]byte
-	// sending counts the large answers that are being sent.
+	// sending is the number of large answers being sent.
 	sending int
 }
 
-// relayKey names one answer by what it holds. Its position does not: a store that comes
-// back from a copy gives revisions out again, and a list of several pages may hold more
-// than its revision says.
+// answerKey identifies an encoded answer by its content. The position does not suffice: a
+// restored store assigns revisions again, and a list of several pages may hold more than its
+// revision says.
 type answerKey struct {
 	encoding string
 	whole    bool
@@ -55,23 +56,23 @@
 	entries  uint64
 }
 
-// encodedKept bounds the answers that are kept encoded: those of both feeds, as
-// lists and since some revisions. Each is some times smaller than the copy.
+// maxEncodedAnswers is how many encoded answers are cached: those of the feeds, as lists and as
+// changes since a few revisions. Each is several times smaller than the copy.
 const maxEncodedAnswers = 16
 
-// largeAnswer is from which size on sendsAtOnce answers at most are sent at a time: on a
-// small link those sent beside each other all come late. Who is turned away finds those that
-// have got theirs, so that the number of routers that have a copy grows by a factor with each
-// list, and the time for all with the logarithm of the fleet.
+// Of answers of at least largeAnswerBytes, at most maxLargeSends are sent at the same time: on
+// a slow link, more in parallel would all be late. A router that is refused finds others that
+// have received theirs, so the number of routers with a copy grows by a factor with each list,
+// and the time for all with the logarithm of the fleet.
 const (
 	largeAnswerBytes = 64 << 10
 	maxLargeSends    = 2
-	// largeList is from how many objects on a list is large before it is made: when a fleet
-	// starts, hundreds of routers ask one for it at the same moment, and are refused.
+	// A list of at least largeListObjects counts as large before it is encoded: when a fleet
+	// starts, hundreds of routers ask one router for a list at the same moment and are refused.
 	largeListObjects = 1024
 )
 
-// beginSend tells whether a large answer may be sent now.
+// acquireSend reports whether a large answer may be sent now. If so, call releaseSend after it.
 func (s *RelayServer) acquireSend() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -88,13 +89,13 @@
 	s.sending--
 }
 
-// ServeHTTP answers a list, or with the query after a watch; either waits as the
-// query says.
+// ServeHTTP answers a list, or a watch if the query has "after". Both wait as long as the query
+// says, within limits.
 func (s *RelayServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	feed := r.URL.Path[min(len(RelayPath), len(r.URL.Path)):]
 	mirror := s.Mirrors[feed]
 	if mirror == nil {
-		http.Error(w, "no such feed; ask for one that this router follows", http.StatusNotFound)
+		http.Error(w, "unknown feed; request one that this router follows", http.StatusNotFound)
 		return
 	}
 	query, err := parseQuery(r)
@@ -127,7 +128,7 @@
 	}
 }
 
-// question is what another router asks of a copy.
+// relayQuery is another router's request for a copy or its changes.
 type relayQuery struct {
 	watch bool
 	after slipwick.Position
@@ -139,7 +140,7 @@
 	q := relayQuery{
 		watch: query.Has("after"),
 	}
-	// Routers of before ask for a list without a wait.
+	// Older routers request a list without a wait.
 	if query.Has("wait") {
 		wait, err := time.ParseDuration(query.Get("wait"))
 		if err != nil {
@@ -154,7 +155,7 @@
 	if q.after.Revision, err = strconv.ParseUint(query.Get("after"), 10, 64); err != nil {
 		return relayQuery{}, err
 	}
-	// Routers of before tell no timeline.
+	// Older routers send no timeline.
 	if query.Has("timeline") {
 		q.after.Timeline, err = strconv.ParseUint(query.Get("timeline"), 10, 64)
 	}
@@ -168,7 +169,8 @@
 	return mirror.AwaitList(ctx, q.wait)
 }
 
-// answer sends a batch; isReserved says that it may be large.
+// writeAnswer writes a batch as the response. isReserved is true if the caller holds a send
+// from acquireSend already.
 func (s *RelayServer) writeAnswer(w http.ResponseWriter, encoding string, batch *slipwick.FeedBatch, isReserved bool) {
 	body, err := s.encodeCached(answerKey{
 		encoding: encoding,
@@ -194,11 +196,11 @@
 	w.Header().Set(hopsHeader, strconv.Itoa(batch.Hops))
 	w.Header().Set(ageHeader, strconv.FormatInt(batch.Age.Milliseconds(), 10))
 	w.Header().Set(steadyHeader, strconv.FormatInt(batch.Steady.Milliseconds(), 10))
-	// A router that has left needs no answer.
+	// An error means that the other router is gone and needs no answer.
 	_, _ = w.Write(body)
 }
 
-// refuseForNow tells for how long a list is known to be under way.
+// refuseLoading responds with 429 and for how long a list counts as under way.
 func refuseLoading(w http.ResponseWriter, err error) {
 	var loading *slipwick.Error
 	if errors.As(err, &loading) {
@@ -207,7 +209,7 @@
 	http.Error(w, err.Error(), http.StatusTooManyRequests)
 }
 
-// hashOf gives a hash of the entries, in whatever order they stand.
+// hashEntries returns a hash of the entries that does not depend on their order.
 func hashEntries(entries []slipwick.FeedEntry) uint64 {
 	var sum uint64
 	var digest xxhash.Digest
@@ -217,7 +219,7 @@
 		if e.Gone {
 			state = "\x00gone\x00"
 		}
-		// A digest takes all that is written to it.
+		// Writes to a digest never fail.
 		_, _ = digest.WriteString(e.Name)
 		_, _ = digest.WriteString(state)
 		_, _ = digest.Write(e.Value)
@@ -226,7 +228,7 @@
 	return sum
 }
 
-// encode gives the answer's body, compressed.
+// encodeCached returns the compressed body of an answer, from the cache if it is there.
 func (s *RelayServer) encodeCached(key answerKey, batch *slipwick.FeedBatch) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -2,35 +2,33 @@
 
 import "time"
 
-// Rhythm is how long routers wait for the store and for each other, so that
-// what changes is known everywhere in time, also while a router on the way is
-// silent.
+// Rhythm has the wait times of calls between routers and to the store. They are chosen so that
+// every router learns of a change within the time allowed, even if a router on the way has
+// stopped answering.
 type Rhythm struct {
-	// Watch is how long a watch of the store waits, Margin how long after that
-	// it may be answered: a store that has fallen silent is noticed in time
-	// for routers that follow this one.
+	// Watch is how long a watch of the store waits, Margin how much longer its answer may take.
+	// An unresponsive store is detected early enough for the routers that follow this one.
 	Watch, Margin time.Duration
-	// Relay is how long a watch through another router waits, somewhat longer
-	// than one of the store, whose end it is told of. RelayMargin is how long
-	// after that it may be answered, and how long a list may take: together with
-	// a few lists and a call to the store they stay below the time allowed.
+	// Relay is how long a watch at another router waits: somewhat longer than a watch of the
+	// store, at whose end the other router confirms its copy. RelayMargin is how much longer
+	// the answer may take, and the time limit of a list from another router. Together with a
+	// few lists and one call to the store they stay within the time allowed.
 	Relay, RelayMargin time.Duration
-	// Age is how old another router's knowledge may be: the wait of its own
-	// watch and what it takes to notice that the store is silent. TurnStep is how
-	// much later each turn of the routers asks the store themselves.
+	// Age is how old a current copy may be: the wait of the other router's own watch and the
+	// time to detect that the store does not answer. TurnStep is the delay between the turns in
+	// which routers ask the store in place of the watchers.
 	Age, TurnStep time.Duration
-	// Gather is the pause after an answer with changes: more that come soon are
-	// told together.
+	// Gather is the pause after an answer with changes, so that changes in quick succession are
+	// delivered together.
 	Gather time.Duration
 	// Outing is how long a router that failed is not asked again.
 	Outing time.Duration
-	// List bounds one list.
+	// List is the time limit of one list.
 	List time.Duration
 }
 
-// The shares of the time allowed that a Rhythm takes. A watch that ends in
-// silence, or the age of a copy that counts as current, and a list from the store
-// over a slow link fit into it.
+// The fields of a Rhythm as shares of the time allowed. A watch that ends in an outage, or the
+// age of a current copy, fits into it together with a list from the store over a slow link.
 const (
 	watchShare       = 0.4
 	marginShare      = 0.15
@@ -43,17 +41,16 @@
 	listShare        = 1
 )
 
-// DefaultWithin is the time allowed where no settings name one. leastWithin and
-// mostWithin bound what a Rhythm is made for: below, the waits come near what a
-// busy store needs to answer; above, fewer calls are not worth later notice of
-// a silent store.
+// DefaultWithin is the time allowed if the settings have none. minWithin and maxWithin bound
+// it: with less, the waits come close to the response time of a busy store; with more, the
+// calls saved are not worth the later detection of an unresponsive store.
 const (
 	DefaultWithin = 2 * time.Second
 	minWithin     = 600 * time.Millisecond
 	maxWithin     = 4 * time.Second
 )
 
-// RhythmWithin gives the rhythm that has changes known within the time; 0
+// RhythmWithin returns the wait times with which changes are known within the given time; 0
 // stands for DefaultWithin.
 func RhythmWithin(within time.Duration) Rhythm {
 	if within <= 0 {
@@ -76,7 +73,7 @@
 	}
 }
 
-// orDefault gives the default for the zero value.
+// orDefault returns the default if r is the zero value, else r.
 func (r Rhythm) orDefault() Rhythm {
 	if r == (Rhythm{}) {
 		return RhythmWithin(DefaultWithin)
@@ -84,5 +81,5 @@
 	return r
 }
 
-// longestRelay bounds the wait that a router grants another one's watch.
+// maxRelayWait bounds the wait of another router's watch.
 const maxRelayWait = maxWithin
--- a/directory/wirebatch.go
+++ b/directory/wirebatch.go
@@ -6,14 +6,14 @@
 	"github.com/slipwick/slipwick"
 )
 
-// wireBatch is a FeedBatch as routers pass it on. Values that are text go as
-// text, which compresses well.
+// wireBatch is the JSON form of a FeedBatch between routers. Values that are valid UTF-8 are
+// sent as strings, which compress well.
 type wireBatch struct {
 	Entries []wireEntry `json:"entries"`
 	Whole   bool        `json:"whole,omitempty"`
-	// Skipping is told by no router of before: these list anew where it would be.
+	// Older routers send no Skipping; they send a whole list in that case.
 	Skipping bool `json:"skipping,omitempty"`
-	// Timeline is left out by routers of before, and for stores that tell none.
+	// Older routers omit Timeline, and so do those whose store has none.
 	Timeline uint64 `json:"timeline,omitempty"`
 	Revision uint64 `json:"revision"`
 }
