--- a/directory/wirebatch.go
+++ b/directory/wirebatch.go
@@ -11,7 +11,7 @@
 type wireBatch struct {
 	Entries []wireEntry `json:"entries"`
 	Whole   bool        `json:"whole,omitempty"`
-	// Older routers send no Skipping; they send a whole list in that case.
+	// Older routers never send it; a whole list is sent instead.
 	Skipping bool `json:"skipping,omitempty"`
 	// Older routers omit Timeline, and so do those whose store has none.
 	Timeline uint64 `json:"timeline,omitempty"`
