--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -6,11 +6,11 @@
 	"github.com/slipwick/slipwick"
 )
 
-// BenchmarkRequest is what a request that ends well costs besides its run: its key, by a
-// body of 24 KB, and the ledger's part, with all records in use.
+// BenchmarkRequest measures what quarantine adds to a request that completes: hashing a body of 24
+// KB for its key, and the calls to the ledger while all its records are in use.
 func BenchmarkRequest(b *testing.B) {
 	l := NewLedger("r")
-	for key := range Key(2 * recordsKept) {
+	for key := range Key(2 * maxRecords) {
 		l.Hear([]Mark{{Key: key, Server: 1, Life: 1}})
 	}
 	backend := &slipwick.Backend{
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -12,220 +12,223 @@
 	"github.com/slipwick/slipwick"
 )
 
-// The load that ends are told apart under: that of an incident in which a request came
-// ten times a second for a quarter of a minute, at 18 engines with 90 other requests a
-// second, of which some run for seconds.
+// The simulated load is that of an incident: one request came ten times a second for a quarter of a
+// minute, at 18 engines that served 90 other requests a second, some of which ran for seconds.
 const (
-	crowdEngines = 18
-	crowdEvery   = 11 * time.Millisecond
-	crowdFor     = 16 * time.Second
-	badEvery     = 100 * time.Millisecond
-	// badRun is how long the request runs until its engine ends, awayFor how long that
-	// is away, newsAfter how late a router hears of an end, and firstEventAfter how
-	// long a request runs until its first event.
-	badRun          = 80 * time.Millisecond
-	awayFor         = 3 * time.Second
-	newsAfter       = 30 * time.Millisecond
-	firstEventAfter = 60 * time.Millisecond
-	harmlessAfter   = 500 * time.Millisecond
-	meanRun         = 800 * time.Millisecond
-	crowdAttempts   = 2
-	callersTries    = 2
+	simulatedEngines     = 18
+	otherRequestInterval = 11 * time.Millisecond
+	simulatedTime        = 16 * time.Second
+	badRequestInterval   = 100 * time.Millisecond
+	// timeToCrash is how long the crashing request runs until its engine crashes, restartTime how
+	// long the engine is then away, crashDetectionDelay how late a router sees a crash, and
+	// firstEventDelay how long a request runs until its first event. A request that has sent events
+	// for longer than suspicionPeriod is not suspected.
+	timeToCrash         = 80 * time.Millisecond
+	restartTime         = 3 * time.Second
+	crashDetectionDelay = 30 * time.Millisecond
+	firstEventDelay     = 60 * time.Millisecond
+	suspicionPeriod     = 500 * time.Millisecond
+	meanRunTime         = 800 * time.Millisecond
+	maxAttempts         = 2
+	maxCallerTries      = 2
 )
 
-// crowd is requests at engines, on a clock of its own.
-type crowd struct {
+// simulation runs requests at engines, on a simulated clock.
+type simulation struct {
 	random *rand.Rand
 	ledger *Ledger
 	now    time.Duration
-	due    moments
-	// engines are the lives of engines; 0 is one that is away.
-	engines [crowdEngines]int64
-	lives   int64
-	running map[*visit]bool
-	ends    int
-	served  int
-	visits  int
-	// markAll has also those marked that have had events for long.
-	markAll bool
+	events eventQueue
+	// engines are the incarnations of the engines; 0 is an engine that is restarting.
+	engines    [simulatedEngines]int64
+	started    int64
+	running    map[*execution]bool
+	crashes    int
+	completed  int
+	executions int
+	// suspectAll also reports crashes under requests that have sent events for longer than
+	// suspicionPeriod.
+	suspectAll bool
 }
 
-// visit is one request at one engine.
-type visit struct {
+// execution is one attempt of a request at one engine.
+type execution struct {
 	key      Key
 	engine   int
 	began    time.Duration
 	attempts int
 	tries    int
 	run      *Run
-	// number counts the visits, in the order in which they began.
+	// number is the position of this execution in the order in which they began.
 	number int
 }
 
 const badKey Key = 1
 
-func (c *crowd) at(after time.Duration, do func()) {
-	heap.Push(&c.due, moment{
-		at: c.now + after,
+func (s *simulation) schedule(after time.Duration, do func()) {
+	heap.Push(&s.events, event{
+		at: s.now + after,
 		do: do,
 	})
 }
 
-// send sends a request to an engine that lives, if it is not quarantined.
-func (c *crowd) send(v visit) {
-	engine := c.random.IntN(crowdEngines)
-	for c.engines[engine] == 0 {
-		engine = (engine + 1) % crowdEngines
+// send sends a request to a running engine, unless it is quarantined.
+func (s *simulation) send(e execution) {
+	engine := s.random.IntN(simulatedEngines)
+	for s.engines[engine] == 0 {
+		engine = (engine + 1) % simulatedEngines
 	}
-	c.visits++
-	v.engine, v.began, v.number = engine, c.now, c.visits
-	run, ok := c.ledger.Begin(v.key, &slipwick.Backend{
+	s.executions++
+	e.engine, e.began, e.number = engine, s.now, s.executions
+	run, ok := s.ledger.Begin(e.key, &slipwick.Backend{
 		ID:   fmt.Sprint(engine),
-		Born: c.engines[engine],
-	}, false, func() { delete(c.running, &v) })
+		Born: s.engines[engine],
+	}, false, func() { delete(s.running, &e) })
 	if !ok {
 		return
 	}
-	v.run = run
-	c.running[&v] = true
-	after := time.Duration(c.random.ExpFloat64() * float64(meanRun))
-	if v.key == badKey {
-		after = badRun
+	e.run = run
+	s.running[&e] = true
+	after := time.Duration(s.random.ExpFloat64() * float64(meanRunTime))
+	if e.key == badKey {
+		after = timeToCrash
 	}
-	c.at(after, func() {
-		if !c.running[&v] {
+	s.schedule(after, func() {
+		if !s.running[&e] {
 			return
 		}
-		if v.key == badKey {
-			c.end(v.engine)
+		if e.key == badKey {
+			s.crash(e.engine)
 			return
 		}
-		delete(c.running, &v)
-		v.run.End(FateSurvived)
-		c.served++
+		delete(s.running, &e)
+		e.run.End(FateSurvived)
+		s.completed++
 	})
 }
 
-// end has an engine end, and all that runs there sent again.
-func (c *crowd) end(engine int) {
-	c.ends++
-	c.engines[engine] = 0
-	c.at(awayFor, func() {
-		c.lives++
-		c.engines[engine] = c.lives * 10_000
+// crash crashes an engine and retries everything that ran there.
+func (s *simulation) crash(engine int) {
+	s.crashes++
+	s.engines[engine] = 0
+	s.schedule(restartTime, func() {
+		s.started++
+		s.engines[engine] = s.started * 10_000
 	})
-	there := make([]*visit, 0, len(c.running))
-	for v := range c.running {
-		if v.engine == engine {
-			there = append(there, v)
+	executions := make([]*execution, 0, len(s.running))
+	for e := range s.running {
+		if e.engine == engine {
+			executions = append(executions, e)
 		}
 	}
-	// By the order in which they came, so that a seed draws alike.
-	slices.SortFunc(there, func(a, b *visit) int {
+	// Sorted by arrival, because map order would make runs of one seed differ.
+	slices.SortFunc(executions, func(a, b *execution) int {
 		return cmp.Or(cmp.Compare(a.began, b.began), cmp.Compare(a.number, b.number))
 	})
-	for _, v := range there {
-		delete(c.running, v)
+	for _, e := range executions {
+		delete(s.running, e)
 		fate := FateEnded
-		if v.key != badKey && c.now-v.began > firstEventAfter+harmlessAfter && !c.markAll {
+		if e.key != badKey && s.now-e.began > firstEventDelay+suspicionPeriod && !s.suspectAll {
 			fate = FateUnknown
 		}
-		c.at(newsAfter, func() { v.run.End(fate) })
-		again := *v
-		again.attempts++
-		if again.attempts >= crowdAttempts {
-			again.attempts, again.tries = 0, again.tries+1
+		s.schedule(crashDetectionDelay, func() { e.run.End(fate) })
+		retry := *e
+		retry.attempts++
+		if retry.attempts >= maxAttempts {
+			retry.attempts, retry.tries = 0, retry.tries+1
 		}
-		if again.tries < callersTries {
-			c.at(newsAfter/2, func() { c.send(again) })
+		if retry.tries < maxCallerTries {
+			s.schedule(crashDetectionDelay/2, func() { s.send(retry) })
 		}
 	}
 }
 
-// play has the request come until it is over, and gives what was told of the others.
-func (c *crowd) play() (quarantined, twice, others int) {
-	for engine := range c.engines {
-		c.lives++
-		c.engines[engine] = c.lives * 10_000
+// run sends the crashing request and the others until all have ended. It returns how many of the
+// others were quarantined, how many have two crashes, and how many there were.
+func (s *simulation) run() (quarantined, twice, others int) {
+	for engine := range s.engines {
+		s.started++
+		s.engines[engine] = s.started * 10_000
 	}
-	for at := time.Duration(0); at < crowdFor; at += crowdEvery {
-		key := Key(c.random.Uint64()) + 2
+	for at := time.Duration(0); at < simulatedTime; at += otherRequestInterval {
+		key := Key(s.random.Uint64()) + 2
 		others++
-		c.at(at, func() {
-			c.send(visit{
+		s.schedule(at, func() {
+			s.send(execution{
 				key: key,
 			})
 		})
 	}
-	for at := time.Second; at < crowdFor; at += badEvery {
-		c.at(at, func() {
-			c.send(visit{
+	for at := time.Second; at < simulatedTime; at += badRequestInterval {
+		s.schedule(at, func() {
+			s.send(execution{
 				key: badKey,
 			})
 		})
 	}
-	for len(c.due) > 0 {
-		next := heap.Pop(&c.due).(moment)
-		c.now = next.at
+	for len(s.events) > 0 {
+		next := heap.Pop(&s.events).(event)
+		s.now = next.at
 		next.do()
 	}
-	for _, key := range c.ledger.records.Keys() {
-		r, _ := c.ledger.records.Peek(key)
+	for _, key := range s.ledger.records.Keys() {
+		r, _ := s.ledger.records.Peek(key)
 		switch {
 		case key == badKey:
 		case r.quarantined:
 			quarantined++
-		case len(r.marks) >= 2:
+		case len(r.crashes) >= 2:
 			twice++
 		}
 	}
 	return quarantined, twice, others
 }
 
-func newCrowd(seed uint64) *crowd {
-	return &crowd{
+func newSimulation(seed uint64) *simulation {
+	return &simulation{
 		random:  rand.New(rand.NewPCG(seed, seed)),
 		ledger:  NewLedger("r"),
-		running: make(map[*visit]bool),
+		running: make(map[*execution]bool),
 	}
 }
 
-// TestBystandersAreNotQuarantined has one request end engines beside a crowd of others, which
-// are sent again together with it: it alone is quarantined, and soon.
-func TestBystandersAreNotQuarantined(t *testing.T) {
-	var ends, quarantined, twice, others int
+// TestUnrelatedRequestsAreNotQuarantined runs one request that crashes engines among others, which
+// share its crashes and are retried together with it. It alone must be quarantined, before it has
+// crashed many engines.
+func TestUnrelatedRequestsAreNotQuarantined(t *testing.T) {
+	var crashes, quarantined, twice, others int
 	const seeds = 8
 	for seed := range uint64(seeds) {
-		c := newCrowd(seed)
-		h, w, o := c.play()
-		ends, quarantined, twice, others = ends+c.ends, quarantined+h, twice+w, others+o
-		if !c.ledger.IsQuarantined(badKey) {
-			t.Errorf("seed %d: got the request that ends engines not quarantined", seed)
+		s := newSimulation(seed)
+		q, w, o := s.run()
+		crashes, quarantined, twice, others = crashes+s.crashes, quarantined+q, twice+w, others+o
+		if !s.ledger.IsQuarantined(badKey) {
+			t.Errorf("seed %d: got the request that crashes engines not quarantined", seed)
 		}
-		if c.ends > 2*mostEnds {
-			t.Errorf("seed %d: got %d engines ended, want at most %d", seed, c.ends, 2*mostEnds)
+		if s.crashes > 2*quarantineThreshold {
+			t.Errorf("seed %d: got %d engines crashed, want at most %d", seed, s.crashes, 2*quarantineThreshold)
 		}
 	}
-	t.Logf("%d engines ended, %d others of %d quarantined, %d with two ends", ends, quarantined, others, twice)
+	t.Logf("%d engines crashed, %d others of %d quarantined, %d with two crashes", crashes, quarantined, others, twice)
 	if quarantined > 0 {
 		t.Errorf("got %d others of %d quarantined, want none", quarantined, others)
 	}
 }
 
-// moment is something to do at a time, moments are those to come.
-type moment struct {
+// event is a scheduled function call, eventQueue a heap of events by time.
+type event struct {
 	at time.Duration
 	do func()
 }
 
-type moments []moment
+type eventQueue []event
 
-func (m moments) Len() int           { return len(m) }
-func (m moments) Less(i, j int) bool { return m[i].at < m[j].at }
-func (m moments) Swap(i, j int)      { m[i], m[j] = m[j], m[i] }
-func (m *moments) Push(x any)        { *m = append(*m, x.(moment)) }
-func (m *moments) Pop() any {
-	last := (*m)[len(*m)-1]
-	*m = (*m)[:len(*m)-1]
+func (q eventQueue) Len() int           { return len(q) }
+func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
+func (q *eventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,2 +1,3 @@
-// Package quarantine keeps requests from backend servers that end under them.
+// Package quarantine detects requests that crash the backend servers that run them, and stops such
+// requests from being sent.
 package quarantine
--- a/quarantine/key_test.go
+++ b/quarantine/key_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestKeysTellRequestsApart has requests that differ in one field, or have the same
-// bytes in other fields.
-func TestKeysTellRequestsApart(t *testing.T) {
+// TestKeyOfDistinguishesRequests compares requests that differ in one field, or that split the same
+// bytes differently between the fields.
+func TestKeyOfDistinguishesRequests(t *testing.T) {
 	type request struct {
 		workspace, method, target, body string
 	}
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -13,56 +13,58 @@
 )
 
 const (
-	// recordsKept bounds the requests that are remembered: some 300 bytes each. An
-	// engine that ends leaves a few dozen, and those that come again stay.
-	recordsKept = 4096
-	// newsKept bounds the marks that wait to be told; more is told by Recent.
-	newsKept = 512
-	// recentFor is for how long a change is told again.
-	recentFor = 10 * time.Second
+	// maxRecords bounds the requests that are remembered, at about 300 bytes each. A server that
+	// crashes adds a few dozen, and requests that are retried are kept as the most recently used.
+	maxRecords = 4096
+	// maxPending bounds the crashes that wait to be sent to the other routers; Recent returns any
+	// beyond that.
+	maxPending = 512
+	// recentPeriod is how long Recent returns the crashes of a record after a change.
+	recentPeriod = 10 * time.Second
 )
 
-// Ledger remembers under which requests backend servers ended, and quarantines those
-// under which several did: a request that ends each server that begins to run it would
-// go on to end one after the other, at whichever router its caller asks, and with it
-// all that runs there.
+// Ledger tracks which requests were running when backend servers crashed, and quarantines those
+// under which several crashed. Otherwise a request that crashes each server that runs it would take
+// down one after the other, whichever router the caller asks, together with everything else that
+// runs there.
 //
-// A router's own runs and what others tell make one set of marks. It only grows, so
-// that routers which heard the same, in any order, judge alike. Set the exported
-// fields before the first call; the functions must not call back.
+// The crashes that a router sees itself and those that other routers report form one set. The set
+// only grows, so that routers which received the same crashes, in any order, reach the same
+// decision. Set the exported fields before the first call; the callbacks must not call back into
+// it.
 type Ledger struct {
-	// Self is the router's ID, Routers gives those that live.
+	// Self is the router's ID, Routers returns the live routers.
 	Self    string
 	Routers func() []slipwick.Router
-	// OnNews is called when there is something to tell the other routers.
+	// OnNews is called when there are crashes to send to the other routers.
 	OnNews func()
-	// OnQuarantined is told of each request that is quarantined from now on, and how many servers
-	// ended under it, OnReleased of each that is not any more.
-	OnQuarantined func(key Key, ends int)
+	// OnQuarantined is called for each request that becomes quarantined, with the number of servers
+	// that crashed under it, and OnReleased for each that is no longer quarantined.
+	OnQuarantined func(key Key, crashes int)
 	OnReleased    func(key Key)
 
 	mu      sync.Mutex
 	records *lru.LRU[Key, *record]
-	// survived is when requests ran to their end here last.
-	survived *lru.LRU[Key, time.Time]
-	running  map[Key][]*Run
-	news     []Mark
-	// turned are the requests whose verdict changed and was not yet told of.
-	turned []turn
+	// completedAt is when each request last completed at this router.
+	completedAt *lru.LRU[Key, time.Time]
+	running     map[Key][]*Run
+	pending     []Mark
+	// changes are the requests whose status changed and whose callbacks were not called yet.
+	changes []statusChange
 }
 
-// turn is a verdict that changed.
-type turn struct {
+// statusChange is a request that became quarantined or was released.
+type statusChange struct {
 	key         Key
 	quarantined bool
-	ends        int
+	crashes     int
 }
 
-// NewLedger makes an empty ledger.
+// NewLedger returns an empty ledger for the router with this ID.
 func NewLedger(self string) *Ledger {
-	// The size is positive.
-	records, _ := lru.NewLRU[Key, *record](recordsKept, nil)
-	survived, _ := lru.NewLRU[Key, time.Time](recordsKept, nil)
+	// NewLRU fails only for sizes that are not positive.
+	records, _ := lru.NewLRU[Key, *record](maxRecords, nil)
+	completedAt, _ := lru.NewLRU[Key, time.Time](maxRecords, nil)
 	return &Ledger{
 		Self:          self,
 		Routers:       func() []slipwick.Router { return nil },
@@ -70,12 +72,12 @@
 		OnQuarantined: func(Key, int) {},
 		OnReleased:    func(Key) {},
 		records:       records,
-		survived:      survived,
+		completedAt:   completedAt,
 		running:       make(map[Key][]*Run),
 	}
 }
 
-// IsQuarantined tells whether the request gets no backend server.
+// IsQuarantined reports whether the request is quarantined.
 func (l *Ledger) IsQuarantined(key Key) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -83,21 +85,22 @@
 	return isKnown && r.quarantined
 }
 
-// Admission is what a request may do.
+// Admission says whether a request may be sent to a backend server.
 type Admission struct {
-	// Refused says that the request gets no backend server, and RetryAfter when it may
-	// be tried again at the earliest.
+	// Refused says that the request must not be sent, and RetryAfter how long the caller has to
+	// wait at least before it tries again.
 	Refused    bool
 	RetryAfter time.Duration
-	// Trial says that it is quarantined, and that this try is to show whether it still has to
-	// be.
+	// Trial says that the request is quarantined, but is sent once to find out whether it still
+	// crashes servers.
 	Trial bool
 }
 
-// leastRetryAfter is the shortest time that a caller is told: only one router may try.
-const leastRetryAfter = time.Second
+// minRetryAfter is the shortest wait returned to a caller. It applies when a trial is due, but
+// another router has to run it.
+const minRetryAfter = time.Second
 
-// Admit tells what a request that has just come may do.
+// Admit decides whether a new request may be sent.
 func (l *Ledger) Admit(key Key) Admission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -106,30 +109,30 @@
 		return Admission{}
 	}
 	now := clock.Now()
-	wait := r.untilTry(now)
-	if wait > 0 || !l.triesAgain(key) {
+	wait := r.untilNextTrial(now)
+	if wait > 0 || !l.ownsTrial(key) {
 		return Admission{
 			Refused:    true,
-			RetryAfter: max(wait, leastRetryAfter),
+			RetryAfter: max(wait, minRetryAfter),
 		}
 	}
-	r.triedAt = now
+	r.lastTrial = now
 	return Admission{
 		Trial: true,
 	}
 }
 
-// triesAgain tells whether this router is the one that tries the request again: all of
-// them at once would end many servers.
-func (l *Ledger) triesAgain(key Key) bool {
+// ownsTrial reports whether this router is the one that runs the trials of the request: a trial at
+// each router would crash many servers at once.
+func (l *Ledger) ownsTrial(key Key) bool {
 	routers := l.Routers()
 	chosen := placement.Choose(uint64(key), routers)
 	return chosen < 0 || routers[chosen].ID == l.Self
 }
 
-// Begin notes that the request is sent to a backend server; false if it is quarantined, and
-// this is no trial. When it is quarantined from then on, stop is called: a server that has not
-// begun to run it need not end.
+// Begin records that the request is sent to a backend server. It returns false if the request is
+// quarantined and this is no trial. If the request becomes quarantined before the attempt ends,
+// stop is called, so that the attempt can be aborted before the server begins to run the request.
 func (l *Ledger) Begin(key Key, backend *slipwick.Backend, isTrial bool, stop func()) (*Run, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +141,7 @@
 	}
 	run := &Run{
 		ledger: l,
-		mark: Mark{
+		crash: Mark{
 			Key:    key,
 			Server: placement.IDHash(backend.ID),
 			Life:   backend.Born,
@@ -149,104 +152,106 @@
 	return run, true
 }
 
-func (l *Ledger) forgetRunLocked(run *Run) {
-	key := run.mark.Key
-	rest := slices.DeleteFunc(l.running[key], func(other *Run) bool { return other == run })
-	if len(rest) == 0 {
+func (l *Ledger) removeAttemptLocked(run *Run) {
+	key := run.crash.Key
+	remaining := slices.DeleteFunc(l.running[key], func(other *Run) bool { return other == run })
+	if len(remaining) == 0 {
 		delete(l.running, key)
 		return
 	}
-	l.running[key] = rest
+	l.running[key] = remaining
 }
 
-// takeLocked takes a mark, and judges the request anew if it says anything new.
-func (l *Ledger) takeLocked(mark Mark) {
-	r, isKnown := l.records.Get(mark.Key)
+// addCrashLocked adds a crash, and updates the request's status if the crash is new.
+func (l *Ledger) addCrashLocked(crash Mark) {
+	r, isKnown := l.records.Get(crash.Key)
 	if !isKnown {
 		r = &record{}
-		l.records.Add(mark.Key, r)
+		l.records.Add(crash.Key, r)
 	}
-	if !r.add(mark, clock.Now()) {
+	if !r.add(crash, clock.Now()) {
 		return
 	}
-	if len(l.news) < newsKept {
-		l.news = append(l.news, mark)
+	if len(l.pending) < maxPending {
+		l.pending = append(l.pending, crash)
 	}
-	ends := r.ends()
-	quarantined := ends >= mostEnds
+	crashes := r.countCrashes()
+	quarantined := crashes >= quarantineThreshold
 	if quarantined == r.quarantined {
 		return
 	}
 	r.quarantined = quarantined
-	l.turned = append(l.turned, turn{
-		key:         mark.Key,
+	l.changes = append(l.changes, statusChange{
+		key:         crash.Key,
 		quarantined: quarantined,
-		ends:        ends,
+		crashes:     crashes,
 	})
 	if quarantined {
-		for _, run := range l.running[mark.Key] {
+		for _, run := range l.running[crash.Key] {
 			run.stop()
 		}
 	}
 }
 
-// isHarmlessLocked tells whether the request ran to its end here a moment ago.
-func (l *Ledger) isHarmlessLocked(key Key) bool {
-	at, isKnown := l.survived.Get(key)
-	return isKnown && clock.Since(at) < harmlessFor
+// completedRecentlyLocked reports whether the request completed at this router within
+// recentCompletionPeriod.
+func (l *Ledger) completedRecentlyLocked(key Key) bool {
+	at, isKnown := l.completedAt.Get(key)
+	return isKnown && clock.Since(at) < recentCompletionPeriod
 }
 
-// excuseLocked notes that a server ran the request to its end.
-func (l *Ledger) excuseLocked(key Key) {
-	l.survived.Add(key, clock.Now())
+// recordCompletionLocked records that a server completed the request, which excuses it from its
+// crashes.
+func (l *Ledger) recordCompletionLocked(key Key) {
+	l.completedAt.Add(key, clock.Now())
 	r, isKnown := l.records.Peek(key)
 	if !isKnown {
 		return
 	}
-	for _, mark := range slices.Clone(r.marks) {
-		mark.Excused = true
-		l.takeLocked(mark)
+	for _, crash := range slices.Clone(r.crashes) {
+		crash.Excused = true
+		l.addCrashLocked(crash)
 	}
 }
 
-// Hear takes what another router told.
-func (l *Ledger) Hear(marks []Mark) {
+// Hear adds crashes that another router reported.
+func (l *Ledger) Hear(crashes []Mark) {
 	l.mu.Lock()
-	for _, mark := range marks {
-		l.takeLocked(mark)
+	for _, crash := range crashes {
+		l.addCrashLocked(crash)
 	}
-	l.unlockAndTell()
+	l.unlockAndNotify()
 }
 
-// unlockAndTell ends the lock, and tells of what changed under it.
-func (l *Ledger) unlockAndTell() {
-	turned, hasNews := l.turned, len(l.news) > 0
-	l.turned = nil
+// unlockAndNotify releases the lock and calls the callbacks for what changed while it was held.
+func (l *Ledger) unlockAndNotify() {
+	changes, hasPending := l.changes, len(l.pending) > 0
+	l.changes = nil
 	l.mu.Unlock()
-	for _, t := range turned {
-		if t.quarantined {
-			l.OnQuarantined(t.key, t.ends)
+	for _, c := range changes {
+		if c.quarantined {
+			l.OnQuarantined(c.key, c.crashes)
 		} else {
-			l.OnReleased(t.key)
+			l.OnReleased(c.key)
 		}
 	}
-	if hasNews {
+	if hasPending {
 		l.OnNews()
 	}
 }
 
-// News gives the marks that were not told yet.
+// News removes and returns the crashes that were not yet sent to the other routers.
 func (l *Ledger) News() []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	news := l.news
-	l.news = nil
-	return news
+	crashes := l.pending
+	l.pending = nil
+	return crashes
 }
 
-// Recent gives the marks of requests that are quarantined, and then of those that changed
-// lately, up to a number: for routers that started since, or missed the news.
-func (l *Ledger) Recent(most int) []Mark {
+// Recent returns up to limit crashes: first those of quarantined requests, then those of requests
+// with several crashes whose record changed recently. They are for routers that started since, or that missed an update.
+func (l *Ledger) Recent(limit int) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var quarantined, changed []Mark
@@ -254,16 +259,16 @@
 	for _, r := range l.records.Values() {
 		switch {
 		case r.quarantined:
-			quarantined = append(quarantined, r.marks...)
-		case len(r.marks) > 1 && now.Sub(r.changed) < recentFor:
-			changed = append(changed, r.marks...)
+			quarantined = append(quarantined, r.crashes...)
+		case len(r.crashes) > 1 && now.Sub(r.changedAt) < recentPeriod:
+			changed = append(changed, r.crashes...)
 		}
 	}
-	marks := slices.Concat(quarantined, changed)
-	return marks[:min(len(marks), most)]
+	crashes := slices.Concat(quarantined, changed)
+	return crashes[:min(len(crashes), limit)]
 }
 
-// Count counts the requests that get no backend server.
+// Count returns the number of quarantined requests.
 func (l *Ledger) Count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -13,91 +13,93 @@
 	"github.com/slipwick/slipwick"
 )
 
-// sendTo has a request run at a life of a backend server, and meet a fate there.
-func sendTo(t *testing.T, l *Ledger, key Key, id string, born int64, fate Fate) {
+// runAttempt runs a request at an incarnation of a backend server, with the given outcome.
+func runAttempt(t *testing.T, l *Ledger, key Key, id string, born int64, fate Fate) {
 	t.Helper()
 	run, ok := l.Begin(key, &slipwick.Backend{
 		ID:   id,
 		Born: born,
 	}, false, func() {})
 	if !ok {
-		t.Fatalf("request %v at %s: got quarantined, want it sent", key, id)
+		t.Fatalf("request %v at %s: got it quarantined, want it sent", key, id)
 	}
 	run.End(fate)
 }
 
-func TestThirdEndQuarantinesARequest(t *testing.T) {
+func TestThirdCrashQuarantinesRequest(t *testing.T) {
 	l := NewLedger("r")
 	var quarantined []int
-	l.OnQuarantined = func(_ Key, ends int) { quarantined = append(quarantined, ends) }
+	l.OnQuarantined = func(_ Key, crashes int) { quarantined = append(quarantined, crashes) }
 	for i, id := range []string{"a", "b", "c"} {
 		if l.IsQuarantined(7) {
-			t.Errorf("got quarantined after %d ends", i)
+			t.Errorf("got quarantined after %d crashes", i)
 		}
-		sendTo(t, l, 7, id, 0, FateEnded)
+		runAttempt(t, l, 7, id, 0, FateEnded)
 	}
-	if got := l.Admit(7); !got.Refused || got.RetryAfter < firstPause/2 {
-		t.Errorf("got %+v after three ends, want it quarantined, and when to come back", got)
+	if got := l.Admit(7); !got.Refused || got.RetryAfter < initialBackoff/2 {
+		t.Errorf("got %+v after three crashes, want it refused with a time to wait", got)
 	}
 	if _, ok := l.Begin(7, &slipwick.Backend{}, false, func() {}); ok {
 		t.Error("got a quarantined request sent")
 	}
 	if l.Admit(8).Refused || l.Count() != 1 || !slices.Equal(quarantined, []int{3}) {
-		t.Errorf("got %d quarantined, told of %v, want one that three ended under", l.Count(), quarantined)
+		t.Errorf("got %d quarantined, callbacks %v, want one with three crashes", l.Count(), quarantined)
 	}
 }
 
-// TestEndsCountByLife has two routers see the same end, and one server end twice.
-func TestEndsCountByLife(t *testing.T) {
+// TestCrashesAreCountedPerIncarnation reports one crash several times, as two routers that see it
+// do, and has one server crash in two incarnations.
+func TestCrashesAreCountedPerIncarnation(t *testing.T) {
 	l := NewLedger("r")
 	for range 4 {
-		sendTo(t, l, 7, "a", 1_000, FateEnded)
+		runAttempt(t, l, 7, "a", 1_000, FateEnded)
 	}
 	l.Hear([]Mark{{Key: 7, Server: 5, Life: 2_000}, {Key: 7, Server: 5, Life: 2_400}})
 	if l.IsQuarantined(7) {
-		t.Error("got quarantined after the ends of two lives, want three")
+		t.Error("got quarantined after the crashes of two incarnations, want three")
 	}
-	sendTo(t, l, 7, "a", 9_000, FateEnded)
+	runAttempt(t, l, 7, "a", 9_000, FateEnded)
 	if !l.IsQuarantined(7) {
-		t.Error("got not quarantined after the end of a second life under one ID, want three counted")
+		t.Error("got not quarantined after a second incarnation with the same ID crashed, want three crashes")
 	}
 }
 
-// TestLivesWithoutABirthAreToldApartByTime ends servers that do not say when they began.
-func TestLivesWithoutABirthAreToldApartByTime(t *testing.T) {
+// TestIncarnationsWithoutStartTimeAreDistinguishedByCrashTime crashes a server that does not report
+// when it started.
+func TestIncarnationsWithoutStartTimeAreDistinguishedByCrashTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLedger("r")
 		for i := range 3 {
 			second, _ := l.Begin(7, &slipwick.Backend{
 				ID: "a",
 			}, false, func() {})
-			sendTo(t, l, 7, "a", 0, FateEnded)
+			runAttempt(t, l, 7, "a", 0, FateEnded)
 			second.End(FateEnded)
 			if got, want := l.IsQuarantined(7), i == 2; got != want {
-				t.Errorf("got quarantined %t after %d ends of one server, want %t", got, i+1, want)
+				t.Errorf("got quarantined %t after %d crashes of one server, want %t", got, i+1, want)
 			}
 			time.Sleep(2 * time.Second)
 		}
 	})
 }
 
-// TestRequestThatRanWellIsExcused lets one run to its end after two ends. News of the
-// earlier ends that come late change nothing.
-func TestRequestThatRanWellIsExcused(t *testing.T) {
+// TestCompletedRequestIsExcused lets a request complete after two crashes. Late reports of the
+// earlier crashes must change nothing.
+func TestCompletedRequestIsExcused(t *testing.T) {
 	l := NewLedger("r")
-	sendTo(t, l, 7, "a", 1_000, FateEnded)
-	sendTo(t, l, 7, "b", 1_000, FateEnded)
+	runAttempt(t, l, 7, "a", 1_000, FateEnded)
+	runAttempt(t, l, 7, "b", 1_000, FateEnded)
 	early := l.News()
-	sendTo(t, l, 7, "c", 1_000, FateSurvived)
+	runAttempt(t, l, 7, "c", 1_000, FateSurvived)
 	l.Hear(early)
-	sendTo(t, l, 7, "d", 1_000, FateEnded)
+	runAttempt(t, l, 7, "d", 1_000, FateEnded)
 	if l.IsQuarantined(7) {
-		t.Error("got quarantined by ends that were excused")
+		t.Error("got quarantined by excused crashes")
 	}
 	other := NewLedger("s")
 	other.Hear(slices.Concat(early, []Mark{{Key: 7, Server: 9, Life: 1}}))
 	if !other.IsQuarantined(7) {
-		t.Fatal("another router: got not quarantined after three ends")
+		t.Fatal("another router: got not quarantined after three crashes")
 	}
 	released := 0
 	other.OnReleased = func(Key) { released++ }
@@ -108,16 +110,16 @@
 	}
 }
 
-// TestRunsAreStoppedWhenTheirRequestIsQuarantined has one wait at a server when the third of
-// the others ends.
-func TestRunsAreStoppedWhenTheirRequestIsQuarantined(t *testing.T) {
+// TestAttemptsStopWhenRequestIsQuarantined has one attempt wait at a server while three others end
+// with crashes.
+func TestAttemptsStopWhenRequestIsQuarantined(t *testing.T) {
 	l := NewLedger("r")
 	stopped := 0
 	run, _ := l.Begin(7, &slipwick.Backend{
 		ID: "d",
 	}, false, func() { stopped++ })
 	for _, id := range []string{"a", "b", "c"} {
-		sendTo(t, l, 7, id, 0, FateEnded)
+		runAttempt(t, l, 7, id, 0, FateEnded)
 	}
 	if stopped != 1 {
 		t.Errorf("got %d stops, want one", stopped)
@@ -128,9 +130,9 @@
 	}
 }
 
-// TestOneRouterTriesAgain waits out the pauses of a request that goes on to end servers,
-// and is served at last.
-func TestOneRouterTriesAgain(t *testing.T) {
+// TestOneRouterRunsTrials waits out the backoff of a request that crashes servers in two trials and
+// completes in the third.
+func TestOneRouterRunsTrials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		routers := []slipwick.Router{{ID: "r1"}, {ID: "r2"}, {ID: "r3"}}
 		var ledgers []*Ledger
@@ -139,7 +141,7 @@
 			l.Routers = func() []slipwick.Router { return routers }
 			ledgers = append(ledgers, l)
 		}
-		hear := func() {
+		exchange := func() {
 			var news []Mark
 			for _, l := range ledgers {
 				news = append(news, l.News()...)
@@ -150,11 +152,11 @@
 			}
 		}
 		for _, id := range []string{"a", "b", "c"} {
-			sendTo(t, ledgers[0], 7, id, 0, FateEnded)
+			runAttempt(t, ledgers[0], 7, id, 0, FateEnded)
 		}
-		hear()
+		exchange()
 		started := time.Now()
-		for i, want := range []time.Duration{firstPause, 3 * firstPause, 7 * firstPause} {
+		for i, want := range []time.Duration{initialBackoff, 3 * initialBackoff, 7 * initialBackoff} {
 			var trials int
 			for trials == 0 {
 				time.Sleep(time.Second)
@@ -171,35 +173,35 @@
 					}
 				}
 			}
-			hear()
-			if got := time.Since(started).Round(firstPause); trials != 1 || got != want {
+			exchange()
+			if got := time.Since(started).Round(initialBackoff); trials != 1 || got != want {
 				t.Errorf("trial %d: got %d tries after %v, want one after %v", i, trials, got, want)
 			}
 		}
 		for _, l := range ledgers {
 			if l.Count() != 0 {
-				t.Errorf("router %s: got quarantined after it ran well, want it served", l.Self)
+				t.Errorf("router %s: got quarantined after it completed, want it released", l.Self)
 			}
 		}
 	})
 }
 
-// TestRoutersThatHeardTheSameHoldTheSame has routers hear the same marks in any order,
-// some twice.
-func TestRoutersThatHeardTheSameHoldTheSame(t *testing.T) {
+// TestRoutersAgreeInAnyOrderOfCrashes gives two routers the same crashes in different orders, some
+// of them twice.
+func TestRoutersAgreeInAnyOrderOfCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		marks := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Mark {
+		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Mark {
 			return Mark{
 				Key:     Key(rapid.IntRange(1, 4).Draw(t, "key")),
 				Server:  uint64(rapid.IntRange(1, 3).Draw(t, "server")),
 				Life:    int64(rapid.IntRange(1, 3).Draw(t, "life")) * 5_000,
 				Excused: rapid.IntRange(0, 3).Draw(t, "excused") == 0,
 			}
-		}), 0, 40).Draw(t, "marks")
+		}), 0, 40).Draw(t, "crashes")
 		a, b := NewLedger("a"), NewLedger("b")
-		a.Hear(marks)
-		for _, mark := range rapid.Permutation(slices.Concat(marks, marks[:len(marks)/2])).Draw(t, "order") {
-			b.Hear([]Mark{mark})
+		a.Hear(crashes)
+		for _, crash := range rapid.Permutation(slices.Concat(crashes, crashes[:len(crashes)/2])).Draw(t, "order") {
+			b.Hear([]Mark{crash})
 		}
 		for key := range Key(5) {
 			if got, want := b.IsQuarantined(key), a.IsQuarantined(key); got != want {
@@ -209,36 +211,36 @@
 	})
 }
 
-// TestLedgerIsBounded has far more requests than are kept, one of them quarantined and asked
-// for now and then.
-func TestLedgerIsBounded(t *testing.T) {
+// TestNumberOfRecordsIsBounded adds far more requests than are kept. One of them is quarantined and
+// asked for now and then, and must not be evicted.
+func TestNumberOfRecordsIsBounded(t *testing.T) {
 	l := NewLedger("r")
 	for _, id := range []string{"a", "b", "c"} {
-		sendTo(t, l, 1, id, 0, FateEnded)
+		runAttempt(t, l, 1, id, 0, FateEnded)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
-	for i := range 5 * recordsKept {
-		sendTo(t, l, Key(random.Uint64()), "d", 0, FateEnded)
+	for i := range 5 * maxRecords {
+		runAttempt(t, l, Key(random.Uint64()), "d", 0, FateEnded)
 		if i%1000 == 0 && !l.Admit(1).Refused {
 			t.Fatalf("got the quarantined request forgotten after %d others", i)
 		}
 	}
-	if got := l.records.Len(); got > recordsKept {
-		t.Errorf("got %d records, want at most %d", got, recordsKept)
+	if got := l.records.Len(); got > maxRecords {
+		t.Errorf("got %d records, want at most %d", got, maxRecords)
 	}
-	if got := len(l.News()); got > newsKept {
-		t.Errorf("got %d marks to tell, want at most %d", got, newsKept)
+	if got := len(l.News()); got > maxPending {
+		t.Errorf("got %d crashes to send, want at most %d", got, maxPending)
 	}
 	recent := l.Recent(10)
 	if len(recent) > 10 || recent[0].Key != 1 {
-		t.Errorf("got %v told again, want the quarantined one first and at most ten", recent)
+		t.Errorf("got %v from Recent, want those of the quarantined request first and at most ten", recent)
 	}
 }
 
-// TestPopularRequestOutlivesEndsAtOnce has callers ask for one thing fifty times a
-// second, and three of four servers end at the same moment, as when a rack fails: each of
-// them runs it then, and it is none of its doing.
-func TestPopularRequestOutlivesEndsAtOnce(t *testing.T) {
+// TestPopularRequestSurvivesSimultaneousCrashes sends one request fifty times a second and crashes
+// three of four servers at the same moment, as when a rack fails: each of them runs the request
+// then, though it is not the cause.
+func TestPopularRequestSurvivesSimultaneousCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewLedger("r")
 		begin := func(server string) *Run {
@@ -258,16 +260,16 @@
 			run.End(FateEnded)
 		}
 		if l.IsQuarantined(7) {
-			t.Error("got a request quarantined that ran well a moment before")
+			t.Error("got a request quarantined that completed a moment before")
 		}
-		// Were it to end servers from now on, it would be found out all the same.
-		time.Sleep(harmlessFor)
+		// A request that crashes servers from now on must still be detected.
+		time.Sleep(recentCompletionPeriod)
 		for _, server := range []string{"s3", "s4", "s5"} {
 			begin(server).End(FateEnded)
 			time.Sleep(time.Second)
 		}
 		if !l.IsQuarantined(7) {
-			t.Error("got a request not quarantined under which three servers ended, and that ran well nowhere since")
+			t.Error("got a request not quarantined that three servers crashed under since it last completed")
 		}
 	})
 }
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Mark says that a backend server ended under a request.
+// Mark records that a backend server crashed while it ran a request.
 type Mark struct {
 	Key Key
 	// Server is the hash of the backend server's ID.
 	Server uint64
-	// Life tells the server's lives apart: when this one began, as the server says,
-	// or when it was seen to end, in Unix milliseconds.
+	// Life identifies the incarnation of the server: the time at which it started, as the server
+	// reports it, or else the time at which its crash was seen, in Unix milliseconds.
 	Life int64
-	// Excused says that the request has run to its end since, at any server, so that
-	// the end of this one was probably none of its doing.
+	// Excused says that the request has since completed, at any server, so that it probably did not
+	// cause this crash.
 	Excused bool
 }
 
-// lifeBlur is how far apart the times may be that routers give for one life: their
-// clocks and what they see differ by milliseconds, and a server that ended takes
-// seconds to be back.
-const lifeBlur = time.Second
+// incarnationTolerance is the largest difference between the times that routers report for one
+// incarnation: their clocks and observations differ by milliseconds, and a crashed server takes
+// seconds to restart.
+const incarnationTolerance = time.Second
 
-// isSameLife tells whether both marks are of one life of one server.
-func (m *Mark) isSameLife(other *Mark) bool {
+// isSameIncarnation reports whether both crashes are of the same incarnation of the same server.
+func (m *Mark) isSameIncarnation(other *Mark) bool {
 	apart := time.Duration(m.Life-other.Life) * time.Millisecond
-	return m.Server == other.Server && apart.Abs() < lifeBlur
+	return m.Server == other.Server && apart.Abs() < incarnationTolerance
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -6,97 +6,98 @@
 )
 
 const (
-	// mostEnds is how many lives of backend servers may end under a request before it
-	// is quarantined. Others that ran at the same servers share an end by chance, and two when
-	// they are sent again together with it.
-	mostEnds = 3
-	// firstPause is how long after the last end a request that is quarantined may be tried
-	// again, once in the whole fleet. It doubles with each further end, up to
-	// longestPause: a server that ends costs all that runs there, and a request that
-	// was quarantined by mistake, or is harmless since the servers were mended, is to be
-	// served some day.
-	firstPause   = 10 * time.Minute
-	longestPause = 24 * time.Hour
-	// mostMarks bounds the marks kept of one request; later ones say nothing new.
-	mostMarks = 16
-	// harmlessFor is for how long after a run to its end a request is no suspect: what many
-	// ask for runs at several servers when these end together, as a rack does, and nothing
-	// ran well in between. One that ends servers never runs to its end.
-	harmlessFor = 10 * time.Second
+	// quarantineThreshold is the number of server incarnations that have to crash under a request
+	// before it is quarantined. Unrelated requests that ran at the same servers share one crash by
+	// chance, and two if they are retried together with the request at fault.
+	quarantineThreshold = 3
+	// initialBackoff is the time after the last crash until a quarantined request may be tried
+	// again, once in the whole fleet. It doubles with each further crash, up to maxBackoff: a crash
+	// costs everything that runs at the server, but a request that was quarantined by mistake, or
+	// that is harmless since the servers were fixed, has to be served eventually.
+	initialBackoff = 10 * time.Minute
+	maxBackoff     = 24 * time.Hour
+	// maxCrashesPerRequest bounds the crashes kept of one request; more of them add no information.
+	maxCrashesPerRequest = 16
+	// recentCompletionPeriod is the time after a completion during which a request is not
+	// suspected. A popular request runs at several servers when these fail together, as in a rack
+	// failure, and may not have completed anywhere in between. A request that crashes servers never
+	// completes.
+	recentCompletionPeriod = 10 * time.Second
 )
 
-// record is what is known of one request. Without lock of its own.
+// record holds what is known of one request. Callers have to synchronise access.
 type record struct {
-	marks []Mark
-	// lastEnd is when this router heard of the latest mark, changed of the latest
-	// change.
-	lastEnd, changed time.Time
-	// triedAt is when this router tried it again last while it was quarantined.
-	triedAt     time.Time
+	crashes []Mark
+	// lastCrash is when this router learned of the latest crash, changedAt is when the record
+	// changed last.
+	lastCrash, changedAt time.Time
+	// lastTrial is when this router last tried the request while it was quarantined.
+	lastTrial   time.Time
 	quarantined bool
 }
 
-// add takes a mark; false if it says nothing new.
-func (r *record) add(mark Mark, now time.Time) bool {
-	for i := range r.marks {
-		known := &r.marks[i]
-		if !known.isSameLife(&mark) {
+// add adds a crash and reports whether it changed the record.
+func (r *record) add(crash Mark, now time.Time) bool {
+	for i := range r.crashes {
+		known := &r.crashes[i]
+		if !known.isSameIncarnation(&crash) {
 			continue
 		}
-		isNew := mark.Excused && !known.Excused
-		known.Excused = known.Excused || mark.Excused
-		if isNew {
-			r.changed = now
+		isNewlyExcused := crash.Excused && !known.Excused
+		known.Excused = known.Excused || crash.Excused
+		if isNewlyExcused {
+			r.changedAt = now
 		}
-		return isNew
+		return isNewlyExcused
 	}
-	if len(r.marks) >= mostMarks && !r.dropExcused() {
+	if len(r.crashes) >= maxCrashesPerRequest && !r.evictExcused() {
 		return false
 	}
-	r.marks = append(r.marks, mark)
-	r.changed = now
-	if !mark.Excused {
-		r.lastEnd = now
+	r.crashes = append(r.crashes, crash)
+	r.changedAt = now
+	if !crash.Excused {
+		r.lastCrash = now
 	}
 	return true
 }
 
-// dropExcused makes room for a mark; false if there is none to spare.
-func (r *record) dropExcused() bool {
-	at := slices.IndexFunc(r.marks, func(m Mark) bool { return m.Excused })
+// evictExcused removes an excused crash to make room for another; it returns false if there is
+// none.
+func (r *record) evictExcused() bool {
+	at := slices.IndexFunc(r.crashes, func(m Mark) bool { return m.Excused })
 	if at < 0 {
 		return false
 	}
-	r.marks = slices.Delete(r.marks, at, at+1)
+	r.crashes = slices.Delete(r.crashes, at, at+1)
 	return true
 }
 
-// ends counts the lives that ended under the request and are not excused.
-func (r *record) ends() int {
-	ends := 0
-	for i := range r.marks {
-		if !r.marks[i].Excused {
-			ends++
+// countCrashes counts the crashes that are not excused.
+func (r *record) countCrashes() int {
+	crashes := 0
+	for i := range r.crashes {
+		if !r.crashes[i].Excused {
+			crashes++
 		}
 	}
-	return ends
+	return crashes
 }
 
-// pause is how long after the last end the request may be tried again.
-func (r *record) pause() time.Duration {
-	pause := firstPause
-	for range r.ends() - mostEnds {
-		pause = min(2*pause, longestPause)
+// backoff returns the time after the last crash until the request may be tried again.
+func (r *record) backoff() time.Duration {
+	backoff := initialBackoff
+	for range r.countCrashes() - quarantineThreshold {
+		backoff = min(2*backoff, maxBackoff)
 	}
-	return pause
+	return backoff
 }
 
-// untilTry is how long a quarantined request has to wait for its next try; 0 or less says
-// that it may be tried.
-func (r *record) untilTry(now time.Time) time.Duration {
-	from := r.lastEnd
-	if r.triedAt.After(from) {
-		from = r.triedAt
+// untilNextTrial returns how long a quarantined request has to wait for its next trial; it may be
+// tried if the result is 0 or less.
+func (r *record) untilNextTrial(now time.Time) time.Duration {
+	from := r.lastCrash
+	if r.lastTrial.After(from) {
+		from = r.lastTrial
 	}
-	return from.Add(r.pause()).Sub(now)
+	return from.Add(r.backoff()).Sub(now)
 }
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -2,38 +2,38 @@
 
 import "time"
 
-// Run is one send of a request to a backend server. It has to be ended once.
+// Run is one attempt to run a request at a backend server. The caller has to call End exactly once.
 type Run struct {
 	ledger *Ledger
-	mark   Mark
+	crash  Mark
 	stop   func()
 }
 
-// Fate is what became of the backend server while it ran a request, or could have.
+// Fate is the outcome of an attempt for the backend server.
 type Fate int
 
 const (
-	// FateUnknown says nothing of it.
+	// FateUnknown gives no evidence for or against the request.
 	FateUnknown Fate = iota
-	// FateSurvived is a server that brought the whole answer.
+	// FateSurvived means that the server returned the complete response.
 	FateSurvived
-	// FateEnded is a server that broke off and takes no connections any more.
+	// FateEnded means that the server broke off the response and no longer accepts connections.
 	FateEnded
 )
 
-// End notes what became of the backend server.
+// End records the outcome of the attempt.
 func (r *Run) End(fate Fate) {
 	l := r.ledger
 	l.mu.Lock()
-	l.forgetRunLocked(r)
+	l.removeAttemptLocked(r)
 	switch {
 	case fate == FateSurvived:
-		l.excuseLocked(r.mark.Key)
-	case fate == FateEnded && !l.isHarmlessLocked(r.mark.Key):
-		if r.mark.Life == 0 {
-			r.mark.Life = time.Now().UnixMilli()
+		l.recordCompletionLocked(r.crash.Key)
+	case fate == FateEnded && !l.completedRecentlyLocked(r.crash.Key):
+		if r.crash.Life == 0 {
+			r.crash.Life = time.Now().UnixMilli()
 		}
-		l.takeLocked(r.mark)
+		l.addCrashLocked(r.crash)
 	}
-	l.unlockAndTell()
+	l.unlockAndNotify()
 }
