--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -250,7 +250,8 @@
 }
 
 // Recent returns up to limit crashes: first those of quarantined requests, then those of requests
-// with several crashes whose record changed recently. They are for routers that started since, or that missed an update.
+// with several crashes whose record changed recently. They are for routers that started
+// since, or that missed an update.
 func (l *Ledger) Recent(limit int) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -9,63 +9,66 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// steps is how many parts a window is counted in; it moves a part at a time.
-const steps = 40
+// windowSlots is the number of slots in a window; the window slides by one slot at a time.
+const windowSlots = 40
 
 const (
-	// ratioShare of what the ratio allows is used, since routers do not count
-	// at the same moments.
+	// ratioShare is the share of Ratio that is used. The rest covers for routers whose windows do
+	// not slide at the same moments.
 	ratioShare = 0.85
-	// extraShare of Extra is used by routers that have run for a window, and
-	// restartedShare by those that began within it, as the routers before them
-	// may have used theirs: the fleet may start anew twice in a window.
+	// extraShare is the share of Extra used by routers that have run for at least a window.
+	// restartedShare applies to routers that began within the last window, as the processes before
+	// them may have used their part: the fleet may restart twice within a window.
 	extraShare     = 0.6
 	restartedShare = 0.25
-	// roundingWindows is for how many windows a router keeps the draw by which it rounds its
-	// share. A window may see two draws, so that more routers round up; few windows do.
-	roundingWindows = 10
+	// roundingPeriod is the number of windows for which a router keeps the random number by which
+	// it rounds its share. A window in which the number changes has two of them, so that more
+	// routers round up; with a long period few windows do.
+	roundingPeriod = 10
 )
 
-// Budget bounds the fleet's repeated sends to each pool, in every window of
-// time. Each router uses its share. Set the fields before the first call.
+// Budget limits the retries that the whole fleet sends to each pool, in any window of time. Each
+// router uses its share without asking the others. Set the exported fields before the first call;
+// the methods may be called concurrently.
 type Budget struct {
-	// Ratio is the share of requests that may be sent again.
+	// Ratio is the share of requests that may be retried.
 	Ratio float64
-	// Extra is what the fleet may send again beyond that.
+	// Extra is the number of retries that the fleet may send in a window beyond Ratio.
 	Extra float64
-	// Window is the time that the bound holds for.
+	// Window is the length of the sliding window that the limit holds for.
 	Window time.Duration
-	// Routers gives the number of routers that share Extra.
+	// Routers returns the number of live routers, which share Extra.
 	Routers func() int
-	// Restarted says that a router before this one may have used its share of
-	// Extra within the window.
+	// Restarted says that a process which this router replaces may have used its share of Extra
+	// within the window.
 	Restarted bool
 
 	mu sync.Mutex
-	// began is the first call, from which time is counted: the time of day may
-	// be set while the process runs.
+	// began is the time of the first call. Slots are counted from there, because the time of day
+	// may be set while the process runs.
 	began time.Time
 	pools map[string]*window
-	// fleet is how many routers there were in each step.
-	fleet     peak
-	fleetStep int64
+	// fleetSize is the number of routers over the last window, and fleetSlot its current slot.
+	fleetSize slidingMax
+	fleetSlot int64
 }
 
-// SetBound changes the bound; what was counted stays counted.
+// SetBound changes the limit. The requests and retries counted so far stay counted.
 func (b *Budget) SetBound(ratio, extra float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.Ratio, b.Extra = ratio, extra
 }
 
-// Requested counts a caller's request for the pool.
+// Requested counts a request of a caller to the pool.
 func (b *Budget) Requested(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.windowLocked(pool).requests.add(1)
 }
 
-// Take asks for one more send of a request; false refuses it.
+// Take counts one retry if the budget allows it; otherwise it returns false, and the request must
+// not be retried.
 func (b *Budget) Take(pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -73,11 +76,11 @@
 	if !b.allowsLocked(w) {
 		return false
 	}
-	w.repeats.add(1)
+	w.retries.add(1)
 	return true
 }
 
-// Allows tells whether Take would grant a send now.
+// Allows reports whether Take would succeed now.
 func (b *Budget) Allows(pool string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,30 +88,32 @@
 }
 
 func (b *Budget) allowsLocked(w *window) bool {
-	allowed := ratioShare*b.Ratio*float64(w.requests.sum) + b.extraLocked(w.step)
-	// In a large fleet a router's share is a fraction of one send. Rounded down, nobody would
-	// send again; rounded by chance, the fleet's sum is as if it were one router's, at any
-	// moment, also when all use their shares at once.
-	// No router goes beyond what the whole fleet may send for its requests.
-	most := b.Ratio*float64(w.requests.sum) + b.Extra
-	return float64(w.repeats.sum+1) <= min(allowed+w.rounding, most)
+	share := ratioShare*b.Ratio*float64(w.requests.sum) + b.extraShareLocked(w.slot)
+	// In a large fleet a router's share is a fraction of one retry. If all routers rounded it down,
+	// none would retry. With random rounding the fleet's sum is that of a single budget at any
+	// moment, also when all routers use their shares at once.
+	//
+	// No router may send more than the limit of the whole fleet would allow for the requests it has
+	// counted.
+	fleetLimit := b.Ratio*float64(w.requests.sum) + b.Extra
+	return float64(w.retries.sum+1) <= min(share+w.rounding, fleetLimit)
 }
 
-// extraLocked is what this router may use of Extra. Routers that were there
-// within the window may have used their part.
-func (b *Budget) extraLocked(step int64) float64 {
-	for ; b.fleetStep < step; b.fleetStep++ {
-		b.fleet.shift()
-		if step-b.fleetStep > steps {
-			b.fleetStep = step - steps
+// extraShareLocked returns this router's part of Extra. It divides by the largest number of routers
+// within the window, since routers that have left may have used their part.
+func (b *Budget) extraShareLocked(slot int64) float64 {
+	for ; b.fleetSlot < slot; b.fleetSlot++ {
+		b.fleetSize.advance()
+		if slot-b.fleetSlot > windowSlots {
+			b.fleetSlot = slot - windowSlots
 		}
 	}
-	b.fleet.note(b.Routers())
+	b.fleetSize.record(b.Routers())
 	share := extraShare
-	if b.Restarted && step < steps {
+	if b.Restarted && slot < windowSlots {
 		share = restartedShare
 	}
-	return share * b.Extra / float64(max(b.fleet.most(), 1))
+	return share * b.Extra / float64(max(b.fleetSize.max(), 1))
 }
 
 func (b *Budget) windowLocked(pool string) *window {
@@ -123,59 +128,60 @@
 		}
 		b.pools[pool] = w
 	}
-	w.advance(int64(now.Sub(b.began)) / max(int64(b.Window)/steps, 1))
+	w.advance(int64(now.Sub(b.began)) / max(int64(b.Window)/windowSlots, 1))
 	return w
 }
 
-// window counts one pool's requests and repeats.
+// window counts one pool's requests and retries.
 type window struct {
-	requests, repeats counter
-	step              int64
-	// rounding is below one, and added to what the router may use.
+	requests, retries slidingSum
+	slot              int64
+	// rounding is a random number in [0, 1) that is added to the router's share before it is
+	// rounded down.
 	rounding float64
 }
 
-// advance forgets the steps that have left the window.
-func (w *window) advance(step int64) {
-	for range min(step-w.step, steps) {
-		w.requests.shift()
-		w.repeats.shift()
+// advance slides the window to a slot and drops the slots that have left it.
+func (w *window) advance(slot int64) {
+	for range min(slot-w.slot, windowSlots) {
+		w.requests.advance()
+		w.retries.advance()
 	}
-	if kept := int64(roundingWindows * steps); step/kept > w.step/kept {
+	if period := int64(roundingPeriod * windowSlots); slot/period > w.slot/period {
 		w.rounding = rand.Float64()
 	}
-	w.step = max(w.step, step)
+	w.slot = max(w.slot, slot)
 }
 
-// counter sums over the last steps.
-type counter struct {
-	counts [steps]int
-	sum    int
-	now    int
+// slidingSum is a sum over the last windowSlots slots.
+type slidingSum struct {
+	counts  [windowSlots]int
+	sum     int
+	current int
 }
 
-func (c *counter) add(n int) {
-	c.counts[c.now] += n
+func (c *slidingSum) add(n int) {
+	c.counts[c.current] += n
 	c.sum += n
 }
 
-func (c *counter) shift() {
-	c.now = (c.now + 1) % steps
-	c.sum -= c.counts[c.now]
-	c.counts[c.now] = 0
+func (c *slidingSum) advance() {
+	c.current = (c.current + 1) % windowSlots
+	c.sum -= c.counts[c.current]
+	c.counts[c.current] = 0
 }
 
-// peak is the most of the last steps.
-type peak struct {
-	counts [steps]int
-	now    int
+// slidingMax is a maximum over the last windowSlots slots.
+type slidingMax struct {
+	counts  [windowSlots]int
+	current int
 }
 
-func (p *peak) shift() {
-	p.now = (p.now + 1) % steps
-	p.counts[p.now] = 0
+func (p *slidingMax) advance() {
+	p.current = (p.current + 1) % windowSlots
+	p.counts[p.current] = 0
 }
 
-func (p *peak) note(n int) { p.counts[p.now] = max(p.counts[p.now], n) }
+func (p *slidingMax) record(n int) { p.counts[p.current] = max(p.counts[p.current], n) }
 
-func (p *peak) most() int { return slices.Max(p.counts[:]) }
+func (p *slidingMax) max() int { return slices.Max(p.counts[:]) }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -31,16 +31,16 @@
 		}
 		// 0.85 of 0.2 * 100, and 0.6 of 40 / 4.
 		if got, want := takeAll(b, "p"), 23; got != want {
-			t.Errorf("100 requests: got %d repeats, want %d", got, want)
+			t.Errorf("100 requests: got %d retries, want %d", got, want)
 		}
 		if got, want := takeAll(b, "other"), 6; got != want {
-			t.Errorf("pool without requests: got %d repeats, want %d", got, want)
+			t.Errorf("pool without requests: got %d retries, want %d", got, want)
 		}
 	})
 }
 
-// TestBudgetHoldsInEverySlidingWindow takes all it can at all times, and counts
-// the repeats in every window.
+// TestBudgetHoldsInEverySlidingWindow takes every retry it can get at all times, and counts the
+// retries in each window.
 func TestBudgetHoldsInEverySlidingWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBudget()
@@ -53,7 +53,7 @@
 			time.Sleep(100 * time.Millisecond)
 		}
 		if len(taken) < 40 {
-			t.Fatalf("got %d repeats in 30 s, want at least 40", len(taken))
+			t.Fatalf("got %d retries in 30 s, want at least 40", len(taken))
 		}
 		for i, from := range taken {
 			count := 0
@@ -63,25 +63,24 @@
 				}
 			}
 			if limit := 30; count > limit {
-				t.Fatalf("got %d repeats within the window from %v, want at most %d", count, from, limit)
+				t.Fatalf("got %d retries within the window from %v, want at most %d", count, from, limit)
 			}
 		}
 	})
 }
 
-// TestFleetStaysWithinItsBudgetWhenRoutersComeAndGo has routers take all they
-// can while others die and start: the fleet's repeats are counted in every
-// window.
+// TestFleetStaysWithinItsBudgetWhenRoutersComeAndGo has routers take every retry they can get while
+// others die and start, and counts the fleet's retries in each window.
 func TestFleetStaysWithinItsBudgetWhenRoutersComeAndGo(t *testing.T) {
 	const fleetSize, window = 4, 10 * time.Second
 	for _, test := range []struct {
 		name string
-		// live tells how many routers there are at a moment, and restart when
-		// all start anew.
+		// live returns the number of routers at a moment; restart is when all of them are
+		// restarted.
 		live    func(at time.Duration) int
 		restart time.Duration
 	}{
-		{"all start anew", func(time.Duration) int { return fleetSize }, 5 * time.Second},
+		{"all restart", func(time.Duration) int { return fleetSize }, 5 * time.Second},
 		{"all but one die", func(at time.Duration) int {
 			if at < 5*time.Second {
 				return fleetSize
@@ -117,7 +116,7 @@
 					}
 					time.Sleep(time.Second)
 				}
-				// The requests of a window in which all routers live.
+				// The limit for a window in which all routers live.
 				limit := 0.2*float64(fleetSize*window/time.Second) + 40
 				for i, from := range taken {
 					count := 0
@@ -127,7 +126,7 @@
 						}
 					}
 					if float64(count) > limit {
-						t.Fatalf("got %d repeats within a window, want at most %v (%d requests in all)", count, limit, requests)
+						t.Fatalf("got %d retries within a window, want at most %v (%d requests in all)", count, limit, requests)
 					}
 				}
 			})
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,3 +1,3 @@
-// Package retry bounds how often routers send requests again, as a share of
-// the requests that callers make.
+// Package retry limits how often routers retry requests, as a share of the requests that callers
+// make.
 package retry
--- a/retry/sleep_test.go
+++ b/retry/sleep_test.go
@@ -8,8 +8,8 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// TestWindowCountsSuspensions has a router sleep for longer than the window: requests of
-// before it earn no repeats any more.
+// TestWindowCountsSuspensions suspends a router for longer than the window: requests counted before
+// that must not allow retries any more.
 func TestWindowCountsSuspensions(t *testing.T) {
 	for sleep, want := range map[time.Duration]bool{time.Second: true, 30 * time.Second: false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -26,7 +26,7 @@
 			ahead += sleep
 			clock.Notice()
 			if got := b.Allows("p"); got != want {
-				t.Errorf("after %v: got a repeat allowed %t, want %t", sleep, got, want)
+				t.Errorf("after %v: got a retry allowed %t, want %t", sleep, got, want)
 			}
 		})
 	}
