--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -7,48 +7,48 @@
 	"github.com/slipwick/slipwick/exchange/exchangepb"
 )
 
-// maxCounts, maxReads and maxOutcomes bound a datagram to what fits one packet
-// of 1,500 bytes: at most 14 bytes a count, 10 a read, 6 a server's outcomes, and
-// 8 for the server of either. Reads and outcomes share a datagram with few counts
-// alone; a server that leaves takes the place of one's outcomes.
+// maxCounts, maxReads and maxOutcomes bound a datagram so that it fits one packet of 1,500 bytes: a
+// count takes at most 14 bytes, a read 10 and the outcomes of a server 6; the server of a read or of
+// outcomes takes another 8. Reads and outcomes are added only to a datagram with few counts, and
+// each leaving server takes the place of one server's outcomes.
 const (
 	maxCounts   = 50
 	maxReads    = 30
 	maxOutcomes = 25
 )
 
-// encode makes the datagrams of what is told; those of one call share a round.
-func (t *Teller) encode(scope exchangepb.Scope, urgent bool, told balance.Told) [][]byte {
+// encode splits an update into datagrams, which all carry the same round number.
+func (t *Teller) encode(scope exchangepb.Scope, urgent bool, update balance.Told) [][]byte {
 	round := t.sequence.Add(1)
 	var packets [][]byte
-	for first := true; first || len(told.InFlight)+newsIn(&told) > 0; first = false {
+	for first := true; first || len(update.InFlight)+countEvents(&update) > 0; first = false {
 		e := &encoder{
 			message: t.message(scope),
-			place:   make(map[uint64]uint32),
+			indexes: make(map[uint64]uint32),
 		}
 		e.message.Round, e.message.Urgent = round, urgent
-		n := min(len(told.InFlight), maxCounts)
-		e.addCounts(told.InFlight[:n])
-		told.InFlight = told.InFlight[n:]
+		n := min(len(update.InFlight), maxCounts)
+		e.addCounts(update.InFlight[:n])
+		update.InFlight = update.InFlight[n:]
 		if n < maxCounts/2 {
-			n = min(len(told.Reads), maxReads)
-			e.addReads(told.Reads[:n])
-			told.Reads = told.Reads[n:]
-			n = min(len(told.Outcomes), maxOutcomes)
-			e.addOutcomes(told.Outcomes[:n])
-			told.Outcomes = told.Outcomes[n:]
-			n = min(len(told.Leaving), maxOutcomes-n)
-			e.addLeaving(told.Leaving[:n])
-			told.Leaving = told.Leaving[n:]
+			n = min(len(update.Reads), maxReads)
+			e.addReads(update.Reads[:n])
+			update.Reads = update.Reads[n:]
+			n = min(len(update.Outcomes), maxOutcomes)
+			e.addOutcomes(update.Outcomes[:n])
+			update.Outcomes = update.Outcomes[n:]
+			n = min(len(update.Leaving), maxOutcomes-n)
+			e.addLeaving(update.Leaving[:n])
+			update.Leaving = update.Leaving[n:]
 		}
 		packets = append(packets, marshal(e.message))
 	}
 	return packets
 }
 
-// newsIn counts what is told once.
-func newsIn(told *balance.Told) int {
-	return len(told.Reads) + len(told.Outcomes) + len(told.Leaving)
+// countEvents counts the entries of an update that are sent only once, unlike the counts in flight.
+func countEvents(update *balance.Told) int {
+	return len(update.Reads) + len(update.Outcomes) + len(update.Leaving)
 }
 
 func (t *Teller) message(scope exchangepb.Scope) *exchangepb.Told {
@@ -59,7 +59,7 @@
 	}
 }
 
-// marshal encodes a message; the generated types encode always.
+// marshal encodes a message. The generated types never fail to encode.
 func marshal(message *exchangepb.Told) []byte {
 	packet, _ := proto.Marshal(message)
 	return packet
@@ -68,24 +68,26 @@
 // encoder fills one datagram.
 type encoder struct {
 	message *exchangepb.Told
-	place   map[uint64]uint32
+	indexes map[uint64]uint32
 }
 
-// at gives a backend server's place in the list.
-func (e *encoder) at(server uint64) uint32 {
-	index, ok := e.place[server]
+// indexOf returns the index of a backend server in the datagram's list of servers, and adds it if
+// it is not listed yet.
+func (e *encoder) indexOf(server uint64) uint32 {
+	index, ok := e.indexes[server]
 	if !ok {
 		index = uint32(len(e.message.GetServers()))
-		e.place[server] = index
+		e.indexes[server] = index
 		e.message.Servers = append(e.message.Servers, server)
 	}
 	return index
 }
 
-// addCounts comes before addReads, so that counts stand in the list's order.
+// addCounts has to be called before the other add methods, because each count belongs to the server
+// at the same index of the list.
 func (e *encoder) addCounts(list []balance.InFlight) {
 	for _, in := range list {
-		e.at(in.Server)
+		e.indexOf(in.Server)
 		e.message.InFlight = append(e.message.InFlight, uint32(in.Count))
 		e.message.Reading = append(e.message.Reading, uint32(in.Reading))
 	}
@@ -94,13 +96,13 @@
 func (e *encoder) addReads(reads []balance.Read) {
 	for _, read := range reads {
 		e.message.Parts = append(e.message.Parts, read.Part)
-		e.message.Readers = append(e.message.Readers, e.at(read.Server))
+		e.message.Readers = append(e.message.Readers, e.indexOf(read.Server))
 	}
 }
 
 func (e *encoder) addOutcomes(list []balance.Outcomes) {
 	for _, o := range list {
-		e.message.Ended = append(e.message.Ended, e.at(o.Server))
+		e.message.Ended = append(e.message.Ended, e.indexOf(o.Server))
 		e.message.Good = append(e.message.Good, uint32(o.Good))
 		e.message.Failed = append(e.message.Failed, uint32(o.Failed))
 	}
@@ -108,17 +110,18 @@
 
 func (e *encoder) addLeaving(servers []uint64) {
 	for _, server := range servers {
-		e.message.Leaving = append(e.message.Leaving, e.at(server))
+		e.message.Leaving = append(e.message.Leaving, e.indexOf(server))
 	}
 }
 
-// decode reads what a datagram tells; what does not fit together is left out.
+// decode returns the update in a datagram, without entries whose lists are too short or whose index
+// is out of range.
 func decode(message *exchangepb.Told) balance.Told {
-	var told balance.Told
+	var update balance.Told
 	servers := message.GetServers()
 	for i, count := range message.GetInFlight() {
 		if i < len(servers) && i < len(message.GetReading()) {
-			told.InFlight = append(told.InFlight, balance.InFlight{
+			update.InFlight = append(update.InFlight, balance.InFlight{
 				Server:  servers[i],
 				Count:   int(count),
 				Reading: int(message.GetReading()[i]),
@@ -129,28 +132,29 @@
 		if i >= len(message.GetReaders()) || int(message.GetReaders()[i]) >= len(servers) {
 			break
 		}
-		told.Reads = append(told.Reads, balance.Read{
+		update.Reads = append(update.Reads, balance.Read{
 			Part:   part,
 			Server: servers[message.GetReaders()[i]],
 		})
 	}
-	for i, place := range message.GetEnded() {
-		if int(place) >= len(servers) || i >= len(message.GetGood()) || i >= len(message.GetFailed()) {
+	for i, index := range message.GetEnded() {
+		if int(index) >= len(servers) || i >= len(message.GetGood()) || i >= len(message.GetFailed()) {
 			break
 		}
-		told.Outcomes = append(told.Outcomes, balance.Outcomes{
-			Server: servers[place],
+		update.Outcomes = append(update.Outcomes, balance.Outcomes{
+			Server: servers[index],
 			Good:   int(min(message.GetGood()[i], maxOutcomeCount)),
 			Failed: int(min(message.GetFailed()[i], maxOutcomeCount)),
 		})
 	}
-	for _, place := range message.GetLeaving() {
-		if int(place) < len(servers) {
-			told.Leaving = append(told.Leaving, servers[place])
+	for _, index := range message.GetLeaving() {
+		if int(index) < len(servers) {
+			update.Leaving = append(update.Leaving, servers[index])
 		}
 	}
-	return told
+	return update
 }
 
-// maxOutcomeCount is more than can be of use: older outcomes weigh nothing.
+// maxOutcomeCount bounds the outcomes accepted from a datagram; older outcomes have no weight, so
+// that more than this is never of use.
 const maxOutcomeCount = 1000
--- a/exchange/counts.go
+++ b/exchange/counts.go
@@ -7,47 +7,47 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// countsLife is how long what a router told counts.
-const countsLife = time.Second
+// countsTTL is how long received counts are used.
+const countsTTL = time.Second
 
-// counts are one router's or group's requests, by backend server.
+// counts are the requests in flight of one router or group, by backend server.
 type counts struct {
-	at       time.Time
-	sequence uint64
-	each     map[uint64]balance.InFlight
+	receivedAt time.Time
+	sequence   uint64
+	byServer   map[uint64]balance.InFlight
 }
 
 func newCounts(list []balance.InFlight) *counts {
 	c := &counts{
-		each: make(map[uint64]balance.InFlight, len(list)),
+		byServer: make(map[uint64]balance.InFlight, len(list)),
 	}
-	c.take(list)
+	c.merge(list)
 	return c
 }
 
-// take takes more counts of the same round, of other servers.
-func (c *counts) take(list []balance.InFlight) {
-	c.at = clock.Now()
+// merge adds the counts of another datagram of the same round, which are of other servers.
+func (c *counts) merge(list []balance.InFlight) {
+	c.receivedAt = clock.Now()
 	for _, in := range list {
-		c.each[in.Server] = in
+		c.byServer[in.Server] = in
 	}
 }
 
-// add adds the other's counts, times the sign.
+// add adds the other counts, multiplied by sign. No sum falls below 0.
 func (c *counts) add(other *counts, sign int) {
-	for server, in := range other.each {
-		sum := c.each[server]
+	for server, in := range other.byServer {
+		sum := c.byServer[server]
 		sum.Server = server
 		sum.Count = max(sum.Count+sign*in.Count, 0)
 		sum.Reading = max(sum.Reading+sign*in.Reading, 0)
-		c.each[server] = sum
+		c.byServer[server] = sum
 	}
 }
 
-// list gives the counts that are not 0.
+// list returns the counts that are not 0.
 func (c *counts) list() []balance.InFlight {
-	list := make([]balance.InFlight, 0, len(c.each))
-	for _, in := range c.each {
+	list := make([]balance.InFlight, 0, len(c.byServer))
+	for _, in := range c.byServer {
 		if in.Count > 0 || in.Reading > 0 {
 			list = append(list, in)
 		}
@@ -55,11 +55,11 @@
 	return list
 }
 
-// sumOf adds what is fresh.
-func sumOf(told map[string]*counts) *counts {
+// sumFresh adds up the counts that are not older than countsTTL.
+func sumFresh(received map[string]*counts) *counts {
 	sum := newCounts(nil)
-	for _, c := range told {
-		if clock.Since(c.at) <= countsLife {
+	for _, c := range received {
+		if clock.Since(c.receivedAt) <= countsTTL {
 			sum.add(c, 1)
 		}
 	}
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,4 +1,4 @@
-// Package exchange has routers tell each other, a few times a second, the
-// requests they have in flight and the engines that read parts of prompts for
-// them. What is lost is told anew or found out otherwise.
+// Package exchange synchronises routers: a few times a second each router sends the others an
+// update with its requests in flight and the parts of prompts that engines cached for it. State
+// that is lost with a datagram is sent again, or learnt in another way.
 package exchange
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -11,8 +11,8 @@
 	"github.com/slipwick/slipwick/quarantine"
 )
 
-// FuzzTellerReceive checks that no datagram breaks a router, has it count less than
-// nothing, or remember more than the datagram can hold.
+// FuzzTellerReceive checks that no datagram makes a router panic, count a negative number of
+// requests, or store more crashes than the datagram can hold.
 func FuzzTellerReceive(f *testing.F) {
 	for _, message := range []*exchangepb.Told{
 		{
@@ -33,7 +33,7 @@
 		f.Add(marshal(message))
 	}
 	f.Fuzz(func(t *testing.T, packet []byte) {
-		tellers, _ := newRouters(2)
+		tellers, _ := newTellers(2)
 		ledger := quarantine.NewLedger("0")
 		tellers[0].OnMarks = ledger.Hear
 		tellers[0].Receive("", packet)
@@ -41,12 +41,13 @@
 			t.Errorf("got %v requests in flight", got)
 		}
 		if got := len(ledger.News()); got > len(packet) {
-			t.Errorf("got %d marks of %d bytes", got, len(packet))
+			t.Errorf("got %d crashes from %d bytes", got, len(packet))
 		}
 	})
 }
 
-// FuzzKnowledge checks that no telling of caches breaks its reader.
+// FuzzKnowledge checks that no answer to a cache query makes its reader panic, or return more than
+// the answer can hold.
 func FuzzKnowledge(f *testing.F) {
 	seed, _ := proto.Marshal(encodeKnowledge(&balance.Knowledge{
 		Covered: []uint64{7},
@@ -64,7 +65,7 @@
 			return
 		}
 		if len(known.Reads) > len(body) || len(known.Covered) > len(body) {
-			t.Errorf("got %d parts and %d engines of %d bytes", len(known.Reads), len(known.Covered), len(body))
+			t.Errorf("got %d parts and %d engines from %d bytes", len(known.Reads), len(known.Covered), len(body))
 		}
 	})
 }
--- a/exchange/hubs.go
+++ b/exchange/hubs.go
@@ -8,32 +8,32 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// meshSize is the largest fleet in which every router tells every other.
-const meshSize = 16
+// maxMeshSize is the largest fleet in which every router sends its updates directly to every other.
+const maxMeshSize = 16
 
-// hubs are the routers that pass on what others tell, in a fleet too large for
-// all to tell all: about as many as each then has routers that tell it. Routers
-// tell a hub of their own data centre: bytes between data centres are dear, and
-// what a hub tells its group is most of what is told.
+// hubs are the routers that relay updates in a fleet that is too large for a full mesh. There are
+// about as many hubs as routers in the group of each hub. A router sends its updates to a hub in
+// its own data centre, because traffic between data centres is expensive, and what a hub sends to
+// its group is most of the traffic.
 type hubs struct {
 	routers []slipwick.Router
-	// chosen are the hubs; without any, every router tells every other.
+	// chosen are the hubs; if it is empty, every router sends to every other.
 	chosen []slipwick.Router
-	// near are the hubs by data centre.
-	near map[string][]slipwick.Router
-	ids  map[string]bool
-	// groups are the routers that tell a hub, as far as they were asked for.
+	// byDataCentre are the hubs of each data centre.
+	byDataCentre map[string][]slipwick.Router
+	ids          map[string]bool
+	// groups caches the routers in the group of each hub.
 	groups map[string][]slipwick.Router
 }
 
 func chooseHubs(routers []slipwick.Router) *hubs {
 	h := &hubs{
-		routers: routers,
-		near:    make(map[string][]slipwick.Router),
-		ids:     make(map[string]bool),
-		groups:  make(map[string][]slipwick.Router),
+		routers:      routers,
+		byDataCentre: make(map[string][]slipwick.Router),
+		ids:          make(map[string]bool),
+		groups:       make(map[string][]slipwick.Router),
 	}
-	if len(routers) <= meshSize {
+	if len(routers) <= maxMeshSize {
 		return h
 	}
 	key := placement.IDHash("hub")
@@ -44,8 +44,8 @@
 	size := math.Sqrt(float64(len(routers)))
 	for dataCentre, group := range groups {
 		count := int(math.Ceil(float64(len(group)) / size))
-		h.near[dataCentre] = placement.First(key, group, count)
-		h.chosen = append(h.chosen, h.near[dataCentre]...)
+		h.byDataCentre[dataCentre] = placement.First(key, group, count)
+		h.chosen = append(h.chosen, h.byDataCentre[dataCentre]...)
 	}
 	for _, r := range h.chosen {
 		h.ids[r.ID] = true
@@ -53,34 +53,35 @@
 	return h
 }
 
-// of gives the hub that a router tells; ok is false if it is one itself.
-func (h *hubs) of(id string) (hub slipwick.Router, ok bool) {
-	if h.has(id) {
+// hubOf returns the hub that a router sends its updates to; ok is false if the router is itself a
+// hub.
+func (h *hubs) hubOf(id string) (hub slipwick.Router, ok bool) {
+	if h.isHub(id) {
 		return slipwick.Router{}, false
 	}
-	near := h.chosen
+	candidates := h.chosen
 	if i := slices.IndexFunc(h.routers, func(r slipwick.Router) bool { return r.ID == id }); i >= 0 {
-		near = h.near[h.routers[i].DataCentre]
+		candidates = h.byDataCentre[h.routers[i].DataCentre]
 	}
-	return near[placement.Choose(placement.IDHash(id), near)], true
+	return candidates[placement.Choose(placement.IDHash(id), candidates)], true
 }
 
-func (h *hubs) has(id string) bool {
+func (h *hubs) isHub(id string) bool {
 	return h.ids[id]
 }
 
-// group gives the routers that tell a hub.
-func (h *hubs) group(id string) []slipwick.Router {
+// groupOf returns the routers that send their updates to a hub.
+func (h *hubs) groupOf(id string) []slipwick.Router {
 	group, isKnown := h.groups[id]
 	if isKnown {
 		return group
 	}
 	for _, r := range h.routers {
-		if h.has(r.ID) {
+		if h.isHub(r.ID) {
 			continue
 		}
-		near := h.near[r.DataCentre]
-		if near[placement.Choose(placement.IDHash(r.ID), near)].ID == id {
+		candidates := h.byDataCentre[r.DataCentre]
+		if candidates[placement.Choose(placement.IDHash(r.ID), candidates)].ID == id {
 			group = append(group, r)
 		}
 	}
@@ -88,15 +89,15 @@
 	return group
 }
 
-// without gives the routers but for one.
-func without(routers []slipwick.Router, id string) []slipwick.Router {
-	rest := make([]slipwick.Router, 0, len(routers))
+// excluding returns the routers except the one with the given ID.
+func excluding(routers []slipwick.Router, id string) []slipwick.Router {
+	others := make([]slipwick.Router, 0, len(routers))
 	for _, r := range routers {
 		if r.ID != id {
-			rest = append(rest, r)
+			others = append(others, r)
 		}
 	}
-	return rest
+	return others
 }
 
 func idsOf(routers []slipwick.Router) []string {
--- a/exchange/hubs_bench_test.go
+++ b/exchange/hubs_bench_test.go
@@ -7,7 +7,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// BenchmarkChooseHubs chooses the hubs of a fleet, as at each change of a member.
+// BenchmarkChooseHubs measures the choice of hubs, which is repeated at each change of the live
+// routers.
 func BenchmarkChooseHubs(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -13,21 +13,21 @@
 	"github.com/slipwick/slipwick/httpclient"
 )
 
-// KnowledgePath is where a router tells others what it knows of the caches of
-// engines, as the question in the body says. It is told over TCP: a datagram that is
-// lost would leave prompts without a home until they are read anew.
+// KnowledgePath is the path at which a router answers queries for its cache index, the parts of
+// prompts that it knows engines to have cached. The answer is sent over TCP: after a lost datagram,
+// the cached parts would stay unknown until an engine prefills them again.
 const KnowledgePath = "/homes"
 
-// maxKnowledge bounds what is read of another router's answer: some times what
-// the homes kept take.
+// maxKnowledge bounds the size of an accepted query or answer, at a few times the size of a full
+// cache index.
 const maxKnowledge = 4 << 20
 
-// KnowledgeServer answers other routers. Set Balancer before use.
+// KnowledgeServer answers queries of other routers. Set Balancer before use.
 type KnowledgeServer struct {
 	Balancer *balance.Balancer
 }
 
-// ServeHTTP answers with an encoded exchangepb.Knowledge.
+// ServeHTTP answers a query with an encoded exchangepb.Knowledge.
 func (s *KnowledgeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	message, err := readMessage(r.Body)
 	if err != nil {
@@ -40,29 +40,30 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// A router that has left needs no answer.
+	// The write fails only if the other router is gone, which then needs no answer.
 	_, _ = w.Write(body)
 }
 
-// FetchKnowledge asks the router at host:port for what it knows.
+// FetchKnowledge queries the router at host:port for what it knows of the caches of engines. It
+// blocks until the answer arrives or ctx ends.
 func FetchKnowledge(
 	ctx context.Context, client *http.Client, address string, q *balance.Question,
 ) (*balance.Knowledge, error) {
-	question, err := proto.Marshal(encodeQuestion(q))
+	query, err := proto.Marshal(encodeQuestion(q))
 	if err != nil {
-		return nil, errors.Wrap(err, "ask a router for the homes of prompts")
+		return nil, errors.Wrap(err, "query a router for its cache index")
 	}
-	request, err := httpclient.Request(ctx, http.MethodPost, "http://"+address+KnowledgePath, question)
+	request, err := httpclient.Request(ctx, http.MethodPost, "http://"+address+KnowledgePath, query)
 	if err != nil {
 		return nil, err
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "ask a router for the homes of prompts")
+		return nil, errors.Wrap(err, "query a router for its cache index")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("ask router %s for the homes of prompts: it answered %d", address, response.StatusCode)
+		return nil, errors.Errorf("query router %s for its cache index: unexpected status %d", address, response.StatusCode)
 	}
 	return readKnowledge(response.Body)
 }
@@ -78,17 +79,18 @@
 func readMessage(from io.Reader) (*exchangepb.Knowledge, error) {
 	body, err := io.ReadAll(io.LimitReader(from, maxKnowledge))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the homes of prompts")
+		return nil, errors.Wrap(err, "read the cache index of a router")
 	}
 	message := &exchangepb.Knowledge{}
 	if err := proto.Unmarshal(body, message); err != nil {
-		return nil, errors.Wrap(err, "read the homes of prompts")
+		return nil, errors.Wrap(err, "read the cache index of a router")
 	}
 	return message, nil
 }
 
-// encodeQuestion names the engines that are known as covered, or those that are wanted as
-// not covered. Routers of before, which read known ones alone, answer the latter with all.
+// encodeQuestion sends the engines that are known as covered, or those that are wanted as not
+// covered. Older routers read only the known ones, and answer a query for wanted engines with all
+// that they know.
 func encodeQuestion(q *balance.Question) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
 	for _, engine := range q.Known {
@@ -100,7 +102,7 @@
 	return message
 }
 
-// decodeQuestion leaves out what does not fit together.
+// decodeQuestion stops at the first entry without a server.
 func decodeQuestion(message *exchangepb.Knowledge) *balance.Question {
 	q := &balance.Question{}
 	for i, covered := range message.GetCovered() {
@@ -118,28 +120,28 @@
 
 func encodeKnowledge(k *balance.Knowledge) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
-	place := make(map[uint64]uint32)
-	at := func(engine uint64) uint32 {
-		index, ok := place[engine]
+	indexes := make(map[uint64]uint32)
+	indexOf := func(engine uint64) uint32 {
+		index, ok := indexes[engine]
 		if !ok {
 			index = uint32(len(message.GetServers()))
-			place[engine] = index
+			indexes[engine] = index
 			message.Servers = append(message.Servers, engine)
 			message.Covered = append(message.Covered, false)
 		}
 		return index
 	}
 	for _, engine := range k.Covered {
-		message.Covered[at(engine)] = true
+		message.Covered[indexOf(engine)] = true
 	}
 	for _, read := range k.Reads {
 		message.Parts = append(message.Parts, read.Part)
-		message.Keepers = append(message.Keepers, at(read.Server))
+		message.Keepers = append(message.Keepers, indexOf(read.Server))
 	}
 	return message
 }
 
-// decodeKnowledge leaves out what does not fit together.
+// decodeKnowledge leaves out entries whose lists are too short or whose index is out of range.
 func decodeKnowledge(message *exchangepb.Knowledge) *balance.Knowledge {
 	k := &balance.Knowledge{}
 	servers := message.GetServers()
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -14,135 +14,137 @@
 )
 
 const (
-	// maxMarks bounds a datagram of marks to one packet of 1,500 bytes: at most 28
-	// bytes each.
-	maxMarks = 40
-	// marksFanOut is how many routers each one tells what is news to it. Those pass it
-	// on, so that 330 know it after three steps, also where a packet in ten is lost; a small
-	// fleet is told at once.
-	marksFanOut = 10
-	// marksAgain is how often quarantined requests are told to a few routers drawn by lot,
-	// of which there are retold: a router that starts, or comes back from behind a
-	// cut, hears of them within seconds. Nothing is told where none is quarantined.
-	marksAgain = time.Second
-	retold     = 3
-	// mostRecent bounds what is told again.
-	mostRecent = 2 * maxMarks
+	// maxCrashes bounds a datagram of crashes so that it fits one packet of 1,500 bytes: a crash
+	// takes at most 28 bytes.
+	maxCrashes = 40
+	// gossipFanOut is the number of routers that each router sends crashes to that are new to it.
+	// Those relay them, so that 330 routers know them after three hops, even if one packet in ten
+	// is lost. A small fleet is reached in one hop.
+	gossipFanOut = 10
+	// resendInterval is how often the crashes of quarantined requests are sent again, to
+	// resendFanOut routers chosen at random: a router that has started, or that was partitioned,
+	// learns of them within seconds. Nothing is sent while no request is quarantined.
+	resendInterval = time.Second
+	resendFanOut   = 3
+	// maxResent bounds the crashes that are sent again at a time.
+	maxResent = 2 * maxCrashes
 )
 
-// MarkTeller spreads under which requests backend servers ended. Others are told at
-// once: while a request is not quarantined, it ends some ten servers a second. Set the
-// exported fields before Run.
+// MarkTeller spreads by gossip which requests were running when backend servers crashed. New
+// crashes are sent at once, since a request that is not yet quarantined may crash some ten servers
+// a second. Set the exported fields before Run.
 type MarkTeller struct {
 	Self   string
 	Ledger *quarantine.Ledger
 	Wire   Wire
-	// Routers gives the routers that live, this one among them or not.
+	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
-	// Address gives where a router hears what is told.
+	// Address returns the address at which a router receives datagrams.
 	Address func(slipwick.Router) string
-	// Shuffle orders routers by lot. NewMarkTeller sets the default.
+	// Shuffle puts the routers in random order; NewMarkTeller sets it to rand.Shuffle.
 	Shuffle func(n int, swap func(i, j int))
 
 	sequence atomic.Uint64
-	soon     chan struct{}
+	trigger  chan struct{}
 	done     chan struct{}
 }
 
-// NewMarkTeller makes one; its exported fields are to be set.
+// NewMarkTeller returns a gossiper for the router with this ID. Set the other exported fields
+// before Run.
 func NewMarkTeller(self string) *MarkTeller {
 	return &MarkTeller{
 		Self:    self,
 		Shuffle: rand.Shuffle,
 
-		soon: make(chan struct{}, 1),
-		done: make(chan struct{}),
+		trigger: make(chan struct{}, 1),
+		done:    make(chan struct{}),
 	}
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (t *MarkTeller) Done() <-chan struct{} {
 	return t.done
 }
 
-// Soon has Run tell what is news.
+// Soon makes Run send the new crashes after a short delay. It doesn't block.
 func (t *MarkTeller) Soon() {
-	signal(t.soon)
+	signal(t.trigger)
 }
 
-// Run tells until ctx ends.
+// Run sends crashes until ctx ends.
 func (t *MarkTeller) Run(ctx context.Context) {
 	defer close(t.done)
-	ticker := time.NewTicker(marksAgain)
+	ticker := time.NewTicker(resendInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			t.tell(t.Ledger.Recent(mostRecent), retold)
-		case <-t.soon:
-			// What ends with a server is told together.
-			time.Sleep(leastPause)
-			t.tell(t.Ledger.News(), marksFanOut)
+			t.gossip(t.Ledger.Recent(maxResent), resendFanOut)
+		case <-t.trigger:
+			// Crashes of several requests at one server arrive together and are sent in one
+			// datagram.
+			time.Sleep(urgentDelay)
+			t.gossip(t.Ledger.News(), gossipFanOut)
 		}
 	}
 }
 
-// tell tells marks to some routers drawn by lot.
-func (t *MarkTeller) tell(marks []quarantine.Mark, routers int) {
-	if len(marks) == 0 {
+// gossip sends crashes to a number of routers chosen at random.
+func (t *MarkTeller) gossip(crashes []quarantine.Mark, fanOut int) {
+	if len(crashes) == 0 {
 		return
 	}
-	others := without(t.Routers(), t.Self)
+	others := excluding(t.Routers(), t.Self)
 	t.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
-	others = others[:min(routers, len(others))]
-	for len(marks) > 0 {
-		n := min(len(marks), maxMarks)
-		packet := marshal(t.encode(marks[:n]))
+	others = others[:min(fanOut, len(others))]
+	for len(crashes) > 0 {
+		n := min(len(crashes), maxCrashes)
+		packet := marshal(t.encode(crashes[:n]))
 		for _, r := range others {
 			t.Wire.Send(t.Address(r), packet)
 		}
-		marks = marks[n:]
+		crashes = crashes[n:]
 	}
 }
 
-func (t *MarkTeller) encode(marks []quarantine.Mark) *exchangepb.Told {
+func (t *MarkTeller) encode(crashes []quarantine.Mark) *exchangepb.Told {
 	message := &exchangepb.Told{
 		From:     t.Self,
 		Sequence: t.sequence.Add(1),
 		Scope:    exchangepb.Scope_SCOPE_NONE,
 	}
-	for _, mark := range marks {
-		message.EndedKeys = append(message.EndedKeys, uint64(mark.Key))
-		message.EndedServers = append(message.EndedServers, mark.Server)
-		message.EndedLives = append(message.EndedLives, mark.Life)
-		message.EndedExcused = append(message.EndedExcused, mark.Excused)
+	for _, crash := range crashes {
+		message.EndedKeys = append(message.EndedKeys, uint64(crash.Key))
+		message.EndedServers = append(message.EndedServers, crash.Server)
+		message.EndedLives = append(message.EndedLives, crash.Life)
+		message.EndedExcused = append(message.EndedExcused, crash.Excused)
 	}
 	return message
 }
 
-// DecodeMarks reads a packet of marks; what can't be read is none.
+// DecodeMarks returns the crashes in a datagram. It returns nil if the datagram can't be decoded.
 func DecodeMarks(packet []byte) []quarantine.Mark {
 	message := &exchangepb.Told{}
 	if proto.Unmarshal(packet, message) != nil {
 		return nil
 	}
-	return decodeMarks(message)
+	return decodeCrashes(message)
 }
 
-// decodeMarks leaves out what does not fit together.
-func decodeMarks(message *exchangepb.Told) []quarantine.Mark {
+// decodeCrashes leaves out entries for which one of the lists is too short.
+func decodeCrashes(message *exchangepb.Told) []quarantine.Mark {
 	n := min(len(message.GetEndedKeys()), len(message.GetEndedServers()),
 		len(message.GetEndedLives()), len(message.GetEndedExcused()))
-	marks := make([]quarantine.Mark, 0, n)
+	crashes := make([]quarantine.Mark, 0, n)
 	for i := range n {
-		marks = append(marks, quarantine.Mark{
+		crashes = append(crashes, quarantine.Mark{
 			Key:     quarantine.Key(message.GetEndedKeys()[i]),
 			Server:  message.GetEndedServers()[i],
 			Life:    message.GetEndedLives()[i],
 			Excused: message.GetEndedExcused()[i],
 		})
 	}
-	return marks
+	return crashes
 }
--- a/exchange/receive_bench_test.go
+++ b/exchange/receive_bench_test.go
@@ -8,7 +8,8 @@
 	"github.com/slipwick/slipwick/exchange/exchangepb"
 )
 
-// BenchmarkReceive takes one round of a hub's tellings: what the fleet has in flight.
+// BenchmarkReceive measures how a router handles one round of its hub's datagrams, which carry the
+// counts of the whole fleet.
 func BenchmarkReceive(b *testing.B) {
 	for _, inFlight := range []int{125, 250, 500, 1000} {
 		b.Run(fmt.Sprint(inFlight), func(b *testing.B) {
@@ -18,15 +19,15 @@
 			t.Balancer.SetBackends(backends)
 			t.Balancer.SetPeers([]string{fleetSource}, 900)
 			hub := NewTeller("hub")
-			told := balance.Told{}
+			update := balance.Told{}
 			for i := range inFlight {
-				told.InFlight = append(told.InFlight, balance.InFlight{
+				update.InFlight = append(update.InFlight, balance.InFlight{
 					Server: uint64(i),
 					Count:  1,
 				})
 			}
 			for b.Loop() {
-				for _, packet := range hub.encode(exchangepb.Scope_SCOPE_FLEET, false, told) {
+				for _, packet := range hub.encode(exchangepb.Scope_SCOPE_FLEET, false, update) {
 					t.Receive("", packet)
 				}
 			}
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -18,57 +18,56 @@
 
 const (
 	testEngines = 20
-	// testParts is how many parts each engine keeps.
+	// testParts is the number of shared parts that each engine keeps.
 	testParts = 30
 )
 
-// recoveringFleet is a fleet of which routers start one after the other.
+// recoveringFleet is a fleet whose routers start one after the other.
 type recoveringFleet struct {
 	mu      sync.Mutex
 	live    []slipwick.Router
 	routers map[string]*Recovery
-	// lists counts the lists that each engine gave.
+	// lists counts how often each engine listed its cache.
 	lists map[string]int
-	// told counts the parts that routers told each other, named the engines that they
-	// named in questions.
-	told, named int
-	// silent are engines that give none.
-	silent map[string]bool
-	// engines is how many there are, parts how many parts each keeps in the mean
-	// that requests share; settleAfter is how long a router takes to know the
-	// others.
+	// partsSent counts the parts in answers to queries between routers, enginesNamed the engines
+	// that the queries named.
+	partsSent, enginesNamed int
+	// unresponsive are the engines that never list their cache.
+	unresponsive map[string]bool
+	// engines is the number of engines, parts the mean number of shared parts that each keeps, and
+	// settleAfter the time until a router knows the others.
 	engines, parts int
 	settleAfter    time.Duration
-	// kept are the parts by engine, made when first asked for.
-	kept map[string][]uint64
+	// partsByEngine are the parts that each engine keeps, computed at the first call of partsOf.
+	partsByEngine map[string][]uint64
 }
 
-// keptBy gives what an engine keeps: the parts that rank it first, and as many
-// ends of prompts that were sent there whatever their rank.
-func (f *recoveringFleet) keptBy(engine string) []uint64 {
-	if f.kept != nil {
-		return f.kept[engine]
+// partsOf returns the parts that an engine keeps: the shared parts that rank it first, and as many
+// ends of prompts, which were sent there whatever its rank for them.
+func (f *recoveringFleet) partsOf(engine string) []uint64 {
+	if f.partsByEngine != nil {
+		return f.partsByEngine[engine]
 	}
-	f.kept = make(map[string][]uint64)
+	f.partsByEngine = make(map[string][]uint64)
 	listed := testBackends(f.engines)
 	part := uint64(0)
 	for ; part < uint64(f.engines*f.parts); part++ {
 		id := rankedBy(part, listed)[0]
-		f.kept[id] = append(f.kept[id], part)
+		f.partsByEngine[id] = append(f.partsByEngine[id], part)
 	}
 	for _, e := range listed {
 		for ends := 0; ends < f.parts && f.engines > 12; part++ {
 			if slices.Index(rankedBy(part, listed), e.ID) >= 12 {
-				f.kept[e.ID] = append(f.kept[e.ID], part)
+				f.partsByEngine[e.ID] = append(f.partsByEngine[e.ID], part)
 				ends++
 			}
 		}
 	}
-	return f.kept[engine]
+	return f.partsByEngine[engine]
 }
 
-// homeless counts the shared parts that a router knows no engine of.
-func (f *recoveringFleet) homeless(r *Recovery) int {
+// unknownParts counts the shared parts that a router knows no engine for.
+func (f *recoveringFleet) unknownParts(r *Recovery) int {
 	n := 0
 	for part := range uint64(f.engines * f.parts) {
 		if !r.Balancer.HasHome(&balance.Ask{
@@ -85,7 +84,7 @@
 	return n
 }
 
-// rankedBy gives the engines' IDs by their rank for a part.
+// rankedBy returns the IDs of the engines in the order of their rank for a part.
 func rankedBy(part uint64, listed []balance.Listed) []string {
 	ids := make([]string, 0, len(listed))
 	scores := make(map[string]uint64, len(listed))
@@ -99,19 +98,19 @@
 
 func newRecoveringFleet() *recoveringFleet {
 	return &recoveringFleet{
-		routers: make(map[string]*Recovery),
-		lists:   make(map[string]int),
-		silent:  make(map[string]bool),
-		engines: testEngines,
-		parts:   testParts,
+		routers:      make(map[string]*Recovery),
+		lists:        make(map[string]int),
+		unresponsive: make(map[string]bool),
+		engines:      testEngines,
+		parts:        testParts,
 	}
 }
 
 func dataCentreOf(i int) string { return fmt.Sprint("dc-", i%4) }
 
-var errSilent = errors.New("silent")
+var errUnresponsive = errors.New("unresponsive")
 
-// testBackends lists the first engines.
+// testBackends returns the first n engines.
 func testBackends(n int) []balance.Listed {
 	var backends []balance.Listed
 	for i := range n {
@@ -126,7 +125,7 @@
 	return backends
 }
 
-// add makes a router that knows the engines and none of their caches.
+// add starts a router that knows the engines but none of their caches.
 func (f *recoveringFleet) add(id string) *Recovery {
 	r := NewRecovery(id)
 	r.DataCentre = dataCentreOf(len(f.routers))
@@ -149,29 +148,29 @@
 		other := f.routers[router.ID]
 		f.mu.Unlock()
 		if other == nil {
-			return nil, errSilent
+			return nil, errUnresponsive
 		}
 		q = decodeQuestion(encodeQuestion(q))
 		k := other.Balancer.Knowledge(q)
 		f.mu.Lock()
-		f.named += len(q.Known) + len(q.Wanted)
-		f.told += len(k.Reads)
+		f.enginesNamed += len(q.Known) + len(q.Wanted)
+		f.partsSent += len(k.Reads)
 		f.mu.Unlock()
 		return &k, nil
 	}
 	r.List = func(ctx context.Context, engine slipwick.Backend) ([]uint64, error) {
 		f.mu.Lock()
 		f.lists[engine.ID]++
-		silent := f.silent[engine.ID]
+		isUnresponsive := f.unresponsive[engine.ID]
 		f.mu.Unlock()
-		if silent {
+		if isUnresponsive {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		}
 		time.Sleep(10 * time.Millisecond)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return f.keptBy(engine.ID), nil
+		return f.partsOf(engine.ID), nil
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,8 +182,7 @@
 	return r
 }
 
-// startAll starts routers with a pause between two of them, and waits until all
-// have recovered.
+// startAll starts routers with a pause after each, and waits until all have recovered.
 func (f *recoveringFleet) startAll(t *testing.T, n int, pause time.Duration) []*Recovery {
 	t.Helper()
 	var started []*Recovery
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -14,154 +14,158 @@
 )
 
 const (
-	// firstAsked is how many other routers are asked before any engine: in a
-	// fleet of which half has just started, all of them have with a chance of
-	// one in sixteen. farEvery is in how many questions one goes to any data
-	// centre, the others to the own one: bytes between them are dear.
-	firstAsked = 4
-	farEvery   = 3
-	// askTime bounds one question to a router, listTime one to an engine.
-	askTime  = 200 * time.Millisecond
-	listTime = 300 * time.Millisecond
-	// roundPause lies between two rounds: about what a list takes. A pause after a round in
-	// which nothing was learnt counts as up to longestPause of them.
-	roundPause   = 25 * time.Millisecond
-	longestPause = 4
-	// lonelyRounds is for how many rounds a router that knows no other waits
-	// for one to turn up: routers that start together find each other within
-	// some 100 ms.
-	lonelyRounds = 4
-	// listsARound bounds the engines that a router asks in a round: one that
-	// knows few others yet takes too many for its own.
-	listsARound = 3
-	// turnRounds is for how many rounds an engine is left to the router whose
-	// turn it is, until the next one asks too: some more than a list takes at
-	// most and than its knowledge needs to reach all, which doubles with each
-	// round. Only the first turns of an engine ask it at all: were all routers
-	// to ask what they miss, a start of the whole fleet would have each engine
-	// tell its cache to all of them.
-	turnRounds = 16
-	turns      = 3
-	// recoveryRounds bounds the whole.
-	recoveryRounds = turnRounds * turns
-	// followPause is how often a router looks for engines that are listed late,
-	// followMargin how long after the last of them can come.
-	followPause  = 50 * time.Millisecond
-	followMargin = 500 * time.Millisecond
+	// initialQueries is the number of other routers queried before any engine is asked: in a fleet
+	// of which half has just restarted, there is a chance of one in sixteen that all of these have.
+	// One in remoteQueryInterval queries goes to a router of any data centre, the others to one of
+	// the same data centre, because traffic between data centres is expensive.
+	initialQueries      = 4
+	remoteQueryInterval = 3
+	// queryTimeout bounds a query to a router, listTimeout the listing of an engine's cache.
+	queryTimeout = 200 * time.Millisecond
+	listTimeout  = 300 * time.Millisecond
+	// roundInterval is the pause between two rounds, about as long as an engine takes to list its
+	// cache. While nothing is learnt, the pause grows up to maxRoundIntervals of them, and counts
+	// as that many rounds.
+	roundInterval     = 25 * time.Millisecond
+	maxRoundIntervals = 4
+	// peerWaitRounds is the number of rounds for which a router that knows no others waits for
+	// them: routers that start together find each other within some 100 ms.
+	peerWaitRounds = 4
+	// listsPerRound bounds the engines that a router asks in a round. A router that knows only few
+	// of the others yet would otherwise ask engines that are the turn of routers it does not know.
+	listsPerRound = 3
+	// roundsPerTurn is the number of rounds for which an engine is left to the router whose turn it
+	// is, until the next router asks it too. That is somewhat longer than a listing takes at most
+	// and than the result needs to reach all routers, the number of which doubles with each round.
+	// Only the routers of the first maxTurns turns ask an engine at all: if all routers asked for
+	// what they miss, then after a restart of the whole fleet each engine would have to list its
+	// cache for all of them.
+	roundsPerTurn = 16
+	maxTurns      = 3
+	// maxRounds bounds a whole recovery.
+	maxRounds = roundsPerTurn * maxTurns
+	// lateListingPollInterval is how often a router looks for engines that are listed late, and
+	// lateListingMargin how long after balance.LateListing it still does.
+	lateListingPollInterval = 50 * time.Millisecond
+	lateListingMargin       = 500 * time.Millisecond
 )
 
-// Recovery teaches a router that starts which engines have which parts of
-// prompts cached: from the other routers, and where none knows an engine, from
-// the engine. Routers that start together share the engines among them, and
-// pull from each other what they learnt. Set the exported fields before Run.
+// Recovery builds the cache index of a router that starts: it learns which parts of prompts each
+// engine has cached from the other routers, or from the engine itself if no router knows. Routers
+// that start together divide the engines among themselves, and query each other for what they
+// learnt. Set the exported fields before Run.
 type Recovery struct {
 	// Self is the router's ID.
 	Self       string
 	DataCentre string
 	Balancer   *balance.Balancer
-	// Pools gives the pools of engines.
+	// Pools returns the pools of engines.
 	Pools func() []string
-	// Routers gives the routers that live, this one among them or not.
+	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
-	// Ask asks another router for what it knows.
+	// Ask queries another router for what it knows.
 	Ask func(ctx context.Context, router slipwick.Router, q *balance.Question) (*balance.Knowledge, error)
-	// List asks an engine for the parts that it keeps; nil asks none.
+	// List asks an engine for the parts in its cache. If it is nil, no engine is asked.
 	List func(context.Context, slipwick.Backend) ([]uint64, error)
-	// Settled is closed once this router knows the others: only then does it
-	// know which engines are its to ask. Nil waits for nothing.
+	// Settled is closed once this router knows the others, since only then does it know which
+	// engines it has to ask. If it is nil, it is enough to know one other router.
 	Settled <-chan struct{}
 
-	// asked are the engines asked so far, givenUp those that nobody knew when learning ended
-	// last, questions counts those to routers. shares
-	// are those of the routers known last.
-	asked     map[string]bool
-	givenUp   map[string]bool
-	questions int
-	shares    shares
+	// listed are the engines that were asked so far, abandoned those whose caches were still
+	// unknown when the last run of learnMissing gave up, and queries counts the queries to routers.
+	// turnOrder is computed from the routers known last.
+	listed    map[string]bool
+	abandoned map[string]bool
+	queries   int
+	turnOrder turnOrder
 	done      chan struct{}
 }
 
-// NewRecovery makes a recovery; its exported fields are to be set.
+// NewRecovery returns a recovery for the router with this ID. Set the other exported fields before
+// Run.
 func NewRecovery(self string) *Recovery {
 	return &Recovery{
-		Self:  self,
-		asked: make(map[string]bool),
-		done:  make(chan struct{}),
+		Self:   self,
+		listed: make(map[string]bool),
+		done:   make(chan struct{}),
 	}
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (r *Recovery) Done() <-chan struct{} {
 	return r.done
 }
 
-// Run ends when the caches of all engines are known, when what is missing can't
-// be learnt, or with ctx.
+// Run blocks until the caches of all engines are known, until it gives up on those that are
+// missing, or until ctx ends.
 func (r *Recovery) Run(ctx context.Context) {
 	defer close(r.done)
-	r.learn(ctx)
+	r.learnMissing(ctx)
 }
 
-// Follow learns the caches of engines that are listed late, after Run. It ends
-// when those that turn up are new, or with ctx.
+// Follow learns the caches of engines that are listed late. Call it after Run. It blocks for as
+// long as engines may be listed late, or until ctx ends; engines that are listed later than that
+// are new.
 func (r *Recovery) Follow(ctx context.Context) {
-	for end := clock.Now().Add(balance.LateListing + followMargin); clock.Now().Before(end); {
-		if !sleep(ctx, followPause) {
+	for end := clock.Now().Add(balance.LateListing + lateListingMargin); clock.Now().Before(end); {
+		if !sleep(ctx, lateListingPollInterval) {
 			return
 		}
-		isNew := func(e slipwick.Backend) bool { return !r.asked[e.ID] && !r.givenUp[e.ID] }
+		isNew := func(e slipwick.Backend) bool { return !r.listed[e.ID] && !r.abandoned[e.ID] }
 		if slices.ContainsFunc(r.missing(), isNew) {
-			r.learn(ctx)
+			r.learnMissing(ctx)
 		}
 	}
 }
 
-// learn asks round after round, less often while nothing is learnt: a few of many engines may
-// tell nothing, and each round looks at all that is missing and known.
-func (r *Recovery) learn(ctx context.Context) {
-	left, pause := math.MaxInt, 1
-	for round := 0; round < recoveryRounds; round += pause {
-		questions := 1
+// learnMissing queries routers and engines round after round, less often while nothing is learnt: a
+// few of many engines may never answer, and each round has to look at everything that is missing or
+// known.
+func (r *Recovery) learnMissing(ctx context.Context) {
+	previous, intervals := math.MaxInt, 1
+	for round := 0; round < maxRounds; round += intervals {
+		queries := 1
 		if round == 0 {
-			questions = firstAsked
+			queries = initialQueries
 		}
-		r.askRouters(ctx, questions)
+		r.queryRouters(ctx, queries)
 		missing := r.missing()
 		if len(missing) == 0 || ctx.Err() != nil {
 			return
 		}
-		if r.knowsFleet(round) {
-			r.listEngines(ctx, missing, round/turnRounds)
+		if r.isFleetKnown(round) {
+			r.listEngines(ctx, missing, round/roundsPerTurn)
 		}
-		pause = min(2*pause, longestPause)
-		if len(missing) < left {
-			pause = 1
+		intervals = min(2*intervals, maxRoundIntervals)
+		if len(missing) < previous {
+			intervals = 1
 		}
-		left = len(missing)
-		if !sleep(ctx, time.Duration(pause)*roundPause) {
+		previous = len(missing)
+		if !sleep(ctx, time.Duration(intervals)*roundInterval) {
 			return
 		}
 	}
-	r.givenUp = make(map[string]bool)
+	r.abandoned = make(map[string]bool)
 	for _, engine := range r.missing() {
-		r.givenUp[engine.ID] = true
+		r.abandoned[engine.ID] = true
 	}
 }
 
-// knowsFleet tells whether this router knows which engines are its to ask.
-func (r *Recovery) knowsFleet(round int) bool {
+// isFleetKnown reports whether this router knows enough of the fleet to tell which engines it has
+// to ask.
+func (r *Recovery) isFleetKnown(round int) bool {
 	if r.Settled != nil {
 		select {
 		case <-r.Settled:
 			return true
 		default:
-			return round >= turnRounds
+			return round >= roundsPerTurn
 		}
 	}
-	return round >= lonelyRounds || len(without(r.Routers(), r.Self)) > 0
+	return round >= peerWaitRounds || len(excluding(r.Routers(), r.Self)) > 0
 }
 
-// Missing counts the engines whose caches are not known.
+// Missing returns the number of engines whose caches are not known.
 func (r *Recovery) Missing() int {
 	return len(r.missing())
 }
@@ -174,37 +178,35 @@
 	return missing
 }
 
-// askRouters asks up to n other routers, one after the other, until nothing is
-// missing.
-func (r *Recovery) askRouters(ctx context.Context, n int) {
+// queryRouters queries up to n other routers, one after the other, until nothing is missing.
+func (r *Recovery) queryRouters(ctx context.Context, n int) {
 	for range n {
 		other, ok := r.chooseRouter()
 		if !ok {
 			return
 		}
-		question, ok := r.Balancer.Question(r.Pools())
+		query, ok := r.Balancer.Question(r.Pools())
 		if !ok {
 			return
 		}
-		limited, cancel := context.WithTimeout(ctx, askTime)
-		k, err := r.Ask(limited, other, &question)
+		limited, cancel := context.WithTimeout(ctx, queryTimeout)
+		k, err := r.Ask(limited, other, &query)
 		cancel()
-		// A router that does not answer is passed over: another is asked in
-		// the next round.
+		// A router that doesn't answer is skipped; the next round queries another one.
 		if err == nil {
 			r.Balancer.Learn(k)
 		}
 	}
 }
 
-// chooseRouter gives another router by chance, most often one of the own data
-// centre; false if there is no other.
+// chooseRouter returns another router at random, usually one of the same data centre; false if
+// there is no other.
 func (r *Recovery) chooseRouter() (slipwick.Router, bool) {
-	others := without(r.Routers(), r.Self)
-	r.questions++
-	if r.questions%farEvery != 0 {
-		if near := inDataCentre(others, r.DataCentre); len(near) > 0 {
-			others = near
+	others := excluding(r.Routers(), r.Self)
+	r.queries++
+	if r.queries%remoteQueryInterval != 0 {
+		if local := inDataCentre(others, r.DataCentre); len(local) > 0 {
+			others = local
 		}
 	}
 	if len(others) == 0 {
@@ -214,17 +216,17 @@
 }
 
 func inDataCentre(routers []slipwick.Router, dataCentre string) []slipwick.Router {
-	var near []slipwick.Router
+	var local []slipwick.Router
 	for _, router := range routers {
 		if router.DataCentre == dataCentre {
-			near = append(near, router)
+			local = append(local, router)
 		}
 	}
-	return near
+	return local
 }
 
-// listEngines asks some of the engines that are this router's to ask by this turn,
-// at once.
+// listEngines asks some of the engines that are this router's to ask by this turn, in parallel, and
+// waits for their answers.
 func (r *Recovery) listEngines(ctx context.Context, engines []slipwick.Backend, turn int) {
 	if r.List == nil {
 		return
@@ -233,24 +235,23 @@
 		ID:         r.Self,
 		DataCentre: r.DataCentre,
 	}
-	r.shares.update(self, without(r.Routers(), r.Self))
+	r.turnOrder.update(self, excluding(r.Routers(), r.Self))
 	var lists sync.WaitGroup
-	begun := 0
+	started := 0
 	for _, i := range rand.Perm(len(engines)) {
 		engine := engines[i]
-		if begun == listsARound {
+		if started == listsPerRound {
 			break
 		}
-		if r.asked[engine.ID] || r.shares.turn(&engine) > turn {
+		if r.listed[engine.ID] || r.turnOrder.turn(&engine) > turn {
 			continue
 		}
-		begun++
-		r.asked[engine.ID] = true
+		started++
+		r.listed[engine.ID] = true
 		lists.Go(func() {
-			limited, cancel := context.WithTimeout(ctx, listTime)
+			limited, cancel := context.WithTimeout(ctx, listTimeout)
 			defer cancel()
-			// An engine that does not answer stays unknown; the list tells
-			// why in its log line.
+			// The cache of an engine that doesn't answer stays unknown. List logs the reason.
 			if parts, err := r.List(limited, engine); err == nil {
 				r.Balancer.Keeps(engine.ID, parts)
 			}
@@ -259,7 +260,7 @@
 	lists.Wait()
 }
 
-// sleep waits; false if ctx ended first.
+// sleep waits for a duration; it returns false if ctx ended first.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -35,21 +35,21 @@
 				for _, n := range f.lists {
 					sum += n
 				}
-				// Routers that start alone ask for more than their share.
-				if limit := max(3*testEngines, 2*listsARound*test.size); sum > limit {
-					t.Errorf("got %d lists from %d engines, want at most %d", sum, testEngines, limit)
+				// Routers that know no others yet ask more engines than their share.
+				if limit := max(3*testEngines, 2*listsPerRound*test.size); sum > limit {
+					t.Errorf("got %d listings from %d engines, want at most %d", sum, testEngines, limit)
 				}
-				if limit := test.size * testEngines * testParts; f.told > limit {
-					t.Errorf("got %d parts told, want each router told each once at most, %d", f.told, limit)
+				if limit := test.size * testEngines * testParts; f.partsSent > limit {
+					t.Errorf("got %d parts sent, want each sent to each router at most once, %d", f.partsSent, limit)
 				}
 			})
 		})
 	}
 }
 
-// TestLargeFleetThatRestartsAsksEachEngineAboutOnce has a whole large fleet start
-// at once: all routers know all caches soon, and engines, whose work a list holds
-// up, are hardly asked more often than there are engines.
+// TestLargeFleetThatRestartsAsksEachEngineAboutOnce restarts a whole large fleet at once. All
+// routers must know all caches soon, and there must be hardly more listings than engines, because
+// listing its cache holds up an engine's other work.
 func TestLargeFleetThatRestartsAsksEachEngineAboutOnce(t *testing.T) {
 	for _, test := range []struct {
 		routers, engines, parts int
@@ -74,7 +74,7 @@
 				sum += n
 			}
 			if sum > 2*test.engines {
-				t.Errorf("%d routers: got %d lists from %d engines, want at most twice as many", test.routers, sum, test.engines)
+				t.Errorf("%d routers: got %d listings from %d engines, want at most twice as many", test.routers, sum, test.engines)
 			}
 		})
 	}
@@ -93,9 +93,9 @@
 	})
 }
 
-// TestEnginesThatComeBackLateKeepTheirCaches has routers start when the store has
-// just returned, and half of the engines enter themselves a second later.
-func TestEnginesThatComeBackLateKeepTheirCaches(t *testing.T) {
+// TestEnginesListedLateKeepTheirCaches starts routers when the store has just returned, and half of
+// the engines register a second later.
+func TestEnginesListedLateKeepTheirCaches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecoveringFleet()
 		var started []*Recovery
@@ -117,8 +117,9 @@
 		}
 		time.Sleep(time.Second)
 		for _, r := range started {
-			// While few engines were listed, ends of prompts seemed likely too.
-			if got := f.homeless(r); got > 0 || r.Missing() > 0 {
+			// While few engines were listed, an engine ranked high enough for ends of prompts too,
+			// so that more than the shared parts may be known.
+			if got := f.unknownParts(r); got > 0 || r.Missing() > 0 {
 				t.Errorf("router %s: got %d shared parts unknown and %d engines missing, want none", r.Self, got, r.Missing())
 			}
 		}
@@ -134,29 +135,29 @@
 	})
 }
 
-// TestSilentEnginesAndRoutersEndInTime has one engine and one router that
-// answer nothing: all else has to be learnt, soon.
-func TestSilentEnginesAndRoutersEndInTime(t *testing.T) {
+// TestRecoveryEndsDespiteUnresponsiveEngineAndRouter has one engine and one router that answer
+// nothing. Everything else has to be learnt within seconds.
+func TestRecoveryEndsDespiteUnresponsiveEngineAndRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecoveringFleet()
-		f.silent["engine-3"] = true
+		f.unresponsive["engine-3"] = true
 		f.add("silent")
 		f.routers["silent"] = nil
 		started := time.Now()
 		for _, r := range f.startAll(t, 4, 0) {
-			// It keeps shared parts and as many ends of prompts as the mean.
-			lost := len(f.keptBy("engine-3")) - testParts
+			// Its cache holds shared parts, and as many ends of prompts as the mean of the engines.
+			lost := len(f.partsOf("engine-3")) - testParts
 			if got, want := r.Balancer.KnownParts(), testEngines*testParts-lost; got != want || r.Missing() != 1 {
 				t.Errorf("router %s: got %d parts and %d engines missing, want %d and 1", r.Self, got, r.Missing(), want)
 			}
 		}
 		if took := time.Since(started); took > 2*time.Second {
-			t.Errorf("got an end after %v, want it within 2 s", took)
+			t.Errorf("got the recovery ended after %v, want it within 2 s", took)
 		}
 	})
 }
 
-func TestKnowledgeTravelsWhole(t *testing.T) {
+func TestKnowledgeIsDecodedAsEncoded(t *testing.T) {
 	want := &balance.Knowledge{
 		Covered: []uint64{7, 9},
 		Reads: []balance.Read{
@@ -169,24 +170,24 @@
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	spoilt := encodeKnowledge(want)
-	spoilt.Keepers[1], spoilt.Servers = 17, spoilt.Servers[:1]
-	if got := decodeKnowledge(spoilt); len(got.Reads) != 0 || len(got.Covered) != 1 {
-		t.Errorf("spoilt: got %+v, want what fits together", got)
+	invalid := encodeKnowledge(want)
+	invalid.Keepers[1], invalid.Servers = 17, invalid.Servers[:1]
+	if got := decodeKnowledge(invalid); len(got.Reads) != 0 || len(got.Covered) != 1 {
+		t.Errorf("invalid: got %+v, want only the valid entries", got)
 	}
 }
 
-// TestFewQuestionsForWhatNobodyTells has one engine of many tell nothing. Routers go on asking each
-// other while that brings something, and seldom after that.
+// TestFewQueriesForUnresponsiveEngines has one engine of many never list its cache. Routers may
+// query each other while they learn something, and must do so seldom after that.
 //
-// What was seen after a loss of power at 986 routers before 9,621 engines: 36 % of the processor
-// time went into asking for the few that were still missing, round after round, and anew each
-// time that learning had ended with some missing.
-func TestFewQuestionsForWhatNobodyTells(t *testing.T) {
+// After a power loss at 986 routers before 9,621 engines, 36 % of the processor time went into
+// queries for the few engines still missing, round after round, and again each time that recovery
+// had ended with some missing.
+func TestFewQueriesForUnresponsiveEngines(t *testing.T) {
 	for _, size := range []int{15, 30, 60} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newRecoveringFleet()
-			f.silent["engine-3"] = true
+			f.unresponsive["engine-3"] = true
 			var mu sync.Mutex
 			asked := make(map[string]int)
 			var routers []*Recovery
@@ -215,8 +216,8 @@
 			for _, n := range asked {
 				most = max(most, n)
 			}
-			// Half of the rounds, and the first questions, once.
-			if limit := recoveryRounds/2 + firstAsked; most > limit {
+			// Half of the rounds, and the initial queries once.
+			if limit := maxRounds/2 + initialQueries; most > limit {
 				t.Errorf("%d routers: one asked %d times, want at most %d", size, most, limit)
 			}
 		})
--- a/exchange/shares.go
+++ b/exchange/shares.go
@@ -9,25 +9,26 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// pointsEach is how many points of a ring each router has: with so many the largest share
-// is within about twice the mean.
-const pointsEach = 8
+// pointsPerRouter is the number of points that each router has on a ring; with this many, the
+// largest share is at most about twice the mean.
+const pointsPerRouter = 8
 
-// shares shares the engines out among routers that start together: on a ring of hashes, an
-// engine is first the turn of the router that follows it, then of the next. A ring finds the
-// turn of one engine without a look at each router, and routers that know different parts
-// of the fleet differ in what is next to those that only some know.
-type shares struct {
+// turnOrder assigns engines to routers that start together, by consistent hashing: the first turn
+// of an engine belongs to the router that follows it on a ring of hashes, the next turn to the next
+// router. The turn of an engine is found without looking at each router, and routers that know
+// different parts of the fleet disagree only about engines next to routers that not all of them
+// know.
+type turnOrder struct {
 	self   slipwick.Router
 	others []slipwick.Router
-	// near is the ring of each data centre, far that of all routers.
-	near map[string]ring
-	far  ring
-	// found are the turns of engines that were asked for, by ID.
-	found map[string]int
+	// byDataCentre are the rings of the data centres, fleet is the ring of all routers.
+	byDataCentre map[string]ring
+	fleet        ring
+	// cached are the turns that were computed already, by engine ID.
+	cached map[string]int
 }
 
-// ring are points by their hash.
+// ring is a list of points sorted by hash.
 type ring []ringPoint
 
 type ringPoint struct {
@@ -35,57 +36,57 @@
 	router string
 }
 
-// update takes the other routers that are known.
-func (s *shares) update(self slipwick.Router, others []slipwick.Router) {
-	if s.far != nil && slices.Equal(s.others, others) {
+// update rebuilds the rings if the other known routers have changed.
+func (o *turnOrder) update(self slipwick.Router, others []slipwick.Router) {
+	if o.fleet != nil && slices.Equal(o.others, others) {
 		return
 	}
-	s.self, s.others, s.found = self, others, make(map[string]int)
-	s.near, s.far = make(map[string]ring), nil
+	o.self, o.others, o.cached = self, others, make(map[string]int)
+	o.byDataCentre, o.fleet = make(map[string]ring), nil
 	for _, router := range append([]slipwick.Router{self}, others...) {
 		id := placement.IDHash(router.ID)
-		for i := range uint64(pointsEach) {
+		for i := range uint64(pointsPerRouter) {
 			point := ringPoint{
 				hash:   placement.Score(id, i),
 				router: router.ID,
 			}
-			s.near[router.DataCentre] = append(s.near[router.DataCentre], point)
-			s.far = append(s.far, point)
+			o.byDataCentre[router.DataCentre] = append(o.byDataCentre[router.DataCentre], point)
+			o.fleet = append(o.fleet, point)
 		}
 	}
 	byHash := func(a, b ringPoint) int { return cmp.Compare(a.hash, b.hash) }
-	for _, near := range s.near {
-		slices.SortFunc(near, byHash)
+	for _, local := range o.byDataCentre {
+		slices.SortFunc(local, byHash)
 	}
-	slices.SortFunc(s.far, byHash)
+	slices.SortFunc(o.fleet, byHash)
 }
 
-// turn tells how many other routers ask an engine before this one: those of the engine's
-// data centre come first, then the others. From turns on it is not counted further.
-func (s *shares) turn(engine *slipwick.Backend) int {
-	turn, isKnown := s.found[engine.ID]
+// turn returns how many other routers come before this one in asking an engine: first those of the
+// engine's data centre, then the others. It counts up to maxTurns.
+func (o *turnOrder) turn(engine *slipwick.Backend) int {
+	turn, isKnown := o.cached[engine.ID]
 	if !isKnown {
-		turn = s.find(engine)
-		s.found[engine.ID] = turn
+		turn = o.computeTurn(engine)
+		o.cached[engine.ID] = turn
 	}
 	return turn
 }
 
-func (s *shares) find(engine *slipwick.Backend) int {
+func (o *turnOrder) computeTurn(engine *slipwick.Backend) int {
 	key := placement.Score(placement.IDHash(engine.ID), 0)
-	before := make([]string, 0, turns)
-	for _, r := range []ring{s.near[engine.DataCentre], s.far} {
+	before := make([]string, 0, maxTurns)
+	for _, r := range []ring{o.byDataCentre[engine.DataCentre], o.fleet} {
 		first := sort.Search(len(r), func(i int) bool { return r[i].hash >= key })
 		for i := range r {
 			router := r[(first+i)%len(r)].router
-			if router == s.self.ID {
+			if router == o.self.ID {
 				return len(before)
 			}
 			if slices.Contains(before, router) {
 				continue
 			}
-			if before = append(before, router); len(before) == turns {
-				return turns
+			if before = append(before, router); len(before) == maxTurns {
+				return maxTurns
 			}
 		}
 	}
--- a/exchange/shares_test.go
+++ b/exchange/shares_test.go
@@ -9,8 +9,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// sharedFleet gives the routers of a fleet in six data centres, and engines of these.
-func sharedFleet(routers, engines int) (fleet []slipwick.Router, pool []slipwick.Backend) {
+// testFleet returns the routers of a fleet in six data centres, and engines in these.
+func testFleet(routers, engines int) (fleet []slipwick.Router, pool []slipwick.Backend) {
 	for i := range routers {
 		fleet = append(fleet, slipwick.Router{
 			ID:         fmt.Sprint("r", i),
@@ -26,19 +26,19 @@
 	return fleet, pool
 }
 
-// TestEachEngineHasOneRouterForEachTurn takes the turns at all routers of a fleet: each engine
-// is asked by one router of its own data centre first, and by another in each further turn.
+// TestEachEngineHasOneRouterForEachTurn computes the turns at all routers of a fleet: each engine
+// must be asked by exactly one router in each turn, all of them in its own data centre.
 func TestEachEngineHasOneRouterForEachTurn(t *testing.T) {
-	fleet, pool := sharedFleet(60, 300)
+	fleet, pool := testFleet(60, 300)
 	asked := make(map[string][]int)
 	most := 0
 	for i, self := range fleet {
-		var s shares
-		s.update(self, without(fleet, self.ID))
+		var s turnOrder
+		s.update(self, excluding(fleet, self.ID))
 		own := 0
 		for e := range pool {
 			turn := s.turn(&pool[e])
-			if turn == turns {
+			if turn == maxTurns {
 				continue
 			}
 			if turn == 0 {
@@ -64,52 +64,52 @@
 
 // TestSmallDataCentreLeavesEnginesToOthers has fewer routers in a data centre than turns.
 func TestSmallDataCentreLeavesEnginesToOthers(t *testing.T) {
-	fleet, _ := sharedFleet(3, 0)
+	fleet, _ := testFleet(3, 0)
 	var got []int
 	for _, self := range fleet {
-		var s shares
-		s.update(self, without(fleet, self.ID))
+		var s turnOrder
+		s.update(self, excluding(fleet, self.ID))
 		got = append(got, s.turn(&slipwick.Backend{
 			ID:         "e",
 			DataCentre: "dc-1",
 		}))
 	}
 	if got[1] != 0 || got[0]+got[2] != 3 {
-		t.Errorf("got turns %v, want the near router first, then the others", got)
+		t.Errorf("got turns %v, want the router of the same data centre first, then the others", got)
 	}
 }
 
-// TestQuestionsNameWhatIsMissing restarts fleets before pools of several sizes, in each of
-// which some engines never answer: once all others are known, a question names these few and
-// not all that are known.
-func TestQuestionsNameWhatIsMissing(t *testing.T) {
-	const silent = 3
+// TestQueriesNameMissingEngines restarts fleets before pools of several sizes, in which some
+// engines never answer. Once all others are known, a query must name these few and not all that are
+// known.
+func TestQueriesNameMissingEngines(t *testing.T) {
+	const unresponsive = 3
 	for _, engines := range []int{50, 100, 200} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newRecoveringFleet()
 			f.engines, f.parts = engines, 2
-			for i := range silent {
-				f.silent[fmt.Sprint("engine-", i)] = true
+			for i := range unresponsive {
+				f.unresponsive[fmt.Sprint("engine-", i)] = true
 			}
 			const routers = 20
 			f.startAll(t, routers, 0)
-			// Questions hold at most half of the engines while there is something to learn,
-			// in about as many rounds as doublings.
-			most := routers * (10*engines/2 + (recoveryRounds+firstAsked)*silent)
-			if f.named > most {
-				t.Errorf("%d engines: got %d named in questions, want at most %d", engines, f.named, most)
+			// Queries name at most half of the engines while there is something to learn, for about
+			// as many rounds as the known part takes to double up to all.
+			most := routers * (10*engines/2 + (maxRounds+initialQueries)*unresponsive)
+			if f.enginesNamed > most {
+				t.Errorf("%d engines: got %d named in queries, want at most %d", engines, f.enginesNamed, most)
 			}
 		})
 	}
 }
 
-// BenchmarkTurns finds the turns of all engines, ten for each router.
+// BenchmarkTurns measures the computation of the turns of all engines, ten for each router.
 func BenchmarkTurns(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			fleet, pool := sharedFleet(size, 10*size)
+			fleet, pool := testFleet(size, 10*size)
 			for b.Loop() {
-				var s shares
+				var s turnOrder
 				s.update(fleet[0], fleet[1:])
 				for e := range pool {
 					s.turn(&pool[e])
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -16,98 +16,100 @@
 )
 
 const (
-	// pause lies between two tellings: shorter than a request runs, long
-	// enough to cost a router little.
-	pause = 200 * time.Millisecond
-	// leastPause lies between tellings that cannot wait, passPause between those
-	// of a hub that passes such news on: together with a telling they take less
-	// than the shortest reading that is urgent.
-	leastPause = 10 * time.Millisecond
-	passPause  = 15 * time.Millisecond
-	// sequenceBits leave room for the datagrams of a millisecond.
+	// updateInterval is the interval between updates: shorter than requests run, but long enough
+	// that updates cost a router little.
+	updateInterval = 200 * time.Millisecond
+	// urgentDelay is the delay before an urgent update, relayDelay the delay before a hub relays
+	// urgent reads. Together with the time to send them, they are shorter than the shortest prefill
+	// that is reported as urgent.
+	urgentDelay = 10 * time.Millisecond
+	relayDelay  = 15 * time.Millisecond
+	// sequenceBits is the number of low bits of a sequence number that count the datagrams within a
+	// millisecond.
 	sequenceBits = 16
-	// fleetSource names what a hub tells of the whole fleet.
+	// fleetSource is the source of the counts of the whole fleet, which a hub sends.
 	fleetSource = "fleet"
-	// maxPassed bounds the reads, the outcomes and the leaving servers that a hub has
-	// yet to pass on.
-	maxPassed = 4096
+	// maxQueued bounds the reads, the outcomes and the leaving servers that a hub has queued for
+	// relay.
+	maxQueued = 4096
 )
 
-// Wire carries datagrams between routers.
+// Wire sends datagrams to other routers.
 type Wire interface {
 	Send(address string, packet []byte)
 }
 
-// Teller tells the other routers what the balancer knows, and the balancer
-// what they tell. Set the exported fields before Run.
+// Teller sends the state of the balancer to the other routers, and passes what they send to the
+// balancer. Set the exported fields before Run.
 type Teller struct {
 	Self     string
 	Balancer *balance.Balancer
 	Wire     Wire
-	// Routers gives the routers that live, this one among them or not.
+	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
-	// Address gives where a router hears what is told.
+	// Address returns the address at which a router receives datagrams.
 	Address func(slipwick.Router) string
-	// OnMarks takes the marks of requests that others tell on the same way.
+	// OnMarks is called with the crashes that arrive among the other datagrams.
 	OnMarks func([]quarantine.Mark)
 
 	sequence atomic.Uint64
-	soon     chan struct{}
-	// passSoon says that a hub has urgent news to pass on.
-	passSoon chan struct{}
-	// hubs are those of the routers that lived at the telling before, chosen anew when
-	// these change; they belong to Run.
+	sendSoon chan struct{}
+	// relaySoon is signalled when a hub has urgent reads to relay.
+	relaySoon chan struct{}
+	// hubs are chosen again when the live routers have changed since the last update. Only Run uses
+	// the field.
 	hubs *hubs
-	// size is that of the fleet when this router told last; 0 before.
-	size atomic.Int64
+	// fleetSize is the number of live routers at the last update; 0 before the first.
+	fleetSize atomic.Int64
 
 	mu sync.Mutex
-	// told are the counts that others told, by router or hub.
-	told map[string]*counts
-	// own is what this router told last.
+	// received are the counts received last, by router or hub.
+	received map[string]*counts
+	// own are the counts that this router sent last.
 	own *counts
-	// fromGroup and fromHubs are reads and outcomes to pass on. A router that
-	// tells a hub gets its own outcomes back with those of the fleet, and
-	// counts them twice.
-	fromGroup, fromHubs balance.Told
-	// urgentGroup and urgentHubs are the reads among these that are passed on at
-	// once. They are told with the others as well, as datagrams get lost.
-	urgentGroup, urgentHubs []balance.Read
+	// groupEvents and hubEvents are reads, outcomes and leaving servers to relay. A router in the
+	// group of a hub receives its own outcomes with those of the fleet, and counts them twice.
+	groupEvents, hubEvents balance.Told
+	// urgentGroupReads and urgentHubReads are the reads among these that are relayed at once. They
+	// are sent again with the next update, since datagrams may be lost.
+	urgentGroupReads, urgentHubReads []balance.Read
 
 	done chan struct{}
 }
 
-// NewTeller makes a teller; its exported fields are to be set.
+// NewTeller returns a teller for the router with this ID. Set the other exported fields before Run.
 func NewTeller(self string) *Teller {
 	t := &Teller{
 		Self:    self,
 		OnMarks: func([]quarantine.Mark) {},
 
-		told: make(map[string]*counts),
-		own:  newCounts(nil),
-		soon: make(chan struct{}, 1),
+		received: make(map[string]*counts),
+		own:      newCounts(nil),
+		sendSoon: make(chan struct{}, 1),
 
-		passSoon: make(chan struct{}, 1),
-		hubs:     chooseHubs(nil),
+		relaySoon: make(chan struct{}, 1),
+		hubs:      chooseHubs(nil),
 
 		done: make(chan struct{}),
 	}
-	// What a restarted router tells is newer than what it told before.
+	// The sequence starts at the time of day, so that the datagrams of a restarted router are newer
+	// than those it sent before.
 	t.sequence.Store(uint64(time.Now().UnixMilli()) << sequenceBits)
 	return t
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (t *Teller) Done() <-chan struct{} {
 	return t.done
 }
 
-// Soon has the next telling come without a pause, but for leastPause.
+// Soon makes Run send the next update after urgentDelay. It doesn't block.
 func (t *Teller) Soon() {
-	signal(t.soon)
+	signal(t.sendSoon)
 }
 
-// signal has whoever waits for the channel wake up, now or when it waits next.
+// signal wakes the receiver of a channel with a buffer of one, now or when it receives next. It
+// never blocks.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
@@ -115,114 +117,116 @@
 	}
 }
 
-// Run tells until ctx ends.
+// Run sends updates until ctx ends.
 func (t *Teller) Run(ctx context.Context) {
 	defer close(t.done)
-	ticker := time.NewTicker(pause)
+	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
-	t.tell(false)
+	t.sendUpdate(false)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			t.tell(false)
-		case <-t.soon:
-			time.Sleep(leastPause)
-			t.tellUrgent()
-		case <-t.passSoon:
-			time.Sleep(passPause)
-			t.passOn()
+			t.sendUpdate(false)
+		case <-t.sendSoon:
+			time.Sleep(urgentDelay)
+			t.sendUrgent()
+		case <-t.relaySoon:
+			time.Sleep(relayDelay)
+			t.relayUrgent()
 		}
 	}
 }
 
-// tell tells those that this router tells in a fleet of this size.
-func (t *Teller) tell(urgent bool) {
+// sendUpdate sends an update to the routers that this router's role requires: to all others in a
+// full mesh, to its hub, or as a hub to the other hubs and to its group.
+func (t *Teller) sendUpdate(urgent bool) {
 	if routers := t.Routers(); !slices.Equal(routers, t.hubs.routers) {
 		t.hubs = chooseHubs(routers)
 	}
 	hubs := t.hubs
-	others := len(without(hubs.routers, t.Self))
-	t.size.Store(int64(len(hubs.routers)))
-	told := t.Balancer.Tell()
+	others := len(excluding(hubs.routers, t.Self))
+	t.fleetSize.Store(int64(len(hubs.routers)))
+	update := t.Balancer.Tell()
 	t.mu.Lock()
-	t.own = newCounts(told.InFlight)
+	t.own = newCounts(update.InFlight)
 	t.mu.Unlock()
 	switch {
 	case len(hubs.chosen) == 0:
-		peers := without(hubs.routers, t.Self)
+		peers := excluding(hubs.routers, t.Self)
 		t.Balancer.SetPeers(idsOf(peers), others)
-		t.send(peers, t.encode(exchangepb.Scope_SCOPE_OWN, urgent, told))
-	case hubs.has(t.Self):
-		t.tellAsHub(hubs, told, others)
+		t.send(peers, t.encode(exchangepb.Scope_SCOPE_OWN, urgent, update))
+	case hubs.isHub(t.Self):
+		t.sendHubUpdates(hubs, update, others)
 	default:
 		t.mu.Lock()
-		t.fromGroup, t.fromHubs = balance.Told{}, balance.Told{}
-		t.urgentGroup, t.urgentHubs = nil, nil
+		t.groupEvents, t.hubEvents = balance.Told{}, balance.Told{}
+		t.urgentGroupReads, t.urgentHubReads = nil, nil
 		t.mu.Unlock()
-		hub, _ := hubs.of(t.Self)
+		hub, _ := hubs.hubOf(t.Self)
 		t.Balancer.SetPeers([]string{fleetSource}, others)
-		t.send([]slipwick.Router{hub}, t.encode(exchangepb.Scope_SCOPE_OWN, urgent, told))
+		t.send([]slipwick.Router{hub}, t.encode(exchangepb.Scope_SCOPE_OWN, urgent, update))
 	}
 }
 
-// tellAsHub tells the other hubs of the group, and the group of the fleet.
-func (t *Teller) tellAsHub(hubs *hubs, own balance.Told, fleet int) {
-	group, others := hubs.group(t.Self), without(hubs.chosen, t.Self)
+// sendHubUpdates sends the counts of the group to the other hubs, and the counts of the fleet to
+// the group.
+func (t *Teller) sendHubUpdates(hubs *hubs, own balance.Told, fleet int) {
+	group, others := hubs.groupOf(t.Self), excluding(hubs.chosen, t.Self)
 	t.Balancer.SetPeers(slices.Concat(idsOf(group), idsOf(others)), fleet)
-	ofGroup, ofHubs := t.sums(idsOf(group), idsOf(others))
+	groupSum, hubSum := t.sumCounts(idsOf(group), idsOf(others))
 	t.mu.Lock()
-	news, fromHubs := t.fromGroup, t.fromHubs
-	t.fromGroup, t.fromHubs = balance.Told{}, balance.Told{}
+	update, hubEvents := t.groupEvents, t.hubEvents
+	t.groupEvents, t.hubEvents = balance.Told{}, balance.Told{}
 	t.mu.Unlock()
-	addNews(&news, own)
-	news.InFlight = ofGroup.list()
-	t.send(others, t.encode(exchangepb.Scope_SCOPE_GROUP, false, news))
-	ofGroup.add(ofHubs, 1)
-	addNews(&news, fromHubs)
-	news.InFlight = ofGroup.list()
-	t.send(group, t.encode(exchangepb.Scope_SCOPE_FLEET, false, news))
+	addEvents(&update, own)
+	update.InFlight = groupSum.list()
+	t.send(others, t.encode(exchangepb.Scope_SCOPE_GROUP, false, update))
+	groupSum.add(hubSum, 1)
+	addEvents(&update, hubEvents)
+	update.InFlight = groupSum.list()
+	t.send(group, t.encode(exchangepb.Scope_SCOPE_FLEET, false, update))
 }
 
-// addNews adds what is told once, as far as there is room.
-func addNews(news *balance.Told, more balance.Told) {
-	if len(news.Reads) < maxPassed {
-		news.Reads = append(news.Reads, more.Reads...)
+// addEvents appends the events of another update, as far as the queues have room.
+func addEvents(events *balance.Told, more balance.Told) {
+	if len(events.Reads) < maxQueued {
+		events.Reads = append(events.Reads, more.Reads...)
 	}
-	if len(news.Outcomes) < maxPassed {
-		news.Outcomes = append(news.Outcomes, more.Outcomes...)
+	if len(events.Outcomes) < maxQueued {
+		events.Outcomes = append(events.Outcomes, more.Outcomes...)
 	}
-	if len(news.Leaving) < maxPassed {
-		news.Leaving = append(news.Leaving, more.Leaving...)
+	if len(events.Leaving) < maxQueued {
+		events.Leaving = append(events.Leaving, more.Leaving...)
 	}
 }
 
-// sums adds what the group and this router, and what the other hubs have, and
-// forgets what others told.
-func (t *Teller) sums(group, hubs []string) (ofGroup, ofHubs *counts) {
+// sumCounts returns the counts of the group including this router, and those of the other hubs. It
+// forgets the counts of all other routers.
+func (t *Teller) sumCounts(group, hubs []string) (groupSum, hubSum *counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	fromGroup, fromHubs := make(map[string]*counts), make(map[string]*counts)
+	groupCounts, hubCounts := make(map[string]*counts), make(map[string]*counts)
 	for _, id := range group {
-		if c := t.told[id]; c != nil {
-			fromGroup[id] = c
+		if c := t.received[id]; c != nil {
+			groupCounts[id] = c
 		}
 	}
 	for _, id := range hubs {
-		if c := t.told[id]; c != nil {
-			fromHubs[id] = c
+		if c := t.received[id]; c != nil {
+			hubCounts[id] = c
 		}
 	}
-	t.told = make(map[string]*counts, len(fromGroup)+len(fromHubs))
-	for _, kept := range []map[string]*counts{fromGroup, fromHubs} {
+	t.received = make(map[string]*counts, len(groupCounts)+len(hubCounts))
+	for _, kept := range []map[string]*counts{groupCounts, hubCounts} {
 		for id, c := range kept {
-			t.told[id] = c
+			t.received[id] = c
 		}
 	}
-	ofGroup, ofHubs = sumOf(fromGroup), sumOf(fromHubs)
-	ofGroup.add(t.own, 1)
-	return ofGroup, ofHubs
+	groupSum, hubSum = sumFresh(groupCounts), sumFresh(hubCounts)
+	groupSum.add(t.own, 1)
+	return groupSum, hubSum
 }
 
 func (t *Teller) send(routers []slipwick.Router, packets [][]byte) {
@@ -234,61 +238,62 @@
 	}
 }
 
-// Receive takes a datagram of another router. What can't be read is dropped.
+// Receive handles a datagram of another router. It drops one that can't be decoded.
 func (t *Teller) Receive(_ string, packet []byte) {
 	message := &exchangepb.Told{}
 	if proto.Unmarshal(packet, message) != nil || message.GetFrom() == t.Self {
 		return
 	}
-	if marks := decodeMarks(message); len(marks) > 0 {
-		t.OnMarks(marks)
+	if crashes := decodeCrashes(message); len(crashes) > 0 {
+		t.OnMarks(crashes)
 		return
 	}
-	told := decode(message)
-	t.passLater(message.GetScope(), message.GetUrgent(), told)
+	update := decode(message)
+	t.queueForRelay(message.GetScope(), message.GetUrgent(), update)
 	if hasCounts(message) {
-		t.hear(message, told.InFlight)
+		t.receiveCounts(message, update.InFlight)
 	}
-	t.Balancer.HearReadings(told.Reads)
-	t.Balancer.HearOutcomes(told.Outcomes)
-	t.Balancer.HearLeaving(told.Leaving)
+	t.Balancer.HearReadings(update.Reads)
+	t.Balancer.HearOutcomes(update.Outcomes)
+	t.Balancer.HearLeaving(update.Leaving)
 }
 
-// hasCounts tells whether a datagram counts requests.
+// hasCounts reports whether a datagram carries counts in flight.
 func hasCounts(message *exchangepb.Told) bool {
 	return message.GetScope() != exchangepb.Scope_SCOPE_NONE && message.GetScope() != exchangepb.Scope_SCOPE_NEWS
 }
 
-// passLater keeps news to pass on, in case this router is a hub.
-func (t *Teller) passLater(scope exchangepb.Scope, urgent bool, news balance.Told) {
-	size := t.size.Load()
-	if newsIn(&news) == 0 || size > 0 && size <= meshSize {
+// queueForRelay queues the events of an update for relay, unless the fleet is known to be too small
+// for hubs. If this router is no hub, its next update clears the queue.
+func (t *Teller) queueForRelay(scope exchangepb.Scope, urgent bool, events balance.Told) {
+	size := t.fleetSize.Load()
+	if countEvents(&events) == 0 || size > 0 && size <= maxMeshSize {
 		return
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	switch scope {
 	case exchangepb.Scope_SCOPE_OWN:
-		addNews(&t.fromGroup, news)
-		t.urgentLocked(&t.urgentGroup, urgent, news.Reads)
+		addEvents(&t.groupEvents, events)
+		t.queueUrgentLocked(&t.urgentGroupReads, urgent, events.Reads)
 	case exchangepb.Scope_SCOPE_GROUP:
-		addNews(&t.fromHubs, news)
+		addEvents(&t.hubEvents, events)
 	case exchangepb.Scope_SCOPE_NEWS:
-		t.urgentLocked(&t.urgentHubs, urgent, news.Reads)
+		t.queueUrgentLocked(&t.urgentHubReads, urgent, events.Reads)
 	default:
 	}
 }
 
-// hear takes the counts of a datagram. The first of a round takes the place of the round
-// before, the others add to it.
-func (t *Teller) hear(message *exchangepb.Told, list []balance.InFlight) {
-	isMore, isOld := t.collect(message, list)
+// receiveCounts passes the counts of a datagram to the balancer. The first datagram of a round
+// replaces the counts of the round before, the others of the round add to it.
+func (t *Teller) receiveCounts(message *exchangepb.Told, list []balance.InFlight) {
+	isMore, isOld := t.storeCounts(message, list)
 	if isOld {
 		return
 	}
 	source := message.GetFrom()
 	if message.GetScope() == exchangepb.Scope_SCOPE_FLEET {
-		source, list = fleetSource, t.withoutOwn(list)
+		source, list = fleetSource, t.subtractOwn(list)
 	}
 	if isMore {
 		t.Balancer.HearMore(source, list)
@@ -297,36 +302,37 @@
 	t.Balancer.Hear(source, message.GetSequence(), list)
 }
 
-// collect keeps the counts of a round's datagrams, for a hub to sum up, and tells whether
-// they add to a round or are of one that is over. Nobody sums up what is the fleet's already.
-func (t *Teller) collect(message *exchangepb.Told, list []balance.InFlight) (isMore, isOld bool) {
+// storeCounts stores the counts of a datagram, for a hub to add up. isMore says that the datagram
+// adds to a known round, isOld that its round is over. Counts of the whole fleet are not stored,
+// since no hub adds them up again.
+func (t *Teller) storeCounts(message *exchangepb.Told, list []balance.InFlight) (isMore, isOld bool) {
 	if message.GetScope() == exchangepb.Scope_SCOPE_FLEET {
 		list = nil
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	id, round := message.GetFrom(), message.GetRound()
-	known := t.told[id]
+	known := t.received[id]
 	switch {
 	case known != nil && known.sequence > round:
 		return false, true
 	case known != nil && known.sequence == round:
-		known.take(list)
+		known.merge(list)
 		return true, false
 	}
 	counts := newCounts(list)
 	counts.sequence = round
-	t.told[id] = counts
+	t.received[id] = counts
 	return false, false
 }
 
-// withoutOwn gives the fleet's counts without this router's own.
-func (t *Teller) withoutOwn(list []balance.InFlight) []balance.InFlight {
+// subtractOwn returns the fleet's counts less those that this router sent last. It reuses the list.
+func (t *Teller) subtractOwn(list []balance.InFlight) []balance.InFlight {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	others := list[:0]
 	for _, in := range list {
-		own := t.own.each[in.Server]
+		own := t.own.byServer[in.Server]
 		in.Count, in.Reading = max(in.Count-own.Count, 0), max(in.Reading-own.Reading, 0)
 		if in.Count > 0 || in.Reading > 0 {
 			others = append(others, in)
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -15,44 +15,44 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// switchboard carries datagrams between tellers by address.
-type switchboard struct {
+// testNetwork delivers datagrams between tellers by address.
+type testNetwork struct {
 	tellers map[string]*Teller
 
-	mu      sync.Mutex
-	longest int
-	// far counts the bytes told between data centres, near the others.
-	far, near int
+	mu        sync.Mutex
+	maxPacket int
+	// crossDataCentre counts the bytes sent between data centres, withinDataCentre all others.
+	crossDataCentre, withinDataCentre int
 }
 
-// port is one router's way into the switchboard.
-type port struct {
-	board *switchboard
-	from  string
+// testTransport is one router's transport over the network.
+type testTransport struct {
+	network *testNetwork
+	from    string
 }
 
-func (p *port) Send(address string, packet []byte) {
-	p.board.mu.Lock()
-	p.board.longest = max(p.board.longest, len(packet))
-	to := p.board.tellers[address]
-	if to != nil && to.Balancer.DataCentre == p.board.tellers[p.from].Balancer.DataCentre {
-		p.board.near += len(packet)
+func (t *testTransport) Send(address string, packet []byte) {
+	t.network.mu.Lock()
+	t.network.maxPacket = max(t.network.maxPacket, len(packet))
+	to := t.network.tellers[address]
+	if to != nil && to.Balancer.DataCentre == t.network.tellers[t.from].Balancer.DataCentre {
+		t.network.withinDataCentre += len(packet)
 	} else {
-		p.board.far += len(packet)
+		t.network.crossDataCentre += len(packet)
 	}
-	p.board.mu.Unlock()
+	t.network.mu.Unlock()
 	if to != nil {
-		to.Receive(p.from, packet)
+		to.Receive(t.from, packet)
 	}
 }
 
-func newRouters(n int) ([]*Teller, *switchboard) {
-	return newRoutersIn(1, n)
+func newTellers(n int) ([]*Teller, *testNetwork) {
+	return newTellersIn(1, n)
 }
 
-// newRoutersIn makes routers of several data centres.
-func newRoutersIn(dataCentres, n int) ([]*Teller, *switchboard) {
-	board := &switchboard{
+// newTellersIn returns routers spread over several data centres, and their network.
+func newTellersIn(dataCentres, n int) ([]*Teller, *testNetwork) {
+	network := &testNetwork{
 		tellers: make(map[string]*Teller),
 	}
 	var routers []slipwick.Router
@@ -80,17 +80,17 @@
 		t.Balancer.SetBackends(backends)
 		t.Routers = func() []slipwick.Router { return routers }
 		t.Address = func(r slipwick.Router) string { return r.ID }
-		t.Wire = &port{
-			board: board,
-			from:  t.Self,
+		t.Wire = &testTransport{
+			network: network,
+			from:    t.Self,
 		}
-		board.tellers[t.Self] = t
+		network.tellers[t.Self] = t
 		tellers = append(tellers, t)
 	}
-	return tellers, board
+	return tellers, network
 }
 
-func ask(t *testing.T, b *balance.Balancer, key uint64) *balance.Lease {
+func acquire(t *testing.T, b *balance.Balancer, key uint64) *balance.Lease {
 	t.Helper()
 	lease, err := b.Acquire(&balance.Ask{
 		Pool: "p",
@@ -106,50 +106,49 @@
 	return lease
 }
 
-// TestRoutersShareOneBound has three routers send one prompt at once; together
-// they have to stay below the bound that one alone would keep.
+// TestRoutersShareOneBound has three routers send one prompt at the same time. Together they have
+// to stay below the load bound that a single router would keep.
 func TestRoutersShareOneBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tellers, board := newRouters(3)
+		tellers, network := newTellers(3)
 		ctx, cancel := context.WithCancel(t.Context())
 		for _, teller := range tellers {
 			go teller.Run(ctx)
 		}
 		counts := make(map[string]int)
 		for i := range 90 {
-			time.Sleep(pause)
+			time.Sleep(updateInterval)
 			synctest.Wait()
-			counts[ask(t, tellers[i%3].Balancer, 7).Backend.ID]++
+			counts[acquire(t, tellers[i%3].Balancer, 7).Backend.ID]++
 		}
 		cancel()
 		for _, teller := range tellers {
 			<-teller.Done()
 		}
-		// 1.6 * 90 / 20 + 2, and one that was chosen below it.
+		// 1.6 * 90 / 20 + 2, and one that was chosen below the bound.
 		for id, got := range counts {
 			if got > 11 {
 				t.Errorf("%s: got %d of 90 requests at 20 engines, want at most 11", id, got)
 			}
 		}
-		if board.longest > 1400 {
-			t.Errorf("got a datagram of %d bytes, want all within one packet", board.longest)
+		if network.maxPacket > 1400 {
+			t.Errorf("got a datagram of %d bytes, want all within one packet", network.maxPacket)
 		}
 	})
 }
 
-// TestHubsCountEveryRequestOnce has a fleet too large to tell all; each router
-// has one request at an engine of its own choice, and has to learn of all the
-// others' once.
+// TestHubsCountEveryRequestOnce runs a fleet too large for a full mesh. Each router has one request
+// at an engine, and has to learn of all others' requests exactly once.
 func TestHubsCountEveryRequestOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 50
-		tellers, _ := newRouters(size)
+		tellers, _ := newTellers(size)
 		ctx, cancel := context.WithCancel(t.Context())
 		for i, teller := range tellers {
-			ask(t, teller.Balancer, uint64(i))
+			acquire(t, teller.Balancer, uint64(i))
 			go teller.Run(ctx)
 		}
-		time.Sleep(6 * pause)
+		time.Sleep(6 * updateInterval)
 		synctest.Wait()
 		for _, teller := range tellers {
 			if got := teller.Balancer.InFlight("p"); got != size {
@@ -166,43 +165,43 @@
 	})
 }
 
-// TestFailuresReachAllRouters has one router's requests fail at one engine, in a
-// fleet that tells all and in one that tells through hubs.
+// TestFailuresReachAllRouters has one router's requests fail at one engine, in a full mesh and in a
+// fleet with hubs.
 func TestFailuresReachAllRouters(t *testing.T) {
 	for _, size := range []int{3, 50} {
 		synctest.Test(t, func(t *testing.T) {
-			tellers, _ := newRouters(size)
+			tellers, _ := newTellers(size)
 			var mu sync.Mutex
-			out := make(map[string]int)
+			ejected := make(map[string]int)
 			for _, teller := range tellers {
 				teller.Balancer.OnOut = func(backend slipwick.Backend, _ time.Duration) {
 					mu.Lock()
 					defer mu.Unlock()
-					out[teller.Self+" "+backend.ID]++
+					ejected[teller.Self+" "+backend.ID]++
 				}
 			}
 			for range 4 {
 				b := tellers[size-1].Balancer
-				b.Release(ask(t, b, 7), slipwick.EvidenceError)
+				b.Release(acquire(t, b, 7), slipwick.EvidenceError)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			for _, teller := range tellers {
 				go teller.Run(ctx)
 			}
-			time.Sleep(6 * pause)
+			time.Sleep(6 * updateInterval)
 			synctest.Wait()
 			cancel()
 			for _, teller := range tellers {
 				<-teller.Done()
 			}
-			if len(out) != size {
-				t.Errorf("%d routers: got %d that left the engine out, want all: %v", size, len(out), out)
+			if len(ejected) != size {
+				t.Errorf("%d routers: got %d that ejected the engine, want all: %v", size, len(ejected), ejected)
 			}
 		})
 	}
 }
 
-func TestHubsAreFewAndEvenlyTold(t *testing.T) {
+func TestHubsAreFewAndGroupsAreEven(t *testing.T) {
 	for _, size := range []int{17, 62, 80, 330} {
 		var routers []slipwick.Router
 		for i := range size {
@@ -211,24 +210,24 @@
 			})
 		}
 		h := chooseHubs(routers)
-		told := 0
+		members := 0
 		for _, hub := range h.chosen {
-			group := len(h.group(hub.ID))
-			told += group
+			group := len(h.groupOf(hub.ID))
+			members += group
 			if group > 4*len(h.chosen) {
 				t.Errorf("%d routers: a hub has %d of them, want at most 4 times the %d hubs", size, group, len(h.chosen))
 			}
 		}
-		if told+len(h.chosen) != size {
-			t.Errorf("%d routers: %d hubs and %d that tell them, want all", size, len(h.chosen), told)
+		if members+len(h.chosen) != size {
+			t.Errorf("%d routers: %d hubs and %d in their groups, want all", size, len(h.chosen), members)
 		}
 	}
 }
 
-func TestRouterThatStartsLearnsWhatOthersKnow(t *testing.T) {
-	tellers, board := newRouters(2)
+func TestRestartedRouterLearnsKnownCaches(t *testing.T) {
+	tellers, network := newTellers(2)
 	for key := range uint64(500) {
-		lease := ask(t, tellers[0].Balancer, key)
+		lease := acquire(t, tellers[0].Balancer, key)
 		tellers[0].Balancer.Release(lease, slipwick.EvidenceGood)
 	}
 	server := httptest.NewServer(&KnowledgeServer{
@@ -244,7 +243,7 @@
 	}
 	learn()
 	if got := len(tellers[1].Balancer.Uncovered("p")); got != 20 {
-		t.Errorf("the other has not learnt of all caches: got %d of 20 engines missing, want all", got)
+		t.Errorf("the other router does not know all caches: got %d of 20 engines missing, want all", got)
 	}
 	tellers[0].Balancer.CoverAll()
 	learn()
@@ -252,24 +251,24 @@
 	if got != 500 || missing > 0 {
 		t.Errorf("got %d parts and %d engines missing, want 500 and none", got, missing)
 	}
-	tellers[0].tell(false)
-	if board.longest > 1400 {
-		t.Errorf("got a datagram of %d bytes, want all within one packet", board.longest)
+	tellers[0].sendUpdate(false)
+	if network.maxPacket > 1400 {
+		t.Errorf("got a datagram of %d bytes, want all within one packet", network.maxPacket)
 	}
 }
 
-func TestGarbageIsDropped(t *testing.T) {
-	tellers, _ := newRouters(2)
+func TestInvalidDatagramsAreDropped(t *testing.T) {
+	tellers, _ := newTellers(2)
 	for _, packet := range []string{"", "garbage", "\x2a\x08\x01\x02\x03\x04\x05\x06\x07\x08\x32\x01\x09"} {
 		tellers[0].Receive("x", []byte(packet))
 	}
 	if got := tellers[0].Balancer.KnownParts(); got != 0 {
-		t.Errorf("got %d parts from garbage, want 0", got)
+		t.Errorf("got %d parts from invalid datagrams, want 0", got)
 	}
 }
 
-// longAsk is a request whose prompt takes an engine some 100 ms to read.
-func longAsk(t *testing.T, b *balance.Balancer) *balance.Lease {
+// acquireLongPrompt sends a request whose prompt takes an engine some 100 ms to prefill.
+func acquireLongPrompt(t *testing.T, b *balance.Balancer) *balance.Lease {
 	t.Helper()
 	lease, err := b.Acquire(&balance.Ask{
 		Pool: "p",
@@ -286,31 +285,31 @@
 	return lease
 }
 
-// TestLongReadingsAreKnownBeforeTheyAreOver has one router of a large fleet send
-// a long prompt that no engine has: 60 ms later all others have to know where it
-// is being read, so that they do not have it read again.
-func TestLongReadingsAreKnownBeforeTheyAreOver(t *testing.T) {
+// TestLongPrefillsAreKnownBeforeTheyEnd has one router of a large fleet send a long prompt that no
+// engine has cached. 60 ms later all others must know where it is being prefilled, so that they do
+// not have another engine prefill it again.
+func TestLongPrefillsAreKnownBeforeTheyEnd(t *testing.T) {
 	const size = 50
 	for _, dataCentres := range []int{1, 4} {
-		for reader := range size {
+		for sender := range size {
 			synctest.Test(t, func(t *testing.T) {
-				tellers, _ := newRoutersIn(dataCentres, size)
+				tellers, _ := newTellersIn(dataCentres, size)
 				ctx, cancel := context.WithCancel(t.Context())
 				for _, teller := range tellers {
 					go teller.Run(ctx)
 				}
-				time.Sleep(6*pause + pause/10)
-				read := longAsk(t, tellers[reader].Balancer)
+				time.Sleep(6*updateInterval + updateInterval/10)
+				first := acquireLongPrompt(t, tellers[sender].Balancer)
 				time.Sleep(60 * time.Millisecond)
 				synctest.Wait()
 				for _, teller := range tellers {
-					if teller == tellers[reader] {
+					if teller == tellers[sender] {
 						continue
 					}
-					lease := longAsk(t, teller.Balancer)
-					if lease.Wait <= 0 || lease.Backend.ID != read.Backend.ID && lease.FetchFrom != read.Backend.Address {
-						t.Errorf("%d data centres, read for %d: router %s got %+v, want it to wait for the reading at %s",
-							dataCentres, reader, teller.Self, lease, read.Backend.ID)
+					lease := acquireLongPrompt(t, teller.Balancer)
+					if lease.Wait <= 0 || lease.Backend.ID != first.Backend.ID && lease.FetchFrom != first.Backend.Address {
+						t.Errorf("%d data centres, prefill for %d: router %s got %+v, want it to wait for the prefill at %s",
+							dataCentres, sender, teller.Self, lease, first.Backend.ID)
 					}
 				}
 				cancel()
@@ -322,20 +321,20 @@
 	}
 }
 
-// TestHubsAreNear has a fleet of several data centres tell: a router's hub is in
-// its own, so that the counts of all, which are most of what is told, stay there.
-func TestHubsAreNear(t *testing.T) {
+// TestHubsAreInTheSameDataCentre runs a fleet in several data centres. A router's hub must be in
+// its own data centre, so that the counts of the fleet, which are most of the traffic, stay there.
+func TestHubsAreInTheSameDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 120
-		tellers, board := newRoutersIn(6, size)
+		tellers, network := newTellersIn(6, size)
 		ctx, cancel := context.WithCancel(t.Context())
 		for i, teller := range tellers {
 			for key := range uint64(10) {
-				ask(t, teller.Balancer, uint64(i)*10+key)
+				acquire(t, teller.Balancer, uint64(i)*10+key)
 			}
 			go teller.Run(ctx)
 		}
-		time.Sleep(20 * pause)
+		time.Sleep(20 * updateInterval)
 		cancel()
 		for _, teller := range tellers {
 			<-teller.Done()
@@ -343,15 +342,17 @@
 				t.Errorf("router %s: got %v requests in the fleet, want %d", teller.Self, got, 10*size)
 			}
 		}
-		if board.far > board.near {
-			t.Errorf("got %d bytes between data centres and %d within, want less between", board.far, board.near)
+		if network.crossDataCentre > network.withinDataCentre {
+			t.Errorf("got %d bytes between data centres and %d within, want less between",
+				network.crossDataCentre, network.withinDataCentre)
 		}
 	})
 }
 
-// TestRoundsOfManyDatagramsAddUp has a hub tell of more requests than fit one datagram, round
-// after round, and datagrams come twice a round later: each datagram is taken once, so that a
-// round costs by its counts and not by the square of its datagrams.
+// TestRoundsOfManyDatagramsAddUp has a hub send counts of more requests than fit one datagram,
+// round after round, while the datagrams of each round arrive again one round late. Each datagram
+// must be handled once, so that the cost of a round grows with its counts and not with the square
+// of its datagrams.
 func TestRoundsOfManyDatagramsAddUp(t *testing.T) {
 	for _, inFlight := range []int{60, 120, 240} {
 		hub, router := NewTeller("hub"), NewTeller("r")
@@ -360,18 +361,18 @@
 		router.Balancer.SetPeers([]string{fleetSource}, 30)
 		var last [][]byte
 		for round := range 3 {
-			told := balance.Told{}
+			update := balance.Told{}
 			for _, listed := range testBackends(inFlight - round) {
-				told.InFlight = append(told.InFlight, balance.InFlight{
+				update.InFlight = append(update.InFlight, balance.InFlight{
 					Server: placement.IDHash(listed.Life()),
 					Count:  1 + round,
 				})
 			}
-			packets := hub.encode(exchangepb.Scope_SCOPE_FLEET, false, told)
+			packets := hub.encode(exchangepb.Scope_SCOPE_FLEET, false, update)
 			for _, packet := range packets {
 				router.Receive("", packet)
 			}
-			// What comes late is of a round that is over.
+			// Late datagrams belong to a round that is over.
 			for _, packet := range last {
 				router.Receive("", packet)
 			}
--- a/exchange/telling_bench_test.go
+++ b/exchange/telling_bench_test.go
@@ -8,12 +8,12 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-type nowhere struct{}
+type discardTransport struct{}
 
-func (nowhere) Send(string, []byte) {}
+func (discardTransport) Send(string, []byte) {}
 
-// BenchmarkTelling is one round of a router that is no hub, with one request in flight.
-func BenchmarkTelling(b *testing.B) {
+// BenchmarkSendUpdate measures one update of a router that is no hub, with one request in flight.
+func BenchmarkSendUpdate(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			var routers []slipwick.Router
@@ -35,7 +35,7 @@
 				})
 			}
 			t.Balancer.SetBackends(list)
-			t.Wire = nowhere{}
+			t.Wire = discardTransport{}
 			t.Routers = func() []slipwick.Router { return routers }
 			t.Address = func(r slipwick.Router) string { return r.ID }
 			if _, err := t.Balancer.Acquire(&balance.Ask{
@@ -44,7 +44,7 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				t.tell(false)
+				t.sendUpdate(false)
 			}
 		})
 	}
--- a/exchange/urgent.go
+++ b/exchange/urgent.go
@@ -7,48 +7,49 @@
 	"github.com/slipwick/slipwick/exchange/exchangepb"
 )
 
-// tellUrgent tells what this router's requests have just begun to read: a hub
-// the news alone, as its counts are many.
-func (t *Teller) tellUrgent() {
-	if !t.hubs.has(t.Self) {
-		t.tell(true)
+// sendUrgent sends the prefills that have just begun for this router's requests. A hub sends them
+// without its counts, which are many.
+func (t *Teller) sendUrgent() {
+	if !t.hubs.isHub(t.Self) {
+		t.sendUpdate(true)
 		return
 	}
-	news := balance.Told{
+	update := balance.Told{
 		Reads: t.Balancer.TellReads(),
 	}
 	t.mu.Lock()
-	addNews(&t.fromGroup, news)
-	t.urgentGroup = append(t.urgentGroup, news.Reads...)
+	addEvents(&t.groupEvents, update)
+	t.urgentGroupReads = append(t.urgentGroupReads, update.Reads...)
 	t.mu.Unlock()
-	t.passOn()
+	t.relayUrgent()
 }
 
-// passOn passes urgent news on as a hub: those of its group to the other hubs,
-// and all to its group.
-func (t *Teller) passOn() {
+// relayUrgent relays urgent reads if this router is a hub: those of its own group to the other
+// hubs, and all of them to its group.
+func (t *Teller) relayUrgent() {
 	t.mu.Lock()
-	ofGroup, ofHubs := t.urgentGroup, t.urgentHubs
-	t.urgentGroup, t.urgentHubs = nil, nil
+	groupReads, hubReads := t.urgentGroupReads, t.urgentHubReads
+	t.urgentGroupReads, t.urgentHubReads = nil, nil
 	t.mu.Unlock()
-	if !t.hubs.has(t.Self) || len(ofGroup)+len(ofHubs) == 0 {
+	if !t.hubs.isHub(t.Self) || len(groupReads)+len(hubReads) == 0 {
 		return
 	}
-	if len(ofGroup) > 0 {
-		t.send(without(t.hubs.chosen, t.Self), t.encode(exchangepb.Scope_SCOPE_NEWS, true, balance.Told{
-			Reads: ofGroup,
+	if len(groupReads) > 0 {
+		t.send(excluding(t.hubs.chosen, t.Self), t.encode(exchangepb.Scope_SCOPE_NEWS, true, balance.Told{
+			Reads: groupReads,
 		}))
 	}
-	t.send(t.hubs.group(t.Self), t.encode(exchangepb.Scope_SCOPE_NONE, true, balance.Told{
-		Reads: slices.Concat(ofGroup, ofHubs),
+	t.send(t.hubs.groupOf(t.Self), t.encode(exchangepb.Scope_SCOPE_NONE, true, balance.Told{
+		Reads: slices.Concat(groupReads, hubReads),
 	}))
 }
 
-// urgentLocked keeps reads that are to be passed on at once.
-func (t *Teller) urgentLocked(kept *[]balance.Read, urgent bool, reads []balance.Read) {
-	if !urgent || len(reads) == 0 || len(*kept) >= maxPassed {
+// queueUrgentLocked queues reads that have to be relayed at once. Reads are dropped while the queue
+// is full.
+func (t *Teller) queueUrgentLocked(queue *[]balance.Read, urgent bool, reads []balance.Read) {
+	if !urgent || len(reads) == 0 || len(*queue) >= maxQueued {
 		return
 	}
-	*kept = append(*kept, reads...)
-	signal(t.passSoon)
+	*queue = append(*queue, reads...)
+	signal(t.relaySoon)
 }
