--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -71,10 +71,10 @@
 	// engines it has to ask. If it is nil, it is enough to know one other router.
 	Settled <-chan struct{}
 
-	// listed are the engines that were asked so far, abandoned those whose caches were still
+	// askedEngines are the engines that were asked so far, abandoned those whose caches were still
 	// unknown when the last run of learnMissing gave up, and queries counts the queries to routers.
 	// turnOrder is computed from the routers known last.
-	listed    map[string]bool
+	askedEngines    map[string]bool
 	abandoned map[string]bool
 	queries   int
 	turnOrder turnOrder
@@ -86,7 +86,7 @@
 func NewRecovery(self string) *Recovery {
 	return &Recovery{
 		Self:   self,
-		listed: make(map[string]bool),
+		askedEngines: make(map[string]bool),
 		done:   make(chan struct{}),
 	}
 }
@@ -111,7 +111,7 @@
 		if !sleep(ctx, lateListingPollInterval) {
 			return
 		}
-		isNew := func(e slipwick.Backend) bool { return !r.listed[e.ID] && !r.abandoned[e.ID] }
+		isNew := func(e slipwick.Backend) bool { return !r.askedEngines[e.ID] && !r.abandoned[e.ID] }
 		if slices.ContainsFunc(r.missing(), isNew) {
 			r.learnMissing(ctx)
 		}
@@ -243,11 +243,11 @@
 		if started == listsPerRound {
 			break
 		}
-		if r.listed[engine.ID] || r.turnOrder.turn(&engine) > turn {
+		if r.askedEngines[engine.ID] || r.turnOrder.turn(&engine) > turn {
 			continue
 		}
 		started++
-		r.listed[engine.ID] = true
+		r.askedEngines[engine.ID] = true
 		lists.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, listTimeout)
 			defer cancel()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -113,7 +113,7 @@
 	if b.Restarted && slot < windowSlots {
 		share = restartedShare
 	}
-	return share * b.Extra / float64(max(b.fleetSize.max(), 1))
+	return share * b.Extra / float64(max(b.fleetSize.highest(), 1))
 }
 
 func (b *Budget) windowLocked(pool string) *window {
@@ -184,4 +184,4 @@
 
 func (p *slidingMax) record(n int) { p.counts[p.current] = max(p.counts[p.current], n) }
 
-func (p *slidingMax) max() int { return slices.Max(p.counts[:]) }
+func (p *slidingMax) highest() int { return slices.Max(p.counts[:]) }
