--- a/upstream/answer.go
+++ b/upstream/answer.go
@@ -10,12 +10,12 @@
 	"time"
 )
 
-// Answer is an answer in progress. It belongs to one goroutine and has to be
-// closed.
+// Answer is a response whose header has been read and whose body is read with Read. It must be used
+// by one goroutine only, and must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
-	// Length is that of the body, or -1.
+	// Length is the length of the body in bytes, or -1 if it is unknown.
 	Length int64
 
 	ctx      context.Context
@@ -26,18 +26,18 @@
 	written  <-chan error
 	body     io.ReadCloser
 	stop     func() bool
-	keep     bool
-	whole    bool
-	finished bool
-	patience Patience
+	reusable bool
+	complete bool
+	closed   bool
+	timeouts Patience
 }
 
-// Read reads the body. It gives io.EOF at the end of a whole body, and an
-// *slipwick.Error when the body breaks off.
+// Read reads the body. It returns io.EOF at the end of a complete body, and an *slipwick.Error if
+// the body is cut short or Patience ends the exchange.
 func (a *Answer) Read(into []byte) (int, error) {
 	if a.Length < 0 {
-		if err := a.conn.awaitByte(a.ctx, a.patience.Pause, a.patience.Overdue); err != nil {
-			return 0, broken(a.ctx, a.address, err)
+		if err := a.conn.awaitData(a.ctx, a.timeouts.Pause, a.timeouts.Overdue); err != nil {
+			return 0, exchangeError(a.ctx, a.address, err)
 		}
 	}
 	n, err := a.body.Read(into)
@@ -45,51 +45,53 @@
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		a.whole = true
+		a.complete = true
 		return n, io.EOF
 	default:
-		return n, broken(a.ctx, a.address, err)
+		return n, exchangeError(a.ctx, a.address, err)
 	}
 }
 
-// Close keeps the connection if the answer was read to its end, and closes it
-// otherwise, which tells the backend server to stop.
+// Close returns the connection to the pool if the body was read to its end and the connection is
+// still usable. Otherwise it closes the connection, which tells the backend server to stop.
 func (a *Answer) Close() {
-	if a.finished {
+	if a.closed {
 		return
 	}
-	a.finished = true
-	undisturbed := a.stop()
+	a.closed = true
+	intact := a.stop()
 	select {
 	case err := <-a.written:
-		undisturbed = undisturbed && err == nil
+		intact = intact && err == nil
 	default:
-		// The answer came before the request was sent.
-		undisturbed = false
+		// The response arrived before the request was fully sent.
+		intact = false
 	}
-	if !a.keep || !a.whole || !undisturbed || a.conn.reader.Buffered() > 0 {
+	if !a.reusable || !a.complete || !intact || a.conn.reader.Buffered() > 0 {
 		_ = a.conn.Close()
 		return
 	}
-	a.client.rest(a.key, a.conn, restTime(a.Header))
+	a.client.putIdle(a.key, a.conn, maxIdleTime(a.Header))
 }
 
 const (
-	// defaultRest is how long a connection is kept when the backend server
-	// does not say for how long it keeps it.
-	defaultRest = 10 * time.Second
-	// restMargin lets a connection go before the backend server closes it.
-	restMargin = 500 * time.Millisecond
+	// defaultMaxIdle is how long an idle connection is kept if the backend server sends no
+	// Keep-Alive timeout.
+	defaultMaxIdle = 10 * time.Second
+	// idleMargin is how much earlier than the backend server the client stops using an idle
+	// connection.
+	idleMargin = 500 * time.Millisecond
 )
 
-// restTime is how long the connection may rest, by the header Keep-Alive.
-func restTime(header http.Header) time.Duration {
+// maxIdleTime returns how long the connection may stay idle, from the timeout in the Keep-Alive
+// header and at most defaultMaxIdle.
+func maxIdleTime(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
 		if name == "timeout" && err == nil {
-			return min(time.Duration(seconds)*time.Second-restMargin, defaultRest)
+			return min(time.Duration(seconds)*time.Second-idleMargin, defaultMaxIdle)
 		}
 	}
-	return defaultRest
+	return defaultMaxIdle
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -16,80 +16,79 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// The figures of connections.
+// Timeouts and limits of connections.
 const (
-	// defaultDialTimeout bounds the time in which a connection comes up: some
-	// round trips within a region, below one resent packet (1 s).
+	// defaultDialTimeout bounds connection setup: it allows several round trips within a region,
+	// and stays below the 1 s after which a lost SYN is resent.
 	defaultDialTimeout = 400 * time.Millisecond
-	// dialFactor times what a backend server's connections took is what the next may
-	// take, and leastDialTimeout at least: what takes longer meets a box that is dark,
-	// or a lost packet, and the request goes on elsewhere while it can be in time. The
-	// least is many times what a router that is short of processor is late.
-	dialFactor       = 8
-	leastDialTimeout = 120 * time.Millisecond
-	// defaultSilence is how long sent bytes and probes may go unacknowledged
-	// before the path counts as cut.
-	defaultSilence = 2 * time.Second
-	// probeEvery is the pause between probes of a connection that waits.
-	probeEvery = time.Second
-	bufferSize = 4 << 10
-	// maxResting bounds the connections kept for one backend server, unless
-	// SetMaxResting says less.
-	maxResting = 16
+	// dialFactor times the recorded dial time of a backend server is the timeout of the next dial,
+	// and at least minDialTimeout. A dial that takes longer meets an unreachable box or a lost
+	// packet, and the request can still be served in time by another backend server. The minimum is
+	// many times the delay of a router that is short of CPU.
+	dialFactor     = 8
+	minDialTimeout = 120 * time.Millisecond
+	// defaultUserTimeout is how long sent data and keep-alive probes may stay unacknowledged before
+	// the connection counts as lost.
+	defaultUserTimeout = 2 * time.Second
+	// keepAliveInterval is the time between keep-alive probes on an idle connection.
+	keepAliveInterval = time.Second
+	bufferSize        = 4 << 10
+	// maxIdlePerServer is the largest number of idle connections kept for one backend server;
+	// SetMaxResting can lower it.
+	maxIdlePerServer = 16
 )
 
-// Client holds the connections to backend servers. It is safe for concurrent
+// Client makes requests to backend servers and pools the connections. It is safe for concurrent
 // use. Set the exported fields before the first call.
 type Client struct {
-	// DialTimeout and Silence take their defaults when zero.
+	// DialTimeout bounds connection setup. Silence is the TCP_USER_TIMEOUT: how long sent data may
+	// stay unacknowledged. Zero selects the default of each.
 	DialTimeout time.Duration
 	Silence     time.Duration
 
-	// Opened counts connections, Strays answers that belonged to an earlier
-	// request.
+	// Opened counts connections opened, Strays the responses skipped because they belonged to an
+	// earlier request.
 	Opened atomic.Int64
 	Strays atomic.Int64
 
-	mu      sync.Mutex
-	resting map[string][]*connection
-	// took is how long connections to each backend server took to come up: the
-	// longest lately.
-	took map[string]time.Duration
-	// mostResting is the bound that SetMaxResting gave; 0 stands for
-	// maxResting.
-	mostResting int
+	mu   sync.Mutex
+	idle map[string][]*connection
+	// dialTimes holds, by key, the longest recent dial time of each backend server; it decays by
+	// half with each dial.
+	dialTimes map[string]time.Duration
+	// maxIdle is the limit that SetMaxResting set; 0 stands for maxIdlePerServer.
+	maxIdle int
 }
 
-// SetMaxResting bounds the connections kept for one backend server, which
-// takes only so many from all routers; it is at least one.
-func (c *Client) SetMaxResting(most int) {
+// SetMaxResting sets how many idle connections are kept for one backend server, between 1 and
+// maxIdlePerServer: a backend server accepts a limited number of connections from all routers.
+func (c *Client) SetMaxResting(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.mostResting = min(max(most, 1), maxResting)
+	c.maxIdle = min(max(limit, 1), maxIdlePerServer)
 }
 
-// Do sends the request to a backend server and reads the head of its answer.
-// The key names the backend server's connections. The end of ctx interrupts
-// the exchange, also while the answer is read. Errors are *slipwick.Error;
-// OutcomeNotRun says that nothing was sent.
+// Do sends the request to a backend server and reads the header of the response. Idle connections
+// are pooled by key. If ctx ends, the exchange is interrupted, also while the body is read. Errors
+// are of type *slipwick.Error; OutcomeNotRun means that nothing was sent.
 func (c *Client) Do(ctx context.Context, key, address string, request *Request) (*Answer, error) {
-	conn, err := c.take(ctx, key, address, request.MaxRest)
+	conn, err := c.connection(ctx, key, address, request.MaxRest)
 	if err != nil {
 		return nil, err
 	}
-	stop := conn.interruptible(ctx)
+	stop := conn.interruptOnDone(ctx)
 	written := conn.write(request)
 	var response *http.Response
-	err = conn.awaitByte(ctx, request.Patience.First, request.Patience.Overdue)
+	err = conn.awaitData(ctx, request.Patience.First, request.Patience.Overdue)
 	if err == nil {
-		response, err = conn.read(request, &c.Strays)
+		response, err = conn.readHead(request, &c.Strays)
 	}
 	if err != nil {
 		stop()
 		_ = conn.Close()
-		return nil, broken(ctx, address, err)
+		return nil, exchangeError(ctx, address, err)
 	}
-	framed := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
+	delimited := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
 	return &Answer{
 		Status:   response.StatusCode,
 		Header:   response.Header,
@@ -102,21 +101,21 @@
 		written:  written,
 		body:     response.Body,
 		stop:     stop,
-		keep:     framed && !response.Close,
-		patience: request.Patience,
+		reusable: delimited && !response.Close,
+		timeouts: request.Patience,
 	}, nil
 }
 
-// take gives a resting connection that is alive, or a new one.
-func (c *Client) take(ctx context.Context, key, address string, maxRest time.Duration) (*connection, error) {
+// connection returns an idle connection that is still usable, or dials a new one.
+func (c *Client) connection(ctx context.Context, key, address string, maxIdle time.Duration) (*connection, error) {
 	now := clock.Now()
 	for {
-		conn := c.pop(key)
+		conn := c.popIdle(key)
 		if conn == nil {
 			return c.dial(ctx, key, address)
 		}
-		fresh := maxRest == 0 || now.Sub(conn.restingSince) <= maxRest
-		if fresh && now.Before(conn.usableUntil) && conn.isAlive() {
+		isRecent := maxIdle == 0 || now.Sub(conn.idleSince) <= maxIdle
+		if isRecent && now.Before(conn.idleUntil) && conn.isIdle() {
 			conn.exchanges++
 			return conn, nil
 		}
@@ -124,40 +123,40 @@
 	}
 }
 
-// pop takes the connection that rested the shortest.
-func (c *Client) pop(key string) *connection {
+// popIdle removes the most recently used idle connection and returns it, or nil if there is none.
+func (c *Client) popIdle(key string) *connection {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	resting := c.resting[key]
-	if len(resting) == 0 {
+	idle := c.idle[key]
+	if len(idle) == 0 {
 		return nil
 	}
-	conn := resting[len(resting)-1]
-	c.resting[key] = resting[:len(resting)-1]
+	conn := idle[len(idle)-1]
+	c.idle[key] = idle[:len(idle)-1]
 	return conn
 }
 
-// dialTimeout is how long a connection to the backend server may take to come up.
+// dialTimeout returns the timeout of the next dial to the backend server.
 func (c *Client) dialTimeout(key string) time.Duration {
-	most := orDefault(c.DialTimeout, defaultDialTimeout)
+	limit := orDefault(c.DialTimeout, defaultDialTimeout)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	took, isKnown := c.took[key]
+	took, isKnown := c.dialTimes[key]
 	if !isKnown {
-		return most
+		return limit
 	}
-	return min(max(dialFactor*took, leastDialTimeout), most)
+	return min(max(dialFactor*took, minDialTimeout), limit)
 }
 
-// reached notes how long a connection took to come up. Of earlier ones less and less
-// counts.
-func (c *Client) reached(key string, took time.Duration) {
+// recordDialTime records how long a dial took. The recorded time is the longest one, halved with
+// each later dial.
+func (c *Client) recordDialTime(key string, took time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.took == nil {
-		c.took = make(map[string]time.Duration)
+	if c.dialTimes == nil {
+		c.dialTimes = make(map[string]time.Duration)
 	}
-	c.took[key] = max(took, c.took[key]/2)
+	c.dialTimes[key] = max(took, c.dialTimes[key]/2)
 }
 
 func (c *Client) dial(ctx context.Context, key, address string) (*connection, error) {
@@ -166,105 +165,107 @@
 		Timeout: c.dialTimeout(key),
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     probeEvery,
-			Interval: probeEvery,
+			Idle:     keepAliveInterval,
+			Interval: keepAliveInterval,
 			Count:    2,
 		},
-		Control: c.control,
+		Control: c.setUserTimeout,
 	}
 	conn, err := dialer.DialContext(ctx, "tcp", address)
 	if err != nil {
-		return nil, unreachable(address, err)
+		return nil, connectError(address, err)
 	}
 	c.Opened.Add(1)
-	c.reached(key, time.Since(started))
+	c.recordDialTime(key, time.Since(started))
 	return &connection{
 		Conn:   conn,
 		reader: bufio.NewReaderSize(conn, bufferSize),
 	}, nil
 }
 
-// IsGone tells whether nothing listens at a backend server's address any more: its box
-// refuses a connection. One that says nothing is not known to be gone. A connection
-// that comes up is kept for later exchanges.
+// IsGone reports whether the backend server's box refuses connections, so that nothing listens at
+// the address any more. It returns false if the dial times out, which does not prove that the
+// backend server has ended. A connection that it opens is kept for later exchanges. It blocks for
+// at most minDialTimeout.
 func (c *Client) IsGone(ctx context.Context, key, address string) bool {
-	ctx, cancel := context.WithTimeout(ctx, leastDialTimeout)
+	ctx, cancel := context.WithTimeout(ctx, minDialTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, key, address)
 	if err != nil {
 		return IsRefused(err)
 	}
-	c.rest(key, conn, defaultRest)
+	c.putIdle(key, conn, defaultMaxIdle)
 	return false
 }
 
-// control has the kernel give up a connection whose path is cut.
-func (c *Client) control(_, _ string, raw syscall.RawConn) error {
-	silence := int(orDefault(c.Silence, defaultSilence).Milliseconds())
-	var failed error
+// setUserTimeout makes the kernel close a connection whose data stays unacknowledged for too long.
+func (c *Client) setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	timeout := int(orDefault(c.Silence, defaultUserTimeout).Milliseconds())
+	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, silence)
+		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, timeout)
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockoptErr
 }
 
-// rest keeps a connection for later exchanges.
-func (c *Client) rest(key string, conn *connection, forTime time.Duration) {
+// putIdle keeps a connection for later exchanges and closes the oldest ones that are over the limit
+// or have been idle for too long.
+func (c *Client) putIdle(key string, conn *connection, maxIdle time.Duration) {
 	now := clock.Now()
-	conn.restingSince, conn.usableUntil = now, now.Add(forTime)
+	conn.idleSince, conn.idleUntil = now, now.Add(maxIdle)
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.resting == nil {
-		c.resting = make(map[string][]*connection)
+	if c.idle == nil {
+		c.idle = make(map[string][]*connection)
 	}
-	resting := c.resting[key]
-	most := c.mostResting
-	if most == 0 {
-		most = maxResting
+	idle := c.idle[key]
+	limit := c.maxIdle
+	if limit == 0 {
+		limit = maxIdlePerServer
 	}
-	// The longest at rest stands first.
-	for len(resting) > 0 && (len(resting) >= most || now.After(resting[0].usableUntil)) {
-		_ = resting[0].Close()
-		resting = resting[1:]
+	// The slice is ordered by idle time, longest first.
+	for len(idle) > 0 && (len(idle) >= limit || now.After(idle[0].idleUntil)) {
+		_ = idle[0].Close()
+		idle = idle[1:]
 	}
-	c.resting[key] = append(resting, conn)
+	c.idle[key] = append(idle, conn)
 }
 
-// Retain closes the resting connections of backend servers that are gone: those
-// whose keys are not known.
+// Retain closes the idle connections of all backend servers whose key is not known any more, and
+// forgets their dial times.
 func (c *Client) Retain(known func(key string) bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for key, resting := range c.resting {
+	for key, idle := range c.idle {
 		if known(key) {
 			continue
 		}
-		for _, conn := range resting {
+		for _, conn := range idle {
 			_ = conn.Close()
 		}
-		delete(c.resting, key)
+		delete(c.idle, key)
 	}
-	maps.DeleteFunc(c.took, func(key string, _ time.Duration) bool { return !known(key) })
+	maps.DeleteFunc(c.dialTimes, func(key string, _ time.Duration) bool { return !known(key) })
 }
 
-// Close closes all resting connections.
+// Close closes all idle connections.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, resting := range c.resting {
-		for _, conn := range resting {
+	for _, idle := range c.idle {
+		for _, conn := range idle {
 			_ = conn.Close()
 		}
 	}
-	c.resting = nil
+	c.idle = nil
 }
 
-func orDefault(given, standard time.Duration) time.Duration {
-	if given == 0 {
-		return standard
+func orDefault(value, fallback time.Duration) time.Duration {
+	if value == 0 {
+		return fallback
 	}
-	return given
+	return value
 }
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -31,8 +31,8 @@
 	}
 }
 
-// ask makes one exchange and reads the whole answer.
-func ask(t *testing.T, client *Client, address string, r *Request) (string, error) {
+// exchange makes one exchange and returns the response body.
+func exchange(t *testing.T, client *Client, address string, r *Request) (string, error) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
@@ -45,9 +45,9 @@
 	return string(body), err
 }
 
-func mustAsk(t *testing.T, client *Client, address string, r *Request, want string) {
+func mustExchange(t *testing.T, client *Client, address string, r *Request, want string) {
 	t.Helper()
-	got, err := ask(t, client, address, r)
+	got, err := exchange(t, client, address, r)
 	if err != nil {
 		t.Fatalf("request %s: got error %v", r.ID, err)
 	}
@@ -56,7 +56,7 @@
 	}
 }
 
-func outcome(t *testing.T, err error) slipwick.Outcome {
+func errorOutcome(t *testing.T, err error) slipwick.Outcome {
 	t.Helper()
 	typed, ok := slipwick.AsError(err)
 	if !ok {
@@ -71,64 +71,64 @@
 		buffer := make([]byte, 4<<10)
 		n, _ := requests.Read(buffer)
 		got <- string(buffer[:n])
-		_, _ = conn.Write([]byte(answer("1", "")))
+		_, _ = conn.Write([]byte(responseText("1", "")))
 	})
 	r := request("1")
 	r.Header.Set("X-A", "b")
-	mustAsk(t, &Client{}, server.address, r, "")
+	mustExchange(t, &Client{}, server.address, r, "")
 	want := "POST /a//b?c=%20d HTTP/1.1\r\nHost: h.example\r\nContent-Length: 8\r\nX-A: b\r\n\r\nquestion"
 	if got := <-got; got != want {
 		t.Errorf("got request %q, want %q", got, want)
 	}
 }
 
-func TestClientKeepsConnections(t *testing.T) {
-	server := serve(t, script(answer("1", "one"), answer("2", "two")))
+func TestClientReusesConnections(t *testing.T) {
+	server := serve(t, script(responseText("1", "one"), responseText("2", "two")))
 	client := &Client{}
 	defer client.Close()
-	mustAsk(t, client, server.address, request("1"), "one")
-	mustAsk(t, client, server.address, request("2"), "two")
+	mustExchange(t, client, server.address, request("1"), "one")
+	mustExchange(t, client, server.address, request("2"), "two")
 	if got := client.Opened.Load(); got != 1 {
 		t.Errorf("got %d connections, want 1", got)
 	}
 }
 
-// TestClientSkipsAnswersToEarlierRequests has the backend server answer the
-// first request twice; the second answer arrives where the next is due.
-func TestClientSkipsAnswersToEarlierRequests(t *testing.T) {
-	server := serve(t, script(answer("1", "one"), answer("1", "one")+answer("2", "two")))
+// TestClientSkipsResponsesToEarlierRequests has the backend server respond to the first request
+// twice; the second response arrives in place of the one to the next request.
+func TestClientSkipsResponsesToEarlierRequests(t *testing.T) {
+	server := serve(t, script(responseText("1", "one"), responseText("1", "one")+responseText("2", "two")))
 	client := &Client{}
 	defer client.Close()
-	mustAsk(t, client, server.address, request("1"), "one")
-	mustAsk(t, client, server.address, request("2"), "two")
+	mustExchange(t, client, server.address, request("1"), "one")
+	mustExchange(t, client, server.address, request("2"), "two")
 	if got := client.Strays.Load(); got != 1 {
-		t.Errorf("got %d stray answers, want 1", got)
+		t.Errorf("got %d stray responses, want 1", got)
 	}
 }
 
-// TestClientLeavesConnectionsWithStrayBytes has the second answer arrive before
-// the next request is sent.
-func TestClientLeavesConnectionsWithStrayBytes(t *testing.T) {
-	server := serve(t, script(answer("1", "one")+answer("1", "one"), answer("3", "wrong")))
+// TestClientDiscardsConnectionsWithUnreadBytes has the duplicate response arrive before the next
+// request is sent.
+func TestClientDiscardsConnectionsWithUnreadBytes(t *testing.T) {
+	server := serve(t, script(responseText("1", "one")+responseText("1", "one"), responseText("3", "wrong")))
 	client := &Client{}
 	defer client.Close()
-	mustAsk(t, client, server.address, request("1"), "one")
-	second := serve(t, script(answer("2", "two")))
-	mustAsk(t, client, second.address, request("2"), "two")
+	mustExchange(t, client, server.address, request("1"), "one")
+	second := serve(t, script(responseText("2", "two")))
+	mustExchange(t, client, second.address, request("2"), "two")
 	if got := client.Opened.Load(); got != 2 {
 		t.Errorf("got %d connections, want 2", got)
 	}
 }
 
-// TestClientNoticesClosedConnections closes the kept connection before the next
+// TestClientDetectsClosedIdleConnections has the server close the idle connection before the next
 // request: a request that may run at most once must not be sent on it.
-func TestClientNoticesClosedConnections(t *testing.T) {
+func TestClientDetectsClosedIdleConnections(t *testing.T) {
 	closed := make(chan struct{})
 	server := serve(t, func(conn net.Conn, requests *bufio.Reader) {
 		if _, err := http.ReadRequest(requests); err != nil {
 			return
 		}
-		_, _ = conn.Write([]byte(answer("1", "one")))
+		_, _ = conn.Write([]byte(responseText("1", "one")))
 		_ = conn.Close()
 		closed <- struct{}{}
 	})
@@ -136,30 +136,30 @@
 	defer client.Close()
 	for range 3 {
 		go func() { <-closed }()
-		mustAsk(t, client, server.address, request("1"), "one")
+		mustExchange(t, client, server.address, request("1"), "one")
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-func TestClientTellsThatNothingWasSent(t *testing.T) {
+func TestConnectionFailureMeansNotRun(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	address := listener.Addr().String()
 	_ = listener.Close()
-	_, err = ask(t, &Client{}, address, request("1"))
-	if got, want := outcome(t, err), slipwick.OutcomeNotRun; got != want {
+	_, err = exchange(t, &Client{}, address, request("1"))
+	if got, want := errorOutcome(t, err), slipwick.OutcomeNotRun; got != want {
 		t.Errorf("got outcome %s, want %s", got, want)
 	}
 }
 
-func TestClientTellsThatTheRequestMayHaveRun(t *testing.T) {
+func TestFailureAfterSendingMeansUnknownOutcome(t *testing.T) {
 	for name, text := range map[string]string{
 		"no answer":     "",
-		"no HTTP":       "garbage\r\n\r\n",
+		"not HTTP":      "garbage\r\n\r\n",
 		"broken head":   "HTTP/1.1 200 OK\r\nContent-Le",
-		"another's":     "HTTP/1.1 200 OK\r\nId: 9\r\nConnection: close\r\n\r\nbody",
+		"other ID":      "HTTP/1.1 200 OK\r\nId: 9\r\nConnection: close\r\n\r\nbody",
 		"short body":    "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nshort",
 		"broken chunks": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
 	} {
@@ -168,76 +168,76 @@
 				_, _ = conn.Write([]byte(text))
 			}
 		})
-		_, err := ask(t, &Client{}, server.address, request("1"))
+		_, err := exchange(t, &Client{}, server.address, request("1"))
 		if err == nil {
 			t.Errorf("%s: got no error", name)
 			continue
 		}
-		if got, want := outcome(t, err), slipwick.OutcomeUnknown; got != want {
+		if got, want := errorOutcome(t, err), slipwick.OutcomeUnknown; got != want {
 			t.Errorf("%s: got outcome %s, want %s", name, got, want)
 		}
 	}
 }
 
-// TestClientTakesEarlyAnswers has a backend server answer without reading a
-// long body; the connection must not be used again.
-func TestClientTakesEarlyAnswers(t *testing.T) {
+// TestClientAcceptsEarlyResponses has a backend server respond without reading a long body; the
+// connection must not be used again.
+func TestClientAcceptsEarlyResponses(t *testing.T) {
 	server := serve(t, func(conn net.Conn, requests *bufio.Reader) {
 		if _, err := http.ReadRequest(requests); err != nil {
 			return
 		}
-		_, _ = conn.Write([]byte(answer("1", "early")))
+		_, _ = conn.Write([]byte(responseText("1", "early")))
 		time.Sleep(200 * time.Millisecond)
 	})
 	client := &Client{}
 	defer client.Close()
 	r := request("1")
 	r.Body = []byte(strings.Repeat("x", 8<<20))
-	mustAsk(t, client, server.address, r, "early")
+	mustExchange(t, client, server.address, r, "early")
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	if got := len(client.resting["key"]); got != 0 {
-		t.Errorf("got %d kept connections, want 0", got)
+	if got := len(client.idle["key"]); got != 0 {
+		t.Errorf("got %d idle connections, want 0", got)
 	}
 }
 
-func TestClientUsesNoConnectionThatRestedTooLong(t *testing.T) {
-	server := serve(t, script(answer("1", "one"), answer("2", "two")))
+func TestClientObservesMaxIdleOfARequest(t *testing.T) {
+	server := serve(t, script(responseText("1", "one"), responseText("2", "two")))
 	client := &Client{}
 	defer client.Close()
-	mustAsk(t, client, server.address, request("1"), "one")
+	mustExchange(t, client, server.address, request("1"), "one")
 	time.Sleep(30 * time.Millisecond)
 	r := request("1")
 	r.MaxRest = 10 * time.Millisecond
-	mustAsk(t, client, server.address, r, "one")
+	mustExchange(t, client, server.address, r, "one")
 	if got := client.Opened.Load(); got != 2 {
 		t.Errorf("got %d connections, want 2", got)
 	}
 }
 
-func TestClientClosesConnectionsOfBackendsThatAreGone(t *testing.T) {
-	server := serve(t, script(answer("1", "one"), answer("2", "two")))
+func TestRetainClosesConnectionsOfRemovedBackends(t *testing.T) {
+	server := serve(t, script(responseText("1", "one"), responseText("2", "two")))
 	client := &Client{}
 	defer client.Close()
-	mustAsk(t, client, server.address, request("1"), "one")
+	mustExchange(t, client, server.address, request("1"), "one")
 	client.Retain(func(key string) bool { return key == "key" })
-	mustAsk(t, client, server.address, request("2"), "two")
+	mustExchange(t, client, server.address, request("2"), "two")
 	if got := client.Opened.Load(); got != 1 {
-		t.Errorf("known backend server: got %d connections, want 1", got)
+		t.Errorf("retained backend server: got %d connections, want 1", got)
 	}
 	client.Retain(func(string) bool { return false })
-	mustAsk(t, client, server.address, request("1"), "one")
+	mustExchange(t, client, server.address, request("1"), "one")
 	if got := client.Opened.Load(); got != 2 {
-		t.Errorf("backend server that was gone: got %d connections, want a new one", got)
+		t.Errorf("removed backend server: got %d connections, want a new one", got)
 	}
 }
 
-func TestClientKeepsNoMoreThanItMay(t *testing.T) {
+func TestClientLimitsIdleConnections(t *testing.T) {
 	hold := make(chan struct{})
 	server := serve(t, func(conn net.Conn, requests *bufio.Reader) {
 		if _, err := http.ReadRequest(requests); err == nil {
 			<-hold
-			_, _ = conn.Write([]byte(answer("1", "one")))
+			_, _ = conn.Write([]byte(responseText("1", "one")))
 		}
 		_, _ = requests.ReadByte()
 	})
@@ -246,7 +246,7 @@
 	client.SetMaxResting(2)
 	var asks sync.WaitGroup
 	for range 5 {
-		asks.Go(func() { mustAsk(t, client, server.address, request("1"), "one") })
+		asks.Go(func() { mustExchange(t, client, server.address, request("1"), "one") })
 	}
 	for range 5 {
 		<-server.connections
@@ -255,29 +255,29 @@
 	asks.Wait()
 	client.mu.Lock()
 	defer client.mu.Unlock()
-	if got := len(client.resting["key"]); got != 2 {
-		t.Errorf("got %d kept connections, want 2", got)
+	if got := len(client.idle["key"]); got != 2 {
+		t.Errorf("got %d idle connections, want 2", got)
 	}
 }
 
-func TestClientHonoursKeepAlive(t *testing.T) {
+func TestClientObservesKeepAliveTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
-		"timeout=5, max=100": 5*time.Second - restMargin,
-		"timeout=100":        defaultRest,
-		"":                   defaultRest,
-		"max=3":              defaultRest,
+		"timeout=5, max=100": 5*time.Second - idleMargin,
+		"timeout=100":        defaultMaxIdle,
+		"":                   defaultMaxIdle,
+		"max=3":              defaultMaxIdle,
 	} {
 		header := http.Header{}
 		header.Set("Keep-Alive", text)
-		if got := restTime(header); got != want {
+		if got := maxIdleTime(header); got != want {
 			t.Errorf("Keep-Alive %q: got %v, want %v", text, got, want)
 		}
 	}
 }
 
-// TestClientEndsExchangesWithTheirContext also has to close the connection, so
-// that the backend server stops.
-func TestClientEndsExchangesWithTheirContext(t *testing.T) {
+// TestContextCancellationClosesTheConnection checks that a cancelled exchange closes its
+// connection, so that the backend server stops working.
+func TestContextCancellationClosesTheConnection(t *testing.T) {
 	gone := make(chan struct{})
 	server := serve(t, func(_ net.Conn, requests *bufio.Reader) {
 		_, _ = http.ReadRequest(requests)
@@ -297,9 +297,9 @@
 	}
 }
 
-// TestDialTimeoutFollowsWhatConnectionsTook has a backend server that is known wait no
-// longer than its connections allow to expect, and one that is far for longer.
-func TestDialTimeoutFollowsWhatConnectionsTook(t *testing.T) {
+// TestDialTimeoutFollowsRecordedDialTimes checks that the dial timeout is short for a backend
+// server whose connections opened quickly, and longer for a distant one.
+func TestDialTimeoutFollowsRecordedDialTimes(t *testing.T) {
 	client := &Client{}
 	for _, test := range []struct {
 		took []time.Duration
@@ -310,7 +310,7 @@
 		},
 		{
 			took: []time.Duration{time.Millisecond, 2 * time.Millisecond},
-			want: leastDialTimeout,
+			want: minDialTimeout,
 		},
 		{
 			took: []time.Duration{30 * time.Millisecond, time.Millisecond},
@@ -325,17 +325,17 @@
 			want: defaultDialTimeout,
 		},
 	} {
-		client.took = nil
+		client.dialTimes = nil
 		for _, took := range test.took {
-			client.reached("key", took)
+			client.recordDialTime("key", took)
 		}
 		if got := client.dialTimeout("key"); got != test.want {
-			t.Errorf("after %v: got a time-out of %v, want %v", test.took, got, test.want)
+			t.Errorf("after %v: got a timeout of %v, want %v", test.took, got, test.want)
 		}
 	}
-	client.reached("gone", time.Millisecond)
+	client.recordDialTime("gone", time.Millisecond)
 	client.Retain(func(key string) bool { return key != "gone" })
-	if _, isKept := client.took["gone"]; isKept {
-		t.Error("got what is known of a server that is gone, want it forgotten")
+	if _, isKept := client.dialTimes["gone"]; isKept {
+		t.Error("got the dial time of a removed server, want it forgotten")
 	}
 }
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -13,33 +13,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// connection is one kept connection. It serves one exchange at a time.
+// connection is a pooled connection. It serves one exchange at a time.
 type connection struct {
 	net.Conn
 	reader *bufio.Reader
-	// restingSince is when the last exchange ended; usableUntil is when the
-	// backend server is expected to close it.
-	restingSince time.Time
-	usableUntil  time.Time
-	// exchanges counts the exchanges before the present one.
+	// idleSince is when the last exchange ended; idleUntil is when the connection must not be used
+	// any more, as the backend server is expected to close it.
+	idleSince time.Time
+	idleUntil time.Time
+	// exchanges counts the exchanges before the current one.
 	exchanges int
 }
 
-// isAlive tells whether a resting connection is open and silent: bytes that
-// wait belong to no request.
-func (c *connection) isAlive() bool {
+// isIdle reports whether the connection is open and has no unread bytes, which would belong to no
+// request.
+func (c *connection) isIdle() bool {
 	_, err := c.peek()
 	return errors.Is(err, unix.EAGAIN)
 }
 
-// hasBytes tells whether bytes wait to be read.
+// hasBytes reports whether unread bytes are available.
 func (c *connection) hasBytes() bool {
 	n, err := c.peek()
 	return err == nil && n > 0
 }
 
-// peek looks at the next byte without waiting: unix.EAGAIN says that there is
-// none, no byte without an error that the other side has closed.
+// peek looks for an unread byte without blocking. The error unix.EAGAIN means that there is none; 0
+// bytes without an error mean that the peer has closed the connection.
 func (c *connection) peek() (n int, err error) {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil {
@@ -55,17 +55,17 @@
 	return n, err
 }
 
-// inlineBytes is the longest request that is written before its answer is
-// read; it fits the smallest socket buffers, so that the write cannot block.
-const inlineBytes = 4 << 10
+// maxInlineBytes is the largest request that is written before the response is read. It fits into
+// the smallest socket buffers, so that the write cannot block.
+const maxInlineBytes = 4 << 10
 
-// write sends the request. A long one is written while the answer is read, as
-// a backend server may answer without reading it. The channel gives the
-// result.
+// write sends the request. A request above maxInlineBytes is written while the response is read,
+// since a backend server may respond without reading it. The channel receives the result of the
+// write.
 func (c *connection) write(request *Request) <-chan error {
 	result := make(chan error, 1)
 	head := request.head()
-	if len(head)+len(request.Body) <= inlineBytes {
+	if len(head)+len(request.Body) <= maxInlineBytes {
 		_, err := c.Write(append(head, request.Body...))
 		result <- err
 		return result
@@ -78,17 +78,17 @@
 	return result
 }
 
-// maxStray is how many answers to earlier requests are skipped.
-const maxStray = 3
+// maxStrayResponses is how many responses to earlier requests, and informational ones, are skipped.
+const maxStrayResponses = 3
 
-// read reads the head of the answer to the request. Answers to other requests
-// are skipped: a backend server may answer twice, and the right answer follows.
-func (c *connection) read(request *Request, strays *atomic.Int64) (*http.Response, error) {
-	asked := &http.Request{
+// readHead reads the header of the response to the request. Responses to other requests are
+// skipped: a backend server may respond to a request twice, and the right response follows.
+func (c *connection) readHead(request *Request, strays *atomic.Int64) (*http.Response, error) {
+	httpRequest := &http.Request{
 		Method: request.Method,
 	}
-	for range maxStray {
-		response, err := http.ReadResponse(c.reader, asked)
+	for range maxStrayResponses {
+		response, err := http.ReadResponse(c.reader, httpRequest)
 		if err != nil {
 			return nil, err
 		}
@@ -100,24 +100,24 @@
 			return response, nil
 		}
 		strays.Add(1)
-		// The body has to end for the next answer to begin.
+		// The next response can be found only if the body has a known end.
 		if response.Close || response.ContentLength < 0 && len(response.TransferEncoding) == 0 {
-			return nil, errors.New("the answer belongs to another request, and no other can follow")
+			return nil, errors.New("response belongs to another request, and the connection cannot be reused")
 		}
 		if err := response.Body.Close(); err != nil {
-			return nil, errors.Wrap(err, "skip the answer to another request")
+			return nil, errors.Wrap(err, "skip the response to another request")
 		}
 	}
-	return nil, errors.New("too many answers to other requests")
+	return nil, errors.New("too many responses to other requests")
 }
 
-// interruptible has the end of ctx interrupt reads and writes. The function
-// given ends that and tells whether the connection is still undisturbed.
-func (c *connection) interruptible(ctx context.Context) (stop func() bool) {
+// interruptOnDone interrupts reads and writes when ctx ends. The returned function cancels that and
+// reports whether the connection was not interrupted.
+func (c *connection) interruptOnDone(ctx context.Context) (stop func() bool) {
 	return context.AfterFunc(ctx, func() {
-		_ = c.SetDeadline(longAgo)
+		_ = c.SetDeadline(pastTime)
 	})
 }
 
-// longAgo is a deadline that has passed.
-var longAgo = time.Unix(1, 0)
+// pastTime is a deadline that has passed.
+var pastTime = time.Unix(1, 0)
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -8,26 +8,27 @@
 	"github.com/slipwick/slipwick"
 )
 
-// unreachable is a connection that did not come up: nothing was sent.
-func unreachable(address string, cause error) error {
+// connectError returns the error of a connection that could not be opened: nothing was sent.
+func connectError(address string, cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindBackendUnreachable,
-		Message: "no connection to backend server " + address,
-		Remedy:  "check that it runs and that the network reaches it",
+		Message: "cannot connect to backend server " + address,
+		Remedy:  "check that it runs and is reachable",
 		Outcome: slipwick.OutcomeNotRun,
 		Cause:   cause,
 	}
 }
 
-// broken is an exchange that failed after the request, or a part, was sent.
-func broken(ctx context.Context, address string, cause error) error {
-	if errors.Is(cause, errGivenUp) {
-		return givenUp(address)
+// exchangeError returns the error of an exchange that failed after at least a part of the request
+// was sent.
+func exchangeError(ctx context.Context, address string, cause error) error {
+	if errors.Is(cause, errResponseTimeout) {
+		return responseTimeoutError(address)
 	}
 	err := &slipwick.Error{
 		Kind:    slipwick.KindBackendError,
-		Message: "the exchange with backend server " + address + " broke",
-		Remedy:  "look at that backend server; the request may have run",
+		Message: "exchange with backend server " + address + " broke off",
+		Remedy:  "check that backend server; the request may have run",
 		Outcome: slipwick.OutcomeUnknown,
 		Cause:   cause,
 	}
@@ -40,8 +41,8 @@
 	return err
 }
 
-// IsRefused tells whether the error is of a connection that the backend server's
-// box refused: nothing listens there.
+// IsRefused reports whether err comes from a connection that the backend server's box refused:
+// nothing listens at the address.
 func IsRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/upstream/fakeserver_test.go
+++ b/upstream/fakeserver_test.go
@@ -7,15 +7,14 @@
 	"testing"
 )
 
-// fakeServer answers each connection by a script: what it writes after each
-// request it has read.
+// fakeServer is a server that handles each connection with a function of the test.
 type fakeServer struct {
 	address string
-	// connections counts what was accepted.
+	// connections receives a value for each accepted connection.
 	connections chan struct{}
 }
 
-// serve runs handle for each connection, with the requests' reader.
+// serve starts a server that runs handle for each connection.
 func serve(t *testing.T, handle func(conn net.Conn, requests *bufio.Reader)) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -43,11 +42,10 @@
 	return server
 }
 
-// script answers the n-th request of a connection with the n-th answer, then
-// closes the connection.
-func script(answers ...string) func(net.Conn, *bufio.Reader) {
+// script returns a handler that responds to the n-th request of a connection with the n-th text.
+func script(responses ...string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, requests *bufio.Reader) {
-		for _, answer := range answers {
+		for _, response := range responses {
 			request, err := http.ReadRequest(requests)
 			if err != nil {
 				return
@@ -56,16 +54,16 @@
 			for err == nil {
 				_, err = request.Body.Read(buffer)
 			}
-			if _, err := conn.Write([]byte(answer)); err != nil {
+			if _, err := conn.Write([]byte(response)); err != nil {
 				return
 			}
 		}
-		// Stay open until the client closes.
+		// Stay open until the client closes the connection.
 		_, _ = requests.ReadByte()
 	}
 }
 
-// answer is a whole answer to the request with the ID.
-func answer(id, body string) string {
+// responseText returns a complete response to the request with the ID.
+func responseText(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
--- a/upstream/patience.go
+++ b/upstream/patience.go
@@ -10,27 +10,25 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Patience decides about an exchange in which nothing comes. It is asked by the
-// goroutine that reads, and only while nothing has come.
+// Patience bounds the time in which a backend server sends nothing.
 type Patience struct {
-	// First is how long the first byte of the answer may take, Pause how long
-	// nothing may come once some of a chunked body has; 0 waits for as long as
-	// the exchange may last.
+	// First is how long the first byte of the response may take. Pause is how long the next bytes
+	// of a body of unknown length may take; 0 sets no bound.
 	First, Pause time.Duration
-	// Overdue is asked when that time is over, for how long to wait on: 0 ends
-	// the exchange, Forever asks no more until something has come.
+	// Overdue is called when one of these times has passed, by the goroutine that reads the
+	// response. It returns how long to wait for longer: 0 ends the exchange, Forever waits until
+	// data arrives.
 	Overdue func() time.Duration
 }
 
-// Forever waits for as long as the exchange may last.
+// Forever lets a read wait for as long as the exchange may last.
 const Forever = time.Duration(1<<63 - 1)
 
-// errGivenUp ends an exchange by its Patience.
-var errGivenUp = errors.New("nothing came for longer than the request waits")
+// errGivenUp is the cause of errors of exchanges that Patience ended.
+var errResponseTimeout = errors.New("no data within the response timeout")
 
-// awaitByte waits until a byte can be read, and asks overdue each time the wait
-// is over.
-func (c *connection) awaitByte(ctx context.Context, wait time.Duration, overdue func() time.Duration) error {
+// awaitData blocks until a byte can be read, and calls onTimeout each time the wait has passed.
+func (c *connection) awaitData(ctx context.Context, wait time.Duration, onTimeout func() time.Duration) error {
 	if wait <= 0 || wait == Forever || c.reader.Buffered() > 0 {
 		return nil
 	}
@@ -40,51 +38,53 @@
 			return err
 		}
 		if ctx.Err() != nil {
-			// The interruption may have come before the deadline was set.
+			// The interruption may have come before the read deadline was set, which then replaced
+			// it.
 			return ctx.Err()
 		}
 		_, err := c.reader.Peek(1)
 		switch {
 		case err == nil || errors.Is(err, io.EOF):
-			// The read that follows meets the end again.
+			// The next read returns io.EOF again.
 			return nil
 		case !errors.Is(err, os.ErrDeadlineExceeded):
-			// The kernel tells of a reset once, and then of an end.
+			// The kernel reports a reset once, and the end of the stream from then on.
 			return err
 		case ctx.Err() != nil:
 			return ctx.Err()
 		}
-		wait = overdue()
+		wait = onTimeout()
 		if wait == Forever || wait <= 0 && c.hasBytes() {
 			return nil
 		}
 		if wait <= 0 {
-			return errGivenUp
+			return errResponseTimeout
 		}
 	}
 }
 
-// clearDeadline lets reads wait again, unless ctx has ended.
+// clearDeadline removes the read deadline, unless ctx has ended.
 func (c *connection) clearDeadline(ctx context.Context) {
-	// A connection that fails here fails at its next use as well.
+	// If this fails, the next read or write on the connection fails as well.
 	_ = c.SetReadDeadline(time.Time{})
 	if ctx.Err() != nil {
-		_ = c.SetReadDeadline(longAgo)
+		_ = c.SetReadDeadline(pastTime)
 	}
 }
 
-// givenUp is an exchange that its Patience ended.
-func givenUp(address string) error {
+// responseTimeoutError returns the error of an exchange that Patience ended.
+func responseTimeoutError(address string) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindTimeout,
-		Message: "backend server " + address + " said nothing for too long, and the request goes on elsewhere",
-		Remedy:  "look at that backend server; the request may have run",
+		Message: "backend server " + address + " sent no data within the timeout; the request goes to another",
+		Remedy:  "check that backend server; the request may have run",
 		Outcome: slipwick.OutcomeUnknown,
-		Cause:   errGivenUp,
+		Cause:   errResponseTimeout,
 	}
 }
 
-// IsGivenUp tells whether the error is of an exchange that its Patience ended.
+// IsGivenUp reports whether err comes from an exchange that Patience ended, not from the end of the
+// context.
 func IsGivenUp(err error) bool {
-	return errors.Is(err, errGivenUp)
+	return errors.Is(err, errResponseTimeout)
 }
--- a/upstream/patience_test.go
+++ b/upstream/patience_test.go
@@ -12,8 +12,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// hanging reads a request and then writes what it is told to.
-func hanging(writes <-chan string) func(net.Conn, *bufio.Reader) {
+// writeOnDemand returns a handler that reads a request and then writes each text that it receives.
+func writeOnDemand(writes <-chan string) func(net.Conn, *bufio.Reader) {
 	return func(conn net.Conn, requests *bufio.Reader) {
 		if _, err := http.ReadRequest(requests); err != nil {
 			return
@@ -26,10 +26,10 @@
 	}
 }
 
-func TestPatienceEndsAnExchangeInWhichNothingComes(t *testing.T) {
+func TestTimeoutEndsAnExchangeWithoutResponse(t *testing.T) {
 	writes := make(chan string)
 	defer close(writes)
-	server := serve(t, hanging(writes))
+	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	asked := 0
 	r.Patience = Patience{
@@ -42,37 +42,37 @@
 			return 0
 		},
 	}
-	_, err := ask(t, &Client{}, server.address, r)
-	if !IsGivenUp(err) || outcome(t, err) != slipwick.OutcomeUnknown {
-		t.Errorf("got %v, want an exchange that was given up and may have run", err)
+	_, err := exchange(t, &Client{}, server.address, r)
+	if !IsGivenUp(err) || errorOutcome(t, err) != slipwick.OutcomeUnknown {
+		t.Errorf("got %v, want a response timeout with unknown outcome", err)
 	}
 	if asked != 3 {
-		t.Errorf("asked %d times, want 3", asked)
+		t.Errorf("got %d calls of Overdue, want 3", asked)
 	}
 }
 
-// TestBytesThatWaitAreRead has the answer come while the patience decides to
-// end the exchange.
-func TestBytesThatWaitAreRead(t *testing.T) {
+// TestResponseDuringTimeoutCallbackIsRead has the response arrive while Overdue decides to end the
+// exchange.
+func TestResponseDuringTimeoutCallbackIsRead(t *testing.T) {
 	writes := make(chan string)
 	defer close(writes)
-	server := serve(t, hanging(writes))
+	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	r.Patience = Patience{
 		First: 20 * time.Millisecond,
 		Overdue: func() time.Duration {
-			writes <- answer("1", "late")
+			writes <- responseText("1", "late")
 			time.Sleep(50 * time.Millisecond)
 			return 0
 		},
 	}
-	mustAsk(t, &Client{}, server.address, r, "late")
+	mustExchange(t, &Client{}, server.address, r, "late")
 }
 
-func TestPatienceCountsPausesOfAStream(t *testing.T) {
+func TestIdleTimeoutAppliesWithinAStream(t *testing.T) {
 	writes := make(chan string, 3)
 	defer close(writes)
-	server := serve(t, hanging(writes))
+	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	r.Patience = Patience{
 		Pause:   30 * time.Millisecond,
@@ -80,17 +80,17 @@
 	}
 	writes <- "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	writes <- "3\r\nabc\r\n"
-	got, err := ask(t, &Client{}, server.address, r)
+	got, err := exchange(t, &Client{}, server.address, r)
 	if got != "abc" || !IsGivenUp(err) {
-		t.Errorf("got %q and %v, want abc and an exchange that was given up", got, err)
+		t.Errorf("got %q and %v, want abc and a response timeout", got, err)
 	}
 }
 
-// TestPatienceKeepsTheConnection has an answer that ends in time: the connection
-// serves the next request.
-func TestPatienceKeepsTheConnection(t *testing.T) {
+// TestTimeoutsKeepTheConnectionReusable has a response end in time: the connection serves the next
+// request.
+func TestTimeoutsKeepTheConnectionReusable(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
-	server := serve(t, script(chunked, answer("2", "second")))
+	server := serve(t, script(chunked, responseText("2", "second")))
 	client := &Client{}
 	r := request("1")
 	r.Patience = Patience{
@@ -98,17 +98,17 @@
 		Pause:   time.Second,
 		Overdue: func() time.Duration { return 0 },
 	}
-	mustAsk(t, client, server.address, r, "abc")
-	mustAsk(t, client, server.address, request("2"), "second")
+	mustExchange(t, client, server.address, r, "abc")
+	mustExchange(t, client, server.address, request("2"), "second")
 	if got := client.Opened.Load(); got != 1 {
 		t.Errorf("got %d connections, want 1", got)
 	}
 }
 
-func TestEndOfContextEndsAPatientExchange(t *testing.T) {
+func TestContextEndsAnExchangeWithTimeouts(t *testing.T) {
 	writes := make(chan string)
 	defer close(writes)
-	server := serve(t, hanging(writes))
+	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	r.Patience = Patience{
 		First:   time.Minute,
@@ -122,14 +122,13 @@
 		_, err = io.ReadAll(a)
 	}
 	if took := time.Since(started); !slipwick.IsKind(err, slipwick.KindTimeout) || IsGivenUp(err) || took > time.Second {
-		t.Errorf("got %v after %v, want the time-out of the context", err, took)
+		t.Errorf("got %v after %v, want the timeout of the context", err, took)
 	}
 }
 
-// TestResetWhilePatientIsNoEnd has an answer without a length be reset: what
-// came of it is not whole. The kernel tells of a reset once, and of an end from
-// then on.
-func TestResetWhilePatientIsNoEnd(t *testing.T) {
+// TestResetIsNotTakenForTheEndOfTheBody has a response without a length end in a reset: the body is
+// incomplete. The kernel reports a reset once, and the end of the stream from then on.
+func TestResetIsNotTakenForTheEndOfTheBody(t *testing.T) {
 	server := serve(t, func(conn net.Conn, requests *bufio.Reader) {
 		if _, err := http.ReadRequest(requests); err != nil {
 			return
@@ -144,7 +143,7 @@
 		Pause:   time.Second,
 		Overdue: func() time.Duration { return 0 },
 	}
-	got, err := ask(t, &Client{}, server.address, r)
+	got, err := exchange(t, &Client{}, server.address, r)
 	if err == nil || got != "abc" {
 		t.Errorf("got %q and error %v, want abc broken off", got, err)
 	}
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Request is one exchange's request.
+// Request is the request of one exchange.
 type Request struct {
 	Method string
 	// Target is the request target exactly as the caller sent it.
@@ -15,18 +15,18 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// ID is what a header named IDHeader of the answer repeats.
+	// ID is the request ID, which the backend server repeats in the response header named IDHeader.
 	ID       string
 	IDHeader string
-	// MaxRest bounds how long a kept connection may have rested to be used;
-	// 0 sets no bound. The shorter, the less likely it is dead.
+	// MaxRest is the longest time for which a pooled connection may have been idle to be used; 0
+	// sets no bound. The shorter, the less likely the connection has been closed unnoticed.
 	MaxRest time.Duration
-	// Patience may end the exchange while nothing comes; the zero value does
-	// not.
+	// Patience ends the exchange if the backend server sends nothing for too long. The zero value
+	// never does.
 	Patience Patience
 }
 
-// head gives the request line and the header.
+// head returns the request line and the header as sent.
 func (r *Request) head() []byte {
 	var head bytes.Buffer
 	head.Grow(1 << 10)
@@ -34,7 +34,7 @@
 	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut {
 		head.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
-	// A bytes.Buffer takes everything.
+	// Writes to a bytes.Buffer do not fail.
 	_ = r.Header.Write(&head)
 	head.WriteString("\r\n")
 	return head.Bytes()
