--- a/gateway/answer.go
+++ b/gateway/answer.go
@@ -16,54 +16,55 @@
 	"github.com/slipwick/slipwick/upstream"
 )
 
-var errSpoilt = errors.New("the answer is not the backend server's own: stamp or ID are missing, or it is encoded")
+var errInvalidResponse = errors.New("invalid response: stamp missing, request ID different, or content encoded")
 
-// noticeOf reads what the backend server says of itself. The answer of another one than
-// was meant says nothing of that one.
-func (c *call) noticeOf(answer *upstream.Answer) slipwick.Notice {
-	if answer.Status == http.StatusMisdirectedRequest {
+// noticeOf returns what the backend server announces about itself in the response. A 421 comes from
+// a backend server other than the intended one, so that it announces nothing about that one.
+func (c *call) noticeOf(response *upstream.Answer) slipwick.Notice {
+	if response.Status == http.StatusMisdirectedRequest {
 		return slipwick.Notice{}
 	}
-	return httpclient.NoticeIn(answer.Status, answer.Header, c.gateway.Headers.Leaving, "1")
+	return httpclient.NoticeIn(response.Status, response.Header, c.gateway.Headers.Leaving, "1")
 }
 
-// judgeAnswer tells what an answer means, and passes it on if it is one.
-func (c *call) judgeAnswer(
-	lease *balance.Lease, answer *upstream.Answer, notice slipwick.Notice,
+// handleResponse classifies a response, reports it to the balancer, and forwards it to the caller
+// if it is final.
+func (c *call) handleResponse(
+	lease *balance.Lease, response *upstream.Answer, notice slipwick.Notice,
 ) (result, slipwick.Evidence, error) {
 	names := &c.gateway.Headers
 	c.gateway.Balancer.Noticed(lease, notice)
 	c.gateway.Balancer.Began(lease)
-	if load, ok := parseLoad(answer.Header.Get(names.Load)); ok {
+	if load, ok := parseLoad(response.Header.Get(names.Load)); ok {
 		c.gateway.Balancer.Reported(lease, load)
 	}
 	switch {
-	case answer.Status == http.StatusMisdirectedRequest:
-		_, _, _ = readWhole(answer)
+	case response.Status == http.StatusMisdirectedRequest:
+		_, _, _ = bufferResponse(response)
 		return resultNotRun, slipwick.EvidenceLeaving, nil
-	case answer.Header.Get(names.NotRun) != "":
-		_, _, _ = readWhole(answer)
-		return resultNotRun, evidenceOfRefusal(answer.Status), nil
+	case response.Header.Get(names.NotRun) != "":
+		_, _, _ = bufferResponse(response)
+		return resultNotRun, evidenceOfRejection(response.Status), nil
 	}
-	c.runs++
-	succeeded := answer.Status/100 == 2
-	if succeeded && !c.isGenuine(answer) {
-		return resultBroken, slipwick.EvidenceError, errSpoilt
+	c.possibleRuns++
+	succeeded := response.Status/100 == 2
+	if succeeded && !c.isGenuine(response) {
+		return resultBroken, slipwick.EvidenceError, errInvalidResponse
 	}
 	if succeeded {
 		c.gateway.Balancer.LearnPace(lease)
 	}
 	if succeeded && c.route.Kind == routing.KindStream {
-		return c.passEvents(lease, answer)
+		return c.forwardEvents(lease, response)
 	}
-	return c.passWhole(answer)
+	return c.forwardBuffered(response)
 }
 
-// evidenceOfRefusal tells what a request that the backend server did not run says of it.
-// A 503 and a 429 tell of too little room, of which a limit on a workspace is none: that is
-// the same at all servers, and none of them fails more than the others. Other refusals are
-// about the request.
-func evidenceOfRefusal(status int) slipwick.Evidence {
+// evidenceOfRejection returns what a response that says not-run tells about the backend server. A
+// 503 or 429 means that it is overloaded. A limit on a workspace is no such response: it holds at
+// all backend servers alike, so that it makes none of them fail more than the others. Other
+// statuses are about the request.
+func evidenceOfRejection(status int) slipwick.Evidence {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		return slipwick.EvidenceShed
@@ -72,47 +73,47 @@
 	}
 }
 
-// isGenuine tells whether a success is the backend server's own answer to this
-// request.
-func (c *call) isGenuine(answer *upstream.Answer) bool {
+// isGenuine reports whether a successful response was made by the backend server for this request:
+// it carries the stamp and the request ID, and no content encoding.
+func (c *call) isGenuine(response *upstream.Answer) bool {
 	names := &c.gateway.Headers
-	if answer.Header.Get(names.Stamp) == "" || answer.Header.Get("Content-Encoding") != "" {
+	if response.Header.Get(names.Stamp) == "" || response.Header.Get("Content-Encoding") != "" {
 		return false
 	}
-	return answer.Header.Get(names.RequestID) == c.id
+	return response.Header.Get(names.RequestID) == c.id
 }
 
-// passWhole reads an answer to its end and passes it on if it is a success, or
-// if there will be no other.
-func (c *call) passWhole(answer *upstream.Answer) (result, slipwick.Evidence, error) {
-	whole, tooLong, err := readWhole(answer)
+// forwardBuffered reads a response to its end and forwards it. A failure is kept instead, and
+// forwarded only if no other response follows. Once a part of a stream was forwarded, any other
+// response counts as a failure.
+func (c *call) forwardBuffered(response *upstream.Answer) (result, slipwick.Evidence, error) {
+	buffered, tooLong, err := bufferResponse(response)
 	switch {
 	case err != nil && c.request.Context().Err() != nil:
 		return resultLeft, slipwick.EvidenceNone, err
 	case err != nil:
 		return resultBroken, slipwick.EvidenceError, err
-	case c.stream.begun || isFailure(answer.Status):
-		if !promisesNotRun(answer.Status) {
-			c.failure = whole
+	case c.progress.headWritten || isFailure(response.Status):
+		if !impliesNotRun(response.Status) {
+			c.failedResponse = buffered
 		}
 		return resultFailed, slipwick.EvidenceError, nil
 	case tooLong:
-		return c.passLong(whole, answer)
+		return c.forwardLarge(buffered, response)
 	}
-	if err := whole.write(c.writer); err != nil {
+	if err := buffered.write(c.writer); err != nil {
 		return resultLeft, slipwick.EvidenceGood, err
 	}
 	return resultDelivered, slipwick.EvidenceGood, nil
 }
 
 func isFailure(status int) bool {
-	return status >= http.StatusInternalServerError || promisesNotRun(status)
+	return status >= http.StatusInternalServerError || impliesNotRun(status)
 }
 
-// promisesNotRun tells whether callers take the status for a promise that the
-// request was not run. It is not passed on unless the backend server says so in
-// its header.
-func promisesNotRun(status int) bool {
+// impliesNotRun reports whether callers take the status for a promise that the request was not run.
+// Such a response is forwarded only if the backend server says so in the header NotRun.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
 		return true
@@ -121,49 +122,51 @@
 	}
 }
 
-// passLong passes on an answer that is too long to hold.
-func (c *call) passLong(start *wholeAnswer, answer *upstream.Answer) (result, slipwick.Evidence, error) {
-	copyHeader(c.writer.Header(), start.header)
-	if answer.Length >= 0 {
-		c.writer.Header().Set("Content-Length", strconv.FormatInt(answer.Length, 10))
+// forwardLarge forwards a response that is too large to buffer.
+func (c *call) forwardLarge(
+	buffered *bufferedResponse, response *upstream.Answer,
+) (result, slipwick.Evidence, error) {
+	copyHeader(c.writer.Header(), buffered.header)
+	if response.Length >= 0 {
+		c.writer.Header().Set("Content-Length", strconv.FormatInt(response.Length, 10))
 	}
-	c.writer.WriteHeader(start.status)
-	c.stream.begun = true
-	if _, err := c.writer.Write(start.body); err != nil {
+	c.writer.WriteHeader(buffered.status)
+	c.progress.headWritten = true
+	if _, err := c.writer.Write(buffered.body); err != nil {
 		return resultLeft, slipwick.EvidenceGood, err
 	}
-	if _, err := io.Copy(c.writer, answer); err != nil {
+	if _, err := io.Copy(c.writer, response); err != nil {
 		return resultCut, slipwick.EvidenceError, err
 	}
 	return resultDelivered, slipwick.EvidenceGood, nil
 }
 
-// streamBuffer holds what came of an event that is not whole yet.
-const streamBuffer = 4 << 10
+// eventBufferSize is the initial size, in bytes, of the buffer for incomplete events.
+const eventBufferSize = 4 << 10
 
-// maxEvent bounds one event.
-const maxEvent = 256 << 10
+// maxEventBytes is the largest size of one event.
+const maxEventBytes = 256 << 10
 
-// passEvents passes whole events on as they arrive.
-func (c *call) passEvents(lease *balance.Lease, answer *upstream.Answer) (result, slipwick.Evidence, error) {
-	held := make([]byte, 0, streamBuffer)
+// forwardEvents forwards complete events as they arrive.
+func (c *call) forwardEvents(lease *balance.Lease, response *upstream.Answer) (result, slipwick.Evidence, error) {
+	buffered := make([]byte, 0, eventBufferSize)
 	for {
-		if len(held) == cap(held) {
-			held = append(held, make([]byte, cap(held))...)[:len(held)]
+		if len(buffered) == cap(buffered) {
+			buffered = append(buffered, make([]byte, cap(buffered))...)[:len(buffered)]
 		}
-		if len(held) > maxEvent {
-			return c.brokenStream(errors.New("an event is too long"))
+		if len(buffered) > maxEventBytes {
+			return c.classifyStreamError(errors.New("event is larger than 256 KiB"))
 		}
-		n, err := answer.Read(held[len(held):cap(held)])
-		held = held[:len(held)+n]
-		size := wholeEvents(held)
+		n, err := response.Read(buffered[len(buffered):cap(buffered)])
+		buffered = buffered[:len(buffered)+n]
+		size := completeLength(buffered)
 		if errors.Is(err, io.EOF) {
-			size = len(held)
+			size = len(buffered)
 		}
-		if failed := c.passOn(answer, held[:size]); failed != nil {
-			return resultLeft, slipwick.EvidenceNone, failed
+		if writeErr := c.writeEvents(response, buffered[:size]); writeErr != nil {
+			return resultLeft, slipwick.EvidenceNone, writeErr
 		}
-		held = append(held[:0], held[size:]...)
+		buffered = append(buffered[:0], buffered[size:]...)
 		if size > 0 {
 			if c.firstEvent.IsZero() {
 				c.firstEvent = clock.Now()
@@ -172,18 +175,18 @@
 		}
 		switch {
 		case errors.Is(err, io.EOF):
-			if c.begin(answer) != nil {
+			if c.writeHead(response) != nil {
 				return resultLeft, slipwick.EvidenceGood, nil
 			}
 			return resultDelivered, slipwick.EvidenceGood, nil
 		case err != nil:
-			return c.brokenStream(err)
+			return c.classifyStreamError(err)
 		}
 	}
 }
 
-// brokenStream tells what a stream that broke off means.
-func (c *call) brokenStream(err error) (result, slipwick.Evidence, error) {
+// classifyStreamError returns the result of a stream that broke off.
+func (c *call) classifyStreamError(err error) (result, slipwick.Evidence, error) {
 	switch {
 	case c.request.Context().Err() != nil:
 		return resultLeft, slipwick.EvidenceNone, err
@@ -194,16 +197,17 @@
 	}
 }
 
-// passOn writes events to the caller, with the answer's head before the first.
-func (c *call) passOn(answer *upstream.Answer, events []byte) error {
+// writeEvents writes those events that the caller does not have yet, after the response header if
+// they are the first.
+func (c *call) writeEvents(response *upstream.Answer, events []byte) error {
 	if len(events) == 0 {
 		return nil
 	}
-	events = c.stream.take(events)
+	events = c.progress.filterNew(events)
 	if len(events) == 0 {
 		return nil
 	}
-	if err := c.begin(answer); err != nil {
+	if err := c.writeHead(response); err != nil {
 		return err
 	}
 	if _, err := c.writer.Write(events); err != nil {
@@ -212,18 +216,19 @@
 	return http.NewResponseController(c.writer).Flush()
 }
 
-// begin writes the head of a stream's answer, once.
-func (c *call) begin(answer *upstream.Answer) error {
-	if c.stream.begun {
+// writeHead writes the status and header of a stream's response, once.
+func (c *call) writeHead(response *upstream.Answer) error {
+	if c.progress.headWritten {
 		return nil
 	}
-	c.stream.begun = true
-	copyHeader(c.writer.Header(), answer.Header)
-	c.writer.WriteHeader(answer.Status)
+	c.progress.headWritten = true
+	copyHeader(c.writer.Header(), response.Header)
+	c.writer.WriteHeader(response.Status)
 	return nil
 }
 
-// parseLoad reads requests running and waiting, separated by a comma.
+// parseLoad parses the numbers of running and waiting requests, which are separated by a comma;
+// fields after them are ignored.
 func parseLoad(text string) (load balance.Load, ok bool) {
 	parts := strings.Split(text, ",")
 	if len(parts) < 2 {
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -14,7 +14,7 @@
 	"github.com/slipwick/slipwick/upstream"
 )
 
-// call is one caller's request on its way.
+// call holds the state of one caller's request while it is served.
 type call struct {
 	gateway *Gateway
 	writer  http.ResponseWriter
@@ -26,31 +26,32 @@
 	workspace *routing.Workspace
 	id        string
 	body      []byte
-	// key names what is asked for, whatever the request's ID.
+	// key identifies the content of the request, whatever its request ID.
 	key     quarantine.Key
 	arrived time.Time
-	// deadline is when the caller or the route gives up.
+	// deadline is the earlier one of the caller's deadline and the route's timeout.
 	deadline time.Time
 	ctx      context.Context
 
-	ask balance.Ask
-	// next is the place that was granted for the next send while one ran.
-	next *balance.Lease
-	// sends counts the requests sent to backend servers, unsent those that did
-	// not reach one, runs those that may have run there.
-	sends, unsent, runs int
-	// stream is what has been passed on of a stream.
-	stream passedOn
-	// isTrial says that the request is quarantined, and is to show whether it has to be.
+	selection balance.Ask
+	// nextLease is the lease of the next send, acquired while the current one was still waiting;
+	// nil if there is none.
+	nextLease *balance.Lease
+	// sends counts how often the request was sent or tried to be sent, unreached those sends that
+	// reached no backend server, possibleRuns those after which the request may have run.
+	sends, unreached, possibleRuns int
+	// progress is how much of a stream the caller has received.
+	progress streamProgress
+	// isTrial says that the request is quarantined and is let through to find out whether it still
+	// crashes backend servers.
 	isTrial bool
-	// firstEvent is when the first event of the send in progress was passed on; zero
-	// before.
+	// firstEvent is when the current send forwarded its first event; zero before that.
 	firstEvent time.Time
-	// failure is the latest answer that a backend server failed with.
-	failure *wholeAnswer
+	// failedResponse is the latest failure response of a backend server.
+	failedResponse *bufferedResponse
 }
 
-// workspaceName is empty for anonymous requests.
+// workspaceName returns the empty string for anonymous requests.
 func (c *call) workspaceName() string {
 	if c.workspace == nil {
 		return ""
@@ -58,7 +59,7 @@
 	return c.workspace.Name
 }
 
-// upstreamRequest makes the request for the backend server of the lease.
+// upstreamRequest returns the request as it is sent to the backend server of the lease.
 func (c *call) upstreamRequest(lease *balance.Lease) *upstream.Request {
 	names := &c.gateway.Headers
 	header := c.request.Header.Clone()
@@ -85,8 +86,8 @@
 	if pool := c.table.Pools[c.pool]; lease.FetchFrom != "" && pool != nil && pool.Engine != nil && pool.Engine.Fetches {
 		header.Set(names.FetchFrom, lease.FetchFrom)
 	}
-	if c.stream.lastID != "" {
-		header.Set(lastEventID, c.stream.lastID)
+	if c.progress.lastID != "" {
+		header.Set(lastEventID, c.progress.lastID)
 	}
 	request := &upstream.Request{
 		Method:   c.request.Method,
@@ -97,43 +98,45 @@
 		ID:       c.id,
 		IDHeader: names.RequestID,
 	}
-	request.Patience = c.patienceFor(lease)
+	request.Patience = c.timeoutsFor(lease)
 	if !c.route.MayRepeat() {
-		request.MaxRest = singleMaxRest
+		request.MaxRest = nonRepeatableMaxIdle
 	}
 	return request
 }
 
-// singleMaxRest bounds the rest of connections that carry requests which may
-// not be sent again: a shorter rest is less likely to end unseen.
-const singleMaxRest = 2 * time.Second
+// nonRepeatableMaxIdle bounds the idle time of connections used for requests that must not be
+// repeated: the shorter a connection was idle, the less likely it has been closed unnoticed.
+const nonRepeatableMaxIdle = 2 * time.Second
 
-// Priorities are 0 to lowestPriority; a workspace's goes before the route's.
+// Priorities range from 0, the most urgent, to lowestPriority. The workspace's priority takes
+// precedence over the route's.
 const (
 	lowestPriority  = 9
 	routePriorities = 3
 )
 
 func (c *call) priority() int {
-	own := max(c.route.Priority, 0)
+	routePriority := max(c.route.Priority, 0)
 	if c.workspace == nil || c.workspace.Priority == nil {
-		return min(own, lowestPriority)
+		return min(routePriority, lowestPriority)
 	}
-	return min(max(*c.workspace.Priority, 0)*routePriorities+min(own, routePriorities-1), lowestPriority)
+	return min(max(*c.workspace.Priority, 0)*routePriorities+min(routePriority, routePriorities-1), lowestPriority)
 }
 
-// deadlineOf is when the caller or the route gives up, whichever is earlier.
-func deadlineOf(header string, route *routing.Route, arrived time.Time) time.Time {
-	wait := route.Timeout
-	given, err := strconv.ParseInt(header, 10, 64)
-	if err == nil && given >= 0 && (wait == 0 || given < wait.Milliseconds()) {
-		wait = time.Duration(given) * time.Millisecond
+// requestDeadline returns the earlier one of the caller's deadline, which the header gives in
+// milliseconds, and the route's timeout.
+func requestDeadline(header string, route *routing.Route, arrived time.Time) time.Time {
+	timeout := route.Timeout
+	requested, err := strconv.ParseInt(header, 10, 64)
+	if err == nil && requested >= 0 && (timeout == 0 || requested < timeout.Milliseconds()) {
+		timeout = time.Duration(requested) * time.Millisecond
 	}
-	if wait == 0 {
-		wait = defaultTimeout
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
-	return arrived.Add(wait)
+	return arrived.Add(timeout)
 }
 
-// defaultTimeout holds for requests without deadline on routes without one.
+// defaultTimeout is the time limit of a request if neither the caller nor the route sets one.
 const defaultTimeout = time.Minute
--- a/gateway/doc.go
+++ b/gateway/doc.go
@@ -1,5 +1,5 @@
-// Package gateway carries callers' HTTP requests to backend servers and the
-// answers back, unchanged: by the routes of a table, at most once where a
-// request may not be repeated, within the caller's deadline, and with refusals
-// that are true.
+// Package gateway is the HTTP reverse proxy of a router. It forwards callers' requests to backend
+// servers by the routes of a table, and returns their responses unchanged. It observes the
+// deadlines of callers, runs a request at most once where it must not be repeated, and states in
+// its error responses whether the request can have run.
 package gateway
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -26,7 +26,7 @@
 	body   atomic.Pointer[string]
 }
 
-// newBackend makes a backend server; each request runs handle.
+// newBackend starts a backend server that passes each request to handle.
 func newBackend(t *testing.T, id string, handle func(*backend, http.ResponseWriter, *http.Request)) *backend {
 	b := &backend{
 		id: id,
@@ -43,8 +43,8 @@
 	return b
 }
 
-// answers is a handler that runs the request and answers.
-func answers(status int, body string) func(*backend, http.ResponseWriter, *http.Request) {
+// respondWith returns a handler that runs the request and responds.
+func respondWith(status int, body string) func(*backend, http.ResponseWriter, *http.Request) {
 	return func(b *backend, w http.ResponseWriter, _ *http.Request) {
 		b.runs.Add(1)
 		w.Header().Set("Slipwick-Stamp", b.id)
@@ -53,15 +53,14 @@
 	}
 }
 
-// refuses is a handler that does not run the request.
-func refuses(_ *backend, w http.ResponseWriter, _ *http.Request) {
+// rejectNotRun is a handler that rejects the request without running it.
+func rejectNotRun(_ *backend, w http.ResponseWriter, _ *http.Request) {
 	w.Header().Set("Slipwick-Not-Run", "1")
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// breaks is a handler that runs the request and breaks the connection after
-// it has written the part.
-func breaks(part string) func(*backend, http.ResponseWriter, *http.Request) {
+// breakAfter returns a handler that runs the request, writes part, and then breaks the connection.
+func breakAfter(part string) func(*backend, http.ResponseWriter, *http.Request) {
 	return func(b *backend, w http.ResponseWriter, _ *http.Request) {
 		b.runs.Add(1)
 		w.Header().Set("Slipwick-Stamp", b.id)
@@ -73,38 +72,37 @@
 	}
 }
 
-// observed keeps the endings.
-type observed struct {
+// recordingObserver records all calls.
+type recordingObserver struct {
 	mu       sync.Mutex
 	endings  []Ending
 	refusals []Refusal
 	attempts []Attempt
 }
 
-func (o *observed) Refused(_ *http.Request, refusal *Refusal) {
+func (o *recordingObserver) Refused(_ *http.Request, refusal *Refusal) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.refusals = append(o.refusals, *refusal)
 }
 
-func (o *observed) Attempted(attempt *Attempt) {
+func (o *recordingObserver) Attempted(attempt *Attempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts = append(o.attempts, *attempt)
 }
 
-func (o *observed) Ended(ending *Ending) {
+func (o *recordingObserver) Ended(ending *Ending) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.endings = append(o.endings, *ending)
 }
 
-// fixture is a gateway before the backend servers, which serve all routes in
-// the order of their load.
+// fixture is a gateway in front of backend servers that all belong to the one pool of all routes.
 type fixture struct {
 	gateway  *Gateway
 	server   *httptest.Server
-	observed *observed
+	observer *recordingObserver
 }
 
 var testRoutes = []routing.Route{
@@ -202,29 +200,29 @@
 	balancer := balance.New("near")
 	var list []balance.Listed
 	for i, b := range backends {
-		centre := "near"
+		dataCentre := "near"
 		if i > 0 {
-			// The first one is tried first.
-			centre = "far"
+			// The balancer prefers the first backend server, which is in the gateway's data centre.
+			dataCentre = "far"
 		}
 		list = append(list, balance.Listed{
 			Backend: slipwick.Backend{
 				ID:         b.id,
 				Address:    b.server.Listener.Addr().String(),
-				DataCentre: centre,
+				DataCentre: dataCentre,
 			},
 			Pool: "p",
 		})
 	}
 	balancer.SetBackends(list)
 	f := &fixture{
-		observed: &observed{},
+		observer: &recordingObserver{},
 	}
 	f.gateway = &Gateway{
 		Headers:  OwnHeaders(),
 		Balancer: balancer,
 		Client:   &upstream.Client{},
-		Observer: f.observed,
+		Observer: f.observer,
 		Budget: &retry.Budget{
 			Ratio:   0.2,
 			Extra:   100,
@@ -239,7 +237,7 @@
 	return f
 }
 
-// request makes a caller's request with a good key.
+// request returns a caller's request with a valid key.
 func (f *fixture) request(t *testing.T, path, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, f.server.URL+path, strings.NewReader(body))
@@ -252,15 +250,15 @@
 	return r
 }
 
-// reply is a whole answer.
+// reply is a response that was read to its end.
 type reply struct {
 	status int
 	header http.Header
 	body   string
-	// closes says that the router asked for another connection.
-	closes bool
-	// broken is why the body could not be read to its end.
-	broken error
+	// closesConnection says that the router asked the caller to close the connection.
+	closesConnection bool
+	// bodyErr is the error that ended the reading of the body, if any.
+	bodyErr error
 }
 
 func send(t *testing.T, r *http.Request) reply {
@@ -277,11 +275,11 @@
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
 	return reply{
-		status: response.StatusCode,
-		header: response.Header,
-		body:   string(body),
-		closes: response.Close,
-		broken: err,
+		status:           response.StatusCode,
+		header:           response.Header,
+		body:             string(body),
+		closesConnection: response.Close,
+		bodyErr:          err,
 	}
 }
 
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -18,36 +18,39 @@
 	"github.com/slipwick/slipwick/upstream"
 )
 
-// writeMargin is how long after its deadline an answer may still be written.
-const writeMargin = time.Second
+// writeGrace is how long after the deadline a response may still be written.
+const writeGrace = time.Second
 
-// Gateway serves callers. Set the exported fields before the first request.
+// Gateway is the HTTP handler that forwards callers' requests to backend servers. Set the exported
+// fields before the first request.
 type Gateway struct {
 	Headers  Headers
 	Balancer *balance.Balancer
 	Client   *upstream.Client
 	Budget   *retry.Budget
-	// Quarantine keeps requests from backend servers that end under them; nil keeps none.
+	// Quarantine keeps requests away from backend servers that crash while they run; nil disables
+	// it.
 	Quarantine *quarantine.Ledger
-	// Ready is closed once the router has a configuration, the list of backend
-	// servers and that of evacuated data centres, Homes once it has learnt which
-	// engines keep which prompts. Requests that come before wait a moment for what
-	// they need. Nil waits for nothing.
+	// Ready is closed once the router has a configuration, the list of backend servers and the list
+	// of evacuated data centres. Homes is closed once the router has learnt which engines have
+	// which prompts cached. Requests that arrive earlier wait for a limited time. A nil channel
+	// disables the wait.
 	Ready, Homes <-chan struct{}
-	// Observer is told of each request's ending.
+	// Observer is told how each request ended.
 	Observer Observer
 
 	table atomic.Pointer[routing.Table]
-	// leaving says that the router will stop: callers are to take other
-	// connections.
-	leaving atomic.Bool
-	// closing is when it stops, once it has begun to refuse what may last
-	// longer; nil before.
-	closing  atomic.Pointer[time.Time]
+	// draining says that the router is about to stop: each response closes its connection, so that
+	// callers open one to another router.
+	draining atomic.Bool
+	// stopAt is when the router stops; requests that may last longer are refused. It is nil until
+	// Close is called.
+	stopAt   atomic.Pointer[time.Time]
 	inFlight atomic.Int64
 }
 
-// SetTable puts a version of the table in force. Older versions are ignored.
+// SetTable puts a routing table into use and reports whether it did: a table that is not newer than
+// the current one is ignored.
 func (g *Gateway) SetTable(table *routing.Table) bool {
 	for {
 		current := g.table.Load()
@@ -60,45 +63,48 @@
 	}
 }
 
-// Table is the version in force; nil before the first.
+// Table returns the current routing table, or nil before the first.
 func (g *Gateway) Table() *routing.Table {
 	return g.table.Load()
 }
 
-// Leave tells callers from now on to take other connections.
+// Leave makes each response from now on close its connection, so that callers open one to another
+// router.
 func (g *Gateway) Leave() {
-	g.leaving.Store(true)
+	g.draining.Store(true)
 }
 
-// Close refuses all requests from now on that may last beyond the end.
+// Close refuses, from now on, all requests whose deadline is after end.
 func (g *Gateway) Close(end time.Time) {
-	g.closing.Store(&end)
+	g.stopAt.Store(&end)
 }
 
-// closesBefore tells whether the router stops before the time.
-func (g *Gateway) closesBefore(deadline time.Time) bool {
-	end := g.closing.Load()
+// stopsBefore reports whether the router stops before the deadline.
+func (g *Gateway) stopsBefore(deadline time.Time) bool {
+	end := g.stopAt.Load()
 	return end != nil && deadline.After(*end)
 }
 
-// InFlight counts the requests in progress.
+// InFlight returns the number of requests in progress.
 func (g *Gateway) InFlight() int64 {
 	return g.inFlight.Load()
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP forwards one request and blocks until its response has been written. If the response
+// breaks off after a part was written, it panics with http.ErrAbortHandler, so that the caller does
+// not take it for complete.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	clock.Notice()
 	arrived := clock.Now()
-	// The connection's earlier request set a deadline of its own; without
-	// support for deadlines there is none to set.
+	// Clear the write deadline that an earlier request on the same connection set. An error means
+	// that the writer does not support deadlines, so that there is none to clear.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Time{})
 	if id := r.Header.Get(g.Headers.RequestID); id != "" {
 		w.Header().Set(g.Headers.RequestID, id)
 	}
-	if g.leaving.Load() {
+	if g.draining.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	g.awaitReady(r, arrived)
@@ -108,21 +114,21 @@
 		g.Observer.Refused(r, refusal)
 		return
 	}
-	// A caller that reads nothing does not hold the router beyond the end.
-	_ = http.NewResponseController(w).SetWriteDeadline(clock.Runtime(c.deadline.Add(writeMargin)))
+	// A caller that does not read its response must not keep the router busy after the deadline.
+	_ = http.NewResponseController(w).SetWriteDeadline(clock.Runtime(c.deadline.Add(writeGrace)))
 	ctx, cancel := context.WithDeadline(r.Context(), clock.Runtime(c.deadline))
 	defer cancel()
 	c.ctx = ctx
-	if refusal := c.admitToBackends(); refusal != nil {
+	if refusal := c.checkQuarantine(); refusal != nil {
 		refusal.write(w)
 		g.Observer.Refused(r, refusal)
 		return
 	}
-	c.awaitHome()
+	c.awaitCacheHolder()
 	c.serve()
 }
 
-// admit checks a request and reads its body.
+// admit checks a request, reads its body, and returns either its call or the reason to refuse it.
 func (g *Gateway) admit(w http.ResponseWriter, r *http.Request, arrived time.Time) (*call, *Refusal) {
 	table := g.table.Load()
 	if table == nil || g.Ready != nil && !isClosed(g.Ready) {
@@ -143,8 +149,8 @@
 	if limit := table.Limits.HeaderBytes; limit > 0 && headerBytes(r) > limit {
 		return nil, refuseHeader(limit)
 	}
-	deadline := deadlineOf(r.Header.Get(g.Headers.Deadline), route, arrived)
-	if g.closesBefore(deadline) {
+	deadline := requestDeadline(r.Header.Get(g.Headers.Deadline), route, arrived)
+	if g.stopsBefore(deadline) {
 		return nil, refuseStopping()
 	}
 	body, refusal := readBody(w, r, table.Limits.BodyBytes)
@@ -165,12 +171,12 @@
 		deadline:  deadline,
 	}
 	c.key = quarantine.KeyOf(c.workspaceName(), r.Method, r.RequestURI, body)
-	c.ask.Pool = c.pool
-	c.ask.Regions = routing.Regions(route, workspace)
+	c.selection.Pool = c.pool
+	c.selection.Regions = routing.Regions(route, workspace)
 	if route.Affinity {
-		c.ask.Prompt, c.ask.Own = promptParts(r.Header.Get(g.Headers.Prompt))
+		c.selection.Prompt, c.selection.Own = promptParts(r.Header.Get(g.Headers.Prompt))
 	}
-	c.stream.lastID = r.Header.Get(lastEventID)
+	c.progress.lastID = r.Header.Get(lastEventID)
 	return c, nil
 }
 
@@ -185,7 +191,7 @@
 	return int64(size)
 }
 
-// readBody reads the whole body, so that it can be sent again.
+// readBody reads the whole body into memory, so that it can be sent again.
 func readBody(w http.ResponseWriter, r *http.Request, limit int64) ([]byte, *Refusal) {
 	if r.ContentLength == 0 {
 		return nil, nil
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -9,14 +9,14 @@
 	"time"
 )
 
-func TestOlderTablesStayOut(t *testing.T) {
+func TestSetTableIgnoresOlderVersions(t *testing.T) {
 	f := newFixture(t)
 	if !f.gateway.SetTable(testTable(5)) {
-		t.Error("version 5 after 1: got refused")
+		t.Error("version 5 after 1: got it ignored")
 	}
 	for _, version := range []uint64{5, 4, 1} {
 		if f.gateway.SetTable(testTable(version)) {
-			t.Errorf("version %d after 5: got taken", version)
+			t.Errorf("version %d after 5: got it accepted", version)
 		}
 	}
 	if got := f.gateway.Table().Version; got != 5 {
@@ -24,8 +24,8 @@
 	}
 }
 
-func TestRequestsArriveUnchangedButForWhatRoutersSet(t *testing.T) {
-	b := newBackend(t, "b1", answers(http.StatusTeapot, "answer"))
+func TestRequestIsForwardedUnchangedExceptRouterHeaders(t *testing.T) {
+	b := newBackend(t, "b1", respondWith(http.StatusTeapot, "answer"))
 	f := newFixture(t, b)
 	r := f.request(t, "/single/a%2Fb//c?d=%20e&f", "question")
 	r.Header.Set("X-Custom", "kept")
@@ -36,7 +36,7 @@
 	r.Header.Set("X-Hop", "dropped")
 	got := send(t, r)
 	if got.status != http.StatusTeapot || got.body != "answer" || got.header.Get("Slipwick-Stamp") != "b1" {
-		t.Errorf("got %+v, want the backend server's own answer", got)
+		t.Errorf("got %+v, want the backend server's own response", got)
 	}
 	seen := b.last.Load()
 	if got, want := seen.RequestURI, "/single/a%2Fb//c?d=%20e&f"; got != want {
@@ -64,14 +64,14 @@
 	}
 }
 
-func TestSingleRequestsAreSentAgainOnlyIfNotRun(t *testing.T) {
+func TestNonRepeatableRequestIsRetriedOnlyIfNotRun(t *testing.T) {
 	for name, tc := range map[string]struct {
 		first      func(*backend, http.ResponseWriter, *http.Request)
 		wantStatus int
 		wantSecond int64
 	}{
 		"refused": {
-			first:      refuses,
+			first:      rejectNotRun,
 			wantStatus: http.StatusOK,
 			wantSecond: 1,
 		},
@@ -83,23 +83,23 @@
 			wantSecond: 1,
 		},
 		"broken": {
-			first:      breaks(""),
+			first:      breakAfter(""),
 			wantStatus: http.StatusBadGateway,
 		},
 		"broken in the body": {
-			first:      breaks("half"),
+			first:      breakAfter("half"),
 			wantStatus: http.StatusBadGateway,
 		},
 		"failed": {
-			first:      answers(http.StatusInternalServerError, "failure"),
+			first:      respondWith(http.StatusInternalServerError, "failure"),
 			wantStatus: http.StatusInternalServerError,
 		},
-		"unavailable without word that it did not run": {
-			first:      answers(http.StatusServiceUnavailable, "failure"),
+		"unavailable without the not-run header": {
+			first:      respondWith(http.StatusServiceUnavailable, "failure"),
 			wantStatus: http.StatusBadGateway,
 		},
 	} {
-		second := newBackend(t, "b2", answers(http.StatusOK, "answer"))
+		second := newBackend(t, "b2", respondWith(http.StatusOK, "answer"))
 		f := newFixture(t, newBackend(t, "b1", tc.first), second)
 		if got := f.post(t, "/single/x").status; got != tc.wantStatus {
 			t.Errorf("%s: got status %d, want %d", name, got, tc.wantStatus)
@@ -110,32 +110,32 @@
 	}
 }
 
-func TestUnreachableBackendIsPassedOver(t *testing.T) {
-	first := newBackend(t, "b1", answers(http.StatusOK, "wrong"))
+func TestUnreachableBackendIsSkipped(t *testing.T) {
+	first := newBackend(t, "b1", respondWith(http.StatusOK, "wrong"))
 	first.server.Close()
-	f := newFixture(t, first, newBackend(t, "b2", answers(http.StatusOK, "answer")))
+	f := newFixture(t, first, newBackend(t, "b2", respondWith(http.StatusOK, "answer")))
 	if got := f.post(t, "/single/x"); got.status != http.StatusOK || got.body != "answer" {
-		t.Errorf("got %d %q, want the second backend server's answer", got.status, got.body)
+		t.Errorf("got %d %q, want the second backend server's response", got.status, got.body)
 	}
 }
 
-func TestRepeatableRequestsAreSentAgainAfterAnyFailure(t *testing.T) {
+func TestRepeatableRequestIsRetriedAfterAnyFailure(t *testing.T) {
 	for name, first := range map[string]func(*backend, http.ResponseWriter, *http.Request){
-		"broken":  breaks("half"),
-		"failed":  answers(http.StatusInternalServerError, "failure"),
-		"refused": refuses,
+		"broken":  breakAfter("half"),
+		"failed":  respondWith(http.StatusInternalServerError, "failure"),
+		"refused": rejectNotRun,
 		"without stamp": func(_ *backend, w http.ResponseWriter, _ *http.Request) {
-			_, _ = io.WriteString(w, "spoilt")
+			_, _ = io.WriteString(w, "invalid")
 		},
 		"encoded": func(b *backend, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Slipwick-Stamp", b.id)
 			w.Header().Set("Content-Encoding", "gzip")
-			_, _ = io.WriteString(w, "spoilt")
+			_, _ = io.WriteString(w, "invalid")
 		},
 	} {
-		f := newFixture(t, newBackend(t, "b1", first), newBackend(t, "b2", answers(http.StatusOK, "answer")))
+		f := newFixture(t, newBackend(t, "b1", first), newBackend(t, "b2", respondWith(http.StatusOK, "answer")))
 		if got := f.post(t, "/repeatable/x"); got.status != http.StatusOK || got.body != "answer" {
-			t.Errorf("%s: got %d %q, want the second backend server's answer", name, got.status, got.body)
+			t.Errorf("%s: got %d %q, want the second backend server's response", name, got.status, got.body)
 		}
 	}
 }
@@ -143,7 +143,7 @@
 func TestAttemptsAreBounded(t *testing.T) {
 	var backends []*backend
 	for _, id := range []string{"b1", "b2", "b3", "b4"} {
-		backends = append(backends, newBackend(t, id, answers(http.StatusInternalServerError, "failure")))
+		backends = append(backends, newBackend(t, id, respondWith(http.StatusInternalServerError, "failure")))
 	}
 	f := newFixture(t, backends...)
 	got := f.post(t, "/repeatable/x")
@@ -159,20 +159,20 @@
 	}
 }
 
-func TestRefusedEverywhereTellsWhenToComeBack(t *testing.T) {
-	f := newFixture(t, newBackend(t, "b1", refuses), newBackend(t, "b2", refuses))
+func TestRejectionByAllBackendsHasRetryAfter(t *testing.T) {
+	f := newFixture(t, newBackend(t, "b1", rejectNotRun), newBackend(t, "b2", rejectNotRun))
 	started := time.Now()
 	got := f.post(t, "/single/x")
 	after, err := strconv.ParseFloat(got.header.Get("Retry-After"), 64)
 	if got.status != http.StatusServiceUnavailable || err != nil || after <= 0 {
-		t.Errorf("got %d, Retry-After %q; want 503 and a time", got.status, got.header.Get("Retry-After"))
+		t.Errorf("got %d, Retry-After %q; want 503 with Retry-After", got.status, got.header.Get("Retry-After"))
 	}
 	if took := time.Since(started); took > time.Second {
-		t.Errorf("got the refusal after %v, want it at once", took)
+		t.Errorf("got the refusal after %v, want it immediately", took)
 	}
 }
 
-func TestTimeoutGetsItsAnswerAtOnce(t *testing.T) {
+func TestTimeoutIsAnsweredPromptly(t *testing.T) {
 	release := make(chan struct{})
 	b := newBackend(t, "b1", func(*backend, http.ResponseWriter, *http.Request) { <-release })
 	defer close(release)
@@ -184,31 +184,32 @@
 	}
 }
 
-// TestHangingBackendIsPassedOver has the first backend server hang; the request
-// has to be served by the second within the caller's time, if it may repeat.
-func TestHangingBackendIsPassedOver(t *testing.T) {
+// TestRequestIsRetriedWhenBackendHangs checks that a request whose first backend server hangs is
+// served by the second within the caller's time, provided that it may be repeated.
+func TestRequestIsRetriedWhenBackendHangs(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	hangs := func(*backend, http.ResponseWriter, *http.Request) { <-release }
-	f := newFixture(t, newBackend(t, "b1", hangs), newBackend(t, "b2", answers(http.StatusOK, "answer")))
+	f := newFixture(t, newBackend(t, "b1", hangs), newBackend(t, "b2", respondWith(http.StatusOK, "answer")))
 	started := time.Now()
 	got := f.post(t, "/repeatable/x")
 	if took := time.Since(started); got.body != "answer" || took > 2*time.Second {
-		t.Errorf("got %d %q after %v, want the second backend server's answer soon", got.status, got.body, took)
+		t.Errorf("got %d %q after %v, want the second backend server's response soon", got.status, got.body, took)
 	}
 	r := f.request(t, "/single/x", "question")
 	r.Header.Set("Slipwick-Deadline-Ms", "700")
 	if got := send(t, r); got.status != http.StatusGatewayTimeout {
-		t.Errorf("request that may not repeat: got %d, want 504", got.status)
+		t.Errorf("non-repeatable request: got %d, want 504", got.status)
 	}
 }
 
-// TestUnreachableBackendsCostNoBudget has most of a pool dead and the budget for
-// repeats spent: what reached no backend server is no repeat.
-func TestUnreachableBackendsCostNoBudget(t *testing.T) {
+// TestUnreachableBackendsCostNoRetryBudget checks that a request still finds the one live backend
+// server when the rest of the pool is dead and the retry budget is spent: sends that reached no
+// backend server are not retries.
+func TestUnreachableBackendsCostNoRetryBudget(t *testing.T) {
 	var backends []*backend
 	for i := range 5 {
-		b := newBackend(t, fmt.Sprintf("i%d", i), answers(http.StatusOK, "answer"))
+		b := newBackend(t, fmt.Sprintf("i%d", i), respondWith(http.StatusOK, "answer"))
 		if i < 4 {
 			b.server.Close()
 		}
@@ -218,16 +219,16 @@
 	f.gateway.Budget.Ratio, f.gateway.Budget.Extra = 0, 0
 	got := send(t, f.request(t, "/single/x", "body"))
 	if got.status != http.StatusOK || got.body != "answer" {
-		t.Errorf("got %d %q, want the answer of the one that lives", got.status, got.body)
+		t.Errorf("got %d %q, want the response of the live backend server", got.status, got.body)
 	}
 	if runs := backends[4].runs.Load(); runs != 1 {
 		t.Errorf("got %d runs, want 1", runs)
 	}
 }
 
-func TestRetryBudgetEndsRepeats(t *testing.T) {
-	second := newBackend(t, "b2", answers(http.StatusOK, "answer"))
-	f := newFixture(t, newBackend(t, "b1", refuses), second)
+func TestRetryBudgetLimitsRetries(t *testing.T) {
+	second := newBackend(t, "b2", respondWith(http.StatusOK, "answer"))
+	f := newFixture(t, newBackend(t, "b1", rejectNotRun), second)
 	f.gateway.Budget.Extra = 0
 	if got := f.post(t, "/repeatable/x").status; got != http.StatusServiceUnavailable {
 		t.Errorf("got %d, want 503", got)
@@ -237,7 +238,7 @@
 	}
 }
 
-func TestCallerThatLeavesEndsTheExchange(t *testing.T) {
+func TestCallerDisconnectCancelsTheExchange(t *testing.T) {
 	gone := make(chan struct{})
 	b := newBackend(t, "b1", func(_ *backend, _ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
@@ -250,31 +251,31 @@
 	response, err := client.Do(f.request(t, "/single/x", "question"))
 	if err == nil {
 		_ = response.Body.Close()
-		t.Fatal("got an answer, want a timeout")
+		t.Fatal("got a response, want a timeout")
 	}
 	select {
 	case <-gone:
 	case <-time.After(500 * time.Millisecond):
-		t.Error("the backend server still works half a second after the caller left")
+		t.Error("the backend server still works half a second after the caller disconnected")
 	}
 }
 
-func TestLeavingAndClosedRouters(t *testing.T) {
-	b := newBackend(t, "b1", answers(http.StatusOK, "answer"))
+func TestDrainingAndStoppingRouters(t *testing.T) {
+	b := newBackend(t, "b1", respondWith(http.StatusOK, "answer"))
 	f := newFixture(t, b)
 	f.gateway.Leave()
 	got := f.post(t, "/single/x")
-	if got.status != http.StatusOK || !got.closes {
-		t.Errorf("leaving: got %d, closing %v; want 200 and a connection that closes", got.status, got.closes)
+	if got.status != http.StatusOK || !got.closesConnection {
+		t.Errorf("draining: got %d, closing %v; want 200, closing", got.status, got.closesConnection)
 	}
 	f.gateway.Close(time.Now().Add(time.Second))
 	if got := f.post(t, "/single/x"); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("closed: got %d, want 503 and when to come back", got.status)
+		t.Errorf("stopping: got %d, want 503 with Retry-After", got.status)
 	}
 	if got := b.runs.Load(); got != 1 {
 		t.Errorf("got %d runs, want 1", got)
 	}
-	if got := f.post(t, "/short/x"); got.status != http.StatusOK || !got.closes {
-		t.Errorf("closed, a request that ends in time: got %d, closing %v; want 200, closing", got.status, got.closes)
+	if got := f.post(t, "/short/x"); got.status != http.StatusOK || !got.closesConnection {
+		t.Errorf("stopping, earlier deadline: got %d, closing %v; want 200, closing", got.status, got.closesConnection)
 	}
 }
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -1,35 +1,36 @@
 package gateway
 
-// Headers names the headers that routers read and set. Times are in
-// milliseconds.
+// Headers holds the names of the headers that routers read and set. Header values that are
+// durations are in milliseconds.
 type Headers struct {
-	// RequestID names a caller's attempt; answers repeat it.
+	// RequestID identifies one attempt of a caller; the response repeats it.
 	RequestID string
-	// Deadline is how long the sender waits.
+	// Deadline is how long the sender waits for the response.
 	Deadline string
-	// Prompt lists the parts of the prompt as ID:TOKENS, joined by commas.
+	// Prompt lists the parts of the prompt as ID:TOKENS, separated by commas.
 	Prompt string
-	// Stamp marks an answer as a backend server's own.
+	// Stamp marks a response as made by the backend server itself.
 	Stamp string
-	// Workspace tells the backend server whose request it is.
+	// Workspace tells the backend server to which workspace the request belongs.
 	Workspace string
-	// Instance makes all backend servers but the one named refuse.
+	// Instance names the one backend server that may run the request; all others reject it.
 	Instance string
-	// Load tells the requests running and waiting at the backend server.
+	// Load is the number of requests running and waiting at the backend server.
 	Load string
-	// NotRun says that the backend server did not and will not run it.
+	// NotRun says that the backend server has not run the request and will not.
 	NotRun string
-	// Leaving is 1 in all answers of a backend server that has begun a planned stop.
+	// Leaving is 1 in all responses of a backend server that has begun a planned stop.
 	Leaving string
-	// Priority ranks a request at an engine, 0 first, 9 last.
+	// Priority is the priority of a request at an engine, from 0 (first) to 9 (last).
 	Priority string
-	// FetchFrom names the engine to take the cached prompt from.
+	// FetchFrom is the address of the engine from which to copy the cached prompt.
 	FetchFrom string
-	// Withheld are further headers that only routers may set.
+	// Withheld lists further headers that only routers may set, and that are removed from callers'
+	// requests.
 	Withheld []string
 }
 
-// OwnHeaders gives slipwick's own names.
+// OwnHeaders returns slipwick's own header names.
 func OwnHeaders() Headers {
 	return Headers{
 		RequestID: "Slipwick-Request",
@@ -46,10 +47,10 @@
 	}
 }
 
-// lastEventID is the standard header by which a stream is taken up.
+// lastEventID is the standard header with which a client resumes a stream of server-sent events.
 const lastEventID = "Last-Event-Id"
 
-// hopByHop are the headers that concern one connection alone.
+// hopByHop lists the headers that apply to a single connection and must not be forwarded.
 var hopByHop = []string{
 	"Connection",
 	"Content-Length",
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// says is a handler that adds headers to what another one does.
-func says(
+// withHeaders returns a handler that sets response headers, given as names and values in turn, and
+// then calls handle.
+func withHeaders(
 	handle func(*backend, http.ResponseWriter, *http.Request), header ...string,
 ) func(*backend, http.ResponseWriter, *http.Request) {
 	return func(b *backend, w http.ResponseWriter, r *http.Request) {
@@ -19,79 +20,79 @@
 	}
 }
 
-// TestWordOfLeavingIsTakenFromAnyAnswer has a backend server say that it leaves in each
-// kind of answer, on each kind of route: the next request does not go there, and the
-// word is passed on with what is passed on.
-func TestWordOfLeavingIsTakenFromAnyAnswer(t *testing.T) {
+// TestLeavingNoticeIsReadFromAnyResponse has a backend server announce a planned stop in each kind
+// of response, on each kind of route. No further request may be sent there.
+func TestLeavingNoticeIsReadFromAnyResponse(t *testing.T) {
 	const event = "id: 0\ndata: x\n\n"
 	for name, handle := range map[string]func(*backend, http.ResponseWriter, *http.Request){
-		"success":         answers(http.StatusOK, event),
-		"failure":         answers(http.StatusInternalServerError, "failed"),
-		"refusal":         refuses,
-		"broken off":      breaks(event),
-		"caller's fault":  answers(http.StatusBadRequest, "bad"),
-		"not its own":     func(_ *backend, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) },
-		"refusal to rest": says(refuses, "Retry-After", "1"),
+		"success":      respondWith(http.StatusOK, event),
+		"failure":      respondWith(http.StatusInternalServerError, "failed"),
+		"rejection":    rejectNotRun,
+		"broken off":   breakAfter(event),
+		"client error": respondWith(http.StatusBadRequest, "bad"),
+		"no stamp":     func(_ *backend, w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) },
+		"Retry-After":  withHeaders(rejectNotRun, "Retry-After", "1"),
 	} {
 		for _, path := range []string{"/repeatable/x", "/single/x", "/stream/x", "/resumable/x", "/affine/x"} {
-			leaver := newBackend(t, "a", says(handle, "Slipwick-Leaving", "1"))
-			other := newBackend(t, "b", answers(http.StatusOK, event))
-			f := newFixture(t, leaver, other)
-			// The first one is sent to as long as nothing speaks against it.
+			leaving := newBackend(t, "a", withHeaders(handle, "Slipwick-Leaving", "1"))
+			other := newBackend(t, "b", respondWith(http.StatusOK, event))
+			f := newFixture(t, leaving, other)
+			// The balancer prefers the first backend server while it is healthy.
 			arrivals := 0
-			leaver.server.Config.Handler = counted(leaver.server.Config.Handler, &arrivals)
+			leaving.server.Config.Handler = countRequests(leaving.server.Config.Handler, &arrivals)
 			for range 6 {
 				f.post(t, path)
 			}
 			if path == "/affine/x" && arrivals == 0 {
-				continue // Its prompt has its home at the other.
+				continue // The prompt is cached at the other one.
 			}
 			if arrivals != 1 {
-				t.Errorf("%s, %s: got %d requests there, want the first alone", name, path, arrivals)
+				t.Errorf("%s, %s: got %d requests at the leaving backend server, want 1", name, path, arrivals)
 			}
 		}
 	}
 }
 
-func counted(handler http.Handler, count *int) http.Handler {
+func countRequests(handler http.Handler, count *int) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		*count++
 		handler.ServeHTTP(w, r)
 	})
 }
 
-// TestOtherWordsAreNone has backend servers give other values, or answer for another one.
-func TestOtherWordsAreNone(t *testing.T) {
+// TestInvalidNoticesAreIgnored covers other header values, Retry-After in responses other than
+// rejections, and the response of a backend server other than the intended one.
+func TestInvalidNoticesAreIgnored(t *testing.T) {
 	for name, handle := range map[string]func(*backend, http.ResponseWriter, *http.Request){
-		"0":                    says(answers(http.StatusOK, "x"), "Slipwick-Leaving", "0"),
-		"rest with a success":  says(answers(http.StatusOK, "x"), "Retry-After", "9"),
-		"rest with a failure":  says(answers(http.StatusInternalServerError, "x"), "Retry-After", "9"),
-		"no figure of rest":    says(refuses, "Retry-After", "soon"),
-		"refusal without rest": refuses,
-		"the caller's limit":   says(answers(http.StatusTooManyRequests, "x"), "Retry-After", "9"),
-		"another one's word": says(answers(http.StatusMisdirectedRequest, "x"),
+		"0":                             withHeaders(respondWith(http.StatusOK, "x"), "Slipwick-Leaving", "0"),
+		"Retry-After with a success":    withHeaders(respondWith(http.StatusOK, "x"), "Retry-After", "9"),
+		"Retry-After with a failure":    withHeaders(respondWith(http.StatusInternalServerError, "x"), "Retry-After", "9"),
+		"Retry-After without a number":  withHeaders(rejectNotRun, "Retry-After", "soon"),
+		"rejection without Retry-After": rejectNotRun,
+		"429 for the caller":            withHeaders(respondWith(http.StatusTooManyRequests, "x"), "Retry-After", "9"),
+		"other backend server": withHeaders(respondWith(http.StatusMisdirectedRequest, "x"),
 			"Slipwick-Leaving", "1", "Retry-After", "9"),
 	} {
 		b := newBackend(t, "a", handle)
 		f := newFixture(t, b)
 		f.post(t, "/repeatable/x")
 		if leaving, resting := f.gateway.Balancer.Notices(); leaving > 0 || resting > 0 {
-			t.Errorf("%s: got it leaving %d, resting %d, want neither", name, leaving, resting)
+			t.Errorf("%s: got leaving %d, resting %d, want neither", name, leaving, resting)
 		}
 	}
 }
 
-// TestRestIsKeptOnAnyRoute has both backend servers turn a request away and ask for
-// rest: the next requests are refused at once with the time that is left, and reach
-// nobody until it is over.
-func TestRestIsKeptOnAnyRoute(t *testing.T) {
+// TestRetryAfterOfBackendsIsObservedOnAnyRoute has both backend servers reject a request with
+// Retry-After. Until that time is over, requests have to be refused at once, with the remaining
+// time, and must reach no backend server.
+func TestRetryAfterOfBackendsIsObservedOnAnyRoute(t *testing.T) {
 	const rest = 700 * time.Millisecond
 	for _, path := range []string{"/repeatable/x", "/single/x", "/stream/x", "/resumable/x", "/affine/x"} {
 		arrivals := 0
 		var backends []*backend
 		for i := range 2 {
-			b := newBackend(t, fmt.Sprint("b", i), says(refuses, "Retry-After", fmt.Sprint(rest.Seconds())))
-			b.server.Config.Handler = counted(b.server.Config.Handler, &arrivals)
+			b := newBackend(t, fmt.Sprint("b", i), withHeaders(rejectNotRun, "Retry-After", fmt.Sprint(rest.Seconds())))
+			b.server.Config.Handler = countRequests(b.server.Config.Handler, &arrivals)
 			backends = append(backends, b)
 		}
 		f := newFixture(t, backends...)
@@ -104,41 +105,42 @@
 			last := f.post(t, path)
 			left, err := time.ParseDuration(last.header.Get("Retry-After") + "s")
 			if err != nil || left <= 0 || left > rest {
-				t.Errorf("%s: got Retry-After %q, want the rest that is left", path, last.header.Get("Retry-After"))
+				t.Errorf("%s: got Retry-After %q, want the remaining time", path, last.header.Get("Retry-After"))
 			}
 		}
 		if got, want := arrivals, len(backends); got != want && time.Since(asked) < rest {
-			t.Errorf("%s: got %d requests at servers that rest, want the first at each alone", path, got)
+			t.Errorf("%s: got %d requests at resting servers, want one at each", path, got)
 		}
 		time.Sleep(time.Until(asked.Add(rest)))
 		f.post(t, path)
 		if got, want := arrivals, len(backends); got <= want {
-			t.Errorf("%s: got no request at any server after the rest, want one", path)
+			t.Errorf("%s: got no further request after the Retry-After time, want one", path)
 		}
 	}
 }
 
-// TestServersThatTurnAllAwayAreLeftOut has one of four servers turn all away with room, by
-// each status that says so, and by one that speaks of the request.
-func TestServersThatTurnAllAwayAreLeftOut(t *testing.T) {
+// TestBackendThatRejectsAllRequestsIsEjected has one of four backend servers reject all requests
+// although it has capacity. It is ejected if the status means that it is overloaded, but not if the
+// status is about the request.
+func TestBackendThatRejectsAllRequestsIsEjected(t *testing.T) {
 	for status, want := range map[int]bool{
 		http.StatusServiceUnavailable: true,
 		http.StatusTooManyRequests:    true,
 		http.StatusBadRequest:         false,
 	} {
-		refusing := newBackend(t, "a", says(answers(status, "refused"), "Slipwick-Not-Run", "1"))
-		f := newFixture(t, append([]*backend{refusing}, fleetOf(t, 3, answers(http.StatusOK, "x"))...)...)
-		// Requests are spread by chance: the others get some before it is judged.
+		rejecting := newBackend(t, "a", withHeaders(respondWith(status, "refused"), "Slipwick-Not-Run", "1"))
+		f := newFixture(t, append([]*backend{rejecting}, newBackends(t, 3, respondWith(http.StatusOK, "x"))...)...)
+		// Requests are spread at random: the other servers get some before this one is ejected.
 		const most = 20
-		out := false
-		for i := 0; i < most && !out; i++ {
+		ejected := false
+		for i := 0; i < most && !ejected; i++ {
 			f.post(t, "/repeatable/x")
 			for _, state := range f.gateway.Balancer.States() {
-				out = out || state.ID == "a" && state.Out
+				ejected = ejected || state.ID == "a" && state.Out
 			}
 		}
-		if out != want {
-			t.Errorf("status %d: got it left out: %t, want %t", status, out, want)
+		if ejected != want {
+			t.Errorf("status %d: got ejected %t, want %t", status, ejected, want)
 		}
 	}
 }
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -9,46 +9,46 @@
 	"github.com/slipwick/slipwick/routing"
 )
 
-// Observer is told of what happens to requests. Its methods do not block.
+// Observer receives what happens to requests. Its methods must not block.
 type Observer interface {
-	// Refused is called for a request that was turned away at once.
+	// Refused is called for each request that was refused before it was sent to any backend server.
 	Refused(request *http.Request, refusal *Refusal)
-	// Attempted is called for each send that did not bring the answer.
+	// Attempted is called for each send that did not deliver the response.
 	Attempted(attempt *Attempt)
-	// Ended is called for each request that was admitted.
+	// Ended is called once for each request that was not refused at admission.
 	Ended(ending *Ending)
 }
 
-// Attempt is one send that did not bring the answer.
+// Attempt describes one send that did not deliver the response.
 type Attempt struct {
 	Request string
-	// Key is the same for requests that ask for the same.
+	// Key is the same for requests with the same content.
 	Key     quarantine.Key
 	Route   string
 	Backend string
 	Address string
-	// Result is why: not-run, failed, broken, stray or cancelled.
+	// Result is the reason: not-run, unsent, failed, broken, cut or left.
 	Result string
 	Status int
-	// Notice is what the backend server said of itself.
+	// Notice is what the backend server announced about itself.
 	Notice slipwick.Notice
-	// Events are those of a stream that this send brought.
+	// Events is the number of stream events that this send delivered.
 	Events int
 	Took   time.Duration
 	Err    error
 }
 
-// Ending is how an admitted request ended.
+// Ending describes how an admitted request ended.
 type Ending struct {
 	Request string
 	Key     quarantine.Key
 	Route   *routing.Route
 	Pool    string
-	// Version is that of the table it was routed by.
+	// Version is the version of the routing table that was used.
 	Version uint64
 	// Result is delivered, failed, refused, cut or left.
 	Result string
-	// Reason is that of the refusal or cut; empty otherwise.
+	// Reason is why the request was refused or given up; empty if the response was delivered.
 	Reason string
 	Status int
 	Sends  int
--- a/gateway/passedon.go
+++ b/gateway/passedon.go
@@ -5,17 +5,18 @@
 	"strconv"
 )
 
-// passedOn is what a caller has of a stream.
-type passedOn struct {
-	// begun says that the head was written.
-	begun bool
-	// lastID is the ID of the last event passed on, or what the caller named.
+// streamProgress records how much of a stream the caller has received.
+type streamProgress struct {
+	// headWritten says that the response header has been written.
+	headWritten bool
+	// lastID is the ID of the last event forwarded or, before the first, the one in the caller's
+	// Last-Event-Id header.
 	lastID string
 	events int
 }
 
-// wholeEvents gives the length of the whole events at the start of data.
-func wholeEvents(data []byte) int {
+// completeLength returns the length of the complete events at the start of data.
+func completeLength(data []byte) int {
 	end := bytes.LastIndex(data, []byte("\n\n"))
 	crlf := bytes.LastIndex(data, []byte("\r\n\r\n"))
 	switch {
@@ -28,17 +29,17 @@
 	}
 }
 
-// take gives the part of the whole events that the caller does not have yet,
-// by their rising IDs, and counts it as passed on.
-func (p *passedOn) take(events []byte) []byte {
+// filterNew returns those of the complete events that the caller does not have yet, and records
+// them as forwarded. Event IDs have to rise within a stream.
+func (p *streamProgress) filterNew(events []byte) []byte {
 	last, _ := strconv.ParseInt(p.lastID, 10, 64)
 	known := p.lastID != ""
-	skipped := 0
+	skip := 0
 	for rest := events; len(rest) > 0; {
-		size := nextEvent(rest)
+		size := firstEventLength(rest)
 		id, ok := eventID(rest[:size])
 		if ok && known && id <= last {
-			skipped += size
+			skip += size
 		} else {
 			p.events++
 		}
@@ -48,11 +49,11 @@
 		}
 		rest = rest[size:]
 	}
-	return events[skipped:]
+	return events[skip:]
 }
 
-// nextEvent gives the length of the first event of whole events.
-func nextEvent(events []byte) int {
+// firstEventLength returns the length of the first event in a sequence of complete events.
+func firstEventLength(events []byte) int {
 	size := len(events)
 	for _, end := range []string{"\n\n", "\r\n\r\n"} {
 		if at := bytes.Index(events, []byte(end)); at >= 0 {
@@ -62,7 +63,7 @@
 	return size
 }
 
-// eventID gives the ID of an event; ok is false without a numeric one.
+// eventID returns the ID of an event; ok is false if it has no numeric one.
 func eventID(event []byte) (id int64, ok bool) {
 	for line := range bytes.Lines(event) {
 		if value, found := bytes.CutPrefix(line, []byte("id:")); found {
--- a/gateway/patience.go
+++ b/gateway/patience.go
@@ -9,97 +9,98 @@
 )
 
 const (
-	// startFactor times the route's objective, and startPatience at least, is
-	// how long a backend server may say nothing before the request goes on
-	// elsewhere, until the pool's own times are known: an answer that takes
-	// longer is late in any case.
-	startFactor   = 2
-	startPatience = 400 * time.Millisecond
-	// nextShare of the time left is kept for the next send, if there may be one.
-	nextShare = 0.5
-	// pauseFactor times the pause that the route allows between events, and
-	// startPause without one, is how long a stream that has begun may say
-	// nothing: callers give up after some seconds.
-	pauseFactor = 4
-	startPause  = 1200 * time.Millisecond
-	// mostPause bounds what the pauses of a slow pool make of it: callers do not
-	// wait for longer.
-	mostPause = 4 * time.Second
-	// askNextEvery is how often a send that hangs asks for the next one, while
-	// none is granted.
-	askNextEvery = 100 * time.Millisecond
+	// objectiveFactor times the route's latency objective, and at least defaultFirstByteTimeout, is
+	// how long a backend server may take to start its response before the request is retried at
+	// another one. It applies until the balancer knows the usual times of the pool: a response that
+	// takes longer is late in any case.
+	objectiveFactor         = 2
+	defaultFirstByteTimeout = 400 * time.Millisecond
+	// retryTimeShare is the share of the remaining time that is kept for a retry, if one may
+	// follow.
+	retryTimeShare = 0.5
+	// pauseObjectiveFactor times the pause that the route allows between events is how long a
+	// stream may stay silent after it has begun; defaultIdleTimeout applies if the route sets none.
+	// Callers give up after some seconds.
+	pauseObjectiveFactor = 4
+	defaultIdleTimeout   = 1200 * time.Millisecond
+	// maxIdleTimeout caps an idle timeout that is derived from the pauses of a slow pool: callers
+	// do not wait for longer.
+	maxIdleTimeout = 4 * time.Second
+	// retryPollInterval is how often a send without response tries to acquire the lease for a
+	// retry.
+	retryPollInterval = 100 * time.Millisecond
 )
 
-// patience watches one send whose backend server says nothing: it tells the
-// balancer, and gives the send up once the request may go on elsewhere. A send
-// that has brought anything of an answer is given up only where the rest may
-// come from elsewhere. It belongs to the goroutine that sends.
-type patience struct {
+// timeoutHandler handles the timeouts of one send whose backend server stays silent: it reports the
+// silence to the balancer, and ends the send once the request can be sent to another backend
+// server. After a part of the response has arrived, a send is ended only if another backend server
+// can continue the response. It must be used only by the goroutine that sends.
+type timeoutHandler struct {
 	call  *call
 	lease *balance.Lease
-	// mayGoOn says that the route allows another send after this one, told
-	// that the balancer knows of the silence.
-	mayGoOn bool
-	told    bool
+	// mayRetry says that the route allows another send after this one, reported that the balancer
+	// has been told about the silence.
+	mayRetry bool
+	reported bool
 }
 
-// patienceFor makes the patience of a send that is about to be made.
-func (c *call) patienceFor(lease *balance.Lease) upstream.Patience {
-	p := &patience{
-		call:    c,
-		lease:   lease,
-		mayGoOn: c.route.MayRepeat() && c.runs+1 < c.route.MaxAttempts && c.sends < c.mostSends(),
+// timeoutsFor returns the timeouts of the send that is about to be made.
+func (c *call) timeoutsFor(lease *balance.Lease) upstream.Patience {
+	h := &timeoutHandler{
+		call:     c,
+		lease:    lease,
+		mayRetry: c.route.MayRepeat() && c.possibleRuns+1 < c.route.MaxAttempts && c.sends < c.maxSends(),
 	}
-	bounds := upstream.Patience{
+	timeouts := upstream.Patience{
 		First:   c.gateway.Balancer.Patience(lease),
-		Overdue: p.overdue,
+		Overdue: h.onTimeout,
 	}
-	if bounds.First == 0 {
-		bounds.First = max(startFactor*c.route.Objective, startPatience)
+	if timeouts.First == 0 {
+		timeouts.First = max(objectiveFactor*c.route.Objective, defaultFirstByteTimeout)
 	}
-	if p.mayGoOn {
-		left := time.Duration((1 - nextShare) * float64(clock.Until(c.deadline)))
-		bounds.First = max(min(bounds.First, left), time.Millisecond)
-		bounds.Pause = c.pausePatience(lease)
+	if h.mayRetry {
+		left := time.Duration((1 - retryTimeShare) * float64(clock.Until(c.deadline)))
+		timeouts.First = max(min(timeouts.First, left), time.Millisecond)
+		timeouts.Pause = c.idleTimeout(lease)
 	}
-	return bounds
+	return timeouts
 }
 
-// pausePatience is how long the rest of a stream may take to come.
-func (c *call) pausePatience(lease *balance.Lease) time.Duration {
-	wait := pauseFactor * c.route.Pause
-	if wait == 0 {
-		wait = startPause
+// idleTimeout returns how long the backend server may stay silent in the middle of a stream.
+func (c *call) idleTimeout(lease *balance.Lease) time.Duration {
+	timeout := pauseObjectiveFactor * c.route.Pause
+	if timeout == 0 {
+		timeout = defaultIdleTimeout
 	}
-	return min(max(wait, c.gateway.Balancer.PausePatience(lease)), max(wait, mostPause))
+	return min(max(timeout, c.gateway.Balancer.PausePatience(lease)), max(timeout, maxIdleTimeout))
 }
 
-// overdue tells how long to wait on for a backend server that says nothing.
-func (p *patience) overdue() time.Duration {
-	c := p.call
-	if !p.told {
-		p.told = true
-		c.gateway.Balancer.Overdue(p.lease)
+// onTimeout returns how long to wait for longer for a silent backend server: 0 ends the send.
+func (h *timeoutHandler) onTimeout() time.Duration {
+	c := h.call
+	if !h.reported {
+		h.reported = true
+		c.gateway.Balancer.Overdue(h.lease)
 	}
-	if !p.mayGoOn || clock.Until(c.deadline) < c.leastTime() {
+	if !h.mayRetry || clock.Until(c.deadline) < c.minRetryTime() {
 		return upstream.Forever
 	}
-	if c.next = c.grantNext(); c.next == nil {
-		return askNextEvery
+	if c.nextLease = c.acquireNextLease(); c.nextLease == nil {
+		return retryPollInterval
 	}
 	return 0
 }
 
-// grantNext grants another send while one runs; nil if there is no sound backend
-// server for it, or no budget.
-func (c *call) grantNext() *balance.Lease {
+// acquireNextLease acquires the lease of a retry while a send is still waiting. It returns nil if
+// the retry budget is spent or no healthy backend server is available.
+func (c *call) acquireNextLease() *balance.Lease {
 	if !c.gateway.Budget.Allows(c.pool) {
-		// A place that is given back again would count as one that was used.
+		// Check the budget first: the balancer would count a lease that is abandoned again as used.
 		return nil
 	}
-	ask := c.ask
-	ask.Sound = true
-	lease, err := c.gateway.Balancer.Acquire(&ask)
+	selection := c.selection
+	selection.Sound = true
+	lease, err := c.gateway.Balancer.Acquire(&selection)
 	if err != nil {
 		return nil
 	}
--- a/gateway/patience_test.go
+++ b/gateway/patience_test.go
@@ -10,74 +10,75 @@
 	"time"
 )
 
-// answersAfter is a handler that answers like answers, after a while.
-func answersAfter(wait time.Duration, body string) func(*backend, http.ResponseWriter, *http.Request) {
+// respondAfter is respondWith status 200 after a delay.
+func respondAfter(wait time.Duration, body string) func(*backend, http.ResponseWriter, *http.Request) {
 	return func(b *backend, w http.ResponseWriter, r *http.Request) {
 		time.Sleep(wait)
-		answers(http.StatusOK, body)(b, w, r)
+		respondWith(http.StatusOK, body)(b, w, r)
 	}
 }
 
-// TestSlowSendIsNotGivenUpWithoutAnother has the first backend server answer
-// late while the budget allows no other send.
-func TestSlowSendIsNotGivenUpWithoutAnother(t *testing.T) {
+// TestSlowSendContinuesWithoutRetryBudget has the first backend server respond late while the retry
+// budget is empty: the late response has to reach the caller.
+func TestSlowSendContinuesWithoutRetryBudget(t *testing.T) {
 	for _, path := range []string{"/repeatable/x", "/resumable/x"} {
-		second := newBackend(t, "b2", answers(http.StatusOK, event("1")))
-		f := newFixture(t, newBackend(t, "b1", answersAfter(startPatience+200*time.Millisecond, event("1"))), second)
+		second := newBackend(t, "b2", respondWith(http.StatusOK, event("1")))
+		f := newFixture(t,
+			newBackend(t, "b1", respondAfter(defaultFirstByteTimeout+200*time.Millisecond, event("1"))), second)
 		f.gateway.Budget.Ratio, f.gateway.Budget.Extra = 0, 0
 		got := f.post(t, path)
 		if got.status != http.StatusOK || got.body != event("1") || got.header.Get("Slipwick-Stamp") != "b1" {
-			t.Errorf("%s: got %d %q (%v), want the late answer of b1", path, got.status, got.body, got.header)
+			t.Errorf("%s: got %d %q (%v), want the late response of b1", path, got.status, got.body, got.header)
 		}
 		if got := second.runs.Load(); got != 0 {
-			t.Errorf("%s: got %d runs elsewhere, want 0", path, got)
+			t.Errorf("%s: got %d runs at the second backend server, want 0", path, got)
 		}
 	}
 }
 
-// TestSlowSendIsNotGivenUpWithoutAnotherServer has no other backend server.
-func TestSlowSendIsNotGivenUpWithoutAnotherServer(t *testing.T) {
-	f := newFixture(t, newBackend(t, "b1", answersAfter(startPatience+200*time.Millisecond, "answer")))
+// TestSlowSendContinuesWithoutAnotherBackend has a single backend server that responds late.
+func TestSlowSendContinuesWithoutAnotherBackend(t *testing.T) {
+	f := newFixture(t, newBackend(t, "b1", respondAfter(defaultFirstByteTimeout+200*time.Millisecond, "answer")))
 	if got := f.post(t, "/repeatable/x"); got.status != http.StatusOK || got.body != "answer" {
-		t.Errorf("got %d %q, want the late answer", got.status, got.body)
+		t.Errorf("got %d %q, want the late response", got.status, got.body)
 	}
 }
 
-// TestAnswerThatHasBegunIsNotGivenUp has the first backend server send its head
-// soon and the first event late.
-func TestAnswerThatHasBegunIsNotGivenUp(t *testing.T) {
-	second := newBackend(t, "b2", answers(http.StatusOK, event("1")))
+// TestStartedResponseIsNotTimedOut has the first backend server send its response header soon and
+// the first event late.
+func TestStartedResponseIsNotTimedOut(t *testing.T) {
+	second := newBackend(t, "b2", respondWith(http.StatusOK, event("1")))
 	first := newBackend(t, "b1", func(b *backend, w http.ResponseWriter, _ *http.Request) {
 		b.runs.Add(1)
 		w.Header().Set("Slipwick-Stamp", b.id)
 		w.WriteHeader(http.StatusOK)
 		_ = http.NewResponseController(w).Flush()
-		time.Sleep(startPatience + 200*time.Millisecond)
+		time.Sleep(defaultFirstByteTimeout + 200*time.Millisecond)
 		_, _ = io.WriteString(w, event("1"))
 	})
 	f := newFixture(t, first, second)
 	got := f.post(t, "/resumable/x")
 	if got.body != event("1") || got.header.Get("Slipwick-Stamp") != "b1" {
-		t.Errorf("got %q of %s, want the answer of b1", got.body, got.header.Get("Slipwick-Stamp"))
+		t.Errorf("got %q of %s, want the response of b1", got.body, got.header.Get("Slipwick-Stamp"))
 	}
 	if got := second.runs.Load(); got != 0 {
-		t.Errorf("got %d runs elsewhere, want 0", got)
+		t.Errorf("got %d runs at the second backend server, want 0", got)
 	}
 }
 
-// TestAnswerAtTheMomentOfGivingUp has answers come just when the patience ends:
+// TestResponseAtTheMomentOfTheTimeout has responses arrive just when the first-byte timeout passes:
 // each request has to be served, by the first backend server or the second.
-func TestAnswerAtTheMomentOfGivingUp(t *testing.T) {
+func TestResponseAtTheMomentOfTheTimeout(t *testing.T) {
 	for _, budget := range []float64{0, 1000} {
-		first := newBackend(t, "b1", answersAfter(startPatience, event("1")))
-		f := newFixture(t, first, newBackend(t, "b2", answers(http.StatusOK, event("1"))))
+		first := newBackend(t, "b1", respondAfter(defaultFirstByteTimeout, event("1")))
+		f := newFixture(t, first, newBackend(t, "b2", respondWith(http.StatusOK, event("1"))))
 		f.gateway.Budget.Ratio, f.gateway.Budget.Extra = 0, budget
 		var all sync.WaitGroup
 		for i := range 40 {
 			all.Go(func() {
 				time.Sleep(time.Duration(i%8) * time.Millisecond)
-				if got := f.post(t, "/resumable/x"); got.status != http.StatusOK || got.body != event("1") || got.broken != nil {
-					t.Errorf("budget %v: got %d %q (%v), want the whole answer", budget, got.status, got.body, got.broken)
+				if got := f.post(t, "/resumable/x"); got.status != http.StatusOK || got.body != event("1") || got.bodyErr != nil {
+					t.Errorf("budget %v: got %d %q (%v), want the complete response", budget, got.status, got.body, got.bodyErr)
 				}
 			})
 		}
@@ -85,9 +86,9 @@
 	}
 }
 
-// TestPatienceIsLearnt has the first backend server hang after many quick
-// answers: the request goes on long before the start value would let it.
-func TestPatienceIsLearnt(t *testing.T) {
+// TestFirstByteTimeoutIsLearnt has the first backend server hang after many quick responses: the
+// request has to be retried long before the default timeout.
+func TestFirstByteTimeoutIsLearnt(t *testing.T) {
 	var hangs atomic.Bool
 	release := make(chan struct{})
 	defer close(release)
@@ -95,38 +96,40 @@
 		if hangs.Load() {
 			<-release
 		}
-		answers(http.StatusOK, "answer")(b, w, r)
+		respondWith(http.StatusOK, "answer")(b, w, r)
 	})
-	f := newFixture(t, first, newBackend(t, "b2", answers(http.StatusOK, "answer")))
+	f := newFixture(t, first, newBackend(t, "b2", respondWith(http.StatusOK, "answer")))
 	for range 40 {
 		f.post(t, "/repeatable/x")
 	}
 	hangs.Store(true)
 	started := time.Now()
 	got := f.post(t, "/repeatable/x")
-	if took := time.Since(started); got.body != "answer" || took > startPatience*3/4 {
-		t.Errorf("got %q after %v, want the second backend server's answer before %v", got.body, took, startPatience*3/4)
+	if took := time.Since(started); got.body != "answer" || took > defaultFirstByteTimeout*3/4 {
+		t.Errorf("got %q after %v, want the second backend server's response before %v",
+			got.body, took, defaultFirstByteTimeout*3/4)
 	}
 }
 
-// TestPatienceLeavesTimeForTheNextSend has the first backend server hang before
-// anything was learnt, and a caller with little time.
-func TestPatienceLeavesTimeForTheNextSend(t *testing.T) {
+// TestFirstByteTimeoutLeavesTimeForARetry has the first backend server hang before any response
+// times are known, and a caller with little time.
+func TestFirstByteTimeoutLeavesTimeForARetry(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
 	f := newFixture(t, newBackend(t, "b1", func(*backend, http.ResponseWriter, *http.Request) { <-release }),
-		newBackend(t, "b2", answersAfter(50*time.Millisecond, "answer")))
+		newBackend(t, "b2", respondAfter(50*time.Millisecond, "answer")))
 	r := f.request(t, "/repeatable/x", "question")
 	r.Header.Set("Slipwick-Deadline-Ms", "400")
 	if got := send(t, r); got.status != http.StatusOK || got.body != "answer" {
-		t.Errorf("got %d %q, want the second backend server's answer", got.status, got.body)
+		t.Errorf("got %d %q, want the second backend server's response", got.status, got.body)
 	}
 }
 
-// TestSendIsNotGivenUpWhenNoneMayFollow has three backend servers refuse and the
-// fourth answer late: a fifth send is not allowed any more, though it could be.
-func TestSendIsNotGivenUpWhenNoneMayFollow(t *testing.T) {
-	late := answersAfter(startPatience+200*time.Millisecond, "late")
+// TestLastAllowedSendIsNotTimedOut has three backend servers reject the request and the fourth
+// respond late. A fifth send is not allowed, so that the fourth must not be ended although another
+// backend server is free.
+func TestLastAllowedSendIsNotTimedOut(t *testing.T) {
+	late := respondAfter(defaultFirstByteTimeout+200*time.Millisecond, "late")
 	var mu sync.Mutex
 	asked := 0
 	handle := func(b *backend, w http.ResponseWriter, r *http.Request) {
@@ -135,7 +138,7 @@
 		n := asked
 		mu.Unlock()
 		if n < 4 {
-			refuses(b, w, r)
+			rejectNotRun(b, w, r)
 			return
 		}
 		late(b, w, r)
@@ -146,67 +149,66 @@
 	}
 	f := newFixture(t, backends...)
 	if got := f.post(t, "/repeatable/x"); got.status != http.StatusOK || got.body != "late" {
-		t.Errorf("got %d %q, want the late answer", got.status, got.body)
+		t.Errorf("got %d %q, want the late response", got.status, got.body)
 	}
 	if got := f.gateway.Balancer.InFlight("p"); got != 0 {
 		t.Errorf("got %v requests in flight afterwards, want 0", got)
 	}
 }
 
-// leavingObserver has the caller leave when a send was given up, before the next
-// one is made.
-type leavingObserver struct {
-	observed
-	leave context.CancelFunc
+// disconnectingObserver disconnects the caller after a send was timed out, before the retry.
+type disconnectingObserver struct {
+	recordingObserver
+	disconnect context.CancelFunc
 }
 
-func (o *leavingObserver) Attempted(*Attempt) {
-	o.leave()
-	// The server has to notice that the caller's connection is gone.
+func (o *disconnectingObserver) Attempted(*Attempt) {
+	o.disconnect()
+	// Give the server time to notice that the caller's connection is closed.
 	time.Sleep(200 * time.Millisecond)
 }
 
-// TestGrantedPlaceIsGivenBack has a caller leave between the grant of the next
-// send and the send.
-func TestGrantedPlaceIsGivenBack(t *testing.T) {
+// TestUnusedRetryLeaseIsAbandoned has the caller disconnect after the lease of the retry was
+// acquired and before the retry is sent: the lease must not stay in flight.
+func TestUnusedRetryLeaseIsAbandoned(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	second := newBackend(t, "b2", answers(http.StatusOK, "answer"))
+	second := newBackend(t, "b2", respondWith(http.StatusOK, "answer"))
 	f := newFixture(t, newBackend(t, "b1", func(*backend, http.ResponseWriter, *http.Request) { <-release }), second)
 	r := f.request(t, "/repeatable/x", "question")
 	ctx, leave := context.WithCancel(r.Context())
 	defer leave()
-	f.gateway.Observer = &leavingObserver{
-		leave: leave,
+	f.gateway.Observer = &disconnectingObserver{
+		disconnect: leave,
 	}
 	response, err := http.DefaultClient.Do(r.WithContext(ctx))
 	if err == nil {
 		_ = response.Body.Close()
-		t.Fatal("got an answer, want the caller to have left")
+		t.Fatal("got a response, want none for a disconnected caller")
 	}
 	deadline := time.Now().Add(2 * time.Second)
 	for ; f.gateway.Balancer.InFlight("p") > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("got %v requests in flight after the caller has left, want 0", f.gateway.Balancer.InFlight("p"))
+			t.Fatalf("got %v requests in flight after the caller disconnected, want 0", f.gateway.Balancer.InFlight("p"))
 		}
 	}
 	if got := second.runs.Load(); got != 0 {
-		t.Errorf("got %d runs for a caller that has left, want 0", got)
+		t.Errorf("got %d runs for a disconnected caller, want 0", got)
 	}
 }
 
-// TestPlaceThatIsNotGrantedLeavesNoTrace has a prompt's send hang while the budget is
-// empty: no other engine counts as having the prompt.
-func TestPlaceThatIsNotGrantedLeavesNoTrace(t *testing.T) {
-	late := answersAfter(startPatience+300*time.Millisecond, "late")
+// TestRetryWithoutBudgetRecordsNoCachedPrompt has the send of a prompt hang while the retry budget
+// is empty: no other engine may be recorded as having the prompt.
+func TestRetryWithoutBudgetRecordsNoCachedPrompt(t *testing.T) {
+	late := respondAfter(defaultFirstByteTimeout+300*time.Millisecond, "late")
 	f := newFixture(t, newBackend(t, "b1", late), newBackend(t, "b2", late))
 	f.gateway.Budget.Ratio, f.gateway.Budget.Extra = 0, 0
 	r := f.request(t, "/affine-again/x", "question")
 	r.Header.Set("Slipwick-Prompt", "ab:2000,cd:10")
 	if got := send(t, r); got.body != "late" {
-		t.Errorf("got %d %q, want the late answer", got.status, got.body)
+		t.Errorf("got %d %q, want the late response", got.status, got.body)
 	}
 	if got := f.gateway.Balancer.Tell().Reads; len(got) != 1 {
-		t.Errorf("got %v, want the one engine that read the prompt", got)
+		t.Errorf("got %v, want the one engine that computed the prompt", got)
 	}
 }
--- a/gateway/prompt.go
+++ b/gateway/prompt.go
@@ -9,16 +9,16 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-// promptParts reads the parts of a prompt: those that other requests share,
-// which are all but the last, and the tokens of the last. An only part counts
-// as shared.
+// promptParts parses the parts of a prompt. It returns the parts that other requests share, which
+// are all but the last, and the token count of the last part. A prompt of one part counts as
+// shared.
 func promptParts(prompt string) (shared []balance.Part, own int) {
 	if prompt == "" {
 		return nil, 0
 	}
 	for _, text := range strings.Split(prompt, ",") {
 		id, size, _ := strings.Cut(strings.TrimSpace(text), ":")
-		// A part of unreadable size counts as empty.
+		// A part whose size cannot be parsed counts as empty.
 		tokens, _ := strconv.Atoi(size)
 		shared = append(shared, balance.Part{
 			Key:    PartKey(id),
@@ -32,7 +32,7 @@
 	return shared[:last], shared[last].Tokens
 }
 
-// PartKey gives the key of a part of a prompt by its ID.
+// PartKey returns the key under which the balancer knows the prompt part with this ID.
 func PartKey(id string) uint64 {
 	return xxhash.Sum64String(id)
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -10,20 +10,20 @@
 	"github.com/slipwick/slipwick/quarantine"
 )
 
-// dies is a handler under which the backend server ends.
-func dies(b *backend, w http.ResponseWriter, _ *http.Request) {
+// crash is a handler that runs the request and ends the backend server.
+func crash(b *backend, w http.ResponseWriter, _ *http.Request) {
 	b.runs.Add(1)
 	w.Header().Set("Slipwick-Stamp", b.id)
 	_ = b.server.Config.Close()
 }
 
-// withLedger has the gateway keep a ledger.
-func (f *fixture) withLedger() *quarantine.Ledger {
+// enableQuarantine gives the gateway a ledger.
+func (f *fixture) enableQuarantine() *quarantine.Ledger {
 	f.gateway.Quarantine = quarantine.NewLedger("r")
 	return f.gateway.Quarantine
 }
 
-func fleetOf(t *testing.T, n int, handle func(*backend, http.ResponseWriter, *http.Request)) []*backend {
+func newBackends(t *testing.T, n int, handle func(*backend, http.ResponseWriter, *http.Request)) []*backend {
 	t.Helper()
 	var backends []*backend
 	for i := range n {
@@ -32,7 +32,7 @@
 	return backends
 }
 
-func runsOf(backends []*backend) int64 {
+func totalRuns(backends []*backend) int64 {
 	runs := int64(0)
 	for _, b := range backends {
 		runs += b.runs.Load()
@@ -40,48 +40,48 @@
 	return runs
 }
 
-// TestRequestUnderWhichServersEndIsRefused asks for the same under new request IDs, on
-// each kind of route: three servers end, and no more.
-func TestRequestUnderWhichServersEndIsRefused(t *testing.T) {
+// TestRequestThatCrashesBackendsIsQuarantined sends the same content under new request IDs, on each
+// kind of route: three backend servers crash, and no more.
+func TestRequestThatCrashesBackendsIsQuarantined(t *testing.T) {
 	for _, path := range []string{"/resumable/x", "/stream/x", "/repeatable/x", "/single/x", "/affine/x"} {
-		backends := fleetOf(t, 8, dies)
+		backends := newBackends(t, 8, crash)
 		f := newFixture(t, backends...)
-		f.withLedger()
+		f.enableQuarantine()
 		var last reply
 		for i := range 8 {
 			r := f.request(t, path, "question")
 			r.Header.Set("Slipwick-Request", fmt.Sprint("q", i))
 			last = send(t, r)
 		}
-		if got := runsOf(backends); got != 3 {
+		if got := totalRuns(backends); got != 3 {
 			t.Errorf("%s: got %d runs, want 3", path, got)
 		}
 		if last.status != http.StatusServiceUnavailable || last.header.Get("Retry-After") == "" {
-			t.Errorf("%s: got %d, Retry-After %q, want 503 and when to come back",
+			t.Errorf("%s: got %d, Retry-After %q, want 503 with Retry-After",
 				path, last.status, last.header.Get("Retry-After"))
 		}
-		if got := f.observed.refusals; len(got) == 0 || got[0].Reason != reasonQuarantined {
-			t.Errorf("%s: got refusals %v, want them told as quarantined", path, got)
+		if got := f.observer.refusals; len(got) == 0 || got[0].Reason != reasonQuarantined {
+			t.Errorf("%s: got refusals %v, want the reason quarantined", path, got)
 		}
 	}
 }
 
-// TestOthersOfTheSameCallerAreServed asks for something else once a request is quarantined.
-func TestOthersOfTheSameCallerAreServed(t *testing.T) {
-	backends := fleetOf(t, 5, func(b *backend, w http.ResponseWriter, r *http.Request) {
+// TestOtherRequestsOfTheSameCallerAreServed sends other content after a request was quarantined.
+func TestOtherRequestsOfTheSameCallerAreServed(t *testing.T) {
+	backends := newBackends(t, 5, func(b *backend, w http.ResponseWriter, r *http.Request) {
 		if *b.body.Load() == "bad" {
-			dies(b, w, r)
+			crash(b, w, r)
 			return
 		}
-		answers(http.StatusOK, "answer")(b, w, r)
+		respondWith(http.StatusOK, "answer")(b, w, r)
 	})
 	f := newFixture(t, backends...)
-	f.withLedger()
+	f.enableQuarantine()
 	for range 4 {
 		send(t, f.request(t, "/repeatable/x", "bad"))
 	}
 	if got := send(t, f.request(t, "/repeatable/x", "bad")).status; got != http.StatusServiceUnavailable {
-		t.Errorf("got %d for the request that is quarantined, want 503", got)
+		t.Errorf("got %d for the quarantined request, want 503", got)
 	}
 	if got := send(t, f.request(t, "/repeatable/x", "good")).status; got != http.StatusOK {
 		t.Errorf("got %d for another body, want 200", got)
@@ -91,18 +91,18 @@
 	}
 }
 
-// TestBrokenAnswersOfLivingServersQuarantineNothing has servers break answers off, fail and
-// refuse, and live on.
-func TestBrokenAnswersOfLivingServersQuarantineNothing(t *testing.T) {
+// TestFailuresWithoutCrashQuarantineNothing has backend servers break off responses, fail and
+// reject requests without crashing.
+func TestFailuresWithoutCrashQuarantineNothing(t *testing.T) {
 	for name, handle := range map[string]func(*backend, http.ResponseWriter, *http.Request){
-		"break off before an answer": breaks(""),
-		"break off in an answer":     breaks("id: 0\ndata: x\n\n"),
-		"fail":                       answers(http.StatusInternalServerError, "failed"),
-		"refuse":                     refuses,
+		"break off before a response": breakAfter(""),
+		"break off in a response":     breakAfter("id: 0\ndata: x\n\n"),
+		"fail":                        respondWith(http.StatusInternalServerError, "failed"),
+		"reject":                      rejectNotRun,
 	} {
-		backends := fleetOf(t, 6, handle)
+		backends := newBackends(t, 6, handle)
 		f := newFixture(t, backends...)
-		ledger := f.withLedger()
+		ledger := f.enableQuarantine()
 		for range 6 {
 			f.post(t, "/resumable/x")
 		}
@@ -112,15 +112,16 @@
 	}
 }
 
-// TestLeavingServersQuarantineNothing has servers that leave end with what runs there.
-func TestLeavingServersQuarantineNothing(t *testing.T) {
-	backends := fleetOf(t, 4, dies)
+// TestPlannedStopQuarantinesNothing has backend servers stop as planned, together with the requests
+// that run there.
+func TestPlannedStopQuarantinesNothing(t *testing.T) {
+	backends := newBackends(t, 4, crash)
 	f := newFixture(t, backends...)
-	ledger := f.withLedger()
+	ledger := f.enableQuarantine()
 	for _, b := range backends {
 		b.server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			f.gateway.Balancer.SetBackends(nil)
-			dies(b, w, r)
+			crash(b, w, r)
 		})
 	}
 	f.post(t, "/repeatable/x")
@@ -129,9 +130,10 @@
 	}
 }
 
-// TestStreamThatRanForLongIsNoSuspect has servers end long after a stream's first event.
-func TestStreamThatRanForLongIsNoSuspect(t *testing.T) {
-	for wait, want := range map[time.Duration]int{0: 1, harmlessAfter + 100*time.Millisecond: 0} {
+// TestCrashAfterCrashWindowIsNotCounted has a backend server crash at once and long after the first
+// event of a stream.
+func TestCrashAfterCrashWindowIsNotCounted(t *testing.T) {
+	for wait, want := range map[time.Duration]int{0: 1, crashWindow + 100*time.Millisecond: 0} {
 		b := newBackend(t, "b", func(b *backend, w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Slipwick-Stamp", b.id)
 			_, _ = io.WriteString(w, "id: 0\ndata: x\n\n")
@@ -140,7 +142,7 @@
 			_ = b.server.Config.Close()
 		})
 		f := newFixture(t, b)
-		ledger := f.withLedger()
+		ledger := f.enableQuarantine()
 		f.post(t, "/stream/x")
 		if got := len(ledger.News()); got != want {
 			t.Errorf("end %v after the first event: got %d marks, want %d", wait, got, want)
@@ -148,9 +150,9 @@
 	}
 }
 
-// TestRunThatWaitsIsStoppedWhenItsRequestIsQuarantined has a request wait at a server when the
-// fleet finds that it has to be quarantined.
-func TestRunThatWaitsIsStoppedWhenItsRequestIsQuarantined(t *testing.T) {
+// TestRunningSendIsCancelledWhenItsRequestIsQuarantined has a request still wait at a backend
+// server when the crashes that other routers report quarantine it.
+func TestRunningSendIsCancelledWhenItsRequestIsQuarantined(t *testing.T) {
 	gone := make(chan struct{})
 	began := make(chan struct{})
 	b := newBackend(t, "b", func(_ *backend, _ http.ResponseWriter, r *http.Request) {
@@ -159,7 +161,7 @@
 		close(gone)
 	})
 	f := newFixture(t, b)
-	ledger := f.withLedger()
+	ledger := f.enableQuarantine()
 	ended := make(chan reply)
 	r := f.request(t, "/repeatable/x", "question")
 	go func() { ended <- send(t, r) }()
@@ -175,6 +177,6 @@
 		t.Errorf("got status %d, want 502: it may have run", got)
 	}
 	if state := f.gateway.Balancer.States()[0]; state.Out || state.ErrorRate > 0 {
-		t.Errorf("got the backend server judged for it: %+v", state)
+		t.Errorf("got the failure counted for the backend server: %+v", state)
 	}
 }
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -8,21 +8,21 @@
 	"time"
 )
 
-// Refusal is an answer of the router's own.
+// Refusal is an error response that the router makes itself.
 type Refusal struct {
 	Status int
-	// Reason is stable and short; logs and metrics carry it.
+	// Reason is a short, stable identifier, which appears in logs and metrics.
 	Reason  string
 	Message string
-	// RetryAfter tells the caller when to come back; negative says nothing.
+	// RetryAfter is the value of the header Retry-After; the header is left out if it is negative.
 	RetryAfter time.Duration
 }
 
-// When callers are to come back.
+// Values of Refusal.RetryAfter.
 const (
-	// retryElsewhere is for what another router can serve now.
+	// retryElsewhere is for requests that another router can serve now.
 	retryElsewhere = 20 * time.Millisecond
-	// retrySoon is for what changes within a moment.
+	// retrySoon is for conditions that change within a moment.
 	retrySoon = 150 * time.Millisecond
 	noRetry   = time.Duration(-1)
 )
@@ -139,6 +139,6 @@
 	body := r.Message + "\n"
 	header.Set("Content-Length", strconv.Itoa(len(body)))
 	w.WriteHeader(r.Status)
-	// A caller that has left needs no answer.
+	// A write error means that the caller has disconnected.
 	_, _ = w.Write([]byte(body))
 }
--- a/gateway/refusal_test.go
+++ b/gateway/refusal_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestRefusalsBeforeABackendIsChosen(t *testing.T) {
-	b := newBackend(t, "b1", answers(http.StatusOK, "answer"))
+	b := newBackend(t, "b1", respondWith(http.StatusOK, "answer"))
 	f := newFixture(t, b)
 	for _, tc := range []struct {
 		name   string
@@ -77,11 +77,11 @@
 	}
 }
 
-func TestWithoutConfigurationNothingIsRefusedForGood(t *testing.T) {
+func TestRequestsWithoutConfigurationMayBeRetried(t *testing.T) {
 	f := newFixture(t)
 	f.gateway.table.Store(nil)
 	got := f.post(t, "/none/x")
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
-		t.Errorf("got %d, Retry-After %q; want 503 and when to come back", got.status, got.header.Get("Retry-After"))
+		t.Errorf("got %d, Retry-After %q; want 503 with Retry-After", got.status, got.header.Get("Retry-After"))
 	}
 }
--- a/gateway/result.go
+++ b/gateway/result.go
@@ -1,29 +1,30 @@
 package gateway
 
-// result is how one send ended.
+// result is the outcome of one send.
 type result int
 
 const (
-	// resultDelivered is an answer that the caller has whole.
+	// resultDelivered means that the caller has received the complete response.
 	resultDelivered result = iota
-	// resultNotRun is a send that the backend server did not run, resultUnsent
-	// one that did not reach it: there was no connection.
+	// resultNotRun means that the backend server did not run the request, resultUnsent that no
+	// connection to it could be opened.
 	resultNotRun
 	resultUnsent
-	// resultFailed is a whole answer that tells of a failure.
+	// resultFailed means that a complete response reported a failure.
 	resultFailed
-	// resultBroken is an exchange that broke; the request may have run.
+	// resultBroken means that the exchange broke off; the request may have run.
 	resultBroken
-	// resultCut is an answer that broke after a part was passed on, and that
-	// cannot go on.
+	// resultCut means that the response broke off after a part was forwarded, and cannot be
+	// continued.
 	resultCut
-	// resultQuarantined is a request that got no backend server: several ended under it.
+	// resultQuarantined means that the request was not sent because it was quarantined: several
+	// backend servers crashed while running it.
 	resultQuarantined
-	// resultLeft is a caller that has left.
+	// resultLeft means that the caller has disconnected.
 	resultLeft
 )
 
-// String gives the name that logs and metrics carry.
+// String returns the name used in logs and metrics.
 func (r result) String() string {
 	switch r {
 	case resultDelivered:
@@ -45,7 +46,7 @@
 	}
 }
 
-// isNotRun tells whether the request certainly did not run.
+// isNotRun reports whether the request has certainly not run.
 func (r result) isNotRun() bool {
 	return r == resultNotRun || r == resultUnsent
 }
--- a/gateway/resume_property_test.go
+++ b/gateway/resume_property_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestResumedStreamsAreWholeInAnyCut breaks a stream at random bytes, over and
-// over; each backend server that goes on begins at or before the event that the
-// caller has last. The caller has to get every event once, in order.
-func TestResumedStreamsAreWholeInAnyCut(t *testing.T) {
+// TestResumedStreamIsCompleteAfterAnyCut breaks a stream at random bytes, again and again. Each
+// backend server that continues it starts at or before the last event that the caller has. The
+// caller has to receive each event once, in order.
+func TestResumedStreamIsCompleteAfterAnyCut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "events")
 		end := rapid.SampledFrom([]string{"\n\n", "\r\n\r\n"}).Draw(t, "line ends")
@@ -20,17 +20,17 @@
 			lineEnd := end[:len(end)/2]
 			events = append(events, "id: "+strconv.Itoa(i+1)+lineEnd+"data: d"+strconv.Itoa(i+1)+end)
 		}
-		p := &passedOn{}
+		p := &streamProgress{}
 		var got strings.Builder
 		for last := 0; last < count; {
 			overlap := rapid.IntRange(0, last).Draw(t, "overlap")
 			rest := strings.Join(events[last-overlap:], "")
-			// An early end has to leave room for progress now and then.
+			// Let some rounds send the whole rest, so that the loop makes progress.
 			cut := rapid.IntRange(0, len(rest)).Draw(t, "cut")
 			if rapid.Bool().Draw(t, "whole") {
 				cut = len(rest)
 			}
-			feed(t, p, rest[:cut], &got)
+			feedInPieces(t, p, rest[:cut], &got)
 			if p.lastID != "" {
 				last, _ = strconv.Atoi(p.lastID)
 			}
@@ -44,16 +44,16 @@
 	})
 }
 
-// feed hands bytes in pieces, as a connection brings them, and drops what is
-// left of an event at the end.
-func feed(t *rapid.T, p *passedOn, bytes string, got *strings.Builder) {
-	held := ""
+// feedInPieces passes the data in pieces of random size, as a connection delivers them, and drops
+// an incomplete event at the end.
+func feedInPieces(t *rapid.T, p *streamProgress, bytes string, got *strings.Builder) {
+	buffered := ""
 	for len(bytes) > 0 {
 		n := rapid.IntRange(1, len(bytes)).Draw(t, "piece")
-		held += bytes[:n]
+		buffered += bytes[:n]
 		bytes = bytes[n:]
-		size := wholeEvents([]byte(held))
-		got.Write(p.take([]byte(held[:size])))
-		held = held[size:]
+		size := completeLength([]byte(buffered))
+		got.Write(p.filterNew([]byte(buffered[:size])))
+		buffered = buffered[size:]
 	}
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -12,91 +12,93 @@
 )
 
 const (
-	// extraSends is how often a request may be sent beyond the runs it is
-	// allowed, after sends that were certainly not run. mostUnsent bounds those
-	// that did not reach a backend server: they cost it nothing and the caller a
-	// round trip, and when a third of a pool has just died, two in a thousand
-	// requests meet that many dead servers in a row.
-	extraSends = 2
-	mostUnsent = 6
-	// startLeastTime is the time that has to be left for another send, until the
-	// pool's own times are known; then a usual answer takes leastFactor times
-	// what has to be left.
-	startLeastTime = 30 * time.Millisecond
-	leastFactor    = 2
+	// extraSends is how often a request may be sent in addition to the route's attempts, after
+	// sends that certainly did not run. maxUnreached bounds the sends that reached no backend
+	// server: each costs the backend servers nothing and the caller one round trip, and when a
+	// third of a pool has just crashed, two in a thousand requests meet that many dead servers in a
+	// row.
+	extraSends   = 2
+	maxUnreached = 6
+	// defaultMinRetryTime is the time that must be left for another send until the balancer knows
+	// the usual response time of the pool; from then on the usual time divided by
+	// minRetryTimeDivisor must be left.
+	defaultMinRetryTime = 30 * time.Millisecond
+	minRetryTimeDivisor = 2
 )
 
-// serve sends the request until it has an answer or may not be sent again.
+// serve sends the request until it has a response or must not be sent again.
 func (c *call) serve() {
 	c.gateway.Budget.Requested(c.pool)
-	defer c.dropNext()
-	var last result
-	reason, comeBack := "", retrySoon
+	defer c.abandonNextLease()
+	var outcome result
+	reason, retryAfter := "", retrySoon
 	for {
-		lease, err := c.acquire()
+		lease, err := c.acquireLease()
 		if err != nil {
-			reason, comeBack = "no-backend", comeBackAfter(err)
+			reason, retryAfter = "no-backend", retryDelay(err)
 			break
 		}
-		if c.awaitReading(lease); lease.Wait > 0 && !c.gateway.Balancer.StillTakes(lease) {
-			// It left, or its data centre was evacuated, meanwhile.
+		if c.awaitPrefill(lease); lease.Wait > 0 && !c.gateway.Balancer.StillTakes(lease) {
+			// The backend server left the pool or its data centre was evacuated during the wait.
 			c.gateway.Balancer.Abandon(lease)
 			continue
 		}
-		last = c.send(lease)
-		if last == resultQuarantined {
+		outcome = c.send(lease)
+		if outcome == resultQuarantined {
 			reason = reasonQuarantined
 			break
 		}
-		if last == resultDelivered || last == resultLeft || last == resultCut {
-			c.end(last, "", 0)
+		if outcome == resultDelivered || outcome == resultLeft || outcome == resultCut {
+			c.finish(outcome, "", 0)
 			return
 		}
-		if reason = c.whyNoMore(last); reason != "" {
+		if reason = c.noRetryReason(outcome); reason != "" {
 			break
 		}
-		if !c.mayRepeat(last) {
+		if !c.takeRetryBudget(outcome) {
 			reason = "retry-budget"
 			break
 		}
 	}
-	c.giveUp(reason, comeBack)
+	c.finishUnanswered(reason, retryAfter)
 }
 
-// comeBackAfter is when a request is to come back that no backend server may get.
-func comeBackAfter(err error) time.Duration {
+// retryDelay returns after what time the caller may retry a request for which no backend server was
+// available.
+func retryDelay(err error) time.Duration {
 	if typed, ok := slipwick.AsError(err); ok && typed.RetryAfter > 0 {
 		return typed.RetryAfter
 	}
 	return retrySoon
 }
 
-// mayRepeat asks the fleet's budget for another send. What did not reach a backend
-// server is none of its arrivals, and the next send may be the first.
-func (c *call) mayRepeat(last result) bool {
-	return c.next != nil || last == resultUnsent || c.gateway.Budget.Take(c.pool)
+// takeRetryBudget takes another send from the fleet's retry budget and reports whether it may be
+// made. A send that reached no backend server added no load, so that the next one costs no budget.
+func (c *call) takeRetryBudget(outcome result) bool {
+	return c.nextLease != nil || outcome == resultUnsent || c.gateway.Budget.Take(c.pool)
 }
 
-// acquire gives the place that was granted while the last send ran, or a new
-// one.
-func (c *call) acquire() (*balance.Lease, error) {
-	if lease := c.next; lease != nil {
-		c.next = nil
+// acquireLease returns the lease that was acquired during the last send, or a new one.
+func (c *call) acquireLease() (*balance.Lease, error) {
+	if lease := c.nextLease; lease != nil {
+		c.nextLease = nil
 		return lease, nil
 	}
-	return c.gateway.Balancer.Acquire(&c.ask)
+	return c.gateway.Balancer.Acquire(&c.selection)
 }
 
-// dropNext gives a place back that is not used: the answer came after all.
-func (c *call) dropNext() {
-	if c.next != nil {
-		c.gateway.Balancer.Abandon(c.next)
-		c.next = nil
+// abandonNextLease gives back the lease of a retry that is not needed, because the response came
+// after all.
+func (c *call) abandonNextLease() {
+	if c.nextLease != nil {
+		c.gateway.Balancer.Abandon(c.nextLease)
+		c.nextLease = nil
 	}
 }
 
-// awaitReading waits while the engine reads the request's prompt for another.
-func (c *call) awaitReading(lease *balance.Lease) {
+// awaitPrefill waits while the engine computes the same prompt for another request, so that it is
+// computed once.
+func (c *call) awaitPrefill(lease *balance.Lease) {
 	if lease.Wait <= 0 {
 		return
 	}
@@ -109,56 +111,56 @@
 	}
 }
 
-// whyNoMore tells why a request is not sent again; empty if it is.
-func (c *call) whyNoMore(last result) string {
+// noRetryReason returns why the request must not be sent again, or the empty string if it may.
+func (c *call) noRetryReason(outcome result) string {
 	clock.Notice()
 	switch {
 	case c.request.Context().Err() != nil:
 		return "left"
-	case clock.Until(c.deadline) < c.leastTime():
+	case clock.Until(c.deadline) < c.minRetryTime():
 		return "timeout"
-	case !last.isNotRun() && !c.route.MayRepeat():
+	case !outcome.isNotRun() && !c.route.MayRepeat():
 		return "may-not-repeat"
-	case c.runs >= c.route.MaxAttempts && !last.isNotRun():
+	case c.possibleRuns >= c.route.MaxAttempts && !outcome.isNotRun():
 		return "attempts"
 	case c.isQuarantined():
 		return reasonQuarantined
-	case c.sends-c.unsent >= c.mostSends() || c.unsent >= mostUnsent:
+	case c.sends-c.unreached >= c.maxSends() || c.unreached >= maxUnreached:
 		return "sends"
 	}
 	return ""
 }
 
-// mostSends is how often the request may be sent, runs or not.
-func (c *call) mostSends() int {
+// maxSends is how often the request may be sent, whether it runs or not.
+func (c *call) maxSends() int {
 	return c.route.MaxAttempts + extraSends
 }
 
-// leastTime is the time that has to be left for another send.
-func (c *call) leastTime() time.Duration {
-	if usual := c.gateway.Balancer.Usual(&c.ask); usual > 0 {
-		return usual / leastFactor
+// minRetryTime returns how much time must be left for another send.
+func (c *call) minRetryTime() time.Duration {
+	if usualTime := c.gateway.Balancer.Usual(&c.selection); usualTime > 0 {
+		return usualTime / minRetryTimeDivisor
 	}
-	return startLeastTime
+	return defaultMinRetryTime
 }
 
-// giveUp gives the final answer to a request that has none.
-func (c *call) giveUp(reason string, comeBack time.Duration) {
+// finishUnanswered sends the final response to a request that no backend server has answered.
+func (c *call) finishUnanswered(reason string, retryAfter time.Duration) {
 	switch {
 	case c.request.Context().Err() != nil:
-		c.end(resultLeft, reason, 0)
-	case c.stream.begun:
-		c.end(resultCut, reason, 0)
-	case c.failure != nil:
-		if err := c.failure.write(c.writer); err != nil {
-			c.end(resultLeft, reason, 0)
+		c.finish(resultLeft, reason, 0)
+	case c.progress.headWritten:
+		c.finish(resultCut, reason, 0)
+	case c.failedResponse != nil:
+		if err := c.failedResponse.write(c.writer); err != nil {
+			c.finish(resultLeft, reason, 0)
 			return
 		}
-		c.end(resultFailed, reason, c.failure.status)
-	case c.runs == 0 && reason == reasonQuarantined:
+		c.finish(resultFailed, reason, c.failedResponse.status)
+	case c.possibleRuns == 0 && reason == reasonQuarantined:
 		c.refuse(refuseQuarantined(c.gateway.Quarantine.Admit(c.key).RetryAfter))
-	case c.runs == 0:
-		c.refuse(refuseNotRun(reason, comeBack))
+	case c.possibleRuns == 0:
+		c.refuse(refuseNotRun(reason, retryAfter))
 	case clock.Now().After(c.deadline):
 		c.refuse(refuseTimeout())
 	default:
@@ -168,19 +170,19 @@
 
 func (c *call) refuse(refusal *Refusal) {
 	refusal.write(c.writer)
-	c.ended("refused", refusal.Reason, refusal.Status)
+	c.notifyEnded("refused", refusal.Reason, refusal.Status)
 }
 
-// end notes the ending. An answer that was cut ends with its connection, so
-// that it does not look whole.
-func (c *call) end(last result, reason string, status int) {
-	c.ended(last.String(), reason, status)
-	if last == resultCut {
+// finish reports the end of the request to the observer. A response that was cut also has to close
+// its connection, so that the caller does not take it for complete.
+func (c *call) finish(outcome result, reason string, status int) {
+	c.notifyEnded(outcome.String(), reason, status)
+	if outcome == resultCut {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (c *call) ended(outcome, reason string, status int) {
+func (c *call) notifyEnded(outcome, reason string, status int) {
 	c.gateway.Observer.Ended(&Ending{
 		Request: c.id,
 		Key:     c.key,
@@ -191,25 +193,25 @@
 		Reason:  reason,
 		Status:  status,
 		Sends:   c.sends,
-		Events:  c.stream.events,
+		Events:  c.progress.events,
 		Took:    clock.Since(c.arrived),
 	})
 }
 
-// send sends the request to one backend server and passes the answer on.
+// send sends the request to one backend server and forwards the response.
 func (c *call) send(lease *balance.Lease) result {
-	started, events := clock.Now(), c.stream.events
-	watch, ok := c.watch(lease)
+	started, events := clock.Now(), c.progress.events
+	watch, ok := c.watchForCrash(lease)
 	if !ok {
 		c.gateway.Balancer.Abandon(lease)
 		return resultQuarantined
 	}
 	defer watch.stop(nil)
 	c.sends++
-	c.ask.Avoid = append(c.ask.Avoid, lease.Backend.ID)
+	c.selection.Avoid = append(c.selection.Avoid, lease.Backend.ID)
 	request := c.upstreamRequest(lease)
 	c.gateway.Balancer.Sent(lease)
-	answer, err := c.gateway.Client.Do(watch.ctx, lease.Backend.Life(), lease.Backend.Address, request)
+	response, err := c.gateway.Client.Do(watch.ctx, lease.Backend.Life(), lease.Backend.Address, request)
 	attempt := &Attempt{
 		Request: c.id,
 		Key:     c.key,
@@ -218,35 +220,36 @@
 		Address: lease.Backend.Address,
 		Err:     err,
 	}
-	var last result
+	var outcome result
 	var evidence slipwick.Evidence
 	if err != nil {
-		last, evidence = c.judgeError(err)
+		outcome, evidence = c.classifyError(err)
 	} else {
-		attempt.Status = answer.Status
-		attempt.Notice = c.noticeOf(answer)
-		last, evidence, attempt.Err = c.judgeAnswer(lease, answer, attempt.Notice)
-		answer.Close()
+		attempt.Status = response.Status
+		attempt.Notice = c.noticeOf(response)
+		outcome, evidence, attempt.Err = c.handleResponse(lease, response, attempt.Notice)
+		response.Close()
 	}
-	if last == resultBroken && watch.wasStopped() {
-		// The end of the exchange is this router's doing.
+	if outcome == resultBroken && watch.wasStopped() {
+		// This router ended the exchange, so that it says nothing about the backend server.
 		evidence = slipwick.EvidenceNone
 	}
 	c.gateway.Balancer.Release(lease, evidence)
-	watch.end(last, attempt.Err)
+	watch.recordOutcome(outcome, attempt.Err)
 	if !upstream.IsGivenUp(attempt.Err) {
-		c.dropNext()
+		c.abandonNextLease()
 	}
-	if last != resultDelivered {
-		attempt.Result, attempt.Took = last.String(), clock.Since(started)
-		attempt.Events = c.stream.events - events
+	if outcome != resultDelivered {
+		attempt.Result, attempt.Took = outcome.String(), clock.Since(started)
+		attempt.Events = c.progress.events - events
 		c.gateway.Observer.Attempted(attempt)
 	}
-	return last
+	return outcome
 }
 
-// judgeError tells what an exchange without an answer means.
-func (c *call) judgeError(err error) (result, slipwick.Evidence) {
+// classifyError returns the result of an exchange without a response, and what it says about the
+// backend server.
+func (c *call) classifyError(err error) (result, slipwick.Evidence) {
 	if c.request.Context().Err() != nil {
 		return resultLeft, slipwick.EvidenceNone
 	}
@@ -255,15 +258,15 @@
 		if c.ctx.Err() != nil {
 			return resultNotRun, slipwick.EvidenceNone
 		}
-		c.unsent++
+		c.unreached++
 		if upstream.IsRefused(err) {
 			return resultUnsent, slipwick.EvidenceRefused
 		}
 		return resultUnsent, slipwick.EvidenceUnreachable
 	}
-	c.runs++
+	c.possibleRuns++
 	if c.ctx.Err() == context.DeadlineExceeded || upstream.IsGivenUp(err) {
-		// Whoever let it wait too long was told of already.
+		// The slow response has already been reported to the balancer.
 		return resultBroken, slipwick.EvidenceNone
 	}
 	return resultBroken, slipwick.EvidenceError
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -9,29 +9,32 @@
 )
 
 const (
-	// startWait is how long a request waits for its prompt's home, and for a router that
-	// has no configuration yet, which tells how long the request may take.
-	startWait = 400 * time.Millisecond
-	// startShare of its time is how long a request waits for a router that starts. The rest
-	// is for another router, should this one not get what it needs.
-	startShare = 0.5
-	// longestStart bounds that: requests without a time limit are not held by a router that
-	// reaches nobody.
-	longestStart = 5 * time.Second
-	// homePoll is how often it looks whether its prompt has a home meanwhile.
-	homePoll = 20 * time.Millisecond
+	// startupWait is how long a request waits for the router to learn which engine has its prompt
+	// cached, and for a router that has no configuration yet and so cannot know the time limit of
+	// the request.
+	startupWait = 400 * time.Millisecond
+	// startupWaitShare is the share of its time limit for which a request waits until a starting
+	// router is ready. The rest is left for a retry at another router, in case this one does not
+	// become ready.
+	startupWaitShare = 0.5
+	// maxStartupWait caps that wait, so that a router without any connection does not hold requests
+	// that have no time limit.
+	maxStartupWait = 5 * time.Second
+	// startupPollInterval is how often a waiting request checks whether it can go on.
+	startupPollInterval = 20 * time.Millisecond
 )
 
-// awaitReady waits until the router can serve at all. Callers reach one that is not ready when
-// few others are, such as after a loss of power: sent away soon, they would come back to the next
-// that starts, and be refused for good, while a large fleet's list takes seconds to read.
+// awaitReady blocks until the router is ready or the request has waited for too long. Callers reach
+// a router that is not ready when few others are ready either, such as after a power failure: if
+// refused early, they would retry at the next starting router and finally be refused for good,
+// while a large fleet's list of backend servers takes seconds to read.
 func (g *Gateway) awaitReady(r *http.Request, arrived time.Time) {
 	if g.Ready == nil || isClosed(g.Ready) {
 		return
 	}
-	ticker := time.NewTicker(homePoll)
+	ticker := time.NewTicker(startupPollInterval)
 	defer ticker.Stop()
-	for clock.Since(arrived) < g.startHold(r, arrived) {
+	for clock.Since(arrived) < g.maxReadyWait(r, arrived) {
 		select {
 		case <-g.Ready:
 			return
@@ -42,36 +45,37 @@
 	}
 }
 
-// startHold is how long a request may wait for this router.
-func (g *Gateway) startHold(r *http.Request, arrived time.Time) time.Duration {
+// maxReadyWait returns how long after its arrival the request may wait for the router to become
+// ready.
+func (g *Gateway) maxReadyWait(r *http.Request, arrived time.Time) time.Duration {
 	table := g.table.Load()
 	if table == nil {
-		return startWait
+		return startupWait
 	}
 	path, _, _ := strings.Cut(r.RequestURI, "?")
 	route := table.Route(r.Host, path)
 	if route == nil {
 		return 0
 	}
-	left := deadlineOf(r.Header.Get(g.Headers.Deadline), route, arrived).Sub(arrived)
-	return min(time.Duration(startShare*float64(left)), longestStart)
+	left := requestDeadline(r.Header.Get(g.Headers.Deadline), route, arrived).Sub(arrived)
+	return min(time.Duration(startupWaitShare*float64(left)), maxStartupWait)
 }
 
-// awaitHome waits until an engine is known that keeps the request's prompt, or
-// until it is known that none does: to read a long prompt again takes longer.
-// Requests without a prompt do not wait.
-func (c *call) awaitHome() {
-	homes := c.gateway.Homes
-	if len(c.ask.Prompt) == 0 || homes == nil || isClosed(homes) {
+// awaitCacheHolder blocks until the router knows an engine that has the request's prompt cached, or
+// knows that there is none: computing a long prompt again takes longer than the wait. Requests
+// without a prompt do not wait.
+func (c *call) awaitCacheHolder() {
+	cacheIndex := c.gateway.Homes
+	if len(c.selection.Prompt) == 0 || cacheIndex == nil || isClosed(cacheIndex) {
 		return
 	}
-	timer := time.NewTimer(c.homeWait() - clock.Since(c.arrived))
+	timer := time.NewTimer(c.maxCacheHolderWait() - clock.Since(c.arrived))
 	defer timer.Stop()
-	ticker := time.NewTicker(homePoll)
+	ticker := time.NewTicker(startupPollInterval)
 	defer ticker.Stop()
-	for !c.gateway.Balancer.HasHome(&c.ask) {
+	for !c.gateway.Balancer.HasHome(&c.selection) {
 		select {
-		case <-homes:
+		case <-cacheIndex:
 			return
 		case <-timer.C:
 			return
@@ -82,18 +86,18 @@
 	}
 }
 
-// homeWait is how long after its arrival the request may wait for its prompt's
-// home: no longer than an engine takes to read the prompt again, which would have
-// been the quicker way, nor so long that it is late in any case.
-func (c *call) homeWait() time.Duration {
-	balancer, wait := c.gateway.Balancer, startWait
+// maxCacheHolderWait returns how long after its arrival the request may wait for an engine that has
+// its prompt cached: no longer than an engine takes to compute the prompt again, which would be
+// faster, and not so long that the response misses the latency objective in any case.
+func (c *call) maxCacheHolderWait() time.Duration {
+	balancer, limit := c.gateway.Balancer, startupWait
 	if !balancer.Switches.WaitForHomes {
-		wait = min(wait, balancer.ReadingTime(&c.ask))
+		limit = min(limit, balancer.ReadingTime(&c.selection))
 	}
 	if c.route.Objective > 0 {
-		wait = min(wait, c.route.Objective-balancer.ReadTime(&c.ask))
+		limit = min(limit, c.route.Objective-balancer.ReadTime(&c.selection))
 	}
-	return wait
+	return limit
 }
 
 func isClosed(done <-chan struct{}) bool {
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// TestStartingRouterHoldsOnlyPromptsWithoutHome has a router that does not know
-// yet what engines keep.
-func TestStartingRouterHoldsOnlyPromptsWithoutHome(t *testing.T) {
+// TestStartingRouterHoldsOnlyPromptsWithoutCacheHolder covers a router that does not know yet which
+// prompts the engines have cached.
+func TestStartingRouterHoldsOnlyPromptsWithoutCacheHolder(t *testing.T) {
 	for _, test := range []struct {
 		name, path, prompt string
 		wait               time.Duration
 	}{
 		{"no prompt", "/affine/x", "", 0},
-		{"a prompt with a home", "/affine/x", "ab:100,cd:10", 0},
-		// To read them again takes 1, 200 and 900 ms at the start values.
-		{"a short prompt without one", "/affine/x", "ef:100,cd:10", time.Millisecond},
-		{"a long prompt without one", "/affine/x", "ef:20000,cd:10", 200 * time.Millisecond},
-		{"a very long prompt without one", "/affine/x", "ef:90000,cd:10", startWait},
-		// Read again, the prompt takes 179 ms at most: a wait beyond 21 ms would have
-		// the answer late.
-		{"a prompt without one, soon due", "/soon/x", "ef:8000,cd:10", 21 * time.Millisecond},
+		{"a prompt with a holder", "/affine/x", "ab:100,cd:10", 0},
+		// Computing these prompts again takes 1, 200 and 900 ms by the balancer's default values.
+		{"a short prompt without a holder", "/affine/x", "ef:100,cd:10", time.Millisecond},
+		{"a long prompt without a holder", "/affine/x", "ef:20000,cd:10", 200 * time.Millisecond},
+		{"a very long prompt without a holder", "/affine/x", "ef:90000,cd:10", startupWait},
+		// Computing this prompt again takes 179 ms at most: after a wait of more than 21 ms the
+		// response would miss the objective of 200 ms.
+		{"a prompt without a holder, with an objective", "/soon/x", "ef:8000,cd:10", 21 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t, newBackend(t, "b1", answers(http.StatusOK, "answer")))
+			f := newFixture(t, newBackend(t, "b1", respondWith(http.StatusOK, "answer")))
 			f.gateway.Homes = make(chan struct{})
 			f.gateway.Balancer.Keeps("b1", []uint64{PartKey("ab")})
 			request := f.request(t, test.path, "question")
@@ -35,36 +35,36 @@
 			started := time.Now()
 			got := send(t, request)
 			took := time.Since(started)
-			if got.status != http.StatusOK || took < test.wait || took > test.wait+startWait/4 {
+			if got.status != http.StatusOK || took < test.wait || took > test.wait+startupWait/4 {
 				t.Errorf("got status %d after %v, want 200 after %v", got.status, took, test.wait)
 			}
 		})
 	}
 }
 
-// TestStartingRouterServesAsSoonAsItKnows has the homes learnt while a request
-// waits for them.
-func TestStartingRouterServesAsSoonAsItKnows(t *testing.T) {
-	f := newFixture(t, newBackend(t, "b1", answers(http.StatusOK, "answer")))
-	ready, homes := make(chan struct{}), make(chan struct{})
-	f.gateway.Ready, f.gateway.Homes = ready, homes
+// TestStartingRouterServesOnceCacheIndexIsReady has the router learn which engines have which
+// prompts cached while a request waits for that.
+func TestStartingRouterServesOnceCacheIndexIsReady(t *testing.T) {
+	f := newFixture(t, newBackend(t, "b1", respondWith(http.StatusOK, "answer")))
+	ready, cacheIndex := make(chan struct{}), make(chan struct{})
+	f.gateway.Ready, f.gateway.Homes = ready, cacheIndex
 	request := f.request(t, "/affine/x", "question")
 	request.Header.Set("Slipwick-Prompt", "ef:90000,cd:10")
-	time.AfterFunc(startWait/8, func() { close(ready) })
-	time.AfterFunc(startWait/4, func() { close(homes) })
+	time.AfterFunc(startupWait/8, func() { close(ready) })
+	time.AfterFunc(startupWait/4, func() { close(cacheIndex) })
 	started := time.Now()
 	got := send(t, request)
-	if took := time.Since(started); got.status != http.StatusOK || took < startWait/4 || took > startWait*3/4 {
-		t.Errorf("got status %d after %v, want 200 soon after %v", got.status, took, startWait/4)
+	if took := time.Since(started); got.status != http.StatusOK || took < startupWait/4 || took > startupWait*3/4 {
+		t.Errorf("got status %d after %v, want 200 soon after %v", got.status, took, startupWait/4)
 	}
 }
 
-// TestStartingRouterHoldsRequestsForHalfOfTheirTime has a router that starts get what it needs
-// late, or never.
+// TestStartingRouterHoldsRequestsForHalfOfTheirTime has a starting router become ready late, or
+// never.
 //
-// What was found after a loss of power at 986 routers: reading the list of backend servers took
-// seconds on small boxes, requests were refused after 400 ms, came back to another router that
-// started too, and were refused for good: 1,414 of 1,747 in the first two seconds.
+// It guards against a failure after a power loss with 986 routers. Reading the list of backend
+// servers took seconds on small boxes. Requests were refused after 400 ms, retried at another
+// router that was starting too, and refused for good: 1,414 of 1,747 in the first two seconds.
 func TestStartingRouterHoldsRequestsForHalfOfTheirTime(t *testing.T) {
 	const never = time.Hour
 	for _, test := range []struct {
@@ -73,13 +73,13 @@
 		status              int
 		took                time.Duration
 	}{
-		{"ready in time", "/affine/x", 3 * startWait, 4 * time.Second, http.StatusOK, 3 * startWait},
+		{"ready in time", "/affine/x", 3 * startupWait, 4 * time.Second, http.StatusOK, 3 * startupWait},
 		{"never ready", "/affine/x", never, 2 * time.Second, http.StatusServiceUnavailable, time.Second},
-		{"never ready, little time", "/affine/x", never, startWait, http.StatusServiceUnavailable, startWait / 2},
+		{"never ready, little time", "/affine/x", never, startupWait, http.StatusServiceUnavailable, startupWait / 2},
 		{"no route", "/nowhere", never, 2 * time.Second, http.StatusServiceUnavailable, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			f := newFixture(t, newBackend(t, "b1", answers(http.StatusOK, "answer")))
+			f := newFixture(t, newBackend(t, "b1", respondWith(http.StatusOK, "answer")))
 			ready := make(chan struct{})
 			f.gateway.Ready = ready
 			timer := time.AfterFunc(test.readyAfter, func() { close(ready) })
@@ -89,7 +89,7 @@
 			started := time.Now()
 			got := send(t, request)
 			took := time.Since(started)
-			if got.status != test.status || took < test.took || took > test.took+startWait/2 {
+			if got.status != test.status || took < test.took || took > test.took+startupWait/2 {
 				t.Errorf("got status %d after %v, want %d after %v", got.status, took, test.status, test.took)
 			}
 		})
--- a/gateway/waiting_test.go
+++ b/gateway/waiting_test.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// TestPromptIsReadOnce sends two requests with one prompt at once: the second
-// reaches the engine when it has begun to answer the first.
-func TestPromptIsReadOnce(t *testing.T) {
+// TestPromptIsPrefilledOnce sends two requests with the same prompt at the same time: the second
+// must not reach the engine before the response to the first has begun.
+func TestPromptIsPrefilledOnce(t *testing.T) {
 	reads := make(chan struct{}, 2)
-	answer := make(chan struct{})
+	release := make(chan struct{})
 	f := newFixture(t, newBackend(t, "b1", func(b *backend, w http.ResponseWriter, r *http.Request) {
 		reads <- struct{}{}
-		<-answer
-		answers(http.StatusOK, "answer")(b, w, r)
+		<-release
+		respondWith(http.StatusOK, "answer")(b, w, r)
 	}))
 	var both sync.WaitGroup
 	for range 2 {
@@ -30,30 +30,31 @@
 	<-reads
 	select {
 	case <-reads:
-		t.Error("got two readings at once, want the second request to wait for the first")
+		t.Error("got both requests at the engine, want the second to wait for the first")
 	case <-time.After(100 * time.Millisecond):
 	}
-	close(answer)
+	close(release)
 	both.Wait()
 }
 
-// TestHangingSingleRequestSpeaksAgainstItsBackend has a request that may not be
-// repeated wait beyond its patience: later ones are to know before it ends.
-func TestHangingSingleRequestSpeaksAgainstItsBackend(t *testing.T) {
+// TestHangingNonRepeatableRequestIsReportedAsFailure has requests that must not be repeated wait
+// beyond the first-byte timeout: the failures have to be reported before the requests end, so that
+// later requests avoid the backend server.
+func TestHangingNonRepeatableRequestIsReportedAsFailure(t *testing.T) {
 	release := make(chan struct{})
 	f := newFixture(t, newBackend(t, "b1", func(b *backend, w http.ResponseWriter, r *http.Request) {
 		<-release
-		answers(http.StatusOK, "answer")(b, w, r)
+		respondWith(http.StatusOK, "answer")(b, w, r)
 	}))
 	var hanging sync.WaitGroup
 	for range 3 {
 		hanging.Go(func() { f.post(t, "/single/x") })
 	}
-	time.Sleep(startPatience + 200*time.Millisecond)
-	told := f.gateway.Balancer.Tell().Outcomes
+	time.Sleep(defaultFirstByteTimeout + 200*time.Millisecond)
+	reported := f.gateway.Balancer.Tell().Outcomes
 	close(release)
 	hanging.Wait()
-	if len(told) != 1 || told[0].Failed != 3 {
-		t.Errorf("got %v, want three failures told while the requests wait", told)
+	if len(reported) != 1 || reported[0].Failed != 3 {
+		t.Errorf("got %v, want three failures reported while the requests wait", reported)
 	}
 }
--- a/gateway/watch.go
+++ b/gateway/watch.go
@@ -16,26 +16,26 @@
 
 const reasonQuarantined = "quarantined"
 
-// harmlessAfter is how long a stream has to go on after its first event until the end
-// of its backend server is none of its doing: what ends a server does so when it begins
-// to run. Most of what runs at an engine has run for longer, and need not be asked whether
-// its server is gone.
-const harmlessAfter = 500 * time.Millisecond
+// crashWindow is how long after the first event of a stream a crash of the backend server may be
+// caused by the request: a request that crashes a server does so when it begins to run. Most
+// requests in progress at an engine are past it, so that no check whether their server has crashed
+// is needed.
+const crashWindow = 500 * time.Millisecond
 
-var errQuarantined = errors.New("the request is quarantined: several backend servers ended under it")
+var errQuarantined = errors.New("the request is quarantined: several backend servers crashed while running it")
 
-// watch follows one send, to tell whether the backend server ends under it.
-type watch struct {
+// crashWatch observes one send to find out whether the backend server crashes while running it.
+type crashWatch struct {
 	call  *call
 	lease *balance.Lease
 	run   *quarantine.Run
-	// ctx is that of the send, stop ends it.
+	// ctx is the context of the send; stop cancels it.
 	ctx  context.Context
 	stop context.CancelCauseFunc
 }
 
-// admitToBackends refuses a request that is quarantined, at once.
-func (c *call) admitToBackends() *Refusal {
+// checkQuarantine refuses a request that is quarantined.
+func (c *call) checkQuarantine() *Refusal {
 	if c.gateway.Quarantine == nil {
 		return nil
 	}
@@ -47,14 +47,15 @@
 	return nil
 }
 
-// isQuarantined tells whether the request gets no further backend server.
+// isQuarantined reports whether the request must not be sent to any further backend server.
 func (c *call) isQuarantined() bool {
 	return c.gateway.Quarantine != nil && c.gateway.Quarantine.IsQuarantined(c.key)
 }
 
-// watch begins to follow a send; false if the request is quarantined since it came.
-func (c *call) watch(lease *balance.Lease) (*watch, bool) {
-	w := &watch{
+// watchForCrash starts observing a send. It returns false if the request has been quarantined since
+// its admission.
+func (c *call) watchForCrash(lease *balance.Lease) (*crashWatch, bool) {
+	w := &crashWatch{
 		call:  c,
 		lease: lease,
 	}
@@ -72,39 +73,39 @@
 	return w, true
 }
 
-// wasStopped tells whether the send was ended because the request is quarantined.
-func (w *watch) wasStopped() bool {
+// wasStopped reports whether the send was cancelled because the request was quarantined.
+func (w *crashWatch) wasStopped() bool {
 	return errors.Is(context.Cause(w.ctx), errQuarantined)
 }
 
-// end tells what became of the backend server. To ask costs a round trip, and only
-// those are asked that broke off an exchange they had hardly begun.
-func (w *watch) end(last result, err error) {
+// recordOutcome records whether the backend server crashed. To check costs a round trip, so that only
+// those backend servers are checked that broke off an exchange soon after it began.
+func (w *crashWatch) recordOutcome(outcome result, err error) {
 	if w.run == nil {
 		return
 	}
 	fate := quarantine.FateUnknown
 	switch {
-	case last == resultDelivered || last == resultFailed:
+	case outcome == resultDelivered || outcome == resultFailed:
 		fate = quarantine.FateSurvived
-	case last == resultBroken && w.isSuspect(err) && w.isGone():
+	case outcome == resultBroken && w.mayHaveCrashed(err) && w.hasCrashed():
 		fate = quarantine.FateEnded
 	}
 	w.run.End(fate)
 }
 
-// isSuspect tells whether the backend server may have ended under this request: it broke
-// the exchange off before the request had run for long.
-func (w *watch) isSuspect(err error) bool {
+// mayHaveCrashed reports whether the backend server may have crashed because of this request: it
+// broke off the exchange before the request had run for crashWindow.
+func (w *crashWatch) mayHaveCrashed(err error) bool {
 	first := w.call.firstEvent
-	if !first.IsZero() && clock.Since(first) > harmlessAfter {
+	if !first.IsZero() && clock.Since(first) > crashWindow {
 		return false
 	}
-	return isBrokenOff(err)
+	return isConnectionLost(err)
 }
 
-// isBrokenOff tells whether the other side ended the connection.
-func isBrokenOff(err error) bool {
+// isConnectionLost reports whether the backend server's end of the connection was closed or reset.
+func isConnectionLost(err error) bool {
 	if typed, ok := slipwick.AsError(err); !ok || typed.Kind != slipwick.KindBackendError {
 		return false
 	}
@@ -112,9 +113,9 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// isGone tells whether the backend server has ended without being asked to: one that
-// leaves ends with what still runs there, which is none of its doing.
-func (w *watch) isGone() bool {
+// hasCrashed reports whether the backend server has ended without a planned stop. One that stops as
+// planned ends together with the requests that still run there, and the request is not the cause.
+func (w *crashWatch) hasCrashed() bool {
 	backend := &w.lease.Backend
 	return w.call.gateway.Balancer.Expects(w.lease) &&
 		w.call.gateway.Client.IsGone(w.call.ctx, backend.Life(), backend.Address)
--- a/gateway/whole.go
+++ b/gateway/whole.go
@@ -11,41 +11,40 @@
 	"github.com/slipwick/slipwick/upstream"
 )
 
-// maxHeldBytes bounds the answer that is read whole before it is passed on, so
-// that one that breaks off can be asked for again. Longer ones are passed on
-// as they come.
-const maxHeldBytes = 1 << 20
+// maxBufferedBytes bounds the size of responses that are read completely before they are forwarded,
+// so that the request can be sent again if the response breaks off. Larger responses are forwarded
+// as they arrive.
+const maxBufferedBytes = 1 << 20
 
-// wholeAnswer is a backend server's answer, read to its end.
-type wholeAnswer struct {
+// bufferedResponse is a backend server's response that was read to its end.
+type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// readWhole reads an answer to its end; tooLong says that it is longer than
-// maxHeldBytes, and more of it is to be read.
-func readWhole(answer *upstream.Answer) (whole *wholeAnswer, tooLong bool, err error) {
+// bufferResponse reads a response to its end; tooLong means that it is larger than maxBufferedBytes
+// and the rest is still to be read.
+func bufferResponse(response *upstream.Answer) (buffered *bufferedResponse, tooLong bool, err error) {
 	var body bytes.Buffer
-	if answer.Length > 0 {
-		body.Grow(int(min(answer.Length, maxHeldBytes)) + bytes.MinRead)
+	if response.Length > 0 {
+		body.Grow(int(min(response.Length, maxBufferedBytes)) + bytes.MinRead)
 	}
-	_, err = io.CopyN(&body, answer, maxHeldBytes)
+	_, err = io.CopyN(&body, response, maxBufferedBytes)
 	switch {
 	case errors.Is(err, io.EOF):
 		err = nil
 	case err == nil:
 		tooLong = true
 	}
-	return &wholeAnswer{
-		status: answer.Status,
-		header: answer.Header,
+	return &bufferedResponse{
+		status: response.Status,
+		header: response.Header,
 		body:   body.Bytes(),
 	}, tooLong, err
 }
 
-// copyHeader passes an answer's header on, but for what concerns the
-// connection.
+// copyHeader copies a response header except for the hop-by-hop headers.
 func copyHeader(to, from http.Header) {
 	for name, values := range from {
 		if !slices.Contains(hopByHop, name) {
@@ -53,13 +52,13 @@
 		}
 	}
 	if from.Get("Content-Type") == "" {
-		// Keeps net/http from guessing.
+		// A nil value keeps net/http from guessing the content type.
 		to["Content-Type"] = nil
 	}
 }
 
-// write passes the answer on. The error is that of the caller's connection.
-func (a *wholeAnswer) write(w http.ResponseWriter) error {
+// write writes the response to the caller. An error means that the caller has disconnected.
+func (a *bufferedResponse) write(w http.ResponseWriter) error {
 	copyHeader(w.Header(), a.header)
 	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	w.WriteHeader(a.status)
