--- a/placement/doc.go
+++ b/placement/doc.go
@@ -1,4 +1,4 @@
-// Package placement ranks backend servers for a chat and routers for a
-// backend server, by weighted rendezvous hashing. It keeps no table: every
-// router with the same view ranks alike.
+// Package placement ranks backend servers for a chat and selects the owning router of each backend
+// server, by weighted rendezvous hashing. It keeps no shared state: all routers with the same View
+// compute the same ranking.
 package placement
--- a/placement/hash.go
+++ b/placement/hash.go
@@ -2,10 +2,10 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// separator keeps ("ab","c") and ("a","bc") apart.
+// separator keeps the keys of ("ab", "c") and ("a", "bc") different.
 var separator = []byte{0}
 
-// ChatKey hashes a workspace's chat.
+// ChatKey returns the hash of a chat's ID together with the workspace that the chat belongs to.
 func ChatKey(workspace, chat string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
@@ -15,21 +15,23 @@
 	return digest.Sum64()
 }
 
-// IDHash hashes the ID of a box.
+// IDHash returns the hash of the ID of a backend server or router.
 func IDHash(id string) uint64 {
 	return xxhash.Sum64String(id)
 }
 
-// pair mixes two hashes into one, with the 64-bit finaliser of MurmurHash3
-// over both: rendezvous scores of one key need independent bits per box.
-func pair(key, box uint64) uint64 {
-	return finalise(finalise(key) ^ (box * goldenRatio))
+// mixHashes combines a key's hash with that of a box. It applies the 64-bit finaliser of
+// MurmurHash3 to the key and again to the combination, because the rendezvous scores of one key
+// must have independent bits for each box.
+func mixHashes(key, boxHash uint64) uint64 {
+	return fmix64(fmix64(key) ^ (boxHash * goldenRatio))
 }
 
-// goldenRatio is 2^64 divided by the golden ratio, made odd.
+// goldenRatio is 2^64 divided by the golden ratio, rounded to an odd number.
 const goldenRatio = 0x9e3779b97f4a7c15
 
-func finalise(h uint64) uint64 {
+// fmix64 is the 64-bit finaliser of MurmurHash3.
+func fmix64(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
 	h ^= h >> 33
@@ -38,8 +40,8 @@
 	return h
 }
 
-// Score is the rendezvous score of a box, by its IDHash, for a key: of several
-// boxes the one with the highest score is the choice.
-func Score(key, box uint64) uint64 {
-	return pair(key, box)
+// Score returns the rendezvous score, for a key, of the box whose ID has the hash boxHash. The box
+// with the highest score is the rendezvous choice for the key.
+func Score(key, boxHash uint64) uint64 {
+	return mixHashes(key, boxHash)
 }
--- a/placement/owner.go
+++ b/placement/owner.go
@@ -2,14 +2,14 @@
 
 import "github.com/slipwick/slipwick"
 
-// Closeness tiers: a lower tier always wins.
+// Proximity tiers: a router of a lower tier is always preferred.
 const (
 	tierDataCentre = iota
 	tierRegion
 	tierElsewhere
 )
 
-// ownerChooser finds backend servers' owners among routers.
+// ownerChooser selects the owner of each backend server from a list of routers.
 type ownerChooser struct {
 	routers []slipwick.Router
 	hashes  []uint64
@@ -26,18 +26,18 @@
 	return o
 }
 
-// owner gives the index of the router that owns the backend server: the
-// rendezvous choice among the routers of its data centre, else of its region,
-// else of all. It is -1 when there are no routers.
+// owner returns the index of the router that owns the backend server: the rendezvous choice among
+// the routers of the same data centre or, if there are none, of the same region or, if there are
+// none either, among all routers. It returns -1 if there are no routers.
 func (o *ownerChooser) owner(backend *slipwick.Backend) int {
 	best, bestTier, bestScore := -1, tierElsewhere+1, uint64(0)
-	box := IDHash(backend.ID)
+	backendHash := IDHash(backend.ID)
 	for i := range o.routers {
 		tier := tierOf(backend, &o.routers[i])
 		if tier > bestTier {
 			continue
 		}
-		score := pair(o.hashes[i], box)
+		score := mixHashes(o.hashes[i], backendHash)
 		if tier < bestTier || score > bestScore {
 			best, bestTier, bestScore = i, tier, score
 		}
@@ -45,6 +45,7 @@
 	return best
 }
 
+// tierOf returns the proximity tier of the router as seen from the backend server.
 func tierOf(backend *slipwick.Backend, router *slipwick.Router) int {
 	switch {
 	case router.DataCentre == backend.DataCentre:
@@ -56,12 +57,12 @@
 	}
 }
 
-// Choose gives the index of the rendezvous choice among the routers for a key,
-// wherever they are; -1 when there are none.
+// Choose returns the index of the router with the highest rendezvous score for the key, regardless
+// of data centre and region, or -1 if there are no routers.
 func Choose(key uint64, routers []slipwick.Router) int {
 	best, bestScore := -1, uint64(0)
 	for i := range routers {
-		if score := pair(IDHash(routers[i].ID), key); best < 0 || score > bestScore {
+		if score := mixHashes(IDHash(routers[i].ID), key); best < 0 || score > bestScore {
 			best, bestScore = i, score
 		}
 	}
--- a/placement/owner_test.go
+++ b/placement/owner_test.go
@@ -7,7 +7,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-func TestOwnerPrefersCloseness(t *testing.T) {
+func TestOwnerPrefersClosestRouter(t *testing.T) {
 	routers := []slipwick.Router{
 		{
 			ID:         "far",
--- a/placement/place.go
+++ b/placement/place.go
@@ -6,18 +6,18 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Place is where a view has a backend server.
+// Place is the position of a backend server in a View.
 type Place struct {
 	Pool  *Pool
 	Index int
 }
 
-// Backend is the backend server itself.
+// Backend returns the backend server, which the caller must not modify.
 func (p Place) Backend() *slipwick.Backend {
 	return &p.Pool.Backends[p.Index]
 }
 
-// MayGetWork tells whether the backend server is usable.
+// MayGetWork reports whether the backend server may get new requests according to the view.
 func (p Place) MayGetWork() bool {
 	return slices.Contains(p.Pool.Usable, p.Index)
 }
--- a/placement/routers.go
+++ b/placement/routers.go
@@ -7,19 +7,20 @@
 	"github.com/slipwick/slipwick"
 )
 
-// routerScore is the rendezvous score of the router at an index.
+// routerScore holds the rendezvous score of a router and the router's index.
 type routerScore struct {
 	score uint64
 	index int
 }
 
-// compareScores puts the highest score first; equal ones keep their order.
-func compareScores(a, b routerScore) int {
+// compareRouterScores orders by descending score, and equal scores by ascending index.
+func compareRouterScores(a, b routerScore) int {
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.index, b.index))
 }
 
-// First gives the first count of the routers by their rendezvous score for a key, the highest
-// first. It takes one walk: all members of a large fleet do it at each change of one.
+// First returns the count routers with the highest rendezvous scores for the key, best first, or
+// all of them if there are fewer. It takes a single pass instead of sorting all routers, since each
+// member of a large fleet calls it whenever any router changes.
 func First(key uint64, routers []slipwick.Router, count int) []slipwick.Router {
 	best := make([]routerScore, 0, count+1)
 	for i := range routers {
@@ -30,7 +31,7 @@
 		if len(best) == count && (count == 0 || s.score <= best[count-1].score) {
 			continue
 		}
-		at, _ := slices.BinarySearchFunc(best, s, compareScores)
+		at, _ := slices.BinarySearchFunc(best, s, compareRouterScores)
 		best = slices.Insert(best, at, s)
 		best = best[:min(len(best), count)]
 	}
@@ -41,8 +42,8 @@
 	return ranked
 }
 
-// Rank gives how many of the routers have a higher rendezvous score for a key than the one with
-// the ID.
+// Rank returns the number of routers whose rendezvous score for the key is higher than that of the
+// router with the given ID.
 func Rank(key uint64, routers []slipwick.Router, id string) int {
 	own, rank := Score(key, IDHash(id)), 0
 	for i := range routers {
--- a/placement/routers_test.go
+++ b/placement/routers_test.go
@@ -10,8 +10,9 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestFirstIsThatOfTheSortedList compares what one walk gives with a list that is sorted whole.
-func TestFirstIsThatOfTheSortedList(t *testing.T) {
+// TestTopRoutersMatchesFullSort compares the single-pass selection, and the rank of each router,
+// with a sort of the whole list.
+func TestTopRoutersMatchesFullSort(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		var routers []slipwick.Router
 		for i := range rapid.IntRange(0, 60).Draw(r, "routers") {
@@ -22,7 +23,7 @@
 		key := rapid.Uint64().Draw(r, "key")
 		sorted := slices.Clone(routers)
 		slices.SortStableFunc(sorted, func(a, b slipwick.Router) int {
-			return compareScores(routerScore{
+			return compareRouterScores(routerScore{
 				score: Score(key, IDHash(a.ID)),
 			}, routerScore{
 				score: Score(key, IDHash(b.ID)),
--- a/placement/set.go
+++ b/placement/set.go
@@ -9,76 +9,80 @@
 
 var _ slipwick.Placement = (*Set)(nil)
 
-// maxBackends bounds a set, so that scores fit a stack buffer.
+// maxBackends limits the number of ranked backend servers, so that Rank can hold their scores in a
+// buffer on the stack.
 const maxBackends = 1024
 
-// Set ranks the backend servers of one pool. It is safe for concurrent use;
-// its fields are not to be changed after NewSet.
+// Set ranks the backend servers of one pool. It is immutable and safe for concurrent use.
 type Set struct {
 	hashes  []uint64
 	weights []float64
-	// equal says that all weights are the same, so that the hash alone ranks.
-	equal bool
+	// equalWeights is true if all weights are the same; scores then depend on the hash alone.
+	equalWeights bool
 }
 
-// NewSet prepares a set of the backend servers; indexes of Rank are indexes
-// of backends. Backend servers beyond the first 1024 are not ranked.
+// NewSet returns a Set of the backend servers. The indexes that Rank returns are indexes of
+// backends. Only the first 1024 backend servers are ranked.
 func NewSet(backends []slipwick.Backend) *Set {
 	if len(backends) > maxBackends {
 		backends = backends[:maxBackends]
 	}
 	set := &Set{
-		hashes:  make([]uint64, len(backends)),
-		weights: make([]float64, len(backends)),
-		equal:   true,
+		hashes:       make([]uint64, len(backends)),
+		weights:      make([]float64, len(backends)),
+		equalWeights: true,
 	}
 	for i, b := range backends {
 		set.hashes[i] = IDHash(b.ID)
 		set.weights[i] = float64(b.EffectiveWeight())
-		set.equal = set.equal && set.weights[i] == set.weights[0]
+		set.equalWeights = set.equalWeights && set.weights[i] == set.weights[0]
 	}
 	return set
 }
 
-// Len is the number of backend servers.
+// Len returns the number of backend servers that are ranked.
 func (s *Set) Len() int {
 	return len(s.hashes)
 }
 
-// scored is one backend server's score for a key.
-type scored struct {
+// backendScore holds the score of a backend server for one chat and the backend server's index.
+type backendScore struct {
 	score float64
 	index int
 }
 
-// Rank appends all indexes to dst, best first.
+// Rank appends the indexes of all ranked backend servers to dst, the best for the chat first, and
+// returns the extended slice. The chat is given by its ChatKey.
 func (s *Set) Rank(dst []int, chat uint64) []int {
-	var buffer [maxBackends]scored
+	var buffer [maxBackends]backendScore
 	ranked := buffer[:0]
 	for i := range s.hashes {
-		ranked = append(ranked, scored{
+		ranked = append(ranked, backendScore{
 			score: s.score(chat, i),
 			index: i,
 		})
 	}
-	slices.SortFunc(ranked, compare)
+	slices.SortFunc(ranked, compareBackendScores)
 	for _, r := range ranked {
 		dst = append(dst, r.index)
 	}
 	return dst
 }
 
-// score is higher for better; with weight w it is the largest of w draws.
+// score returns the score of a backend server for the chat; the highest score is the best. For a
+// weight w it corresponds to the largest of w independent draws, so that first choices are in
+// proportion to the weights.
 func (s *Set) score(chat uint64, index int) float64 {
 	const mantissa = 1 << 53
-	draw := (float64(pair(chat, s.hashes[index])>>11) + 0.5) / mantissa
-	if s.equal {
+	draw := (float64(mixHashes(chat, s.hashes[index])>>11) + 0.5) / mantissa
+	if s.equalWeights {
 		return draw
 	}
 	return math.Log(draw) / s.weights[index]
 }
 
-func compare(a, b scored) int {
+// compareBackendScores orders by descending score, and equal scores by ascending index.
+func compareBackendScores(a, b backendScore) int {
 	if a.score > b.score {
 		return -1
 	}
--- a/placement/set_test.go
+++ b/placement/set_test.go
@@ -8,7 +8,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-func engines(n int, weight func(int) uint32) []slipwick.Backend {
+func newBackends(n int, weight func(int) uint32) []slipwick.Backend {
 	backends := make([]slipwick.Backend, n)
 	for i := range backends {
 		backends[i] = slipwick.Backend{
@@ -19,13 +19,14 @@
 	return backends
 }
 
-func one(int) uint32 { return 1 }
+func unitWeight(int) uint32 { return 1 }
 
-// TestRankSpread checks first choices against a chi-squared bound: 92 degrees
-// of freedom stay below 150 but for one run in ten thousand.
+// TestRankSpread checks with a chi-squared test that first and second choices spread evenly over
+// the backend servers. With 92 degrees of freedom the statistic exceeds 150 in about one run in ten
+// thousand.
 func TestRankSpread(t *testing.T) {
 	const count, chats, bound = 93, 93_000, 150.0
-	set := NewSet(engines(count, one))
+	set := NewSet(newBackends(count, unitWeight))
 	var firsts, seconds [count]int
 	var ranked []int
 	for i := range chats {
@@ -46,7 +47,7 @@
 
 func TestRankFollowsWeights(t *testing.T) {
 	const chats = 40_000
-	set := NewSet(engines(4, func(i int) uint32 { return uint32(i + 1) }))
+	set := NewSet(newBackends(4, func(i int) uint32 { return uint32(i + 1) }))
 	var firsts [4]int
 	var ranked []int
 	for i := range chats {
@@ -61,10 +62,10 @@
 	}
 }
 
-// TestRankMovesOnlyLostChats checks that taking one engine away moves only the
-// chats that it had, each to its second choice.
-func TestRankMovesOnlyLostChats(t *testing.T) {
-	all := engines(20, one)
+// TestRankMovesOnlyChatsOfRemovedBackend checks that removing a backend server moves only the chats
+// that it was the first choice of, each to its second choice.
+func TestRankMovesOnlyChatsOfRemovedBackend(t *testing.T) {
+	all := newBackends(20, unitWeight)
 	before, after := NewSet(all), NewSet(all[:19])
 	for i := range 5_000 {
 		key := ChatKey("w", fmt.Sprint(i))
@@ -80,7 +81,7 @@
 }
 
 func TestRankDoesNotAllocate(t *testing.T) {
-	set := NewSet(engines(93, one))
+	set := NewSet(newBackends(93, unitWeight))
 	dst := make([]int, 0, 93)
 	got := testing.AllocsPerRun(100, func() { dst = set.Rank(dst[:0], 42) })
 	if got != 0 {
@@ -89,7 +90,7 @@
 }
 
 func BenchmarkRank(b *testing.B) {
-	set := NewSet(engines(93, one))
+	set := NewSet(newBackends(93, unitWeight))
 	dst := make([]int, 0, 93)
 	b.ReportAllocs()
 	key := uint64(0)
--- a/placement/view.go
+++ b/placement/view.go
@@ -2,30 +2,31 @@
 
 import "github.com/slipwick/slipwick"
 
-// View is what one router believes of the fleet at one moment. It is not
-// changed once made.
+// View is one router's knowledge of the pools and routers at one point in time. It is immutable.
 type View struct {
 	Pools map[string]*Pool
-	// Routers are those that may own backend servers.
+	// Routers lists the routers that may own backend servers.
 	Routers []slipwick.Router
 
-	places map[uint64]Place
+	// locations finds a backend server by the hash of its ID.
+	locations map[uint64]Place
 }
 
-// NewView ranks the pools' backend servers and finds their owners.
+// NewView returns a View of the pools and routers. It prepares the ranking of each pool and assigns
+// an owner to each backend server.
 func NewView(pools []Pool, routers []slipwick.Router) *View {
 	view := &View{
-		Pools:   make(map[string]*Pool, len(pools)),
-		Routers: routers,
-		places:  make(map[uint64]Place),
+		Pools:     make(map[string]*Pool, len(pools)),
+		Routers:   routers,
+		locations: make(map[uint64]Place),
 	}
 	chooser := newOwnerChooser(routers)
 	for _, pool := range pools {
-		pool.prepare()
+		pool.prepareRanking()
 		pool.Owners = make([]int, len(pool.Backends))
 		for i := range pool.Backends {
 			pool.Owners[i] = chooser.owner(&pool.Backends[i])
-			view.places[IDHash(pool.Backends[i].ID)] = Place{
+			view.locations[IDHash(pool.Backends[i].ID)] = Place{
 				Pool:  &pool,
 				Index: i,
 			}
@@ -35,16 +36,17 @@
 	return view
 }
 
-// Place finds a backend server by the hash of its ID.
+// Place returns the position of the backend server whose ID has the given hash. ok is false if the
+// view does not contain it.
 func (v *View) Place(backend uint64) (place Place, ok bool) {
-	place, ok = v.places[backend]
+	place, ok = v.locations[backend]
 	return place, ok
 }
 
-// Owner gives the ID of the router that owns the backend server, by the hash
-// of its ID; it is empty when nobody does.
+// Owner returns the ID of the router that owns the backend server whose ID has the given hash. It
+// is empty if the backend server is unknown or there are no routers.
 func (v *View) Owner(backend uint64) string {
-	place, ok := v.places[backend]
+	place, ok := v.locations[backend]
 	if !ok || place.Pool.Owners[place.Index] < 0 {
 		return ""
 	}
