--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -11,15 +11,18 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-type tryKind = peerpb.Try
+// attemptKind says which of an acquisition's attempts a request is: at the first choice, at another
+// choice, or the last one.
+type attemptKind = peerpb.Try
 
-// defaultHold bounds the wait of a request whose context has no deadline.
+// defaultHold limits how long Acquire waits if the context has no deadline.
 const defaultHold = 10 * time.Second
 
-// Acquire asks the owners of the chat's engines, best first, until one grants
-// a slot, and waits in the last one's queue until ctx ends.
+// Acquire asks the owners of the pool's backend servers for a slot, in the order of the chat's
+// ranking, until one grants it. The last attempt waits in the owner's queue. Acquire blocks until
+// it has a slot, is refused or ctx ends; errors are *slipwick.Error with OutcomeNotRun.
 func (c *Coordinator) Acquire(ctx context.Context, request slipwick.Ask) (slipwick.Grant, error) {
-	a, err := c.begin(ctx, request)
+	a, err := c.startAcquire(ctx, request)
 	if err != nil {
 		return slipwick.Grant{}, err
 	}
@@ -28,10 +31,10 @@
 		return result.grant, result.err
 	case <-ctx.Done():
 	}
-	c.locked(func() { c.withdraw(a) })
+	c.withLock(func() { c.cancelAttempt(a) })
 	select {
 	case result := <-a.result:
-		// The grant and the end of ctx crossed.
+		// The grant arrived while ctx ended.
 		return result.grant, result.err
 	default:
 	}
@@ -41,50 +44,52 @@
 	return slipwick.Grant{}, cancelled(ctx.Err())
 }
 
-func (c *Coordinator) begin(ctx context.Context, request slipwick.Ask) (*ask, error) {
+// startAcquire ranks the backend servers for the request and sends the first attempt.
+func (c *Coordinator) startAcquire(ctx context.Context, request slipwick.Ask) (*acquisition, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pool, err := poolOf(c.view, request.Pool)
 	if err != nil {
 		return nil, err
 	}
-	a := &ask{
+	a := &acquisition{
 		request: request,
 		pool:    pool,
-		result:  make(chan askResult, 1),
+		result:  make(chan acquireResult, 1),
 	}
 	var ok bool
 	if a.deadline, ok = ctx.Deadline(); !ok {
 		a.deadline = time.Now().Add(defaultHold)
 	}
-	a.order = slices.DeleteFunc(pool.Rank(make([]int, 0, len(pool.Usable)), request.Chat), func(index int) bool {
+	a.ranking = slices.DeleteFunc(pool.Rank(make([]int, 0, len(pool.Usable)), request.Chat), func(index int) bool {
 		return slices.Contains(request.Avoid, pool.Backends[index].ID)
 	})
-	if len(a.order) == 0 {
+	if len(a.ranking) == 0 {
 		return nil, noBackend(pool.Name)
 	}
-	a.asked = make([]bool, len(a.order))
-	c.send(a, 0, peerpb.Try_TRY_HOME)
+	a.tried = make([]bool, len(a.ranking))
+	c.sendAttempt(a, 0, peerpb.Try_TRY_HOME)
 	c.flush()
 	return a, nil
 }
 
-// send begins a try at a position of the ask's order.
-func (c *Coordinator) send(a *ask, position int, try tryKind) {
+// sendAttempt asks for a slot at a position of the ranking, under a new request ID. The previous
+// attempt is over.
+func (c *Coordinator) sendAttempt(a *acquisition, position int, kind attemptKind) {
 	a.stopTimer()
-	delete(c.asks, a.id)
-	a.id, a.position, a.try = c.nextID(), position, try
-	a.asked[position] = true
-	a.tries++
+	delete(c.acquisitions, a.id)
+	a.id, a.position, a.kind = c.nextID(), position, kind
+	a.tried[position] = true
+	a.attempts++
 	engine := a.engine()
 	a.owner = c.view.Owner(engine)
 	if a.owner == "" {
-		c.help(a)
+		c.grantLocally(a)
 		return
 	}
-	c.asks[a.id] = a
-	wait := c.waitOf(a)
-	envelope := c.outbox.to(a.owner)
+	c.acquisitions[a.id] = a
+	wait := c.maxQueueTime(a)
+	envelope := c.outbox.envelopeFor(a.owner)
 	envelope.Requests = append(envelope.Requests, &peerpb.SlotRequest{
 		Id:        a.id,
 		Engine:    engine,
@@ -92,17 +97,17 @@
 		Workspace: a.request.Workspace,
 		Priority:  uint32(max(a.request.Priority, 0)),
 		WaitMs:    uint32(wait.Milliseconds()),
-		Try:       try,
+		Try:       kind,
 	})
 	if a.owner != c.Self {
-		c.watch(a, c.Policy.OwnerTimeout)
+		c.startOwnerTimer(a, c.Policy.OwnerTimeout)
 	}
 }
 
-// waitOf is how long the owner may hold the try.
-func (c *Coordinator) waitOf(a *ask) time.Duration {
+// maxQueueTime returns how long the owner may hold the current attempt in its queue.
+func (c *Coordinator) maxQueueTime(a *acquisition) time.Duration {
 	wait := max(0, time.Until(a.deadline))
-	switch a.try {
+	switch a.kind {
 	case peerpb.Try_TRY_HOME:
 		return min(wait, c.Policy.HomeWait)
 	case peerpb.Try_TRY_OTHER:
@@ -112,72 +117,80 @@
 	}
 }
 
-// watch moves the ask on when its owner stays silent.
-func (c *Coordinator) watch(a *ask, limit time.Duration) {
+// startOwnerTimer tries the next backend server if the owner does not answer within the limit.
+func (c *Coordinator) startOwnerTimer(a *acquisition, limit time.Duration) {
 	id := a.id
 	a.timer = time.AfterFunc(limit, func() {
-		c.locked(func() {
-			if c.asks[id] == a {
-				c.giveBack(a)
-				c.moveOn(a)
+		c.withLock(func() {
+			if c.acquisitions[id] == a {
+				c.releaseAttempt(a)
+				c.tryNext(a)
 			}
 		})
 	})
 }
 
-// giveBack tells an owner that a try is over, in case it held or granted it.
-func (c *Coordinator) giveBack(a *ask) {
+// releaseAttempt tells the owner that the current attempt is over, in case the owner holds it in
+// its queue or has granted it.
+func (c *Coordinator) releaseAttempt(a *acquisition) {
 	c.sendRelease(a.owner, a.engine(), a.id, slipwick.EvidenceNone)
 }
 
-func (c *Coordinator) withdraw(a *ask) {
-	if c.asks[a.id] != a {
+// cancelAttempt ends an acquisition whose caller no longer waits, unless it is complete.
+func (c *Coordinator) cancelAttempt(a *acquisition) {
+	if c.acquisitions[a.id] != a {
 		return
 	}
 	a.stopTimer()
-	delete(c.asks, a.id)
-	c.giveBack(a)
+	delete(c.acquisitions, a.id)
+	c.releaseAttempt(a)
 }
 
-// granted ends an ask with an owner's slot.
-func (c *Coordinator) granted(a *ask) {
-	if a.position != 0 && !a.hinted {
+// acceptGrant completes an acquisition with the slot that an owner granted. If the slot is not at
+// the chat's first choice, the owner of that choice is told, unless it redirected the request.
+func (c *Coordinator) acceptGrant(a *acquisition) {
+	if a.position != 0 && !a.redirected {
 		c.sendPlaced(a)
 	}
-	c.hold(a, false)
+	c.recordSlot(a, false)
 }
 
-func (c *Coordinator) hold(a *ask, local bool) {
+// recordSlot stores the slot and returns it to the caller of Acquire. local means that no owner
+// granted it.
+func (c *Coordinator) recordSlot(a *acquisition, local bool) {
 	c.slots[a.id] = &slot{
 		engine:    a.engine(),
 		workspace: a.request.Workspace,
 		since:     time.Now(),
 		local:     local,
 	}
-	a.finish(askResult{
+	a.finish(acquireResult{
 		grant: slipwick.Grant{
 			ID:      a.id,
 			Backend: *a.backend(),
 		},
 	})
-	delete(c.asks, a.id)
+	delete(c.acquisitions, a.id)
 }
 
-func (c *Coordinator) finish(a *ask, err error) {
-	delete(c.asks, a.id)
-	a.finish(askResult{
+// fail completes an acquisition with an error.
+func (c *Coordinator) fail(a *acquisition, err error) {
+	delete(c.acquisitions, a.id)
+	a.finish(acquireResult{
 		err: err,
 	})
 }
 
-func (a *ask) finish(result askResult) {
+// finish returns the result to the caller of Acquire.
+func (a *acquisition) finish(result acquireResult) {
 	a.stopTimer()
 	a.result <- result
 }
 
-// Release gives a slot back.
+// Release returns a slot to its owner, with the evidence of how the request went. A slot that is
+// not held, or no longer, is ignored.
 func (c *Coordinator) Release(grant slipwick.Grant, evidence slipwick.Evidence) {
-	c.locked(func() {
+	c.withLock(func() {
 		held := c.slots[grant.ID]
 		if held == nil {
 			return
@@ -187,6 +200,8 @@
 	})
 }
 
+// ownerOf returns the ID of the backend server's owner in the current view, or an empty string if
+// there is none.
 func (c *Coordinator) ownerOf(engine uint64) string {
 	if c.view == nil {
 		return ""
@@ -194,8 +209,9 @@
 	return c.view.Owner(engine)
 }
 
+// sendRelease tells the owner that a slot, or a queued request, is given up.
 func (c *Coordinator) sendRelease(owner string, engine, id uint64, evidence slipwick.Evidence) {
-	envelope := c.outbox.to(owner)
+	envelope := c.outbox.envelopeFor(owner)
 	envelope.Releases = append(envelope.Releases, &peerpb.SlotRelease{
 		Engine:   engine,
 		Id:       id,
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -7,119 +7,125 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// onAnswer takes an owner's answer.
+// onAnswer handles an owner's answer to an attempt.
 func (c *Coordinator) onAnswer(from string, answer *peerpb.SlotAnswer) {
-	a := c.asks[answer.GetId()]
+	a := c.acquisitions[answer.GetId()]
 	if a == nil || a.owner != from {
-		c.refuseGrant(from, answer)
+		c.releaseLateGrant(from, answer)
 		return
 	}
 	a.stopTimer()
 	switch answer.GetDecision() {
 	case peerpb.Decision_DECISION_GRANTED:
 		a.answered = true
-		c.granted(a)
+		c.acceptGrant(a)
 	case peerpb.Decision_DECISION_HELD:
 		a.answered = true
 		if a.owner != c.Self {
-			c.watch(a, c.waitOf(a)+c.Policy.OwnerTimeout)
+			c.startOwnerTimer(a, c.maxQueueTime(a)+c.Policy.OwnerTimeout)
 		}
 	case peerpb.Decision_DECISION_MOVE_ON:
 		a.answered = true
 		c.redirect(a, answer.GetEngine())
 	case peerpb.Decision_DECISION_REFUSED:
-		c.finish(a, refusal(answer))
+		c.fail(a, refusal(answer))
 	default:
-		c.moveOn(a)
+		c.tryNext(a)
 	}
 }
 
-// refuseGrant gives a slot back that came too late to be of use.
-func (c *Coordinator) refuseGrant(from string, answer *peerpb.SlotAnswer) {
+// releaseLateGrant releases a slot that was granted to an attempt that is already over.
+func (c *Coordinator) releaseLateGrant(from string, answer *peerpb.SlotAnswer) {
 	if answer.GetDecision() != peerpb.Decision_DECISION_GRANTED || c.slots[answer.GetId()] != nil {
 		return
 	}
 	c.sendRelease(from, answer.GetEngine(), answer.GetId(), slipwick.EvidenceNone)
 }
 
-// redirect follows an owner's hint, or moves on.
-func (c *Coordinator) redirect(a *ask, engine uint64) {
+// redirect sends the next attempt to the backend server that the owner names, or else to the next
+// one of the ranking. Only the first redirection is followed.
+func (c *Coordinator) redirect(a *acquisition, engine uint64) {
 	position := -1
-	if engine != 0 && !a.hinted {
+	if engine != 0 && !a.redirected {
 		position = a.positionOf(engine)
 	}
 	if position < 0 {
-		c.moveOn(a)
+		c.tryNext(a)
 		return
 	}
-	a.hinted = true
-	// The first choice is asked again if the hint leads nowhere.
-	a.asked[a.position] = false
-	c.send(a, position, peerpb.Try_TRY_OTHER)
+	a.redirected = true
+	// The first choice may be asked again if the redirection fails.
+	a.tried[a.position] = false
+	c.sendAttempt(a, position, peerpb.Try_TRY_OTHER)
 }
 
-// moveOn tries the next engine; after the last try the request waits at one.
-func (c *Coordinator) moveOn(a *ask) {
-	if a.try == peerpb.Try_TRY_LAST {
-		c.help(a)
+// tryNext asks for a slot at the next backend server. If none is left, or the limit of attempts is
+// reached, the request waits in one owner's queue. If no owner has answered at all, the slot is
+// granted locally.
+func (c *Coordinator) tryNext(a *acquisition) {
+	if a.kind == peerpb.Try_TRY_LAST {
+		c.grantLocally(a)
 		return
 	}
-	next := c.nextPosition(a)
-	if next >= 0 && a.tries < c.Policy.Tries {
-		c.send(a, next, peerpb.Try_TRY_OTHER)
+	next := c.nextUntried(a)
+	if next >= 0 && a.attempts < c.Policy.Tries {
+		c.sendAttempt(a, next, peerpb.Try_TRY_OTHER)
 		return
 	}
 	if a.answered {
-		c.send(a, c.lastPosition(a), peerpb.Try_TRY_LAST)
+		c.sendAttempt(a, c.waitPosition(a), peerpb.Try_TRY_LAST)
 		return
 	}
-	c.help(a)
+	c.grantLocally(a)
 }
 
-// nextPosition gives the best position that was not asked and that the view
-// still counts as usable, or -1.
-func (c *Coordinator) nextPosition(a *ask) int {
-	for position, asked := range a.asked {
-		if !asked && c.usable(a, position) {
+// nextUntried returns the best position of the ranking that was not tried and that is usable
+// according to the current view, or -1.
+func (c *Coordinator) nextUntried(a *acquisition) int {
+	for position, asked := range a.tried {
+		if !asked && c.isUsable(a, position) {
 			return position
 		}
 	}
 	return -1
 }
 
-func (c *Coordinator) usable(a *ask, position int) bool {
-	place, ok := c.view.Place(hashOf(&a.pool.Backends[a.order[position]]))
+// isUsable reports whether the backend server at the position may get new requests according to the
+// current view.
+func (c *Coordinator) isUsable(a *acquisition, position int) bool {
+	place, ok := c.view.Place(hashOf(&a.pool.Backends[a.ranking[position]]))
 	return ok && place.MayGetWork()
 }
 
-// lastPosition is where the request waits: at its first choice, unless that
-// one is no longer usable.
-func (c *Coordinator) lastPosition(a *ask) int {
-	for position := range a.order {
-		if c.usable(a, position) {
+// waitPosition returns the position at which the request waits: the first choice or, if that is not
+// usable, the next one that is.
+func (c *Coordinator) waitPosition(a *acquisition) int {
+	for position := range a.ranking {
+		if c.isUsable(a, position) {
 			return position
 		}
 	}
 	return 0
 }
 
-// help grants a slot without an owner: no owner could be reached. It errs
-// low, with one slot at a time for each engine.
-func (c *Coordinator) help(a *ask) {
+// grantLocally grants a slot without the owner's consent, as no owner could be reached. To stay
+// below the limit it grants only one slot at a time for each backend server; beyond that the
+// request is refused.
+func (c *Coordinator) grantLocally(a *acquisition) {
 	taken := make(map[uint64]bool)
 	for _, s := range c.slots {
 		if s.local {
 			taken[s.engine] = true
 		}
 	}
-	for position := range a.order {
+	for position := range a.ranking {
 		a.position = position
-		if !taken[a.engine()] && c.usable(a, position) {
-			c.hold(a, true)
+		if !taken[a.engine()] && c.isUsable(a, position) {
+			c.recordSlot(a, true)
 			id := a.id
 			c.renewSlots(func(s *slot) bool { return s == c.slots[id] })
 			return
 		}
 	}
-	c.finish(a, overloaded(time.Second))
+	c.fail(a, overloaded(time.Second))
 }
--- a/admission/ask.go
+++ b/admission/ask.go
@@ -7,49 +7,52 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// ask is one Acquire in progress.
-type ask struct {
+// acquisition is the state of one call of Acquire.
+type acquisition struct {
 	request  slipwick.Ask
 	pool     *placement.Pool
 	deadline time.Time
-	// order holds the engines by rank, as indexes of the pool.
-	order []int
-	// asked marks the positions of order that were asked.
-	asked []bool
-	tries int
-	// hinted says that the owner of the first choice sent it elsewhere.
-	hinted bool
-	// answered says that some owner answered; without any, the router helps
-	// itself.
+	// ranking holds the backend servers as indexes of the pool, the best for the chat first.
+	// Positions are indexes of ranking.
+	ranking []int
+	// tried marks the positions that were tried.
+	tried    []bool
+	attempts int
+	// redirected is true if the owner of the first choice named another backend server.
+	redirected bool
+	// answered is true if any owner has answered. Without an answer the router grants itself a
+	// slot.
 	answered bool
 
-	// The try in progress.
+	// The current attempt. Each attempt has its own request ID.
 	id       uint64
 	position int
-	try      tryKind
+	kind     attemptKind
 	owner    string
 	timer    *time.Timer
 
-	result chan askResult
+	result chan acquireResult
 }
 
-type askResult struct {
+// acquireResult is what Acquire returns.
+type acquireResult struct {
 	grant slipwick.Grant
 	err   error
 }
 
-// engine is the hash of the engine asked for.
-func (a *ask) engine() uint64 {
+// engine returns the hash of the ID of the backend server that the current attempt asks for.
+func (a *acquisition) engine() uint64 {
 	return placement.IDHash(a.backend().ID)
 }
 
-func (a *ask) backend() *slipwick.Backend {
-	return &a.pool.Backends[a.order[a.position]]
+// backend returns the backend server that the current attempt asks for.
+func (a *acquisition) backend() *slipwick.Backend {
+	return &a.pool.Backends[a.ranking[a.position]]
 }
 
-// positionOf finds an engine by its hash, or -1.
-func (a *ask) positionOf(engine uint64) int {
-	for position, index := range a.order {
+// positionOf returns the position of the backend server whose ID has the given hash, or -1.
+func (a *acquisition) positionOf(engine uint64) int {
+	for position, index := range a.ranking {
 		if placement.IDHash(a.pool.Backends[index].ID) == engine {
 			return position
 		}
@@ -57,7 +60,8 @@
 	return -1
 }
 
-func (a *ask) stopTimer() {
+// stopTimer stops the timer of the current attempt, if any.
+func (a *acquisition) stopTimer() {
 	if a.timer != nil {
 		a.timer.Stop()
 	}
--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -15,18 +15,23 @@
 
 var _ slipwick.Admission = (*Coordinator)(nil)
 
-// Coordinator is one router's part in admission: it asks owners for slots, and
-// grants, holds and refuses slots of the engines that it owns. Set the exported
-// fields before SetView and Run.
+// Coordinator is one router's part of the fleet's admission control. It asks the owners of backend
+// servers for slots, and grants, queues and refuses requests for slots of the backend servers that
+// it owns itself. In requests and messages, engine is the hash of a backend server's ID. Set the
+// exported fields before the first call of SetView and Run; the methods are safe for concurrent
+// use.
 type Coordinator struct {
-	// Self is the router's ID.
-	Self   string
-	Link   Link
+	// Self is the ID of this router.
+	Self string
+	// Link sends messages to the other routers.
+	Link Link
+	// Policy holds the tuning parameters.
 	Policy Policy
-	// Share gives a workspace's entitlement.
+	// Share returns what a workspace is entitled to. It is called with the coordinator locked and
+	// must not call its methods.
 	Share func(workspace string) Share
-	// OnHealth is told of each ejection and return, and of engines that say
-	// they are leaving. It must not call back.
+	// OnHealth is called when an owned backend server is ejected, is restored, or announces that it
+	// is leaving. It is called with the coordinator locked and must not call its methods.
 	OnHealth func(backend string, health Health)
 
 	mu       sync.Mutex
@@ -34,97 +39,106 @@
 	topology map[string]*topology
 	outbox   outbox
 	lastID   uint64
-	// renewedAt is when slots were renewed last.
+	// renewedAt is the time of the last renewal of the slots held.
 	renewedAt time.Time
 
-	// As the asker.
-	asks  map[uint64]*ask
-	slots map[uint64]*slot
-
-	// As the owner.
-	owned     map[uint64]*owned
-	pools     map[string]*poolLoad
-	memory    *lru.LRU[memoryKey, uint64]
-	handovers map[uint64]*earlyHandover
-	done      chan struct{}
+	// State as a router that asks for slots: calls of Acquire by the request ID of their current
+	// attempt, and slots held by the ID of their grant.
+	acquisitions map[uint64]*acquisition
+	slots        map[uint64]*slot
+
+	// State as an owner: backend servers by the hash of their ID, loads by pool, the backend
+	// servers that served displaced chats, and handovers that arrived before the view that they
+	// belong to.
+	owned          map[uint64]*ownedBackend
+	poolLoads      map[string]*poolLoad
+	displaced      *lru.LRU[displacedKey, uint64]
+	earlyHandovers map[uint64]*earlyHandover
+	done           chan struct{}
 }
 
-// NewCoordinator makes a coordinator of the router.
+// NewCoordinator returns a coordinator for the router with the ID self. It refuses all requests
+// until SetView is called.
 func NewCoordinator(self string, link Link, policy Policy) *Coordinator {
 	c := &Coordinator{
-		Self:      self,
-		Link:      link,
-		Policy:    policy,
-		Share:     func(string) Share { return Share{} },
-		OnHealth:  func(string, Health) {},
-		asks:      make(map[uint64]*ask),
-		slots:     make(map[uint64]*slot),
-		owned:     make(map[uint64]*owned),
-		pools:     make(map[string]*poolLoad),
-		handovers: make(map[uint64]*earlyHandover),
-		// A restarted router must not use an ID of its earlier life.
+		Self:           self,
+		Link:           link,
+		Policy:         policy,
+		Share:          func(string) Share { return Share{} },
+		OnHealth:       func(string, Health) {},
+		acquisitions:   make(map[uint64]*acquisition),
+		slots:          make(map[uint64]*slot),
+		owned:          make(map[uint64]*ownedBackend),
+		poolLoads:      make(map[string]*poolLoad),
+		earlyHandovers: make(map[uint64]*earlyHandover),
+		// IDs start from the current time, so that a restarted router does not reuse IDs from
+		// before the restart.
 		lastID: uint64(time.Now().UnixMicro()),
 		done:   make(chan struct{}),
 	}
-	// The size is positive, the only thing that NewLRU refuses.
-	c.memory, _ = lru.NewLRU[memoryKey, uint64](max(policy.Memory, 1), nil)
+	// NewLRU fails only for a size that is not positive.
+	c.displaced, _ = lru.NewLRU[displacedKey, uint64](max(policy.Memory, 1), nil)
 	return c
 }
 
-// housekeeping is how often leases and reports are looked through.
-const housekeeping = time.Second
+// tickInterval is the interval at which leases and load reports are renewed and expired.
+const tickInterval = time.Second
 
-// Run renews, expires and refreshes until ctx ends.
+// Run renews the slots held, expires leases and repeats load reports. It blocks until ctx ends and
+// must be called once.
 func (c *Coordinator) Run(ctx context.Context) {
 	defer close(c.done)
-	ticker := time.NewTicker(housekeeping)
+	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			c.locked(c.tick)
+			c.withLock(c.tick)
 		}
 	}
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (c *Coordinator) Done() <-chan struct{} {
 	return c.done
 }
 
-// locked runs a step and sends what it has to tell others.
-func (c *Coordinator) locked(step func()) {
+// withLock runs step with the coordinator locked and then sends the messages that step put into the
+// outbox.
+func (c *Coordinator) withLock(step func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	step()
 	c.flush()
 }
 
+// tick does the periodic work of Run.
 func (c *Coordinator) tick() {
 	now := time.Now()
-	c.renew(now)
+	c.renewDue(now)
 	for _, o := range c.owned {
-		c.expire(o, now)
+		c.expireLeases(o, now)
 	}
-	for pool := range c.pools {
+	for pool := range c.poolLoads {
 		c.refresh(pool, now)
 	}
-	for engine, early := range c.handovers {
-		if now.Sub(early.at) > c.Policy.LeaseTime {
-			delete(c.handovers, engine)
+	for engine, early := range c.earlyHandovers {
+		if now.Sub(early.receivedAt) > c.Policy.LeaseTime {
+			delete(c.earlyHandovers, engine)
 		}
 	}
 }
 
-// Receive takes an envelope from another router.
+// Receive handles an envelope from another router. It does not modify the envelope.
 func (c *Coordinator) Receive(from string, envelope *peerpb.Envelope) {
-	c.locked(func() { c.receive(from, envelope) })
+	c.withLock(func() { c.receive(from, envelope) })
 }
 
 func (c *Coordinator) receive(from string, envelope *peerpb.Envelope) {
-	// What is held comes before what is asked for.
+	// Messages about slots that are held or released come before requests for new ones, so that
+	// requests are decided on current counts.
 	for _, handover := range envelope.GetHandovers() {
 		c.onHandover(handover)
 	}
@@ -138,7 +152,7 @@
 		c.onNotice(notice)
 	}
 	for _, placed := range envelope.GetPlaced() {
-		c.remember(placed)
+		c.onPlaced(placed)
 	}
 	for _, load := range envelope.GetLoads() {
 		c.onLoad(from, load)
@@ -154,13 +168,13 @@
 	}
 }
 
-// nextID gives an ID that this router has not used.
+// nextID returns a request ID that this router has not used before.
 func (c *Coordinator) nextID() uint64 {
 	c.lastID++
 	return c.lastID
 }
 
-// Owned lists the IDs of the backend servers that this router owns.
+// Owned returns the IDs of the backend servers that this router owns, sorted.
 func (c *Coordinator) Owned() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,7 +186,7 @@
 	return owned
 }
 
-// InFlight gives how many slots of each owned backend server are held, by ID.
+// InFlight returns, by ID, the number of slots held of each backend server that this router owns.
 func (c *Coordinator) InFlight() map[string]int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/admission/coordinator_test.go
+++ b/admission/coordinator_test.go
@@ -12,16 +12,17 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// nowhere loses all envelopes.
-type nowhere struct{}
+// discardLink drops all envelopes.
+type discardLink struct{}
 
-func (nowhere) Send(string, *peerpb.Envelope) {}
+func (discardLink) Send(string, *peerpb.Envelope) {}
 
-// alone makes a coordinator that owns a pool of two engines.
-func alone(t *testing.T) *Coordinator {
+// newSoleCoordinator returns the coordinator of the only router, which owns a pool of two backend
+// servers.
+func newSoleCoordinator(t *testing.T) *Coordinator {
 	t.Helper()
-	c := NewCoordinator("self", nowhere{}, DefaultPolicy())
-	pool := poolOfSize(2, 1.25, func(int) uint32 { return 1 })
+	c := NewCoordinator("self", discardLink{}, DefaultPolicy())
+	pool := newPool(2, 1.25, func(int) uint32 { return 1 })
 	c.SetView(placement.NewView([]placement.Pool{*pool}, []slipwick.Router{
 		{
 			ID: "self",
@@ -30,21 +31,21 @@
 	return c
 }
 
-// TestWorkspaceLimit has a workspace ask for more than its max_in_flight: it
-// gets that, with the load factor as leeway, and is told why not more.
+// TestWorkspaceLimit has a workspace ask for more slots than its max_in_flight. It must get that
+// many, or slightly more because of the load factor, and refusals for load for the rest.
 func TestWorkspaceLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := alone(t)
+		c := newSoleCoordinator(t)
 		c.Share = func(string) Share {
 			return Share{
 				MaxInFlight: 4,
 			}
 		}
 		var mu sync.Mutex
-		var parts sync.WaitGroup
+		var requests sync.WaitGroup
 		granted, limited := 0, 0
 		for i := range 20 {
-			parts.Go(func() {
+			requests.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 				defer cancel()
 				_, err := c.Acquire(ctx, slipwick.Ask{
@@ -60,12 +61,12 @@
 				case slipwick.IsKind(err, slipwick.KindWorkspaceLimit), slipwick.IsKind(err, slipwick.KindOverloaded):
 					limited++
 				default:
-					t.Errorf("got %v, want a refusal for load", err)
+					t.Errorf("got %v, want a refusal because of load", err)
 				}
 			})
 		}
-		parts.Wait()
-		// 4 slots, times 1.25, over 2 engines, rounded up at each.
+		requests.Wait()
+		// 4 slots, times 1.25, over 2 backend servers, rounded up at each.
 		if granted < 4 || granted > 6 || granted+limited != 20 {
 			t.Errorf("got %d granted and %d refused, want 4 to 6 granted", granted, limited)
 		}
@@ -73,12 +74,12 @@
 	})
 }
 
-// TestUnreachableOwner checks that a router whose owners are silent helps itself
-// to one slot an engine and refuses more, as not run.
+// TestUnreachableOwner checks that a router whose owners do not answer grants itself one slot for
+// each backend server and refuses further requests as not run.
 func TestUnreachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewCoordinator("self", nowhere{}, DefaultPolicy())
-		pool := poolOfSize(2, 1.25, func(int) uint32 { return 1 })
+		c := NewCoordinator("self", discardLink{}, DefaultPolicy())
+		pool := newPool(2, 1.25, func(int) uint32 { return 1 })
 		c.SetView(placement.NewView([]placement.Pool{*pool}, []slipwick.Router{
 			{
 				ID: "silent",
@@ -96,12 +97,12 @@
 			grants = append(grants, grant)
 		}
 		if grants[0].Backend.ID == grants[1].Backend.ID {
-			t.Errorf("got %s twice, want one slot an engine", grants[0].Backend.ID)
+			t.Errorf("got %s twice, want one slot for each backend server", grants[0].Backend.ID)
 		}
 		_, err := c.Acquire(t.Context(), ask)
 		failure, ok := slipwick.AsError(err)
 		if !ok || failure.Outcome != slipwick.OutcomeNotRun || failure.RetryAfter == 0 {
-			t.Errorf("got %v, want a refusal as not run that says when to come back", err)
+			t.Errorf("got %v, want a refusal as not run with a time to retry", err)
 		}
 		c.Release(grants[0], slipwick.EvidenceGood)
 		if _, err := c.Acquire(t.Context(), ask); err != nil {
--- a/admission/doc.go
+++ b/admission/doc.go
@@ -1,4 +1,4 @@
-// Package admission decides which backend server serves a request and when.
-// Each backend server has one owning router, which grants, holds or refuses
-// slots within a limit set from the pool's mean load.
+// Package admission decides which backend server serves a request and when. Each backend server is
+// owned by one router, which grants, queues or refuses requests for its slots within a limit that
+// follows from the mean load of the pool.
 package admission
--- a/admission/errors.go
+++ b/admission/errors.go
@@ -8,6 +8,8 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
+// poolOf returns the pool with the given name, or a *slipwick.Error if there is no view yet or the
+// pool has no usable backend server.
 func poolOf(view *placement.View, name string) (*placement.Pool, error) {
 	if view == nil {
 		return nil, &slipwick.Error{
@@ -25,6 +27,7 @@
 	return pool, nil
 }
 
+// noBackend returns the error for a pool without a usable backend server.
 func noBackend(pool string) error {
 	return &slipwick.Error{
 		Kind:       slipwick.KindNoBackend,
@@ -35,6 +38,7 @@
 	}
 }
 
+// overloaded returns the error for a request that gets no slot because of the load.
 func overloaded(retryAfter time.Duration) error {
 	return &slipwick.Error{
 		Kind:       slipwick.KindOverloaded,
@@ -45,6 +49,7 @@
 	}
 }
 
+// cancelled returns the error for a request whose caller disconnected while it waited for a slot.
 func cancelled(cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindCancelled,
@@ -55,7 +60,7 @@
 	}
 }
 
-// refusal is an owner's refusal as the caller sees it.
+// refusal converts an owner's refusal to an error for the caller.
 func refusal(answer *peerpb.SlotAnswer) error {
 	retryAfter := max(time.Duration(answer.GetRetryAfterMs())*time.Millisecond, time.Second)
 	if !answer.GetWorkspaceLimit() {
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -9,11 +9,13 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
+// hashOf returns the hash that identifies the backend server in messages.
 func hashOf(backend *slipwick.Backend) uint64 {
 	return placement.IDHash(backend.ID)
 }
 
-// onRequest decides on a request for a slot of an owned engine.
+// onRequest decides on a router's request for a slot of an owned backend server: it grants, queues,
+// redirects or refuses it.
 func (c *Coordinator) onRequest(from string, request *peerpb.SlotRequest) {
 	key := leaseKey{
 		router: from,
@@ -26,49 +28,49 @@
 	}
 	switch {
 	case o == nil:
-		c.answer(key, peerpb.Decision_DECISION_NOT_OWNER, 0)
+		c.sendAnswer(key, peerpb.Decision_DECISION_NOT_OWNER, 0)
 		return
 	case granted:
-		// The request came twice.
-		c.answer(key, peerpb.Decision_DECISION_GRANTED, o.engine)
+		// The request is a duplicate.
+		c.sendAnswer(key, peerpb.Decision_DECISION_GRANTED, o.engine)
 		return
-	case o.queue.find(key) >= 0:
+	case o.queue.indexOf(key) >= 0:
 		return
 	}
 	now := time.Now()
 	may := c.mayGrant(o)
-	if may && o.queue.len() == 0 && c.roomFor(o, request.GetWorkspace(), now) {
+	if may && o.queue.len() == 0 && c.hasHeadroom(o, request.GetWorkspace(), now) {
 		c.grant(o, key, request, now)
 		return
 	}
-	if at, ok := c.hint(o, request); ok {
-		c.answer(key, peerpb.Decision_DECISION_MOVE_ON, at)
+	if at, ok := c.redirectTarget(o, request); ok {
+		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, at)
 		return
 	}
 	if rest := o.restUntil.Sub(now); rest > 0 {
-		// Whoever has nowhere else to go is told when to come back.
-		c.giveUp(o, key, request, rest)
+		// On its last attempt the request is refused with the time after which to try again.
+		c.decline(o, key, request, rest)
 		return
 	}
 	if !may {
-		c.answer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
+		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
 		return
 	}
 	c.enqueue(o, key, request, now)
 }
 
-// hint gives the engine that served a chat when this one, its first choice, was
-// full before: the chat may have its prefix cached there.
-func (c *Coordinator) hint(o *owned, request *peerpb.SlotRequest) (engine uint64, ok bool) {
+// redirectTarget returns the backend server that served the chat when this one, its first choice,
+// was full: the chat's prefix may be cached there.
+func (c *Coordinator) redirectTarget(o *ownedBackend, request *peerpb.SlotRequest) (engine uint64, ok bool) {
 	if request.GetTry() != peerpb.Try_TRY_HOME {
 		return 0, false
 	}
-	return c.recall(o.engine, request.GetChat())
+	return c.displacedTo(o.engine, request.GetChat())
 }
 
-// mayGrant tells whether the engine gets new work at all. An ejected one does
-// when the view counts it as usable, because no other is left.
-func (c *Coordinator) mayGrant(o *owned) bool {
+// mayGrant reports whether the backend server may get new requests at all. An ejected one may only
+// if it is the last usable one of the pool in the current view.
+func (c *Coordinator) mayGrant(o *ownedBackend) bool {
 	if time.Now().Before(o.restUntil) {
 		return false
 	}
@@ -83,23 +85,25 @@
 	}
 }
 
-// roomFor tells whether a slot may be granted to the workspace now.
-func (c *Coordinator) roomFor(o *owned, workspace string, now time.Time) bool {
-	return o.room(c.bound(o), now) > 0 && !c.atWorkspaceLimit(o, workspace)
+// hasHeadroom reports whether a slot may be granted to the workspace now.
+func (c *Coordinator) hasHeadroom(o *ownedBackend, workspace string, now time.Time) bool {
+	return o.headroom(c.slotLimit(o), now) > 0 && !c.atWorkspaceLimit(o, workspace)
 }
 
-// bound is the most slots that the engine may have now.
-func (c *Coordinator) bound(o *owned) int {
+// slotLimit returns the current limit on the slots of the backend server, before health and
+// takeover reduce it.
+func (c *Coordinator) slotLimit(o *ownedBackend) int {
 	place, ok := c.view.Place(o.engine)
 	if !ok {
 		return 0
 	}
-	return limit(place.Pool, o.backend, c.total(o.pool), c.Policy.Margin)
+	return limit(place.Pool, o.backend, c.estimateTotal(o.pool), c.Policy.Margin)
 }
 
-// atWorkspaceLimit keeps a workspace to its engine's part of max_in_flight,
-// with the load factor as leeway, as chats do not spread evenly.
-func (c *Coordinator) atWorkspaceLimit(o *owned, workspace string) bool {
+// atWorkspaceLimit reports whether the workspace has used up its max_in_flight at the backend
+// server. Each backend server enforces its share by weight of the workspace's limit, times the load
+// factor, because chats do not spread evenly.
+func (c *Coordinator) atWorkspaceLimit(o *ownedBackend, workspace string) bool {
 	share := c.Share(workspace)
 	if share.MaxInFlight == 0 {
 		return false
@@ -113,54 +117,58 @@
 	return o.byWorkspace[workspace] >= int(most)
 }
 
-func (c *Coordinator) grant(o *owned, key leaseKey, request *peerpb.SlotRequest, now time.Time) {
+// grant grants a slot and answers the request.
+func (c *Coordinator) grant(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, now time.Time) {
 	o.add(key, request.GetWorkspace(), now.Add(c.Policy.LeaseTime), now.Before(o.windowEnd))
-	c.answer(key, peerpb.Decision_DECISION_GRANTED, o.engine)
-	c.changed(o.pool)
+	c.sendAnswer(key, peerpb.Decision_DECISION_GRANTED, o.engine)
+	c.scheduleReport(o.pool)
 }
 
-// enqueue holds a request, or says at once that it can't be served in time.
-func (c *Coordinator) enqueue(o *owned, key leaseKey, request *peerpb.SlotRequest, now time.Time) {
+// enqueue queues a request, or declines it at once if it is not expected to be served in time. If
+// the queue is full, it evicts another request or declines this one.
+func (c *Coordinator) enqueue(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, now time.Time) {
 	wait := time.Duration(request.GetWaitMs()) * time.Millisecond
 	last := request.GetTry() == peerpb.Try_TRY_LAST
 	expected := o.expectedWait(now)
 	if wait <= 0 || (last && expected > wait) {
-		c.giveUp(o, key, request, expected)
+		c.decline(o, key, request, expected)
 		return
 	}
 	if o.queue.len() >= c.Policy.QueueLimit {
-		victim := o.queue.victim(request.GetWorkspace(), int(request.GetPriority()), c.weight)
+		victim := o.queue.evictionIndex(request.GetWorkspace(), int(request.GetPriority()), c.workspaceWeight)
 		if victim < 0 {
-			c.giveUp(o, key, request, expected)
+			c.decline(o, key, request, expected)
 			return
 		}
-		evicted := o.queue.take(victim, false)
-		c.giveUp(o, evicted.key, evicted.request, expected)
+		evicted := o.queue.remove(victim, false)
+		c.decline(o, evicted.key, evicted.request, expected)
 	}
-	w := &waiting{
+	w := &queuedRequest{
 		key:      key,
 		request:  request,
 		priority: int(request.GetPriority()),
-		until:    now.Add(wait),
+		deadline: now.Add(wait),
 	}
-	o.queue.push(w, c.weight(request.GetWorkspace()))
-	c.answer(key, peerpb.Decision_DECISION_HELD, 0)
-	time.AfterFunc(wait, func() { c.locked(func() { c.timeUp(o, w) }) })
-	c.changed(o.pool)
-	c.pump(o)
+	o.queue.push(w, c.workspaceWeight(request.GetWorkspace()))
+	c.sendAnswer(key, peerpb.Decision_DECISION_HELD, 0)
+	time.AfterFunc(wait, func() { c.withLock(func() { c.expireQueued(o, w) }) })
+	c.scheduleReport(o.pool)
+	c.grantQueued(o)
 }
 
-func (c *Coordinator) weight(workspace string) uint32 {
+// workspaceWeight returns the weight of the workspace in the queue.
+func (c *Coordinator) workspaceWeight(workspace string) uint32 {
 	return c.Share(workspace).Weight
 }
 
-// giveUp sends a request that is not held on, or refuses it on its last try.
-func (c *Coordinator) giveUp(o *owned, key leaseKey, request *peerpb.SlotRequest, expected time.Duration) {
+// decline answers a request that is not queued, or no longer: its router is told to try elsewhere
+// or, on the last attempt, the request is refused.
+func (c *Coordinator) decline(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, expected time.Duration) {
 	if request.GetTry() != peerpb.Try_TRY_LAST {
-		c.answer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
+		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
 		return
 	}
-	envelope := c.outbox.to(key.router)
+	envelope := c.outbox.envelopeFor(key.router)
 	envelope.Answers = append(envelope.Answers, &peerpb.SlotAnswer{
 		Id:             key.id,
 		Decision:       peerpb.Decision_DECISION_REFUSED,
@@ -169,43 +177,44 @@
 	})
 }
 
-// maxRetryAfter bounds what a refused caller is told to wait.
+// maxRetryAfter limits the waiting time that a refused caller is told.
 const maxRetryAfter = time.Minute
 
-// timeUp ends the wait of a held request.
-func (c *Coordinator) timeUp(o *owned, w *waiting) {
-	index := o.queue.find(w.key)
-	if index < 0 || o.queue.held[index] != w {
+// expireQueued declines a queued request whose time is over, if it is still queued.
+func (c *Coordinator) expireQueued(o *ownedBackend, w *queuedRequest) {
+	index := o.queue.indexOf(w.key)
+	if index < 0 || o.queue.requests[index] != w {
 		return
 	}
-	o.queue.take(index, false)
-	c.giveUp(o, w.key, w.request, o.expectedWait(time.Now()))
+	o.queue.remove(index, false)
+	c.decline(o, w.key, w.request, o.expectedWait(time.Now()))
 }
 
-// pump grants what the bound allows to the requests held, fairest first.
-func (c *Coordinator) pump(o *owned) {
+// grantQueued grants slots to queued requests, in the queue's order, as far as the limit allows.
+func (c *Coordinator) grantQueued(o *ownedBackend) {
 	now := time.Now()
-	for o.queue.len() > 0 && c.mayGrant(o) && o.room(c.bound(o), now) > 0 {
-		index := o.queue.best(func(w *waiting) bool {
+	for o.queue.len() > 0 && c.mayGrant(o) && o.headroom(c.slotLimit(o), now) > 0 {
+		index := o.queue.next(func(w *queuedRequest) bool {
 			return !c.atWorkspaceLimit(o, w.request.GetWorkspace())
 		})
 		if index < 0 {
 			return
 		}
-		w := o.queue.take(index, true)
+		w := o.queue.remove(index, true)
 		c.grant(o, w.key, w.request, now)
 	}
 }
 
-// clearQueue sends all held requests elsewhere.
-func (c *Coordinator) clearQueue(o *owned, decision peerpb.Decision) {
+// flushQueue empties the queue and answers all requests with the decision.
+func (c *Coordinator) flushQueue(o *ownedBackend, decision peerpb.Decision) {
 	for o.queue.len() > 0 {
-		c.answer(o.queue.take(0, false).key, decision, 0)
+		c.sendAnswer(o.queue.remove(0, false).key, decision, 0)
 	}
 }
 
-func (c *Coordinator) answer(key leaseKey, decision peerpb.Decision, engine uint64) {
-	envelope := c.outbox.to(key.router)
+// sendAnswer answers a request. The engine is zero if the decision names no backend server.
+func (c *Coordinator) sendAnswer(key leaseKey, decision peerpb.Decision, engine uint64) {
+	envelope := c.outbox.envelopeFor(key.router)
 	envelope.Answers = append(envelope.Answers, &peerpb.SlotAnswer{
 		Id:       key.id,
 		Decision: decision,
@@ -213,7 +222,7 @@
 	})
 }
 
-// onRelease takes a slot, or a place in the queue, back.
+// onRelease handles the release of a slot, or of a place in the queue.
 func (c *Coordinator) onRelease(from string, release *peerpb.SlotRelease) {
 	o := c.owned[release.GetEngine()]
 	if o == nil {
@@ -223,25 +232,25 @@
 		router: from,
 		id:     release.GetId(),
 	}
-	if index := o.queue.find(key); index >= 0 {
-		o.queue.take(index, false)
+	if index := o.queue.indexOf(key); index >= 0 {
+		o.queue.remove(index, false)
 	}
 	if !o.remove(key) {
 		return
 	}
-	o.pace.release(time.Now())
-	c.observe(o, slipwick.Evidence(release.GetEvidence()))
-	c.changed(o.pool)
-	c.pump(o)
+	o.releases.record(time.Now())
+	c.recordEvidence(o, slipwick.Evidence(release.GetEvidence()))
+	c.scheduleReport(o.pool)
+	c.grantQueued(o)
 }
 
-// expire drops leases that nobody renewed.
-func (c *Coordinator) expire(o *owned, now time.Time) {
+// expireLeases removes the leases that were not renewed in time.
+func (c *Coordinator) expireLeases(o *ownedBackend, now time.Time) {
 	for key, l := range o.leases {
 		if now.After(l.expires) {
 			o.remove(key)
-			c.changed(o.pool)
+			c.scheduleReport(o.pool)
 		}
 	}
-	c.pump(o)
+	c.grantQueued(o)
 }
--- a/admission/handover.go
+++ b/admission/handover.go
@@ -6,18 +6,17 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// maxHandedChats bounds the chats that a handover names.
-const maxHandedChats = 512
+// maxHandoverChats limits the number of displaced chats in a handover.
+const maxHandoverChats = 512
 
-// earlyHandover is one that arrived before this router knew that it owns the
-// engine.
+// earlyHandover is a handover that arrived before the view that makes this router the owner.
 type earlyHandover struct {
-	message *peerpb.Handover
-	at      time.Time
+	message    *peerpb.Handover
+	receivedAt time.Time
 }
 
-// handOver passes an engine's slots and displaced chats to its next owner.
-func (c *Coordinator) handOver(o *owned, owner string) {
+// handOver sends the leases and displaced chats of a backend server to its new owner.
+func (c *Coordinator) handOver(o *ownedBackend, owner string) {
 	message := &peerpb.Handover{
 		Engine: o.engine,
 	}
@@ -28,28 +27,28 @@
 			Router:    key.router,
 		})
 	}
-	for _, key := range c.memory.Keys() {
-		if key.engine != o.engine || len(message.GetPlaced()) == maxHandedChats {
+	for _, key := range c.displaced.Keys() {
+		if key.engine != o.engine || len(message.GetPlaced()) == maxHandoverChats {
 			continue
 		}
-		at, _ := c.memory.Peek(key)
+		at, _ := c.displaced.Peek(key)
 		message.Placed = append(message.Placed, &peerpb.ChatPlaced{
 			Chat: key.chat,
 			At:   at,
 		})
 	}
-	envelope := c.outbox.to(owner)
+	envelope := c.outbox.envelopeFor(owner)
 	envelope.Handovers = append(envelope.Handovers, message)
 }
 
-// onHandover takes over an engine's slots from its former owner, which has
-// stopped granting: no window is needed.
+// onHandover takes over the leases of a backend server from its previous owner. That one no longer
+// grants slots, so the takeover window ends.
 func (c *Coordinator) onHandover(message *peerpb.Handover) {
 	o := c.owned[message.GetEngine()]
 	if o == nil {
-		c.handovers[message.GetEngine()] = &earlyHandover{
-			message: message,
-			at:      time.Now(),
+		c.earlyHandovers[message.GetEngine()] = &earlyHandover{
+			message:    message,
+			receivedAt: time.Now(),
 		}
 		return
 	}
@@ -62,11 +61,11 @@
 		}, s.GetWorkspace(), expires, false)
 	}
 	for _, placed := range message.GetPlaced() {
-		c.memory.Add(memoryKey{
+		c.displaced.Add(displacedKey{
 			engine: o.engine,
 			chat:   placed.GetChat(),
 		}, placed.GetAt())
 	}
-	c.changed(o.pool)
-	c.pump(o)
+	c.scheduleReport(o.pool)
+	c.grantQueued(o)
 }
--- a/admission/health.go
+++ b/admission/health.go
@@ -6,72 +6,80 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Health is what an owner found out about an engine.
+// Health is an owner's assessment of a backend server.
 type Health int
 
-// The states of health.
+// The states of a backend server's health.
 const (
+	// HealthGood means that the backend server may get new requests.
 	HealthGood Health = iota
-	// HealthEjected is out for its errors for a while.
+	// HealthEjected means that it gets no new requests for a limited time, after errors or at its
+	// own request.
 	HealthEjected
-	// HealthLeaving said that it takes no new work.
+	// HealthLeaving means that it announced that it takes no new requests.
 	HealthLeaving
 )
 
-// minReturn is the share of the limit with which an engine returns.
-const minReturn = 0.1
+// minRampShare is the share of its limit with which a restored backend server starts.
+const minRampShare = 0.1
 
-// health gathers evidence on one engine.
+// health tracks the evidence on one backend server.
 type health struct {
 	state Health
-	// bad counts requests in a row that speak against the engine.
-	bad int
-	// ejections counts those without a lasting return in between.
+	// consecutiveBad counts the requests in a row that failed because of the backend server.
+	consecutiveBad int
+	// ejections counts the ejections since the backend server was last healthy for longer than
+	// rampUp.
 	ejections int
-	// until ends an ejection; returned is when the last one ended.
-	until, returned time.Time
-	slowReturn      time.Duration
+	// ejectedUntil is the end of the current ejection, and restoredAt the time of the last
+	// restoration.
+	ejectedUntil, restoredAt time.Time
+	// rampUp is the time in which the limit rises to its full value after restoredAt.
+	rampUp time.Duration
 }
 
-// observe counts evidence; true says that the engine should be ejected.
-func (h *health) observe(evidence slipwick.Evidence, after int, now time.Time) bool {
+// recordEvidence counts the evidence and reports whether the backend server should be ejected: it
+// should after threshold failures in a row, unless it is out already.
+func (h *health) recordEvidence(evidence slipwick.Evidence, threshold int, now time.Time) bool {
 	switch {
 	case evidence == slipwick.EvidenceGood:
-		h.bad = 0
-		if h.ejections > 0 && now.Sub(h.returned) > h.slowReturn {
+		h.consecutiveBad = 0
+		if h.ejections > 0 && now.Sub(h.restoredAt) > h.rampUp {
 			h.ejections = 0
 		}
 	case evidence.Bad():
-		h.bad++
+		h.consecutiveBad++
 	}
-	return h.state == HealthGood && h.bad >= after
+	return h.state == HealthGood && h.consecutiveBad >= threshold
 }
 
-// eject takes the engine out and gives for how long.
+// eject marks the backend server as ejected and returns the duration, which doubles with each
+// ejection in succession.
 func (h *health) eject(policy *Policy, now time.Time) time.Duration {
 	length := policy.EjectFor
 	for range h.ejections {
 		length = min(2*length, policy.EjectMax)
 	}
-	h.state, h.bad = HealthEjected, 0
+	h.state, h.consecutiveBad = HealthEjected, 0
 	h.ejections++
-	h.until = now.Add(length)
+	h.ejectedUntil = now.Add(length)
 	return length
 }
 
-// restore lets an ejected engine return slowly.
-func (h *health) restore(slowReturn time.Duration, now time.Time) {
-	h.state, h.returned, h.slowReturn = HealthGood, now, slowReturn
+// restore marks the backend server as healthy, with a limit that rises to its full value within
+// rampUp.
+func (h *health) restore(rampUp time.Duration, now time.Time) {
+	h.state, h.restoredAt, h.rampUp = HealthGood, now, rampUp
 }
 
-// scale lowers the bound while the engine returns.
-func (h *health) scale(bound int, now time.Time) int {
-	if h.returned.IsZero() || h.slowReturn == 0 {
+// rampedLimit returns the limit, reduced during the ramp-up after a restoration.
+func (h *health) rampedLimit(bound int, now time.Time) int {
+	if h.restoredAt.IsZero() || h.rampUp == 0 {
 		return bound
 	}
-	progress := float64(now.Sub(h.returned)) / float64(h.slowReturn)
+	progress := float64(now.Sub(h.restoredAt)) / float64(h.rampUp)
 	if progress >= 1 {
 		return bound
 	}
-	return max(1, int(float64(bound)*max(minReturn, progress)))
+	return max(1, int(float64(bound)*max(minRampShare, progress)))
 }
--- a/admission/hub.go
+++ b/admission/hub.go
@@ -7,7 +7,7 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// onLoad takes a report of a member or of another hub.
+// onLoad handles a load report from a member of this hub's group or from another hub.
 func (c *Coordinator) onLoad(from string, message *peerpb.PoolLoad) {
 	pool := message.GetPool()
 	load, t, now := c.poolLoad(pool), c.topology[pool], time.Now()
@@ -30,53 +30,53 @@
 	case message.GetPressed():
 		load.pressedAt = now
 	}
-	c.changed(pool)
-	c.pumpPool(pool)
+	c.scheduleReport(pool)
+	c.grantQueuedInPool(pool)
 }
 
-// passOn tells the group the pool's total, and the other hubs what is new of
-// this group, or all of it.
-func (c *Coordinator) passOn(pool string, load *poolLoad, all bool) {
-	load.passing = nil
+// broadcastLoad sends the pool's total to the members of the group, and the loads of the group's
+// backend servers to the other hubs: those that changed or, if full, all of them.
+func (c *Coordinator) broadcastLoad(pool string, load *poolLoad, full bool) {
+	load.broadcastTimer = nil
 	if !c.isHub(pool) {
 		return
 	}
 	t, now := c.topology[pool], time.Now()
-	load.passedOn, load.passedOnAt = c.known(pool), now
-	load.trend.note(load.passedOn, now)
-	if all {
-		load.refreshedAt = now
+	load.broadcastTotal, load.broadcastAt = c.knownTotal(pool), now
+	load.trend.update(load.broadcastTotal, now)
+	if full {
+		load.fullBroadcastAt = now
 	}
 	for _, member := range t.members {
-		envelope := c.outbox.to(member)
+		envelope := c.outbox.envelopeFor(member)
 		envelope.Totals = append(envelope.Totals, &peerpb.PoolTotal{
 			Pool:     pool,
-			InFlight: uint32(load.passedOn),
-			Pressed:  c.pressed(pool, load, now),
+			InFlight: uint32(load.broadcastTotal),
+			Pressed:  c.isPressed(pool, load, now),
 		})
 	}
 	group := c.groupLoad(pool, load)
-	if len(t.hubs) < 2 || (!all && !c.worthReporting(group, load.forwarded, c.pressed(pool, load, now))) {
+	if len(t.hubs) < 2 || (!full && !c.isSignificant(group, load.forwardedLoad, c.isPressed(pool, load, now))) {
 		return
 	}
-	load.forwarded = group
+	load.forwardedLoad = group
 	message := &peerpb.PoolLoad{
 		Pool:    pool,
-		Engines: c.groupLoads(pool, load, now, all),
-		Pressed: c.holds(pool) || now.Sub(load.groupPressedAt) < c.Policy.ReportGap || c.falling(load),
+		Engines: c.groupReports(pool, load, now, full),
+		Pressed: c.hasQueuePressure(pool) || now.Sub(load.groupPressedAt) < c.Policy.ReportGap || c.isFallingFast(load),
 	}
 	if len(message.GetEngines()) == 0 {
 		return
 	}
 	for _, hub := range t.hubs {
 		if hub != c.Self {
-			envelope := c.outbox.to(hub)
+			envelope := c.outbox.envelopeFor(hub)
 			envelope.Loads = append(envelope.Loads, message)
 		}
 	}
 }
 
-// groupLoad counts the slots of the group's engines.
+// groupLoad returns the number of slots held of the group's backend servers.
 func (c *Coordinator) groupLoad(pool string, load *poolLoad) int {
 	sum := c.ownLoad(pool)
 	for engine, l := range load.engines {
@@ -87,17 +87,17 @@
 	return sum
 }
 
-// groupLoads lists the loads of the group's engines that the other hubs were
-// not told, or all of them.
-func (c *Coordinator) groupLoads(pool string, load *poolLoad, now time.Time, all bool) []*peerpb.EngineLoad {
+// groupReports returns the loads of the group's backend servers that changed since they were last
+// sent to the other hubs or, if full, all of them.
+func (c *Coordinator) groupReports(pool string, load *poolLoad, now time.Time, full bool) []*peerpb.EngineLoad {
 	var loads []*peerpb.EngineLoad
 	for _, o := range c.owned {
-		if o.pool == pool && (all || o.reported != len(o.leases)) {
-			loads = append(loads, o.load(now))
+		if o.pool == pool && (full || o.reported != len(o.leases)) {
+			loads = append(loads, o.loadReport(now))
 		}
 	}
 	for engine, l := range load.engines {
-		if !l.direct || c.owned[engine] != nil || (l.forwarded && !all) {
+		if !l.direct || c.owned[engine] != nil || (l.forwarded && !full) {
 			continue
 		}
 		l.forwarded = true
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -7,13 +7,13 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// limit is the most requests that the backend server may have in flight after
-// the next grant, when the pool has total in flight before it. With its share
-// by weight of total+1, it is the share times the pool's factor rounded,
-// but at least the share rounded up, as otherwise a pool with few requests
-// could be stuck with none below its limit; and never above its slots. So at
-// most one request's rounding lies above the exact multiple. The margin lowers
-// the multiple, as the total is an estimate that may be too high.
+// limit returns the number of requests that the backend server may have in flight after the next
+// grant, given the total in flight in the pool before it. The backend server's even share is its
+// part, by weight, of total+1. The limit is the even share times the pool's load factor, rounded to
+// the nearest integer, but at least the even share rounded up: otherwise all backend servers of a
+// pool with few requests could be at their limit. Rounding therefore exceeds the exact multiple by
+// at most one request. The limit never exceeds the backend server's slots. The margin is the
+// fraction by which the load factor is lowered, as the total is an estimate that may be too high.
 func limit(pool *placement.Pool, backend slipwick.Backend, total, margin float64) int {
 	share := float64(backend.EffectiveWeight()) / pool.Weight()
 	even := (total + 1) * share
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -12,7 +12,8 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-func poolOfSize(count int, factor float64, weight func(int) uint32) *placement.Pool {
+// newPool returns a pool of usable backend servers with the given weights.
+func newPool(count int, factor float64, weight func(int) uint32) *placement.Pool {
 	pool := placement.Pool{
 		Name:          "p",
 		MaxLoadFactor: factor,
@@ -28,15 +29,16 @@
 	return placement.NewView([]placement.Pool{pool}, nil).Pools["p"]
 }
 
-// TestLimitHoldsAndNeverSticks grants a pool full, always to the engine that
-// the draw names if it has room, and checks at each grant that the limit is
-// kept up to one request and that some engine has room.
-func TestLimitHoldsAndNeverSticks(t *testing.T) {
+// TestLimitHoldsAndLeavesRoom fills a pool one request at a time, each at the drawn backend server
+// or else the next one below its limit. At each step some backend server must be below its limit,
+// so that requests cannot get stuck, and the load must not exceed the exact limit by more than one
+// request.
+func TestLimitHoldsAndLeavesRoom(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 30).Draw(t, "engines")
 		factor := rapid.Float64Range(1, 3).Draw(t, "factor")
 		weights := rapid.SliceOfN(rapid.Uint32Range(1, 4), count, count).Draw(t, "weights")
-		pool := poolOfSize(count, factor, func(i int) uint32 { return weights[i] })
+		pool := newPool(count, factor, func(i int) uint32 { return weights[i] })
 		loads := make([]int, count)
 		for total := range rapid.IntRange(1, 300).Draw(t, "requests") {
 			at := rapid.IntRange(0, count-1).Draw(t, "engine")
@@ -48,7 +50,7 @@
 					break
 				}
 				if i == count-1 {
-					t.Fatalf("no engine has room with %d in flight: %v", total, loads)
+					t.Fatalf("no engine is below its limit with %d in flight: %v", total, loads)
 				}
 			}
 			for i, load := range loads {
@@ -61,11 +63,11 @@
 	})
 }
 
-func TestQueueServesPrioritiesThenShares(t *testing.T) {
+func TestQueueServesByPriorityThenShare(t *testing.T) {
 	var q queue
 	weights := map[string]uint32{"a": 1, "b": 3}
 	push := func(id uint64, workspace string, priority int) {
-		q.push(heldRequest(id, workspace, priority), weights[workspace])
+		q.push(newQueuedRequest(id, workspace, priority), weights[workspace])
 	}
 	for i := range 8 {
 		push(uint64(i), "a", 0)
@@ -76,7 +78,7 @@
 	push(200, "a", 5)
 	var got []string
 	for q.len() > 0 {
-		w := q.take(q.best(func(*waiting) bool { return true }), true)
+		w := q.remove(q.next(func(*queuedRequest) bool { return true }), true)
 		got = append(got, fmt.Sprintf("%s%d", w.request.GetWorkspace(), w.priority))
 	}
 	served := 0
@@ -86,30 +88,30 @@
 		}
 	}
 	if got[0] != "a5" || served != 6 {
-		t.Errorf("got order %v, want a5 first and the 6 of b among the next 8", got)
+		t.Errorf("got order %v, want a5 first and the 6 requests of b among the next 8", got)
 	}
 }
 
-func TestQueueVictimIsTheSurging(t *testing.T) {
+func TestQueueEvictsFromSurgingWorkspace(t *testing.T) {
 	var q queue
 	weight := func(string) uint32 { return 1 }
 	for i := range 6 {
-		q.push(heldRequest(uint64(i), "surging", 0), 1)
+		q.push(newQueuedRequest(uint64(i), "surging", 0), 1)
 	}
-	q.push(heldRequest(10, "small", 0), 1)
-	if got := q.victim("small", 0, weight); got != 5 {
-		t.Errorf("got victim %d, want the newest of the surging workspace, 5", got)
+	q.push(newQueuedRequest(10, "small", 0), 1)
+	if got := q.evictionIndex("small", 0, weight); got != 5 {
+		t.Errorf("got request %d to evict, want 5, the newest of the surging workspace", got)
 	}
-	if got := q.victim("surging", 0, weight); got != -1 {
-		t.Errorf("got victim %d, want the newcomer", got)
+	if got := q.evictionIndex("surging", 0, weight); got != -1 {
+		t.Errorf("got request %d to evict, want -1 for the arriving one", got)
 	}
-	if got := q.victim("surging", 3, weight); got != 5 {
-		t.Errorf("got victim %d for a higher priority, want 5", got)
+	if got := q.evictionIndex("surging", 3, weight); got != 5 {
+		t.Errorf("got request %d to evict for a higher priority, want 5", got)
 	}
 }
 
-func heldRequest(id uint64, workspace string, priority int) *waiting {
-	return &waiting{
+func newQueuedRequest(id uint64, workspace string, priority int) *queuedRequest {
+	return &queuedRequest{
 		key: leaseKey{
 			router: "r",
 			id:     id,
@@ -119,11 +121,11 @@
 	}
 }
 
-// TestGrantDoesNotAllocate covers the decision; messages are encoded elsewhere.
+// TestGrantDoesNotAllocate covers the decision and the lease, not the encoding of messages.
 func TestGrantDoesNotAllocate(t *testing.T) {
 	o, key := grantFixture()
 	now := time.Now()
-	got := testing.AllocsPerRun(100, func() { decide(o, key, now) })
+	got := testing.AllocsPerRun(100, func() { grantAndRemove(o, key, now) })
 	if got != 0 {
 		t.Errorf("got %v allocations, want 0", got)
 	}
@@ -134,20 +136,20 @@
 	now := time.Now()
 	b.ReportAllocs()
 	for b.Loop() {
-		decide(o, key, now)
+		grantAndRemove(o, key, now)
 	}
 }
 
-func decide(o *owned, key leaseKey, now time.Time) {
-	if o.room(50, now) > 0 {
+func grantAndRemove(o *ownedBackend, key leaseKey, now time.Time) {
+	if o.headroom(50, now) > 0 {
 		o.add(key, "w", now.Add(time.Second), false)
 	}
 	o.remove(key)
 }
 
-func grantFixture() (*owned, leaseKey) {
-	pool := poolOfSize(93, 1.25, func(int) uint32 { return 1 })
-	o := newOwned(1, placement.Place{
+func grantFixture() (*ownedBackend, leaseKey) {
+	pool := newPool(93, 1.25, func(int) uint32 { return 1 })
+	o := newOwnedBackend(1, placement.Place{
 		Pool:  pool,
 		Index: 0,
 	})
--- a/admission/link.go
+++ b/admission/link.go
@@ -2,8 +2,8 @@
 
 import "github.com/slipwick/slipwick/peer/peerpb"
 
-// Link carries envelopes to other routers. Send does not block and may lose
-// what it is given; the receiver does not change it.
+// Link sends envelopes to other routers. Send must not block. It may lose envelopes, and receivers
+// must not modify them.
 type Link interface {
 	Send(router string, envelope *peerpb.Envelope)
 }
--- a/admission/local.go
+++ b/admission/local.go
@@ -13,36 +13,40 @@
 
 var _ slipwick.Admission = (*Local)(nil)
 
-// Local admits requests by one router's own counts alone. It needs no other
-// router and bounds nothing beyond itself: the measurements' baseline.
+// Local is an Admission that counts the requests of this router alone and exchanges nothing with
+// other routers. It serves as the baseline of measurements. It is safe for concurrent use.
 type Local struct {
-	// Bounded keeps to the load limit by this router's own counts; without
-	// it the hash alone decides.
+	// Bounded enforces the load limit, by this router's own counts. Without it a backend server is
+	// limited by its slots alone. Set it before the first call of Acquire.
 	Bounded bool
 
-	view     atomic.Pointer[placement.View]
-	mu       sync.Mutex
-	last     uint64
-	inFlight map[string]int
-	totals   map[string]int
-	pools    map[uint64]string
+	view atomic.Pointer[placement.View]
+	mu   sync.Mutex
+	// lastID is the ID of the latest grant.
+	lastID uint64
+	// inFlight counts the slots held by backend server, totals by pool. grantPools holds the pool
+	// of each grant.
+	inFlight   map[string]int
+	totals     map[string]int
+	grantPools map[uint64]string
 }
 
-// NewLocal makes a Local without a view.
+// NewLocal returns a Local, which refuses all requests until SetView is called.
 func NewLocal() *Local {
 	return &Local{
-		inFlight: make(map[string]int),
-		totals:   make(map[string]int),
-		pools:    make(map[uint64]string),
+		inFlight:   make(map[string]int),
+		totals:     make(map[string]int),
+		grantPools: make(map[uint64]string),
 	}
 }
 
-// SetView puts a newer view in force.
+// SetView replaces the view.
 func (l *Local) SetView(view *placement.View) {
 	l.view.Store(view)
 }
 
-// Acquire grants a slot at the best backend server that has one.
+// Acquire grants a slot at the first backend server of the chat's ranking that has room, or fails
+// if none has. It does not wait.
 func (l *Local) Acquire(_ context.Context, ask slipwick.Ask) (slipwick.Grant, error) {
 	pool, err := poolOf(l.view.Load(), ask.Pool)
 	if err != nil {
@@ -55,18 +59,19 @@
 		if slices.Contains(ask.Avoid, backend.ID) || !l.hasRoom(pool, backend) {
 			continue
 		}
-		l.last++
+		l.lastID++
 		l.inFlight[backend.ID]++
 		l.totals[ask.Pool]++
-		l.pools[l.last] = ask.Pool
+		l.grantPools[l.lastID] = ask.Pool
 		return slipwick.Grant{
-			ID:      l.last,
+			ID:      l.lastID,
 			Backend: backend,
 		}, nil
 	}
 	return slipwick.Grant{}, overloaded(time.Second)
 }
 
+// hasRoom reports whether the backend server is below its limit.
 func (l *Local) hasRoom(pool *placement.Pool, backend slipwick.Backend) bool {
 	count := l.inFlight[backend.ID]
 	if !l.Bounded {
@@ -75,11 +80,11 @@
 	return count < limit(pool, backend, float64(l.totals[pool.Name]), 0)
 }
 
-// Release gives the slot back.
+// Release returns the slot; the evidence is ignored.
 func (l *Local) Release(grant slipwick.Grant, _ slipwick.Evidence) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.inFlight[grant.Backend.ID]--
-	l.totals[l.pools[grant.ID]]--
-	delete(l.pools, grant.ID)
+	l.totals[l.grantPools[grant.ID]]--
+	delete(l.grantPools, grant.ID)
 }
--- a/admission/memory.go
+++ b/admission/memory.go
@@ -2,38 +2,40 @@
 
 import "github.com/slipwick/slipwick/peer/peerpb"
 
-// memoryKey is a chat at its first choice.
-type memoryKey struct {
+// displacedKey identifies a chat at its first choice.
+type displacedKey struct {
 	engine, chat uint64
 }
 
-// remember keeps where a chat went that its first choice did not serve.
-func (c *Coordinator) remember(placed *peerpb.ChatPlaced) {
+// onPlaced records which backend server serves a chat whose first choice, owned by this router, did
+// not.
+func (c *Coordinator) onPlaced(placed *peerpb.ChatPlaced) {
 	if c.owned[placed.GetEngine()] == nil {
 		return
 	}
-	c.memory.Add(memoryKey{
+	c.displaced.Add(displacedKey{
 		engine: placed.GetEngine(),
 		chat:   placed.GetChat(),
 	}, placed.GetAt())
 }
 
-// sendPlaced tells the owner of the chat's first choice where the chat went.
-func (c *Coordinator) sendPlaced(a *ask) {
-	home := a.pool.Backends[a.order[0]]
+// sendPlaced tells the owner of the chat's first choice which backend server serves the chat
+// instead.
+func (c *Coordinator) sendPlaced(a *acquisition) {
+	firstChoice := a.pool.Backends[a.ranking[0]]
 	placed := &peerpb.ChatPlaced{
-		Engine: hashOf(&home),
+		Engine: hashOf(&firstChoice),
 		Chat:   a.request.Chat,
 		At:     a.engine(),
 	}
-	envelope := c.outbox.to(c.ownerOf(placed.Engine))
+	envelope := c.outbox.envelopeFor(c.ownerOf(placed.Engine))
 	envelope.Placed = append(envelope.Placed, placed)
 }
 
-// recall gives the engine that served a chat last, if it is another one that
-// may still get work.
-func (c *Coordinator) recall(engine, chat uint64) (at uint64, ok bool) {
-	at, ok = c.memory.Get(memoryKey{
+// displacedTo returns the backend server that last served the chat instead of its first choice. ok
+// is false if there is none or if it is not usable in the current view.
+func (c *Coordinator) displacedTo(engine, chat uint64) (at uint64, ok bool) {
+	at, ok = c.displaced.Get(displacedKey{
 		engine: engine,
 		chat:   chat,
 	})
--- a/admission/notice.go
+++ b/admission/notice.go
@@ -8,19 +8,19 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Noticed takes what a backend server said of itself in an answer to this router. Its
-// owner, which grants its slots to all routers, is told.
+// Noticed forwards what a backend server announced in a response to this router to the server's
+// owner, since the owner grants its slots to all routers.
 func (c *Coordinator) Noticed(backend string, notice slipwick.Notice) {
 	if !notice.Leaving && notice.Rest <= 0 {
 		return
 	}
-	c.locked(func() {
+	c.withLock(func() {
 		engine := placement.IDHash(backend)
 		owner := c.ownerOf(engine)
 		if owner == "" {
 			return
 		}
-		envelope := c.outbox.to(owner)
+		envelope := c.outbox.envelopeFor(owner)
 		envelope.Notices = append(envelope.Notices, &peerpb.BackendNotice{
 			Engine:  engine,
 			Leaving: notice.Leaving,
@@ -29,28 +29,30 @@
 	})
 }
 
-// maxRest bounds the rest that an owner takes for true; it fits the message.
+// maxRest limits how long a backend server may ask to rest, that is to get no new requests. It fits
+// the field of the message.
 const maxRest = 10 * time.Minute
 
-// onNotice takes what an owned engine said.
+// onNotice handles an announcement of an owned backend server.
 func (c *Coordinator) onNotice(notice *peerpb.BackendNotice) {
 	o := c.owned[notice.GetEngine()]
 	if o == nil {
 		return
 	}
 	if notice.GetLeaving() {
-		o.saidLeaving = time.Now()
-		c.leaving(o)
+		o.lastLeavingAt = time.Now()
+		c.markLeaving(o)
 	}
 	if rest := min(time.Duration(notice.GetRestMs())*time.Millisecond, maxRest); rest > 0 {
-		c.rest(o, rest)
+		c.setRest(o, rest)
 	}
 }
 
-// rest keeps an engine without requests for a while, as the last one left too. All routers
-// count it as out: else the others of its pool would be held to a part of its load, and
-// requests wait for what it does not carry.
-func (c *Coordinator) rest(o *owned, length time.Duration) {
+// setRest stops grants for the duration, unless the backend server already rests for longer. It is
+// reported as ejected, so that all routers take it out of the pool's mean load: otherwise the other
+// backend servers of the pool would be limited to a part of the load, and requests would wait for
+// capacity that the resting one does not provide.
+func (c *Coordinator) setRest(o *ownedBackend, length time.Duration) {
 	until := time.Now().Add(length)
 	if !until.After(o.restUntil) {
 		return
@@ -58,7 +60,7 @@
 	o.restUntil = until
 	if o.health.state == HealthGood {
 		o.health.state = HealthEjected
-		c.clearQueue(o, peerpb.Decision_DECISION_MOVE_ON)
+		c.flushQueue(o, peerpb.Decision_DECISION_MOVE_ON)
 		c.OnHealth(o.backend.ID, HealthEjected)
 	}
 	c.restoreAfter(o, length)
--- a/admission/observe.go
+++ b/admission/observe.go
@@ -8,39 +8,41 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Observe takes evidence on an owned engine from probing it.
+// Observe records evidence from probing a backend server. It is ignored unless this router owns the
+// backend server.
 func (c *Coordinator) Observe(backend string, evidence slipwick.Evidence) {
-	c.locked(func() {
+	c.withLock(func() {
 		if o := c.owned[placement.IDHash(backend)]; o != nil {
-			c.observe(o, evidence)
+			c.recordEvidence(o, evidence)
 		}
 	})
 }
 
-// observe counts evidence on an engine and acts on it.
-func (c *Coordinator) observe(o *owned, evidence slipwick.Evidence) {
+// recordEvidence records evidence on an owned backend server and ejects it or marks it as leaving
+// if required.
+func (c *Coordinator) recordEvidence(o *ownedBackend, evidence slipwick.Evidence) {
 	if evidence == slipwick.EvidenceLeaving {
-		c.leaving(o)
+		c.markLeaving(o)
 		return
 	}
-	if o.health.observe(evidence, c.Policy.EjectAfter, time.Now()) && c.maySpare(o) {
+	if o.health.recordEvidence(evidence, c.Policy.EjectAfter, time.Now()) && c.canEject(o) {
 		c.eject(o)
 	}
 }
 
-// leaving stops the engine's grants for good.
-func (c *Coordinator) leaving(o *owned) {
+// markLeaving stops grants at the backend server until Stays is called for it.
+func (c *Coordinator) markLeaving(o *ownedBackend) {
 	if o.health.state == HealthLeaving {
 		return
 	}
 	o.health.state = HealthLeaving
-	c.clearQueue(o, peerpb.Decision_DECISION_MOVE_ON)
+	c.flushQueue(o, peerpb.Decision_DECISION_MOVE_ON)
 	c.OnHealth(o.backend.ID, HealthLeaving)
 }
 
-// maySpare tells whether the pool can do without the engine: one other has to
-// be left, and no more than half of the pool may be out.
-func (c *Coordinator) maySpare(o *owned) bool {
+// canEject reports whether the pool can do without the backend server: at least one other must stay
+// usable, and no more than half of the pool may be out.
+func (c *Coordinator) canEject(o *ownedBackend) bool {
 	place, ok := c.view.Place(o.engine)
 	if !ok {
 		return false
@@ -52,21 +54,22 @@
 	return others >= 1 && 2*others >= len(place.Pool.Backends)-1
 }
 
-func (c *Coordinator) eject(o *owned) {
+// eject stops grants at the backend server for a time that grows with each ejection.
+func (c *Coordinator) eject(o *ownedBackend) {
 	length := o.health.eject(&c.Policy, time.Now())
-	c.clearQueue(o, peerpb.Decision_DECISION_MOVE_ON)
+	c.flushQueue(o, peerpb.Decision_DECISION_MOVE_ON)
 	c.OnHealth(o.backend.ID, HealthEjected)
 	c.restoreAfter(o, length)
 }
 
-// restoreAfter lets an engine that is out return, if it may by then: one may be ejected
-// and rest for different times.
-func (c *Coordinator) restoreAfter(o *owned, length time.Duration) {
+// restoreAfter restores the backend server after the given time, unless an ejection or a rest that
+// ends later is in force by then.
+func (c *Coordinator) restoreAfter(o *ownedBackend, length time.Duration) {
 	time.AfterFunc(length, func() {
-		c.locked(func() {
+		c.withLock(func() {
 			now := time.Now()
 			if c.owned[o.engine] != o || o.health.state != HealthEjected ||
-				now.Before(o.health.until) || now.Before(o.restUntil) {
+				now.Before(o.health.ejectedUntil) || now.Before(o.restUntil) {
 				return
 			}
 			o.health.restore(c.Policy.SlowReturn, now)
@@ -75,15 +78,17 @@
 	})
 }
 
-// reportsLag is for how long an engine's answers that say that it leaves go before its
-// load reports, which are read every second and may be from before.
-const reportsLag = 3 * time.Second
+// loadReportLag is the time for which a leaving announcement in a response takes precedence over
+// load reports: those are read every second and may be older than the response.
+const loadReportLag = 3 * time.Second
 
-// Stays takes an owned engine's word that it is not, or no longer, leaving.
+// Stays is called when a load report of a backend server says that it is not, or no longer,
+// leaving. An owned one is restored, unless it announced in a response shortly before that it
+// leaves.
 func (c *Coordinator) Stays(backend string) {
-	c.locked(func() {
+	c.withLock(func() {
 		o := c.owned[placement.IDHash(backend)]
-		if o == nil || o.health.state != HealthLeaving || time.Since(o.saidLeaving) < reportsLag {
+		if o == nil || o.health.state != HealthLeaving || time.Since(o.lastLeavingAt) < loadReportLag {
 			return
 		}
 		o.health.restore(c.Policy.SlowReturn, time.Now())
--- a/admission/outbox.go
+++ b/admission/outbox.go
@@ -2,15 +2,16 @@
 
 import "github.com/slipwick/slipwick/peer/peerpb"
 
-// outbox gathers what one step has to tell each router, so that it goes out in
-// one envelope.
+// outbox collects the messages of one step by router, so that each router gets them in a single
+// envelope.
 type outbox struct {
 	envelopes map[string]*peerpb.Envelope
-	order     []string
+	// order lists the routers in the order in which their envelopes were begun.
+	order []string
 }
 
-// to gives the envelope for a router.
-func (o *outbox) to(router string) *peerpb.Envelope {
+// envelopeFor returns the envelope to add messages for the router to.
+func (o *outbox) envelopeFor(router string) *peerpb.Envelope {
 	if o.envelopes == nil {
 		o.envelopes = make(map[string]*peerpb.Envelope)
 	}
@@ -23,8 +24,8 @@
 	return envelope
 }
 
-// take removes the envelope that was begun first; ok is false if none is left.
-func (o *outbox) take() (router string, envelope *peerpb.Envelope, ok bool) {
+// pop removes and returns the oldest envelope. ok is false if there is none.
+func (o *outbox) pop() (router string, envelope *peerpb.Envelope, ok bool) {
 	if len(o.order) == 0 {
 		return "", nil, false
 	}
@@ -35,10 +36,11 @@
 	return router, envelope, true
 }
 
-// flush sends all envelopes; what the router tells itself is taken at once.
+// flush sends all envelopes. Messages to the router itself are handled at once, and those without a
+// receiver are dropped.
 func (c *Coordinator) flush() {
 	for {
-		router, envelope, ok := c.outbox.take()
+		router, envelope, ok := c.outbox.pop()
 		switch {
 		case !ok:
 			return
--- a/admission/owned.go
+++ b/admission/owned.go
@@ -8,32 +8,35 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// owned is one engine that this router owns.
-type owned struct {
+// ownedBackend is the state of a backend server that this router owns.
+type ownedBackend struct {
+	// engine is the hash of the backend server's ID.
 	engine  uint64
 	backend slipwick.Backend
 	pool    string
 
-	leases      map[leaseKey]lease
+	leases map[leaseKey]lease
+	// byWorkspace counts the leases of each workspace.
 	byWorkspace map[string]int
 	queue       queue
 
-	// windowEnd ends the takeover window; windowGranted counts the slots
-	// granted in it that are still held.
+	// windowEnd is the end of the takeover window, in which the previous owner may still grant
+	// slots. windowGranted counts the slots that were granted in it and are still held.
 	windowEnd     time.Time
 	windowGranted int
 
-	pace   pace
-	health health
-	// restUntil is until when the engine wants nothing, saidLeaving when an answer said
-	// last that it leaves.
-	restUntil, saidLeaving time.Time
-	// reported is the load that others were told last.
+	releases releaseRate
+	health   health
+	// restUntil is the time until which the backend server asked for no new requests. lastLeavingAt
+	// is when a response last announced that it is leaving.
+	restUntil, lastLeavingAt time.Time
+	// reported is the load that was last reported to other routers.
 	reported int
 }
 
-func newOwned(engine uint64, place placement.Place) *owned {
-	return &owned{
+// newOwnedBackend returns the state of a backend server without leases.
+func newOwnedBackend(engine uint64, place placement.Place) *ownedBackend {
+	return &ownedBackend{
 		engine:      engine,
 		backend:     *place.Backend(),
 		pool:        place.Pool.Name,
@@ -42,8 +45,8 @@
 	}
 }
 
-// add counts a lease; it is renewed if it is known.
-func (o *owned) add(key leaseKey, workspace string, expires time.Time, ours bool) {
+// add adds a lease, or extends it if it exists.
+func (o *ownedBackend) add(key leaseKey, workspace string, expires time.Time, inWindow bool) {
 	if known, ok := o.leases[key]; ok {
 		known.expires = expires
 		o.leases[key] = known
@@ -52,16 +55,16 @@
 	o.leases[key] = lease{
 		workspace: workspace,
 		expires:   expires,
-		ours:      ours,
+		inWindow:  inWindow,
 	}
 	o.byWorkspace[workspace]++
-	if ours {
+	if inWindow {
 		o.windowGranted++
 	}
 }
 
-// remove forgets a lease; false says that it was not known.
-func (o *owned) remove(key leaseKey) bool {
+// remove deletes a lease. It returns false if there is none.
+func (o *ownedBackend) remove(key leaseKey) bool {
 	known, ok := o.leases[key]
 	if !ok {
 		return false
@@ -70,28 +73,29 @@
 	if o.byWorkspace[known.workspace]--; o.byWorkspace[known.workspace] == 0 {
 		delete(o.byWorkspace, known.workspace)
 	}
-	if known.ours {
+	if known.inWindow {
 		o.windowGranted--
 	}
 	return true
 }
 
-// expectedWait estimates how long one more request would wait. While the load
-// limit rather than the engine's slots is what holds requests, the limit rises
-// with the pool's load and nothing is to be feared.
-func (o *owned) expectedWait(now time.Time) time.Duration {
+// expectedWait estimates how long one more queued request would wait. It is zero while the backend
+// server has free slots: then the load limit holds the requests back, and that rises with the load
+// of the pool.
+func (o *ownedBackend) expectedWait(now time.Time) time.Duration {
 	if len(o.leases) < o.backend.EffectiveSlots() {
 		return 0
 	}
-	return o.pace.wait(o.queue.len()+1, now)
+	return o.releases.timeToRelease(o.queue.len()+1, now)
 }
 
-// room is how many more slots may be granted now, within the bound.
-func (o *owned) room(bound int, now time.Time) int {
-	bound = o.health.scale(bound, now)
+// headroom returns the number of further slots that may be granted now, given the limit. It may be
+// negative.
+func (o *ownedBackend) headroom(bound int, now time.Time) int {
+	bound = o.health.rampedLimit(bound, now)
 	room := bound - len(o.leases)
 	if now.Before(o.windowEnd) {
-		// The predecessor may still grant the other half of the headroom.
+		// The previous owner may still grant the other half of the headroom.
 		learned := len(o.leases) - o.windowGranted
 		half := int(math.Ceil(float64(bound-learned) / 2))
 		room = min(room, half-o.windowGranted)
--- a/admission/pace.go
+++ b/admission/pace.go
@@ -5,32 +5,33 @@
 	"time"
 )
 
-// paceHorizon is how far back the pace of releases looks.
-const paceHorizon = 5 * time.Second
+// rateTimeConstant is the time constant of the average of the release rate.
+const rateTimeConstant = 5 * time.Second
 
-// pace estimates how many slots are released in a second, as a moving average.
-type pace struct {
+// releaseRate estimates the number of slots released per second, as an exponential moving average.
+type releaseRate struct {
 	rate float64
 	last time.Time
 }
 
-// release counts one release.
-func (p *pace) release(now time.Time) {
-	p.rate = p.now(now) + 1/paceHorizon.Seconds()
-	p.last = now
+// record counts one release.
+func (r *releaseRate) record(now time.Time) {
+	r.rate = r.at(now) + 1/rateTimeConstant.Seconds()
+	r.last = now
 }
 
-// now is the rate, decayed since the last release.
-func (p *pace) now(now time.Time) float64 {
-	if p.last.IsZero() {
+// at returns the rate, decayed since the last release.
+func (r *releaseRate) at(now time.Time) float64 {
+	if r.last.IsZero() {
 		return 0
 	}
-	return p.rate * math.Exp(-now.Sub(p.last).Seconds()/paceHorizon.Seconds())
+	return r.rate * math.Exp(-now.Sub(r.last).Seconds()/rateTimeConstant.Seconds())
 }
 
-// wait estimates how long until count slots were released.
-func (p *pace) wait(count int, now time.Time) time.Duration {
-	rate := p.now(now)
+// timeToRelease estimates the time in which count slots are released. It returns 0 if no release
+// has been recorded.
+func (r *releaseRate) timeToRelease(count int, now time.Time) time.Duration {
+	rate := r.at(now)
 	if rate == 0 {
 		return 0
 	}
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -2,70 +2,71 @@
 
 import "time"
 
-// Policy holds the figures by which owners and askers decide. DefaultPolicy
-// gives measured ones; docs/design/admission.md says how they were found.
+// Policy holds the tuning parameters of admission. docs/design/admission.md describes the
+// measurements behind the values of DefaultPolicy.
 type Policy struct {
-	// HomeWait is how long a chat's first choice holds a request that the
-	// limit refuses, before the request moves on.
+	// HomeWait is how long the owner of a chat's first choice queues a request that exceeds the
+	// limit before the request is sent elsewhere.
 	HomeWait time.Duration
-	// OtherWait is the same at further choices.
+	// OtherWait is the same for the other choices.
 	OtherWait time.Duration
-	// Tries is how many engines are asked before the request waits at one
-	// until its time is up.
+	// Tries is the number of backend servers that are asked before the request waits at one of them
+	// until its deadline.
 	Tries int
-	// OwnerTimeout is how long an owner may stay silent.
+	// OwnerTimeout is how long an owner may take to answer before the next one is asked.
 	OwnerTimeout time.Duration
-	// LeaseTime is how long a slot lasts without renewal.
+	// LeaseTime is how long a lease is valid without renewal.
 	LeaseTime time.Duration
-	// RenewEvery is how often a slot is renewed.
+	// RenewEvery is the interval at which routers renew the leases of their slots.
 	RenewEvery time.Duration
-	// OrphanTime is what is left of a lease whose holder is gone.
+	// OrphanTime is how long the leases of a router that failed stay valid.
 	OrphanTime time.Duration
-	// TakeoverWindow is how long a new owner grants at most half of the
-	// headroom, as its predecessor may still grant the rest.
+	// TakeoverWindow is how long a new owner grants at most half of the headroom, as the previous
+	// owner may still grant the other half.
 	TakeoverWindow time.Duration
-	// ReportGap is the least time between two load reports of a pool.
+	// ReportGap is the minimum interval between two load reports of a pool.
 	ReportGap time.Duration
-	// PressedGap is the same while requests wait for the limit to rise.
+	// PressedGap is the same for a pool under pressure: requests wait for the limit to rise, or the
+	// load falls fast.
 	PressedGap time.Duration
-	// RefreshEvery is how often loads are reported without a change.
+	// RefreshEvery is the interval at which an unchanged load is reported again.
 	RefreshEvery time.Duration
-	// ReportExpiry is how long a report counts.
+	// ReportExpiry is how long a load report is valid.
 	ReportExpiry time.Duration
-	// RiseChange and FallChange are the changes of load, as shares, that are
-	// reported before RefreshEvery.
+	// RiseChange and FallChange are the relative changes of the load that are reported without
+	// waiting for RefreshEvery.
 	RiseChange, FallChange float64
-	// HeldShare is the share of its slots that an owner holds requests for
-	// when the pool's load must be rising.
+	// HeldShare is the ratio of queued requests to slots held above which an owner concludes that
+	// the load of the pool is rising.
 	HeldShare float64
-	// ReportLag is how old, at most, reports are when they arrive; a falling
-	// load is taken to have fallen on for so long.
+	// ReportLag is the maximum age of load reports when they arrive. A falling load is extrapolated
+	// by this time.
 	ReportLag time.Duration
-	// Margin is the share by which the estimate of a pool's load is lowered
-	// for the limit, as reports lag behind.
+	// Margin is the fraction by which the load factor is lowered for the limit, as the estimate of
+	// the pool's load may be too high.
 	Margin float64
-	// PressedChange is the same while requests wait for the limit to rise or
-	// the pool's load falls fast.
+	// PressedChange replaces RiseChange and FallChange for a pool under pressure.
 	PressedChange float64
-	// FastFall is the share of its load that a pool loses in a second when
-	// it falls fast.
+	// FastFall is the relative decrease of a pool's load per second above which the load counts as
+	// falling fast.
 	FastFall float64
-	// QueueLimit is the most requests held for one engine.
+	// QueueLimit is the maximum number of requests queued for one backend server.
 	QueueLimit int
-	// EjectAfter is how many requests in a row have to speak against an
-	// engine.
+	// EjectAfter is the number of failures in a row after which a backend server is ejected.
 	EjectAfter int
-	// EjectFor is how long the first ejection lasts; each further one
-	// doubles it up to EjectMax.
+	// EjectFor is the duration of the first ejection. Each further ejection in succession lasts
+	// twice as long as the one before, up to EjectMax.
 	EjectFor time.Duration
 	EjectMax time.Duration
-	// SlowReturn is how long an engine's limit takes to rise after it.
+	// SlowReturn is the time in which the limit of a restored backend server rises to its full
+	// value.
 	SlowReturn time.Duration
-	// Memory is how many displaced chats an owner remembers.
+	// Memory is the maximum number of displaced chats, those not served by their first choice, that
+	// an owner remembers.
 	Memory int
 }
 
-// DefaultPolicy gives the measured figures.
+// DefaultPolicy returns the values found by measurement.
 func DefaultPolicy() Policy {
 	return Policy{
 		HomeWait:       450 * time.Millisecond,
--- a/admission/poolload.go
+++ b/admission/poolload.go
@@ -2,51 +2,52 @@
 
 import "time"
 
-// engineLoad is one engine's load as others report it.
+// engineLoad is the load of a backend server as another router reported it.
 type engineLoad struct {
 	inFlight int
 	sequence uint64
 	at       time.Time
-	// direct says that a member of this hub's group reported it, and
-	// forwarded that the other hubs were told.
+	// direct is true if a member of this hub's group reported the load, and forwarded if the load
+	// was sent to the other hubs.
 	direct, forwarded bool
 }
 
-// poolLoad is what a router knows of one pool's load.
+// poolLoad is what a router knows about the load of a pool.
 type poolLoad struct {
-	// As an owner: what this router reported of its own engines, and what
-	// its hub said of the whole pool.
-	reported   int
-	reportedAt time.Time
-	reporting  *time.Timer
-	total      int
-	totalAt    time.Time
+	// State as an owner: the last report on this router's own backend servers, and the last total
+	// of the whole pool from the hub.
+	reported    int
+	reportedAt  time.Time
+	reportTimer *time.Timer
+	total       int
+	totalAt     time.Time
 
-	// As a hub: all engines' loads, and the total that the group was told.
-	engines    map[uint64]*engineLoad
-	passedOn   int
-	passedOnAt time.Time
-	// refreshedAt is when the other hubs were told all, changed or not.
-	refreshedAt time.Time
-	passing     *time.Timer
-	// forwarded is the load of the group that the other hubs were told.
-	forwarded int
+	// State as a hub: the loads of all backend servers, and the last total sent to the group.
+	engines        map[uint64]*engineLoad
+	broadcastTotal int
+	broadcastAt    time.Time
+	// fullBroadcastAt is when all loads, changed or not, were last sent to the other hubs.
+	fullBroadcastAt time.Time
+	broadcastTimer  *time.Timer
+	// forwardedLoad is the load of the group as last sent to the other hubs.
+	forwardedLoad int
 
-	// trend is that of the total.
+	// trend is the trend of the pool's total.
 	trend trend
 
-	// pressedAt is when others last said that requests wait for the limit
-	// to rise; groupPressedAt is the same of this hub's own group.
+	// pressedAt is when another router last reported that the pool is under pressure.
+	// groupPressedAt is when a member of this hub's group last did.
 	pressedAt, groupPressedAt time.Time
 }
 
+// poolLoad returns the state of the pool's load and creates it on first use.
 func (c *Coordinator) poolLoad(pool string) *poolLoad {
-	load := c.pools[pool]
+	load := c.poolLoads[pool]
 	if load == nil {
 		load = &poolLoad{
 			engines: make(map[uint64]*engineLoad),
 		}
-		c.pools[pool] = load
+		c.poolLoads[pool] = load
 	}
 	return load
 }
--- a/admission/queue.go
+++ b/admission/queue.go
@@ -2,86 +2,86 @@
 
 import "slices"
 
-// queue holds requests for one engine: higher priority first, and within one
-// by weighted fair share between workspaces (start-time fair queueing). A
-// workspace that surges waits for itself.
+// queue holds the requests that wait for a slot of one backend server. Higher priorities come
+// first. Within a priority, workspaces share by weight (self-clocked fair queueing), so that a
+// surge of one workspace delays mainly that workspace's own requests.
 type queue struct {
-	held []*waiting
-	// virtual is the tag of the request served last.
-	virtual float64
-	// last is each workspace's highest tag.
-	last map[string]float64
+	requests []*queuedRequest
+	// virtualTime is the highest tag of the requests served.
+	virtualTime float64
+	// lastTags holds the highest tag of each workspace.
+	lastTags map[string]float64
 }
 
 func (q *queue) len() int {
-	return len(q.held)
+	return len(q.requests)
 }
 
-// push adds a request of a workspace with the weight.
-func (q *queue) push(w *waiting, weight uint32) {
-	if q.last == nil {
-		q.last = make(map[string]float64)
+// push adds a request of a workspace with the given weight.
+func (q *queue) push(w *queuedRequest, weight uint32) {
+	if q.lastTags == nil {
+		q.lastTags = make(map[string]float64)
 	}
 	workspace := w.request.GetWorkspace()
-	w.tag = max(q.virtual, q.last[workspace]) + 1/float64(max(weight, 1))
-	q.last[workspace] = w.tag
-	q.held = append(q.held, w)
+	w.tag = max(q.virtualTime, q.lastTags[workspace]) + 1/float64(max(weight, 1))
+	q.lastTags[workspace] = w.tag
+	q.requests = append(q.requests, w)
 }
 
-// best gives the index of the request to serve next among those that may be
-// served, or -1.
-func (q *queue) best(may func(*waiting) bool) int {
+// next returns the index of the request to serve next among the eligible ones, or -1.
+func (q *queue) next(eligible func(*queuedRequest) bool) int {
 	best := -1
-	for i, w := range q.held {
-		if best >= 0 && !before(w, q.held[best]) {
+	for i, w := range q.requests {
+		if best >= 0 && !servedBefore(w, q.requests[best]) {
 			continue
 		}
-		if may(w) {
+		if eligible(w) {
 			best = i
 		}
 	}
 	return best
 }
 
-func before(a, b *waiting) bool {
+// servedBefore reports whether a is served before b.
+func servedBefore(a, b *queuedRequest) bool {
 	if a.priority != b.priority {
 		return a.priority > b.priority
 	}
 	return a.tag < b.tag
 }
 
-// take removes the request at the index; served says that it got a slot.
-func (q *queue) take(index int, served bool) *waiting {
-	w := q.held[index]
-	q.held = slices.Delete(q.held, index, index+1)
+// remove deletes and returns the request at the index. served means that it got a slot.
+func (q *queue) remove(index int, served bool) *queuedRequest {
+	w := q.requests[index]
+	q.requests = slices.Delete(q.requests, index, index+1)
 	if served {
-		q.virtual = max(q.virtual, w.tag)
+		q.virtualTime = max(q.virtualTime, w.tag)
 	}
-	if len(q.held) == 0 {
-		q.virtual = 0
-		clear(q.last)
+	if len(q.requests) == 0 {
+		q.virtualTime = 0
+		clear(q.lastTags)
 	}
 	return w
 }
 
-// find gives the index of a request, or -1.
-func (q *queue) find(key leaseKey) int {
-	return slices.IndexFunc(q.held, func(w *waiting) bool { return w.key == key })
+// indexOf returns the index of the request with the key, or -1.
+func (q *queue) indexOf(key leaseKey) int {
+	return slices.IndexFunc(q.requests, func(w *queuedRequest) bool { return w.key == key })
 }
 
-// victim gives the index of the request to refuse when the queue is full and
-// one more of the workspace comes: the newest of the workspace that is furthest
-// above its share, within the lowest priority. It is -1 for the newcomer.
-func (q *queue) victim(workspace string, priority int, weight func(string) uint32) int {
+// evictionIndex returns the index of the request to refuse when the queue is full and another
+// request of the workspace arrives: the newest request of the lowest priority from the workspace
+// that exceeds its share most. It returns -1 if the arriving request is the one to refuse.
+func (q *queue) evictionIndex(workspace string, priority int, weight func(string) uint32) int {
 	lowest := priority
-	for _, w := range q.held {
+	for _, w := range q.requests {
 		lowest = min(lowest, w.priority)
 	}
 	counts := make(map[string]float64)
 	if priority == lowest {
 		counts[workspace]++
 	}
-	for _, w := range q.held {
+	for _, w := range q.requests {
 		if w.priority == lowest {
 			counts[w.request.GetWorkspace()]++
 		}
@@ -99,7 +99,7 @@
 		return -1
 	}
 	newest := -1
-	for i, w := range q.held {
+	for i, w := range q.requests {
 		if w.priority == lowest && w.request.GetWorkspace() == surging {
 			newest = i
 		}
--- a/admission/report.go
+++ b/admission/report.go
@@ -6,9 +6,9 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// report tells the hub the load of this router's engines.
-func (c *Coordinator) report(pool string, load *poolLoad) {
-	load.reporting = nil
+// sendReport reports the loads of this router's backend servers of the pool to its hub.
+func (c *Coordinator) sendReport(pool string, load *poolLoad) {
+	load.reportTimer = nil
 	t := c.topology[pool]
 	if t == nil || t.hub == "" || t.hub == c.Self {
 		return
@@ -16,19 +16,19 @@
 	load.reported, load.reportedAt = c.ownLoad(pool), time.Now()
 	message := &peerpb.PoolLoad{
 		Pool:    pool,
-		Pressed: c.holds(pool),
+		Pressed: c.hasQueuePressure(pool),
 	}
 	for _, o := range c.owned {
 		if o.pool == pool {
-			message.Engines = append(message.Engines, o.load(load.reportedAt))
+			message.Engines = append(message.Engines, o.loadReport(load.reportedAt))
 		}
 	}
-	envelope := c.outbox.to(t.hub)
+	envelope := c.outbox.envelopeFor(t.hub)
 	envelope.Loads = append(envelope.Loads, message)
 }
 
-// load is the engine's load as reports have it.
-func (o *owned) load(now time.Time) *peerpb.EngineLoad {
+// loadReport returns the load for a report and marks it as reported.
+func (o *ownedBackend) loadReport(now time.Time) *peerpb.EngineLoad {
 	o.reported = len(o.leases)
 	return &peerpb.EngineLoad{
 		Engine:   o.engine,
@@ -37,13 +37,13 @@
 	}
 }
 
-// onTotal takes the pool's total from the hub.
+// onTotal handles the pool's total from the hub.
 func (c *Coordinator) onTotal(message *peerpb.PoolTotal) {
 	load := c.poolLoad(message.GetPool())
 	load.total, load.totalAt = int(message.GetInFlight()), time.Now()
-	load.trend.note(load.total, load.totalAt)
+	load.trend.update(load.total, load.totalAt)
 	if message.GetPressed() {
 		load.pressedAt = load.totalAt
 	}
-	c.pumpPool(message.GetPool())
+	c.grantQueuedInPool(message.GetPool())
 }
--- a/admission/share.go
+++ b/admission/share.go
@@ -2,8 +2,8 @@
 
 // Share is what a workspace is entitled to.
 type Share struct {
-	// Weight counts against other workspaces that wait.
+	// Weight is the workspace's weight in queues, relative to other workspaces.
 	Weight uint32
-	// MaxInFlight bounds its slots in each pool; 0 sets no bound.
+	// MaxInFlight limits the workspace's requests in flight in each pool; 0 means no limit.
 	MaxInFlight int
 }
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -6,17 +6,18 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// slot is one slot that this router holds.
+// slot is a slot that this router holds.
 type slot struct {
 	engine    uint64
 	workspace string
-	since     time.Time
-	// local says that no owner granted it.
+	// since is when the slot was granted.
+	since time.Time
+	// local is true if this router granted itself the slot without the owner.
 	local bool
 }
 
-// renew renews, at the engines' owners, the slots that are due.
-func (c *Coordinator) renew(now time.Time) {
+// renewDue renews, every RenewEvery, the slots that have been held for at least that long.
+func (c *Coordinator) renewDue(now time.Time) {
 	if now.Sub(c.renewedAt) < c.Policy.RenewEvery {
 		return
 	}
@@ -24,11 +25,11 @@
 	c.renewSlots(func(s *slot) bool { return now.Sub(s.since) >= c.Policy.RenewEvery })
 }
 
-// renewSlots tells owners of the slots chosen that this router holds.
-func (c *Coordinator) renewSlots(chosen func(*slot) bool) {
+// renewSlots renews the slots that match, at the owners of their backend servers.
+func (c *Coordinator) renewSlots(match func(*slot) bool) {
 	renewals := make(map[uint64]*peerpb.SlotRenewal)
 	for id, s := range c.slots {
-		if !chosen(s) {
+		if !match(s) {
 			continue
 		}
 		renewal := renewals[s.engine]
@@ -44,12 +45,12 @@
 		})
 	}
 	for engine, renewal := range renewals {
-		envelope := c.outbox.to(c.ownerOf(engine))
+		envelope := c.outbox.envelopeFor(c.ownerOf(engine))
 		envelope.Renewals = append(envelope.Renewals, renewal)
 	}
 }
 
-// onRenewal counts the slots that a router says it holds.
+// onRenewal adds or extends leases for the slots that a router holds.
 func (c *Coordinator) onRenewal(from string, renewal *peerpb.SlotRenewal) {
 	o := c.owned[renewal.GetEngine()]
 	if o == nil {
@@ -62,13 +63,14 @@
 			id:     s.GetId(),
 		}, s.GetWorkspace(), expires, false)
 	}
-	c.changed(o.pool)
+	c.scheduleReport(o.pool)
 }
 
-// RouterGone shortens the leases of a router that died: its connections broke,
-// and engines cancel what nobody reads.
+// RouterGone handles the failure of a router. It drops the router's queued requests and shortens
+// its leases to OrphanTime: the router's connections are broken, and backend servers cancel
+// requests whose response nobody reads.
 func (c *Coordinator) RouterGone(router string) {
-	c.locked(func() {
+	c.withLock(func() {
 		expires := time.Now().Add(c.Policy.OrphanTime)
 		for _, o := range c.owned {
 			for key, l := range o.leases {
@@ -78,8 +80,8 @@
 				}
 			}
 			for i := o.queue.len() - 1; i >= 0; i-- {
-				if o.queue.held[i].key.router == router {
-					o.queue.take(i, false)
+				if o.queue.requests[i].key.router == router {
+					o.queue.remove(i, false)
 				}
 			}
 		}
--- a/admission/status.go
+++ b/admission/status.go
@@ -5,18 +5,19 @@
 	"strings"
 )
 
-// Status is what an owner tells operators of one backend server.
+// Status is an owner's view of a backend server, for operators.
 type Status struct {
 	Backend  string `json:"backend"`
 	Pool     string `json:"pool"`
 	InFlight int    `json:"in_flight"`
-	Held     int    `json:"held"`
-	// Limit is the most slots it may have now.
+	// Held is the number of queued requests.
+	Held int `json:"held"`
+	// Limit is the current limit on slots.
 	Limit  int    `json:"limit"`
 	Health string `json:"health"`
 }
 
-// String names the health as operators see it.
+// String returns the name of the state as shown to operators.
 func (h Health) String() string {
 	switch h {
 	case HealthEjected:
@@ -28,7 +29,7 @@
 	}
 }
 
-// Status lists the backend servers that this router owns, by ID.
+// Status returns the status of the backend servers that this router owns, sorted by ID.
 func (c *Coordinator) Status() []Status {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -39,7 +40,7 @@
 			Pool:     o.pool,
 			InFlight: len(o.leases),
 			Held:     o.queue.len(),
-			Limit:    c.bound(o),
+			Limit:    c.slotLimit(o),
 			Health:   o.health.state.String(),
 		})
 	}
--- a/admission/topology.go
+++ b/admission/topology.go
@@ -7,25 +7,27 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// allHubs is the number of owners up to which each tells all others its load.
-const allHubs = 3
+// maxUngroupedOwners is the number of owners up to which each one reports its load to all others.
+const maxUngroupedOwners = 3
 
-// topology says who tells whom the load of one pool. Its owners form about
-// √n groups; the first of each is its hub. Owners report to their hub, hubs to
-// each other, and hubs pass the total back: 2√n messages at the busiest router
-// where all-to-all would take n.
+// topology determines which routers exchange load reports of one pool. The n owners of the pool
+// form about √n groups, and the first owner of each group is its hub. Owners report to their hub,
+// hubs report to each other, and hubs send the total back to their group. The busiest router thus
+// handles about 2√n messages, where reports from each owner to all others would take n.
 type topology struct {
 	hubs []string
-	// hub is this router's own; empty if it owns nothing in the pool.
+	// hub is the hub of this router's group; it is empty if this router owns nothing in the pool.
 	hub string
-	// members are the others of the group that this router is the hub of.
+	// members are the other routers of the group if this router is its hub.
 	members []string
 }
 
+// newTopology returns the topology of the pool from the perspective of the router self. All routers
+// with the same view form the same groups.
 func newTopology(self string, pool *placement.Pool, view *placement.View) *topology {
 	owners := ownersOf(pool, view)
 	size := 1
-	if len(owners) > allHubs {
+	if len(owners) > maxUngroupedOwners {
 		size = int(math.Ceil(math.Sqrt(float64(len(owners)))))
 	}
 	t := &topology{}
@@ -41,6 +43,8 @@
 	return t
 }
 
+// ownersOf returns the IDs of the routers that own backend servers of the pool, sorted and without
+// duplicates.
 func ownersOf(pool *placement.Pool, view *placement.View) []string {
 	var owners []string
 	for _, index := range pool.Owners {
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -5,22 +5,23 @@
 	"time"
 )
 
-// total estimates how many slots of the pool are held, for the limit. What is
-// known is some tenths of a second old; a falling total has fallen on since.
-func (c *Coordinator) total(pool string) float64 {
+// estimateTotal estimates how many slots of the pool are held, for the limit. The known total is
+// some tenths of a second old, so that a falling total is extrapolated.
+func (c *Coordinator) estimateTotal(pool string) float64 {
 	load := c.poolLoad(pool)
-	return float64(c.known(pool)) * (1 - load.trend.fall(c.Policy.ReportLag))
+	return float64(c.knownTotal(pool)) * (1 - load.trend.expectedFall(c.Policy.ReportLag))
 }
 
-// falling tells whether the pool's load falls fast: then reports are due as
-// soon as when requests wait, as too high an estimate breaks the limit.
-func (c *Coordinator) falling(load *poolLoad) bool {
-	return load.trend.fall(time.Second) > c.Policy.FastFall
+// isFallingFast reports whether the pool's load falls fast. Reports are then sent as often as when
+// requests wait, since an estimate that is too high lets owners exceed the limit.
+func (c *Coordinator) isFallingFast(load *poolLoad) bool {
+	return load.trend.expectedFall(time.Second) > c.Policy.FastFall
 }
 
-// known is how many slots of the pool are held: this router's own count and
-// what others reported. Reports expire, so that it errs low.
-func (c *Coordinator) known(pool string) int {
+// knownTotal returns how many slots of the pool are held, by this router's own count and the
+// reports of others. Expired reports do not count, so that the result is rather too low than too
+// high.
+func (c *Coordinator) knownTotal(pool string) int {
 	load, own := c.poolLoad(pool), c.ownLoad(pool)
 	now := time.Now()
 	others := 0
@@ -33,23 +34,26 @@
 	return own + others
 }
 
+// isHub reports whether this router is a hub of the pool.
 func (c *Coordinator) isHub(pool string) bool {
 	t := c.topology[pool]
 	return t != nil && t.hub == c.Self
 }
 
-// ownLoad counts the slots of the pool's usable engines that this router owns.
+// ownLoad returns the number of slots held of the usable backend servers of the pool that this
+// router owns.
 func (c *Coordinator) ownLoad(pool string) int {
 	sum := 0
 	for engine, o := range c.owned {
-		if o.pool == pool && c.counts(engine) {
+		if o.pool == pool && c.countsTowardLoad(engine) {
 			sum += len(o.leases)
 		}
 	}
 	return sum
 }
 
-// othersLoad adds up the reports on engines that this router does not own.
+// othersLoad returns the number of slots held of the usable backend servers that this router does
+// not own, according to valid reports. It deletes expired reports.
 func (c *Coordinator) othersLoad(load *poolLoad, now time.Time) int {
 	sum := 0
 	for engine, l := range load.engines {
@@ -57,24 +61,24 @@
 			delete(load.engines, engine)
 			continue
 		}
-		if c.owned[engine] == nil && c.counts(engine) {
+		if c.owned[engine] == nil && c.countsTowardLoad(engine) {
 			sum += l.inFlight
 		}
 	}
 	return sum
 }
 
-// counts tells whether an engine's load is part of the pool's mean: that of
-// engines without new work is not.
-func (c *Coordinator) counts(engine uint64) bool {
+// countsTowardLoad reports whether a backend server's load is part of the pool's mean load. It is
+// not if the backend server gets no new requests.
+func (c *Coordinator) countsTowardLoad(engine uint64) bool {
 	place, ok := c.view.Place(engine)
 	return ok && place.MayGetWork()
 }
 
-// holds tells whether requests wait, at engines of the pool that this router
-// owns, in such number that the pool's load must be rising: a few wait at any
-// time for a slot to be released.
-func (c *Coordinator) holds(pool string) bool {
+// hasQueuePressure reports whether so many requests are queued at this router's backend servers of
+// the pool that the pool's load must be rising. A few requests wait for a slot to be released at
+// any time.
+func (c *Coordinator) hasQueuePressure(pool string) bool {
 	held := 0
 	for _, o := range c.owned {
 		if o.pool == pool {
@@ -84,91 +88,97 @@
 	return float64(held) > 1+c.Policy.HeldShare*float64(c.ownLoad(pool))
 }
 
-// pressed tells whether requests wait for the pool's limit to rise, here or,
-// as was said lately, elsewhere.
-func (c *Coordinator) pressed(pool string, load *poolLoad, now time.Time) bool {
+// isPressed reports whether the pool is under pressure: its load falls fast, or requests wait for
+// the limit to rise at this router's backend servers or, as reported recently, elsewhere.
+func (c *Coordinator) isPressed(pool string, load *poolLoad, now time.Time) bool {
 	recent := c.Policy.ReportGap
 	return now.Sub(load.pressedAt) < recent || now.Sub(load.groupPressedAt) < recent ||
-		c.falling(load) || c.holds(pool)
+		c.isFallingFast(load) || c.hasQueuePressure(pool)
 }
 
-// worthReporting tells whether a load differs enough from what was told. A
-// fall counts sooner than a rise: too high an estimate breaks the limit, too
-// low a one only makes requests wait or move.
-func (c *Coordinator) worthReporting(now, before int, pressed bool) bool {
+// isSignificant reports whether a load differs enough from the one reported before to be reported.
+// The threshold is lower for a decrease: an estimate that is too high lets owners exceed the limit,
+// while one that is too low only makes requests wait or try elsewhere.
+func (c *Coordinator) isSignificant(current, previous int, pressed bool) bool {
 	share := c.Policy.RiseChange
 	switch {
 	case pressed:
 		share = c.Policy.PressedChange
-	case now < before:
+	case current < previous:
 		share = c.Policy.FallChange
 	}
-	return math.Abs(float64(now-before)) >= max(1, share*float64(before))
+	return math.Abs(float64(current-previous)) >= max(1, share*float64(previous))
 }
 
-func (c *Coordinator) gap(pressed bool) time.Duration {
+// minReportInterval returns the minimum interval between two reports of a pool.
+func (c *Coordinator) minReportInterval(pressed bool) time.Duration {
 	if pressed {
 		return c.Policy.PressedGap
 	}
 	return c.Policy.ReportGap
 }
 
-// changed has the pool's load reported if it changed enough, as soon as the
-// gap between reports allows.
-func (c *Coordinator) changed(pool string) {
+// scheduleReport schedules a report of the pool's load if it changed significantly and none is
+// scheduled. The report is sent as soon as the minimum interval allows.
+func (c *Coordinator) scheduleReport(pool string) {
 	load, now := c.poolLoad(pool), time.Now()
-	pressed := c.pressed(pool, load, now)
+	pressed := c.isPressed(pool, load, now)
 	if c.isHub(pool) {
-		if load.passing == nil && c.worthPassing(pool, load, pressed) {
-			due := load.passedOnAt.Add(c.gap(pressed))
-			load.passing = time.AfterFunc(due.Sub(now), func() { c.locked(func() { c.passOn(pool, load, false) }) })
+		if load.broadcastTimer == nil && c.shouldBroadcast(pool, load, pressed) {
+			due := load.broadcastAt.Add(c.minReportInterval(pressed))
+			load.broadcastTimer = time.AfterFunc(due.Sub(now), func() {
+				c.withLock(func() { c.broadcastLoad(pool, load, false) })
+			})
 		}
 		return
 	}
-	if load.reporting == nil && c.worthReporting(c.ownLoad(pool), load.reported, pressed) {
-		due := load.reportedAt.Add(c.gap(pressed))
-		load.reporting = time.AfterFunc(due.Sub(now), func() { c.locked(func() { c.report(pool, load) }) })
+	if load.reportTimer == nil && c.isSignificant(c.ownLoad(pool), load.reported, pressed) {
+		due := load.reportedAt.Add(c.minReportInterval(pressed))
+		load.reportTimer = time.AfterFunc(due.Sub(now), func() { c.withLock(func() { c.sendReport(pool, load) }) })
 	}
 }
 
-// worthPassing tells whether a hub has news for its group or the other hubs.
-func (c *Coordinator) worthPassing(pool string, load *poolLoad, pressed bool) bool {
+// shouldBroadcast reports whether the load changed significantly for the hub's group or for the
+// other hubs.
+func (c *Coordinator) shouldBroadcast(pool string, load *poolLoad, pressed bool) bool {
 	t := c.topology[pool]
-	if len(t.members) > 0 && c.worthReporting(c.known(pool), load.passedOn, pressed) {
+	if len(t.members) > 0 && c.isSignificant(c.knownTotal(pool), load.broadcastTotal, pressed) {
 		return true
 	}
-	return len(t.hubs) > 1 && c.worthReporting(c.groupLoad(pool, load), load.forwarded, pressed)
+	return len(t.hubs) > 1 && c.isSignificant(c.groupLoad(pool, load), load.forwardedLoad, pressed)
 }
 
-// refresh reports without a change, so that reports do not expire.
+// refresh repeats reports of an unchanged load before they expire.
 func (c *Coordinator) refresh(pool string, now time.Time) {
 	load := c.poolLoad(pool)
 	if c.isHub(pool) {
-		if now.Sub(load.refreshedAt) >= c.Policy.RefreshEvery {
-			c.passOn(pool, load, true)
+		if now.Sub(load.fullBroadcastAt) >= c.Policy.RefreshEvery {
+			c.broadcastLoad(pool, load, true)
 		}
 		return
 	}
 	if now.Sub(load.reportedAt) >= c.Policy.RefreshEvery {
-		c.report(pool, load)
+		c.sendReport(pool, load)
 	}
 }
 
-func (c *Coordinator) pumpPool(pool string) {
+// grantQueuedInPool grants slots to queued requests at all of this router's backend servers of the
+// pool.
+func (c *Coordinator) grantQueuedInPool(pool string) {
 	for _, o := range c.owned {
 		if o.pool == pool {
-			c.pump(o)
+			c.grantQueued(o)
 		}
 	}
 }
 
-// Total gives the router's estimate of how many slots of the pool are held. It
-// is exact for the engines that the router owns.
+// Total returns this router's estimate of how many slots of the pool are held. The count is exact
+// for the backend servers that the router owns.
 func (c *Coordinator) Total(pool string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.view == nil {
 		return 0
 	}
-	return c.known(pool)
+	return c.knownTotal(pool)
 }
--- a/admission/trend.go
+++ b/admission/trend.go
@@ -5,29 +5,29 @@
 	"time"
 )
 
-// trendHorizon is how far back a trend looks.
-const trendHorizon = time.Second
+// trendTimeConstant is the time constant of the average of a trend.
+const trendTimeConstant = time.Second
 
-// trend follows how fast a pool's total changes, as a moving average.
+// trend tracks how fast the total of a pool changes, as an exponential moving average.
 type trend struct {
 	total int
 	at    time.Time
-	// rate is the change in a second, as a share.
+	// rate is the relative change per second.
 	rate float64
 }
 
-// note takes the total at a moment.
-func (t *trend) note(total int, now time.Time) {
+// update records the total at the given time.
+func (t *trend) update(total int, now time.Time) {
 	since := now.Sub(t.at)
 	if !t.at.IsZero() && since > 0 && t.total > 0 {
 		change := float64(total-t.total) / float64(t.total) / since.Seconds()
-		t.rate += (change - t.rate) * -math.Expm1(-since.Seconds()/trendHorizon.Seconds())
+		t.rate += (change - t.rate) * -math.Expm1(-since.Seconds()/trendTimeConstant.Seconds())
 	}
 	t.total, t.at = total, now
 }
 
-// fall is the share that a falling total has lost in the time since it was
-// true; 0 for one that rises.
-func (t *trend) fall(since time.Duration) float64 {
+// expectedFall returns the fraction, from 0 to 1, by which a total is expected to have fallen
+// within the given time. It is 0 for a rising total.
+func (t *trend) expectedFall(since time.Duration) float64 {
 	return min(1, max(0, -t.rate*since.Seconds()))
 }
--- a/admission/viewchange.go
+++ b/admission/viewchange.go
@@ -7,31 +7,32 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// SetView puts a newer view in force: engines that are no longer owned are
-// handed over, and what was asked or is held is told to the new owners.
+// SetView replaces the view. Backend servers that this router no longer owns are handed over to
+// their new owners, held slots are renewed there, and open requests are sent there again.
 func (c *Coordinator) SetView(view *placement.View) {
-	c.locked(func() {
-		before := c.view
+	c.withLock(func() {
+		previous := c.view
 		c.view = view
 		c.topology = make(map[string]*topology, len(view.Pools))
 		for name, pool := range view.Pools {
 			c.topology[name] = newTopology(c.Self, pool, view)
 		}
-		c.dropOwned()
-		c.takeOwned(before)
+		c.dropLostBackends()
+		c.takeNewBackends(previous)
 		c.renewSlots(func(s *slot) bool {
-			return before != nil && before.Owner(s.engine) != view.Owner(s.engine)
+			return previous != nil && previous.Owner(s.engine) != view.Owner(s.engine)
 		})
-		c.askAgain()
+		c.resendAttempts()
 		for pool := range view.Pools {
 			c.refresh(pool, time.Now().Add(c.Policy.RefreshEvery))
-			c.pumpPool(pool)
+			c.grantQueuedInPool(pool)
 		}
 	})
 }
 
-// dropOwned hands over what this router no longer owns.
-func (c *Coordinator) dropOwned() {
+// dropLostBackends hands over the backend servers that this router no longer owns and updates the
+// others from the view.
+func (c *Coordinator) dropLostBackends() {
 	for engine, o := range c.owned {
 		owner := c.view.Owner(engine)
 		if owner == c.Self {
@@ -40,56 +41,60 @@
 			continue
 		}
 		delete(c.owned, engine)
-		// Within its own window this router does not know all slots, and
-		// must not end the next owner's; holders renew there.
+		// Within its own takeover window this router may not know all leases yet, and a handover
+		// would end the new owner's window too early. The holders of the slots renew them at the
+		// new owner instead.
 		if owner != "" && !time.Now().Before(o.windowEnd) {
 			c.handOver(o, owner)
 		}
-		c.clearQueue(o, peerpb.Decision_DECISION_NOT_OWNER)
+		c.flushQueue(o, peerpb.Decision_DECISION_NOT_OWNER)
 	}
 }
 
-// takeOwned begins to own what the view gives to this router.
-func (c *Coordinator) takeOwned(before *placement.View) {
+// takeNewBackends takes over the backend servers that the view assigns to this router.
+func (c *Coordinator) takeNewBackends(previous *placement.View) {
 	for _, pool := range c.view.Pools {
 		for i := range pool.Backends {
 			engine := hashOf(&pool.Backends[i])
 			if c.owned[engine] == nil && c.view.Owner(engine) == c.Self {
-				c.takeOver(engine, before)
+				c.takeOver(engine, previous)
 			}
 		}
 	}
 }
 
-func (c *Coordinator) takeOver(engine uint64, before *placement.View) {
+// takeOver starts to own a backend server. If another router may have owned it before, a takeover
+// window begins; a handover ends it.
+func (c *Coordinator) takeOver(engine uint64, previous *placement.View) {
 	place, _ := c.view.Place(engine)
-	o := newOwned(engine, place)
+	o := newOwnedBackend(engine, place)
 	c.owned[engine] = o
-	if before == nil || before.Owner(engine) != "" {
+	if previous == nil || previous.Owner(engine) != "" {
 		o.windowEnd = time.Now().Add(c.Policy.TakeoverWindow)
-		time.AfterFunc(c.Policy.TakeoverWindow, func() { c.locked(func() { c.pump(o) }) })
+		time.AfterFunc(c.Policy.TakeoverWindow, func() { c.withLock(func() { c.grantQueued(o) }) })
 	}
-	if early := c.handovers[engine]; early != nil {
-		delete(c.handovers, engine)
+	if early := c.earlyHandovers[engine]; early != nil {
+		delete(c.earlyHandovers, engine)
 		c.onHandover(early.message)
 	}
 }
 
-// askAgain brings the asks in progress to the engines' present owners.
-func (c *Coordinator) askAgain() {
-	asks := make([]*ask, 0, len(c.asks))
-	for _, a := range c.asks {
-		asks = append(asks, a)
+// resendAttempts sends the open attempts whose owner changed to the new owners. Attempts at backend
+// servers that are no longer usable go to the next choice.
+func (c *Coordinator) resendAttempts() {
+	open := make([]*acquisition, 0, len(c.acquisitions))
+	for _, a := range c.acquisitions {
+		open = append(open, a)
 	}
-	for _, a := range asks {
+	for _, a := range open {
 		place, ok := c.view.Place(a.engine())
 		switch {
 		case !ok || !place.MayGetWork():
-			c.giveBack(a)
-			c.moveOn(a)
+			c.releaseAttempt(a)
+			c.tryNext(a)
 		case c.view.Owner(a.engine()) != a.owner:
-			a.tries--
-			c.send(a, a.position, a.try)
+			a.attempts--
+			c.sendAttempt(a, a.position, a.kind)
 		}
 	}
 }
--- a/admission/waiting.go
+++ b/admission/waiting.go
@@ -6,13 +6,13 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// waiting is one held request.
-type waiting struct {
+// queuedRequest is a request that waits in an owner's queue.
+type queuedRequest struct {
 	key      leaseKey
 	request  *peerpb.SlotRequest
 	priority int
-	// until is when the request moves on, or is refused on its last try.
-	until time.Time
-	// tag orders the requests of one priority fairly.
+	// deadline is when the request is sent elsewhere or, on its last attempt, refused.
+	deadline time.Time
+	// tag is the virtual finish time, by which requests of one priority are ordered.
 	tag float64
 }
