--- a/balance/ask.go
+++ b/balance/ask.go
@@ -9,7 +9,7 @@
 	// empty for a request without a prompt.
 	Prompt []Part
 	// UniqueTokens is the number of prompt tokens that no other request shares.
-	Own int
+	UniqueTokens int
 	// Exclude lists the IDs of backend servers that the request has tried already.
 	Avoid []string
 	// Regions are the regions whose backend servers may get the request or anything of its
@@ -40,7 +40,7 @@
 
 // tokens returns the length of the whole prompt in tokens.
 func (r *Ask) tokens() int {
-	sum := r.Own
+	sum := r.UniqueTokens
 	for _, part := range r.Prompt {
 		sum += part.Tokens
 	}
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -139,7 +139,7 @@
 						Tokens: rapid.IntRange(1, 20000).Draw(t, "tokens"),
 					},
 				},
-				Own: rapid.IntRange(0, 2000).Draw(t, "own"),
+				UniqueTokens: rapid.IntRange(0, 2000).Draw(t, "own"),
 			}
 		}
 		sequence := uint64(0)
@@ -213,7 +213,7 @@
 				Tokens: 1000,
 			},
 		},
-		Own: 1300,
+		UniqueTokens: 1300,
 	}
 	b.ReportAllocs()
 	sequence := uint64(0)
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -181,5 +181,5 @@
 func (b *Balancer) Usual(request *Ask) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.paceLocked(request.Pool).responseTimeQuantile(medianQuantile, request.Own)
+	return b.paceLocked(request.Pool).responseTimeQuantile(medianQuantile, request.UniqueTokens)
 }
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -75,7 +75,7 @@
 		read := func(tokens int) {
 			key++
 			ask := prompt(key)
-			ask.Prompt[0].Tokens, ask.Own = tokens, 0
+			ask.Prompt[0].Tokens, ask.UniqueTokens = tokens, 0
 			serve(t, b, ask, base+time.Duration(tokens)*each)
 		}
 		for i := range 300 {
@@ -95,7 +95,7 @@
 // shared is an ask for a prompt that nobody has read.
 func shared(key uint64, tokens int) *Ask {
 	ask := prompt(key + 1<<40)
-	ask.Prompt[0].Tokens, ask.Own = tokens, 0
+	ask.Prompt[0].Tokens, ask.UniqueTokens = tokens, 0
 	return ask
 }
 
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -43,7 +43,7 @@
 	}
 	lease := newLease(chosen)
 	lease.hasPrompt = true
-	lease.pendingPrefill = request.Own
+	lease.pendingPrefill = request.UniqueTokens
 	has := b.cacheIndex.holds(prompt, chosen)
 	if !has {
 		lease.pendingPrefill = request.tokens()
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -174,7 +174,7 @@
 	c.selection.Pool = c.pool
 	c.selection.Regions = routing.Regions(route, workspace)
 	if route.Affinity {
-		c.selection.Prompt, c.selection.Own = promptParts(r.Header.Get(g.Headers.Prompt))
+		c.selection.Prompt, c.selection.UniqueTokens = promptParts(r.Header.Get(g.Headers.Prompt))
 	}
 	c.progress.lastID = r.Header.Get(lastEventID)
 	return c, nil
