--- a/balance/ask.go
+++ b/balance/ask.go
@@ -11,7 +11,7 @@
 	// UniqueTokens is the number of prompt tokens that no other request shares.
 	UniqueTokens int
 	// Exclude lists the IDs of backend servers that the request has tried already.
-	Avoid []string
+	Exclude []string
 	// Regions are the regions whose backend servers may get the request or anything of its
 	// prompt. Nil allows all, an empty list none.
 	Regions []string
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -224,7 +224,7 @@
 		switch {
 		case s.evacuated:
 			paused = append(paused, s)
-		case s.isLeaving() || !request.allows(s) || slices.Contains(request.Avoid, s.ID):
+		case s.isLeaving() || !request.allows(s) || slices.Contains(request.Exclude, s.ID):
 		case s.notices.isResting(now):
 			paused = append(paused, s)
 		case b.isColdLocked(s, now) && !b.maySendToColdLocked(s, now):
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -155,14 +155,14 @@
 	b.SetBackends(list)
 	ask := &Ask{
 		Pool:  "p",
-		Avoid: []string{"p-1"},
+		Exclude: []string{"p-1"},
 	}
 	for range 5 {
 		if got := acquire(t, b, ask).Backend.ID; got != "p-2" {
 			t.Errorf("got %s, want p-2", got)
 		}
 	}
-	ask.Avoid = []string{"p-1", "p-2"}
+	ask.Exclude = []string{"p-1", "p-2"}
 	_, err := b.Acquire(ask)
 	if typed, ok := slipwick.AsError(err); !ok || typed.Outcome != slipwick.OutcomeNotRun {
 		t.Errorf("no backend server left: got %v, want an error with outcome not-run", err)
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -18,7 +18,7 @@
 func plainChoice(b *Balancer, ask *Ask, now time.Time, decay float64) *server {
 	var usable []*server
 	for _, s := range b.pools[ask.Pool] {
-		if !s.Leaving && !slices.Contains(ask.Avoid, s.ID) && !b.isUnavailableLocked(s, now) {
+		if !s.Leaving && !slices.Contains(ask.Exclude, s.ID) && !b.isUnavailableLocked(s, now) {
 			usable = append(usable, s)
 		}
 	}
--- a/balance/regions_test.go
+++ b/balance/regions_test.go
@@ -39,7 +39,7 @@
 	ask.Regions = []string{"region of e"}
 	for range 3 {
 		lease := acquire(t, b, ask)
-		ask.Avoid = append(ask.Avoid, lease.Backend.ID)
+		ask.Exclude = append(ask.Exclude, lease.Backend.ID)
 		b.Release(lease, slipwick.EvidenceUnreachable)
 	}
 	if lease, err := b.Acquire(ask); err == nil {
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -45,7 +45,7 @@
 			return
 		}
 		f.refused++
-		ask.Avoid = append(ask.Avoid, lease.Backend.ID)
+		ask.Exclude = append(ask.Exclude, lease.Backend.ID)
 		b.Noticed(lease, slipwick.Notice{
 			Rest: f.rest,
 		})
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -208,7 +208,7 @@
 	}
 	defer watch.stop(nil)
 	c.sends++
-	c.selection.Avoid = append(c.selection.Avoid, lease.Backend.ID)
+	c.selection.Exclude = append(c.selection.Exclude, lease.Backend.ID)
 	request := c.upstreamRequest(lease)
 	c.gateway.Balancer.Sent(lease)
 	response, err := c.gateway.Client.Do(watch.ctx, lease.Backend.Life(), lease.Backend.Address, request)
