--- a/balance/ask.go
+++ b/balance/ask.go
@@ -16,7 +16,7 @@
 	// prompt. Nil allows all, an empty list none.
 	Regions []string
 	// HealthyOnly excludes ejected backend servers even if no others are left.
-	Sound bool
+	HealthyOnly bool
 }
 
 // allows reports whether the request may go to the region of the server.
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -243,7 +243,7 @@
 	case len(cold) > 0:
 		b.scratch.cold = cold[:0]
 		return cold
-	case request.Sound:
+	case request.HealthyOnly:
 		return nil
 	}
 	return out
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -99,7 +99,7 @@
 		return nil
 	}
 	selection := c.selection
-	selection.Sound = true
+	selection.HealthyOnly = true
 	lease, err := c.gateway.Balancer.Acquire(&selection)
 	if err != nil {
 		return nil
