--- a/balance/ask.go
+++ b/balance/ask.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // Request describes what a request needs from a backend server.
-type Ask struct {
+type Request struct {
 	Pool string
 	// Prompt has the parts of the prompt that the request shares with others, in order. It is
 	// empty for a request without a prompt.
@@ -20,7 +20,7 @@
 }
 
 // allows reports whether the request may go to the region of the server.
-func (r *Ask) allows(s *server) bool {
+func (r *Request) allows(s *server) bool {
 	return r.Regions == nil || slices.Contains(r.Regions, s.Region)
 }
 
@@ -30,7 +30,7 @@
 	Tokens int
 }
 
-func (r *Ask) keys() []uint64 {
+func (r *Request) keys() []uint64 {
 	keys := make([]uint64, 0, len(r.Prompt))
 	for _, part := range r.Prompt {
 		keys = append(keys, part.Key)
@@ -39,7 +39,7 @@
 }
 
 // tokens returns the length of the whole prompt in tokens.
-func (r *Ask) tokens() int {
+func (r *Request) tokens() int {
 	sum := r.UniqueTokens
 	for _, part := range r.Prompt {
 		sum += part.Tokens
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -120,13 +120,13 @@
 
 // Acquire chooses a backend server and counts the request there. The error is a *slipwick.Error
 // with OutcomeNotRun.
-func (b *Balancer) Acquire(request *Ask) (*Lease, error) {
+func (b *Balancer) Acquire(request *Request) (*Lease, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.acquireLocked(request, clock.Now())
 }
 
-func (b *Balancer) acquireLocked(request *Ask, now time.Time) (*Lease, error) {
+func (b *Balancer) acquireLocked(request *Request, now time.Time) (*Lease, error) {
 	decay := b.decayLocked(now)
 	pool := b.splitByVersionLocked(b.pools[request.Pool], request, now)
 	usable := b.usableLocked(pool, request, now)
@@ -165,7 +165,7 @@
 
 // noBackendErrorLocked returns an error that says why no backend server may get the request,
 // with a Retry-After if the reason is known to end.
-func (b *Balancer) noBackendErrorLocked(pool []*server, request *Ask, now time.Time) error {
+func (b *Balancer) noBackendErrorLocked(pool []*server, request *Request, now time.Time) error {
 	err := &slipwick.Error{
 		Kind:    slipwick.KindNoBackend,
 		Message: "no backend server of pool " + request.Pool + " accepts requests",
@@ -217,7 +217,7 @@
 // returns the cold ones with capacity left in their limit, and failing these the ejected ones,
 // but never those that are leaving or asked for a pause. The slice is valid until the next
 // call.
-func (b *Balancer) usableLocked(pool []*server, request *Ask, now time.Time) []*server {
+func (b *Balancer) usableLocked(pool []*server, request *Request, now time.Time) []*server {
 	usable, cold, out := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.ejected[:0]
 	paused := b.scratch.paused[:0]
 	for _, s := range pool {
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -32,7 +32,7 @@
 	return b
 }
 
-func acquire(t *testing.T, b *Balancer, ask *Ask) *Lease {
+func acquire(t *testing.T, b *Balancer, ask *Request) *Lease {
 	t.Helper()
 	lease, err := b.Acquire(ask)
 	if err != nil {
@@ -41,8 +41,8 @@
 	return lease
 }
 
-func prompt(key uint64) *Ask {
-	return &Ask{
+func prompt(key uint64) *Request {
+	return &Request{
 		Pool: "p",
 		Prompt: []Part{
 			{
@@ -153,7 +153,7 @@
 	list := listed(3)
 	list[0].Leaving = true
 	b.SetBackends(list)
-	ask := &Ask{
+	ask := &Request{
 		Pool:  "p",
 		Exclude: []string{"p-1"},
 	}
@@ -170,7 +170,7 @@
 }
 
 func TestPlainServicesGetTheLeastLoadedNearFirst(t *testing.T) {
-	ask := &Ask{
+	ask := &Request{
 		Pool: "p",
 	}
 	near, far := 0, 0
@@ -193,7 +193,7 @@
 	b.SetBackends(listed(4))
 	counts := make(map[string]int)
 	for range 200 {
-		lease := acquire(t, b, &Ask{
+		lease := acquire(t, b, &Request{
 			Pool: "p",
 		})
 		counts[lease.Backend.ID]++
@@ -233,7 +233,7 @@
 func TestFailingBackendIsLeftOutUnlessAllFail(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(2)
-		ask := &Ask{
+		ask := &Request{
 			Pool: "p",
 		}
 		for range 20 {
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -15,7 +15,7 @@
 
 // plainChoice chooses the engine for a prompt as Acquire does, step by step and
 // without what makes that fast; nil if chance decides.
-func plainChoice(b *Balancer, ask *Ask, now time.Time, decay float64) *server {
+func plainChoice(b *Balancer, ask *Request, now time.Time, decay float64) *server {
 	var usable []*server
 	for _, s := range b.pools[ask.Pool] {
 		if !s.Leaving && !slices.Contains(ask.Exclude, s.ID) && !b.isUnavailableLocked(s, now) {
@@ -130,8 +130,8 @@
 			ids = append(ids, fmt.Sprint("r", i))
 		}
 		b.SetPeers(ids, 3*peers)
-		draw := func() *Ask {
-			return &Ask{
+		draw := func() *Request {
+			return &Request{
 				Pool: "p",
 				Prompt: []Part{
 					{
@@ -201,7 +201,7 @@
 			Count:  3,
 		})
 	}
-	ask := &Ask{
+	ask := &Request{
 		Pool: "p",
 		Prompt: []Part{
 			{
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -13,7 +13,7 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-var plain = &Ask{
+var plain = &Request{
 	Pool: "p",
 }
 
@@ -275,7 +275,7 @@
 			b := newTestBalancer(4)
 			var lease *Lease
 			for lease == nil || lease.Backend.ID != "p-0" {
-				lease = acquire(t, b, &Ask{
+				lease = acquire(t, b, &Request{
 					Pool: "p",
 				})
 			}
@@ -284,7 +284,7 @@
 		}
 		counts := make(map[string]int)
 		for range 40 {
-			counts[acquire(t, other, &Ask{
+			counts[acquire(t, other, &Request{
 				Pool: "p",
 			}).Backend.ID]++
 		}
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -47,7 +47,7 @@
 	}
 	b.SetEvacuated([]string{"e"})
 	for key := range uint64(80) {
-		for _, ask := range []*Ask{prompt(key), plain} {
+		for _, ask := range []*Request{prompt(key), plain} {
 			lease := acquire(t, b, ask)
 			if lease.Backend.DataCentre == "e" {
 				t.Fatalf("prompt %d: got %s of the evacuated data centre", key, lease.Backend.ID)
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -137,7 +137,7 @@
 func TestOutingsBelongToALife(t *testing.T) {
 	b := New("dc-0")
 	b.SetBackends(bornAt("", 0))
-	lease := acquire(t, b, &Ask{Pool: "p"})
+	lease := acquire(t, b, &Request{Pool: "p"})
 	b.Release(lease, slipwick.EvidenceRefused)
 	id := lease.Backend.ID
 	isOut := func() bool {
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -161,7 +161,7 @@
 
 // MaxPrefillTime returns the longest time until the response begins if an engine of the pool
 // has to prefill the whole prompt.
-func (b *Balancer) ReadTime(request *Ask) time.Duration {
+func (b *Balancer) ReadTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.paceLocked(request.Pool).maxPrefillTime(request.tokens())
@@ -169,7 +169,7 @@
 
 // PrefillTime returns how long an engine of the pool prefills the whole prompt, without the
 // base time of any request.
-func (b *Balancer) ReadingTime(request *Ask) time.Duration {
+func (b *Balancer) ReadingTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	reading := b.paceLocked(request.Pool).prefill
@@ -178,7 +178,7 @@
 
 // MedianResponseTime returns the median time until the response to such a request of the pool
 // begins, or 0 while too few were measured.
-func (b *Balancer) Usual(request *Ask) time.Duration {
+func (b *Balancer) Usual(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.paceLocked(request.Pool).responseTimeQuantile(medianQuantile, request.UniqueTokens)
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -10,7 +10,7 @@
 )
 
 // serve has the pool answer a request after the time.
-func serve(t *testing.T, b *Balancer, ask *Ask, took time.Duration) {
+func serve(t *testing.T, b *Balancer, ask *Request, took time.Duration) {
 	t.Helper()
 	lease := acquire(t, b, ask)
 	b.Sent(lease)
@@ -21,7 +21,7 @@
 }
 
 // patienceOf is the patience with the pool's next request.
-func patienceOf(t *testing.T, b *Balancer, ask *Ask) time.Duration {
+func patienceOf(t *testing.T, b *Balancer, ask *Request) time.Duration {
 	t.Helper()
 	lease := acquire(t, b, ask)
 	defer b.Abandon(lease)
@@ -93,7 +93,7 @@
 }
 
 // shared is an ask for a prompt that nobody has read.
-func shared(key uint64, tokens int) *Ask {
+func shared(key uint64, tokens int) *Request {
 	ask := prompt(key + 1<<40)
 	ask.Prompt[0].Tokens, ask.UniqueTokens = tokens, 0
 	return ask
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -10,7 +10,7 @@
 // chooseByPromptLocked chooses an engine that has the prompt cached and is below the load
 // bound. Without one, it chooses the engine below the bound with the least prefill work, and if
 // all are above it, the least loaded.
-func (b *Balancer) chooseByPromptLocked(request *Ask, pool, usable []*server, now time.Time, decay float64) *Lease {
+func (b *Balancer) chooseByPromptLocked(request *Request, pool, usable []*server, now time.Time, decay float64) *Lease {
 	parts := request.keys()
 	prompt := parts[len(parts)-1]
 	each, mean := b.expectedLoadsLocked(usable, now, decay)
@@ -170,7 +170,7 @@
 // the best ranked engine of those listed before the chosen one if its cache is not known, or
 // one that is known to have the first parts cached.
 func (b *Balancer) fetchSourceLocked(
-	request *Ask, parts []uint64, pool []*server, chosen *server, now time.Time,
+	request *Request, parts []uint64, pool []*server, chosen *server, now time.Time,
 ) *server {
 	usable := func(engine uint64) *server {
 		if s := b.hashes[engine]; s != nil && request.allows(s) && b.canFetchFromLocked(s, now) {
@@ -193,7 +193,7 @@
 // likelyHolderLocked returns the best ranked engine for a prompt among the chosen one and those
 // listed before it.
 func (b *Balancer) likelyHolderLocked(
-	request *Ask, prompt uint64, pool []*server, chosen *server, now time.Time,
+	request *Request, prompt uint64, pool []*server, chosen *server, now time.Time,
 ) *server {
 	var likely *server
 	var likelyScore uint64
--- a/balance/reading.go
+++ b/balance/reading.go
@@ -73,7 +73,7 @@
 
 // awaitPrefillLocked delays the lease if its prompt is being prefilled for the first time. An
 // engine other than the one that prefills it will fetch it from there.
-func (b *Balancer) awaitPrefillLocked(request *Ask, part uint64, lease *Lease, now time.Time) {
+func (b *Balancer) awaitPrefillLocked(request *Request, part uint64, lease *Lease, now time.Time) {
 	tokens := request.tokens()
 	known, p := b.prefills[part], b.paceLocked(lease.server.Pool)
 	if known == nil || known.done == nil && tokens < p.prefill.Tokens(longPrefillTime) {
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -10,7 +10,7 @@
 )
 
 // longPrompt has a shared part of 10,000 tokens.
-func longPrompt(key uint64) *Ask {
+func longPrompt(key uint64) *Request {
 	ask := prompt(key)
 	ask.Prompt[0].Tokens = 10000
 	return ask
@@ -125,7 +125,7 @@
 		}
 	}
 	b.Keeps(keeper.ID, []uint64{head})
-	ask := &Ask{
+	ask := &Request{
 		Pool: "p",
 		Prompt: []Part{
 			{
--- a/balance/regions_test.go
+++ b/balance/regions_test.go
@@ -18,7 +18,7 @@
 		addresses[s.Address] = s.Region
 	}
 	for key := range uint64(120) {
-		for _, ask := range []*Ask{prompt(key), {Pool: "p"}} {
+		for _, ask := range []*Request{prompt(key), {Pool: "p"}} {
 			ask.Regions = []string{"region of e"}
 			lease := acquire(t, b, ask)
 			if got := lease.Backend.Region; got != "region of e" {
--- a/balance/sleep_test.go
+++ b/balance/sleep_test.go
@@ -18,7 +18,7 @@
 			defer clock.SetSource(func() time.Duration { return ahead })()
 			b := newTestBalancer(3)
 			b.SetPeers([]string{"r"}, 1)
-			lease := acquire(t, b, &Ask{Pool: "p"})
+			lease := acquire(t, b, &Request{Pool: "p"})
 			b.Release(lease, slipwick.EvidenceRefused)
 			b.Hear("r", 1, []InFlight{{Server: b.servers[lease.Backend.ID].hash, Count: 9}})
 			if !b.hasAllUpdatesLocked(clock.Now()) || !b.isUnavailableLocked(b.servers[lease.Backend.ID], clock.Now()) {
--- a/balance/trial.go
+++ b/balance/trial.go
@@ -100,7 +100,7 @@
 
 // splitByVersionLocked returns the servers of a pool that the request may go to according to
 // the pool's canary and the versions that are held back.
-func (b *Balancer) splitByVersionLocked(pool []*server, request *Ask, now time.Time) []*server {
+func (b *Balancer) splitByVersionLocked(pool []*server, request *Request, now time.Time) []*server {
 	c, held := b.canaries[request.Pool], b.heldVersionsLocked(request.Pool, now)
 	if c == nil && len(held) == 0 {
 		return pool
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -39,7 +39,7 @@
 		for i := range uint64(requests) {
 			ask := prompt(i % 50)
 			if i%2 == 0 {
-				ask = &Ask{
+				ask = &Request{
 					Pool: "p",
 				}
 			}
--- a/cmd/internal/gatewayd/rollouts_test.go
+++ b/cmd/internal/gatewayd/rollouts_test.go
@@ -108,7 +108,7 @@
 	for started, i := time.Now(), 0; time.Since(started) < period; {
 		for range 40 {
 			b := f.routers[i%len(f.routers)].process.balancer
-			lease, err := b.Acquire(&balance.Ask{
+			lease, err := b.Acquire(&balance.Request{
 				Pool: "p",
 			})
 			if err != nil {
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -92,7 +92,7 @@
 
 func acquire(t *testing.T, b *balance.Balancer, key uint64) *balance.Lease {
 	t.Helper()
-	lease, err := b.Acquire(&balance.Ask{
+	lease, err := b.Acquire(&balance.Request{
 		Pool: "p",
 		Prompt: []balance.Part{
 			{
@@ -270,7 +270,7 @@
 // acquireLongPrompt sends a request whose prompt takes an engine some 100 ms to prefill.
 func acquireLongPrompt(t *testing.T, b *balance.Balancer) *balance.Lease {
 	t.Helper()
-	lease, err := b.Acquire(&balance.Ask{
+	lease, err := b.Acquire(&balance.Request{
 		Pool: "p",
 		Prompt: []balance.Part{
 			{
--- a/exchange/telling_bench_test.go
+++ b/exchange/telling_bench_test.go
@@ -38,7 +38,7 @@
 			t.Wire = discardTransport{}
 			t.Routers = func() []slipwick.Router { return routers }
 			t.Address = func(r slipwick.Router) string { return r.ID }
-			if _, err := t.Balancer.Acquire(&balance.Ask{
+			if _, err := t.Balancer.Acquire(&balance.Request{
 				Pool: "p",
 			}); err != nil {
 				b.Fatal(err)
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -33,7 +33,7 @@
 	deadline time.Time
 	ctx      context.Context
 
-	selection balance.Ask
+	selection balance.Request
 	// nextLease is the lease of the next send, acquired while the current one was still waiting;
 	// nil if there is none.
 	nextLease *balance.Lease
