--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -26,7 +26,7 @@
 	// OnLongPrefill is called when an engine gets a long prompt to prefill, which delays all
 	// other requests there, so that other routers can be informed soon. It must not call back
 	// into the balancer.
-	OnLongRead func()
+	OnLongPrefill func()
 	// OnEjected is called for each backend server that is ejected, with the duration. It must
 	// not call back into the balancer.
 	OnOut func(backend slipwick.Backend, wait time.Duration)
@@ -99,7 +99,7 @@
 		DataCentre:      dataCentre,
 		LoadFactor:      DefaultLoadFactor,
 		LoadSlack:       DefaultLoadSlack,
-		OnLongRead:      func() {},
+		OnLongPrefill:      func() {},
 		OnOut:           func(slipwick.Backend, time.Duration) {},
 		OnNotice:        func(slipwick.Backend, slipwick.Notice) {},
 		Draw:            rand.Float64,
@@ -153,7 +153,7 @@
 	lease.server.recordSend(decay)
 	lease.server.prefillTokens += lease.pendingPrefill
 	if lease.hasPrompt && lease.pendingPrefill >= b.paceLocked(request.Pool).prefill.Tokens(longPrefillTime) {
-		b.OnLongRead()
+		b.OnLongPrefill()
 	}
 	return lease, nil
 }
