--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -29,7 +29,7 @@
 	OnLongPrefill func()
 	// OnEjected is called for each backend server that is ejected, with the duration. It must
 	// not call back into the balancer.
-	OnOut func(backend slipwick.Backend, wait time.Duration)
+	OnEjected func(backend slipwick.Backend, wait time.Duration)
 	// OnNotice is called when a backend server announces something about itself that was not
 	// known. It must not call back into the balancer.
 	OnNotice func(backend slipwick.Backend, notice slipwick.Notice)
@@ -100,7 +100,7 @@
 		LoadFactor:      DefaultLoadFactor,
 		LoadSlack:       DefaultLoadSlack,
 		OnLongPrefill:      func() {},
-		OnOut:           func(slipwick.Backend, time.Duration) {},
+		OnEjected:           func(slipwick.Backend, time.Duration) {},
 		OnNotice:        func(slipwick.Backend, slipwick.Notice) {},
 		Draw:            rand.Float64,
 		servers:         make(map[string]*server),
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -211,7 +211,7 @@
 		b := newTestBalancer(3)
 		id := home(7, 3)
 		var told []string
-		b.OnOut = func(backend slipwick.Backend, wait time.Duration) {
+		b.OnEjected = func(backend slipwick.Backend, wait time.Duration) {
 			told = append(told, backend.ID+" "+wait.String())
 		}
 		b.Release(acquire(t, b, prompt(7)), slipwick.EvidenceUnreachable)
--- a/balance/errors.go
+++ b/balance/errors.go
@@ -90,7 +90,7 @@
 	case slipwick.EvidenceNone:
 	case slipwick.EvidenceUnreachable, slipwick.EvidenceTimeout, slipwick.EvidenceLeaving:
 		if s.eject(now, shortEjection) {
-			b.OnOut(s.Backend, s.ejectedUntil.Sub(now))
+			b.OnEjected(s.Backend, s.ejectedUntil.Sub(now))
 		}
 	case slipwick.EvidenceRefused:
 		// Each router sends to one server so seldom that all would have to find out for
@@ -98,7 +98,7 @@
 		// concerns only this router.
 		b.recordOutcomeLocked(s, true)
 		if s.eject(now, shortEjection) {
-			b.OnOut(s.Backend, s.ejectedUntil.Sub(now))
+			b.OnEjected(s.Backend, s.ejectedUntil.Sub(now))
 		}
 	case slipwick.EvidenceShed:
 		s.lastActivityAt = now
@@ -133,7 +133,7 @@
 	}
 	if s.eject(now, errorEjection) {
 		s.errors.rate, s.ejectedForErrors = rateAfterEjection, true
-		b.OnOut(s.Backend, s.ejectedUntil.Sub(now))
+		b.OnEjected(s.Backend, s.ejectedUntil.Sub(now))
 	}
 }
 
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -177,7 +177,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	b := newTestBalancer(18)
 	found := 0
-	b.OnOut = func(backend slipwick.Backend, _ time.Duration) {
+	b.OnEjected = func(backend slipwick.Backend, _ time.Duration) {
 		if backend.ID == "p-3" {
 			found++
 		} else {
@@ -213,7 +213,7 @@
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newTestBalancer(7)
-				b.OnOut = func(slipwick.Backend, time.Duration) { consecutiveEjections++ }
+				b.OnEjected = func(slipwick.Backend, time.Duration) { consecutiveEjections++ }
 				random := rand.New(rand.NewPCG(seed, 2))
 				b.Draw = random.Float64
 				for range outcomes {
@@ -240,7 +240,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestBalancer(7)
 			out := make(map[string]int)
-			b.OnOut = func(backend slipwick.Backend, _ time.Duration) { out[backend.ID]++ }
+			b.OnEjected = func(backend slipwick.Backend, _ time.Duration) { out[backend.ID]++ }
 			random := rand.New(rand.NewPCG(3, 4))
 			for range 1400 {
 				lease := acquire(t, b, plain)
--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -47,7 +47,7 @@
 func (p *Process) newBalancer() *balance.Balancer {
 	b := balance.New(p.Settings.DataCentre)
 	b.Switches = p.Switches
-	b.OnOut = p.onOut
+	b.OnEjected = p.onOut
 	b.OnNotice = p.onNotice
 	b.InPlace = p.Feeds.Private
 	b.HoldVersions = p.followsRollouts()
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -174,7 +174,7 @@
 			var mu sync.Mutex
 			ejected := make(map[string]int)
 			for _, teller := range tellers {
-				teller.Balancer.OnOut = func(backend slipwick.Backend, _ time.Duration) {
+				teller.Balancer.OnEjected = func(backend slipwick.Backend, _ time.Duration) {
 					mu.Lock()
 					defer mu.Unlock()
 					ejected[teller.Self+" "+backend.ID]++
