--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -36,7 +36,7 @@
 	// EntriesReused says that a backend server may be replaced by another under the same entry,
 	// as in a list that operators write. A server's announcement that it is leaving then
 	// expires.
-	InPlace bool
+	EntriesReused bool
 	// HoldVersions holds back servers of a version that is new in its pool until it is known
 	// whether a rollout names that version.
 	HoldVersions bool
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -61,7 +61,7 @@
 	n := b.notices[life]
 	if n == nil {
 		n = &notices{}
-		if b.InPlace {
+		if b.EntriesReused {
 			n.expiry = leavingExpiry
 		}
 		b.notices[life] = n
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -231,7 +231,7 @@
 	for _, inPlace := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			b := New("dc-0")
-			b.InPlace = inPlace
+			b.EntriesReused = inPlace
 			b.SetBackends(listed(2))
 			say(t, b, "p-0", leaves)
 			time.Sleep(leavingExpiry / 2)
--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -49,7 +49,7 @@
 	b.Switches = p.Switches
 	b.OnEjected = p.onOut
 	b.OnNotice = p.onNotice
-	b.InPlace = p.Feeds.Private
+	b.EntriesReused = p.Feeds.Private
 	b.HoldVersions = p.followsRollouts()
 	b.SetLoadBound(p.Settings.Bounds.LoadFactor, p.Settings.Bounds.LoadSlack)
 	return b
