--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -43,7 +43,7 @@
 	// Switches select alternative decisions for comparisons.
 	Switches Switches
 	// Random returns a random number in [0, 1). New sets the default.
-	Draw func() float64
+	Random func() float64
 
 	mu         sync.Mutex
 	servers    map[string]*server
@@ -102,7 +102,7 @@
 		OnLongPrefill:      func() {},
 		OnEjected:           func(slipwick.Backend, time.Duration) {},
 		OnNotice:        func(slipwick.Backend, slipwick.Notice) {},
-		Draw:            rand.Float64,
+		Random:            rand.Float64,
 		servers:         make(map[string]*server),
 		hashes:          make(map[uint64]*server),
 		active:          make(map[*server]bool),
@@ -258,7 +258,7 @@
 			costs[i] += remoteDataCentreCost
 		}
 	}
-	return usable[chooseByWaterFilling(costs, b.unreportedRequestsLocked(usable, decay), b.Draw())]
+	return usable[chooseByWaterFilling(costs, b.unreportedRequestsLocked(usable, decay), b.Random())]
 }
 
 // RecordLoad takes the load that a backend server reported in a response.
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -176,7 +176,7 @@
 	near, far := 0, 0
 	for seed := range uint64(50) {
 		b := newTestBalancer(4)
-		b.Draw = rand.New(rand.NewPCG(seed, 3)).Float64
+		b.Random = rand.New(rand.NewPCG(seed, 3)).Float64
 		counts := make(map[string]int)
 		for range 8 {
 			counts[acquire(t, b, ask).Backend.ID]++
--- a/balance/cutoff_test.go
+++ b/balance/cutoff_test.go
@@ -28,7 +28,7 @@
 		f := newTestFleet(6, 28, 2)
 		random := rand.New(rand.NewPCG(9, 10))
 		for _, b := range f.routers {
-			b.Draw = random.Float64
+			b.Random = random.Float64
 		}
 		cut := f.routers[0]
 		for range 20 {
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -215,7 +215,7 @@
 				b := newTestBalancer(7)
 				b.OnEjected = func(slipwick.Backend, time.Duration) { consecutiveEjections++ }
 				random := rand.New(rand.NewPCG(seed, 2))
-				b.Draw = random.Float64
+				b.Random = random.Float64
 				for range outcomes {
 					lease := acquire(t, b, plain)
 					evidence := slipwick.EvidenceGood
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -34,7 +34,7 @@
 	chosen := best.server
 	switch {
 	case chosen == nil:
-		chosen = usable[chooseByWaterFilling(each, b.unreportedRequestsLocked(usable, decay), b.Draw())]
+		chosen = usable[chooseByWaterFilling(each, b.unreportedRequestsLocked(usable, decay), b.Random())]
 	case !best.has:
 		chosen = b.leastPrefillLocked(prompt, usable, each, bound, now)
 	}
--- a/balance/trial.go
+++ b/balance/trial.go
@@ -118,7 +118,7 @@
 	if c == nil || c.Share <= 0 {
 		return old
 	}
-	if len(old) == 0 || len(canary) > 0 && b.Draw() < c.Share {
+	if len(old) == 0 || len(canary) > 0 && b.Random() < c.Share {
 		return canary
 	}
 	return old
