--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -262,7 +262,7 @@
 }
 
 // RecordLoad takes the load that a backend server reported in a response.
-func (b *Balancer) Reported(lease *Lease, load Load) {
+func (b *Balancer) RecordLoad(lease *Lease, load Load) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := lease.server
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -256,7 +256,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(2)
 		lease := acquire(t, b, prompt(7))
-		b.Reported(lease, Load{
+		b.RecordLoad(lease, Load{
 			Running: 50,
 		})
 		b.SetPeers([]string{"r2"}, 1)
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -36,7 +36,7 @@
 	c.gateway.Balancer.Noticed(lease, notice)
 	c.gateway.Balancer.Began(lease)
 	if load, ok := parseLoad(response.Header.Get(names.Load)); ok {
-		c.gateway.Balancer.Reported(lease, load)
+		c.gateway.Balancer.RecordLoad(lease, load)
 	}
 	switch {
 	case response.Status == http.StatusMisdirectedRequest:
