--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -273,7 +273,7 @@
 
 // RecordResponseStart notes that a backend server has begun to respond and thus has finished
 // the prefill.
-func (b *Balancer) Began(lease *Lease) {
+func (b *Balancer) RecordResponseStart(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	lease.server.prefillTokens -= lease.pendingPrefill
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -87,7 +87,7 @@
 	fetched := 0
 	for range 60 {
 		lease := acquire(t, b, prompt(7))
-		b.Began(lease)
+		b.RecordResponseStart(lease)
 		counts[lease.Backend.ID]++
 		if lease.FetchFrom != "" {
 			fetched++
@@ -293,10 +293,10 @@
 	for key := range uint64(20) {
 		b := newTestBalancer(8)
 		first := acquire(t, b, prompt(key))
-		b.Began(first)
+		b.RecordResponseStart(first)
 		for range 20 {
 			lease := acquire(t, b, prompt(key))
-			b.Began(lease)
+			b.RecordResponseStart(lease)
 			if lease.Backend.ID == first.Backend.ID {
 				continue
 			}
--- a/balance/bound_test.go
+++ b/balance/bound_test.go
@@ -24,7 +24,7 @@
 	counts := make(map[string]int)
 	for range 120 {
 		lease := acquire(t, b, prompt(7))
-		b.Began(lease)
+		b.RecordResponseStart(lease)
 		counts[lease.Backend.ID]++
 	}
 	for id, got := range counts {
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -76,7 +76,7 @@
 		at = f.frozenUntil[router]
 	}
 	f.arrivals[lease.Backend.ID] = append(f.arrivals[lease.Backend.ID], at)
-	f.routers[router].Began(lease)
+	f.routers[router].RecordResponseStart(lease)
 	f.routers[router].Release(lease, slipwick.EvidenceGood)
 }
 
@@ -271,7 +271,7 @@
 		lease := acquire(t, b, prompt(1))
 		b.Sent(lease)
 		time.Sleep(2 * time.Second)
-		b.Began(lease)
+		b.RecordResponseStart(lease)
 		b.LearnPace(lease)
 		if got := b.paceLocked("p").slowness.Len(); got != 0 {
 			t.Errorf("got %d times learnt from a cold engine, want none", got)
--- a/balance/cutoff_test.go
+++ b/balance/cutoff_test.go
@@ -43,7 +43,7 @@
 			for _, b := range f.routers[1:] {
 				for range 30 {
 					lease := acquire(t, b, prompt(uint64(random.IntN(95))))
-					b.Began(lease)
+					b.RecordResponseStart(lease)
 					b.Release(lease, slipwick.EvidenceGood)
 				}
 			}
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -35,7 +35,7 @@
 		b := newTestBalancer(3)
 		id := home(7, 3)
 		waiting := acquire(t, b, prompt(7))
-		b.Began(waiting)
+		b.RecordResponseStart(waiting)
 		time.Sleep(minSilence)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
 			t.Errorf("after %v: got %s, want %s still", minSilence, got, id)
@@ -117,7 +117,7 @@
 	b := newTestBalancer(4)
 	b.CoverAll()
 	first := acquire(t, b, prompt(7))
-	b.Began(first)
+	b.RecordResponseStart(first)
 	b.Release(first, slipwick.EvidenceGood)
 	b.HearOutcomes([]Outcomes{
 		{
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -74,7 +74,7 @@
 func TestEvacuatedEnginesAreFetchedFrom(t *testing.T) {
 	b := newPlacedBalancer(4, "d", "e")
 	first := acquire(t, b, prompt(7))
-	b.Began(first)
+	b.RecordResponseStart(first)
 	b.Release(first, slipwick.EvidenceGood)
 	b.SetEvacuated([]string{first.Backend.DataCentre})
 	second := acquire(t, b, prompt(7))
@@ -93,7 +93,7 @@
 	for key := range uint64(40) {
 		lease := acquire(t, b, prompt(key))
 		homes[key] = lease.Backend.ID
-		b.Began(lease)
+		b.RecordResponseStart(lease)
 		b.Release(lease, slipwick.EvidenceGood)
 	}
 	b.SetEvacuated(nil)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -75,7 +75,7 @@
 		f.over++
 	}
 	f.load[lease.Backend.ID]++
-	b.Began(lease)
+	b.RecordResponseStart(lease)
 	time.AfterFunc(time.Duration(300+random.IntN(800))*time.Millisecond, func() {
 		f.mu.Lock()
 		f.load[lease.Backend.ID]--
@@ -145,7 +145,7 @@
 				f.mu.Lock()
 				f.load[lease.Backend.ID]--
 				f.mu.Unlock()
-				b.Began(lease)
+				b.RecordResponseStart(lease)
 				b.LearnPace(lease)
 				b.Release(lease, slipwick.EvidenceGood)
 			})
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -90,13 +90,13 @@
 		first := acquire(t, f.routers[0], prompt(7))
 		id := first.Backend.ID
 		f.hear(0, f.told(0))
-		f.routers[0].Began(first)
+		f.routers[0].RecordResponseStart(first)
 		leases := []*Lease{first, acquire(t, f.routers[1], prompt(7)), acquire(t, f.routers[2], prompt(7))}
 		for i, lease := range leases[1:] {
 			if lease.Backend.ID != id {
 				t.Fatalf("router %d: got engine %s, want %s, which has the prompt", i+1, lease.Backend.ID, id)
 			}
-			f.routers[i+1].Began(lease)
+			f.routers[i+1].RecordResponseStart(lease)
 		}
 		late := []Told{f.told(0), f.told(1), f.told(2)}
 		for i, told := range late {
@@ -165,7 +165,7 @@
 			}
 			b.SetBackends(list)
 			if i == 0 {
-				b.Began(acquire(t, b, prompt(7)))
+				b.RecordResponseStart(acquire(t, b, prompt(7)))
 			}
 		}
 		if !b.HasHome(prompt(7)) || b.InFlight("p") != 1 {
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -15,7 +15,7 @@
 	lease := acquire(t, b, ask)
 	b.Sent(lease)
 	time.Sleep(took)
-	b.Began(lease)
+	b.RecordResponseStart(lease)
 	b.LearnPace(lease)
 	b.Release(lease, slipwick.EvidenceGood)
 }
@@ -161,7 +161,7 @@
 		b := newTestBalancer(3)
 		stream := func(pause time.Duration) {
 			lease := acquire(t, b, prompt(7))
-			b.Began(lease)
+			b.RecordResponseStart(lease)
 			for i := range 4 {
 				time.Sleep(time.Duration(i+1) * pause / 4)
 				b.Heard(lease)
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -37,7 +37,7 @@
 		name string
 		end  func(b *Balancer, first *Lease)
 	}{
-		{"the engine begins to answer", func(b *Balancer, first *Lease) { b.Began(first) }},
+		{"the engine begins to answer", func(b *Balancer, first *Lease) { b.RecordResponseStart(first) }},
 		{"the request fails", func(b *Balancer, first *Lease) { b.Release(first, slipwick.EvidenceError) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -38,7 +38,7 @@
 	for range f.mostSends {
 		lease := acquire(t, b, ask)
 		if !slices.Contains(f.shedding, lease.Backend.ID) {
-			b.Began(lease)
+			b.RecordResponseStart(lease)
 			time.AfterFunc(time.Duration(300+random.IntN(800))*time.Millisecond, func() {
 				b.Release(lease, slipwick.EvidenceGood)
 			})
--- a/balance/switches_test.go
+++ b/balance/switches_test.go
@@ -58,7 +58,7 @@
 			b := newPlacedBalancer(4, "d", "e")
 			b.Switches.ForgetEvacuated = test.forgets
 			first := acquire(t, b, prompt(7))
-			b.Began(first)
+			b.RecordResponseStart(first)
 			b.SetEvacuated([]string{first.Backend.DataCentre})
 			b.CoverAll()
 			got := acquire(t, b, prompt(7)).FetchFrom == first.Backend.Address
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -47,7 +47,7 @@
 			if lease.server.Version == "v2" {
 				got++
 			}
-			b.Began(lease)
+			b.RecordResponseStart(lease)
 			b.Release(lease, slipwick.EvidenceGood)
 		}
 		least, most := share*requests*0.75-10, share*requests*1.25+10
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -34,7 +34,7 @@
 ) (result, slipwick.Evidence, error) {
 	names := &c.gateway.Headers
 	c.gateway.Balancer.Noticed(lease, notice)
-	c.gateway.Balancer.Began(lease)
+	c.gateway.Balancer.RecordResponseStart(lease)
 	if load, ok := parseLoad(response.Header.Get(names.Load)); ok {
 		c.gateway.Balancer.RecordLoad(lease, load)
 	}
