--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -304,7 +304,7 @@
 }
 
 // RecordProgress notes that the backend server has sent more of its response.
-func (b *Balancer) Heard(lease *Lease) {
+func (b *Balancer) RecordProgress(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -45,7 +45,7 @@
 		if lease.Backend.ID == id || lease.FetchFrom != "" {
 			t.Errorf("later: got %s fetching from %q, want another, fetching from none", lease.Backend.ID, lease.FetchFrom)
 		}
-		b.Heard(waiting)
+		b.RecordProgress(waiting)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
 			t.Errorf("when it was heard: got %s, want %s", got, id)
 		}
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -164,7 +164,7 @@
 			b.RecordResponseStart(lease)
 			for i := range 4 {
 				time.Sleep(time.Duration(i+1) * pause / 4)
-				b.Heard(lease)
+				b.RecordProgress(lease)
 			}
 			b.Release(lease, slipwick.EvidenceGood)
 		}
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -171,7 +171,7 @@
 			if c.firstEvent.IsZero() {
 				c.firstEvent = clock.Now()
 			}
-			c.gateway.Balancer.Heard(lease)
+			c.gateway.Balancer.RecordProgress(lease)
 		}
 		switch {
 		case errors.Is(err, io.EOF):
