--- a/balance/cutoff_test.go
+++ b/balance/cutoff_test.go
@@ -35,7 +35,7 @@
 			for range 12 {
 				lease := acquire(t, cut, prompt(uint64(random.IntN(95))))
 				time.AfterFunc(350*time.Millisecond, func() {
-					cut.Overdue(lease)
+					cut.RecordOverdue(lease)
 					cut.Release(lease, slipwick.EvidenceNone)
 				})
 				time.Sleep(time.Second / 12)
--- a/balance/errors.go
+++ b/balance/errors.go
@@ -173,7 +173,7 @@
 
 // RecordOverdue counts a failure for a backend server that has let a request wait for so long
 // that the response will be late. The request goes on.
-func (b *Balancer) Overdue(lease *Lease) {
+func (b *Balancer) RecordOverdue(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.recordOutcomeLocked(lease.server, true)
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -138,7 +138,7 @@
 		lease = acquire(t, b, plain)
 	}
 	for range 4 {
-		b.Overdue(lease)
+		b.RecordOverdue(lease)
 	}
 	if got := outNow(b); got != 1 {
 		t.Errorf("got %d left out, want the one that lets requests wait", got)
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -80,7 +80,7 @@
 	c := h.call
 	if !h.reported {
 		h.reported = true
-		c.gateway.Balancer.Overdue(h.lease)
+		c.gateway.Balancer.RecordOverdue(h.lease)
 	}
 	if !h.mayRetry || clock.Until(c.deadline) < c.minRetryTime() {
 		return upstream.Forever
