--- a/balance/cutoff_test.go
+++ b/balance/cutoff_test.go
@@ -15,7 +15,7 @@
 		told := b.Tell()
 		for j, other := range f.routers {
 			if j != i {
-				other.HearOutcomes(told.Outcomes)
+				other.ReceiveOutcomes(told.Outcomes)
 			}
 		}
 	}
--- a/balance/errors.go
+++ b/balance/errors.go
@@ -181,7 +181,7 @@
 }
 
 // ReceiveOutcomes takes the outcomes of requests of other routers.
-func (b *Balancer) HearOutcomes(outcomes []Outcomes) {
+func (b *Balancer) ReceiveOutcomes(outcomes []Outcomes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -73,11 +73,11 @@
 			Good:   2,
 			Failed: 2,
 		}
-		b.HearOutcomes([]Outcomes{bad})
+		b.ReceiveOutcomes([]Outcomes{bad})
 		if got := outNow(b); got != 0 {
 			t.Errorf("after two failures of four: got %d left out, want none", got)
 		}
-		b.HearOutcomes([]Outcomes{bad, bad})
+		b.ReceiveOutcomes([]Outcomes{bad, bad})
 		for range 20 {
 			lease := acquire(t, b, plain)
 			if lease.Backend.ID == "p-2" {
@@ -86,7 +86,7 @@
 			b.Release(lease, slipwick.EvidenceNone)
 		}
 		time.Sleep(errorEjection)
-		b.HearOutcomes([]Outcomes{bad, bad})
+		b.ReceiveOutcomes([]Outcomes{bad, bad})
 		time.Sleep(errorEjection)
 		if got := outNow(b); got != 1 {
 			t.Errorf("when it fails again: got %d left out after %v, want it out for longer", got, errorEjection)
@@ -119,7 +119,7 @@
 	first := acquire(t, b, prompt(7))
 	b.RecordResponseStart(first)
 	b.Release(first, slipwick.EvidenceGood)
-	b.HearOutcomes([]Outcomes{
+	b.ReceiveOutcomes([]Outcomes{
 		{
 			Server: placement.IDHash(first.Backend.ID),
 			Failed: 5,
@@ -163,7 +163,7 @@
 			if random.Float64() < usual {
 				o.Good, o.Failed = 0, 1
 			}
-			b.HearOutcomes([]Outcomes{o})
+			b.ReceiveOutcomes([]Outcomes{o})
 			if got, limit := outNow(b), (size+ejectableOneIn-1)/ejectableOneIn; got > limit {
 				r.Fatalf("got %d of %d left out, want at most %d", got, size, limit)
 			}
@@ -193,7 +193,7 @@
 			if i == 3 && random.Float64() < 0.45 {
 				o.Good, o.Failed = 0, 1
 			}
-			b.HearOutcomes([]Outcomes{o})
+			b.ReceiveOutcomes([]Outcomes{o})
 		}
 	}
 	if found == 0 {
@@ -280,7 +280,7 @@
 				})
 			}
 			b.Release(lease, evidence)
-			other.HearOutcomes(b.Tell().Outcomes)
+			other.ReceiveOutcomes(b.Tell().Outcomes)
 		}
 		counts := make(map[string]int)
 		for range 40 {
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -65,7 +65,7 @@
 			b.Hear(fmt.Sprint("r", from), f.sequence, told.InFlight)
 			b.HearReads(told.Reads)
 			b.HearReadings(told.Reads)
-			b.HearOutcomes(told.Outcomes)
+			b.ReceiveOutcomes(told.Outcomes)
 		}
 	}
 }
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -61,7 +61,7 @@
 		for j, other := range f.routers {
 			if j != i {
 				other.Hear(fmt.Sprint("r", i), sequence, told.InFlight)
-				other.HearOutcomes(told.Outcomes)
+				other.ReceiveOutcomes(told.Outcomes)
 			}
 		}
 	}
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -88,8 +88,8 @@
 		}
 	}
 	fromFirst, fromSecond := first.Tell(), second.Tell()
-	first.HearOutcomes(fromSecond.Outcomes)
-	second.HearOutcomes(fromFirst.Outcomes)
+	first.ReceiveOutcomes(fromSecond.Outcomes)
+	second.ReceiveOutcomes(fromFirst.Outcomes)
 	want := TrialCounts{
 		Old: VersionCounts{
 			Good: 1,
--- a/cmd/internal/gatewayd/rollouts_test.go
+++ b/cmd/internal/gatewayd/rollouts_test.go
@@ -133,7 +133,7 @@
 			told := r.process.balancer.Tell()
 			for _, other := range f.routers {
 				if other != r {
-					other.process.balancer.HearOutcomes(told.Outcomes)
+					other.process.balancer.ReceiveOutcomes(told.Outcomes)
 				}
 			}
 		}
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -254,7 +254,7 @@
 		t.receiveCounts(message, update.InFlight)
 	}
 	t.Balancer.HearReadings(update.Reads)
-	t.Balancer.HearOutcomes(update.Outcomes)
+	t.Balancer.ReceiveOutcomes(update.Outcomes)
 	t.Balancer.HearLeaving(update.Leaving)
 }
 
