--- a/balance/notice.go
+++ b/balance/notice.go
@@ -135,7 +135,7 @@
 // leaving. In a large fleet each router sends to one server so seldom that otherwise every
 // router would find out by a request of its own, which the server may not run long enough to
 // answer.
-func (b *Balancer) HearLeaving(servers []uint64) {
+func (b *Balancer) ReceiveLeaving(servers []uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, hash := range servers {
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -98,7 +98,7 @@
 	b.SetBackends(list)
 	b.Noticed(before, leaves)
 	b.Noticed(before, restsFor3s)
-	b.HearLeaving([]uint64{hash})
+	b.ReceiveLeaving([]uint64{hash})
 	if got := chosen(t, b, 20)["p-0"]; got == 0 {
 		t.Error("got none of 20 requests at the later life, want some")
 	}
@@ -296,7 +296,7 @@
 					news := b.Tell()
 					for j, other := range f.routers {
 						if j != i && isTold {
-							other.HearLeaving(news.Leaving)
+							other.ReceiveLeaving(news.Leaving)
 						}
 					}
 				}
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -255,7 +255,7 @@
 	}
 	t.Balancer.HearReadings(update.Reads)
 	t.Balancer.ReceiveOutcomes(update.Outcomes)
-	t.Balancer.HearLeaving(update.Leaving)
+	t.Balancer.ReceiveLeaving(update.Leaving)
 }
 
 // hasCounts reports whether a datagram carries counts in flight.
