--- a/balance/notice.go
+++ b/balance/notice.go
@@ -100,7 +100,7 @@
 
 // RecordNotice takes what a backend server announced about itself in the response to the
 // lease's request.
-func (b *Balancer) Noticed(lease *Lease, notice slipwick.Notice) {
+func (b *Balancer) RecordNotice(lease *Lease, notice slipwick.Notice) {
 	if !notice.Leaving && notice.Rest <= 0 {
 		return
 	}
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -13,7 +13,7 @@
 // say has a backend server answer a request of the router, with a notice.
 func say(t *testing.T, b *Balancer, id string, notice slipwick.Notice) {
 	t.Helper()
-	b.Noticed(leaseAt(t, b, id), notice)
+	b.RecordNotice(leaseAt(t, b, id), notice)
 }
 
 // leaseAt gives a lease that is released already.
@@ -96,8 +96,8 @@
 	list = listed(2)
 	list[0].Born = 2
 	b.SetBackends(list)
-	b.Noticed(before, leaves)
-	b.Noticed(before, restsFor3s)
+	b.RecordNotice(before, leaves)
+	b.RecordNotice(before, restsFor3s)
 	b.ReceiveLeaving([]uint64{hash})
 	if got := chosen(t, b, 20)["p-0"]; got == 0 {
 		t.Error("got none of 20 requests at the later life, want some")
@@ -126,12 +126,12 @@
 func TestWordThatComesWhileTheEntryIsAwayBinds(t *testing.T) {
 	for name, between := range map[string]func(b *Balancer, lease *Lease){
 		"before it is back": func(b *Balancer, lease *Lease) {
-			b.Noticed(lease, leaves)
+			b.RecordNotice(lease, leaves)
 			b.SetBackends(listed(2))
 		},
 		"after": func(b *Balancer, lease *Lease) {
 			b.SetBackends(listed(2))
-			b.Noticed(lease, leaves)
+			b.RecordNotice(lease, leaves)
 		},
 	} {
 		b := newTestBalancer(2)
@@ -285,7 +285,7 @@
 				if time.Since(began) > time.Second {
 					late++
 				}
-				b.Noticed(lease, leaves)
+				b.RecordNotice(lease, leaves)
 			}
 			time.AfterFunc(time.Duration(300+random.IntN(800))*time.Millisecond, func() {
 				b.Release(lease, slipwick.EvidenceGood)
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -46,7 +46,7 @@
 		}
 		f.refused++
 		ask.Exclude = append(ask.Exclude, lease.Backend.ID)
-		b.Noticed(lease, slipwick.Notice{
+		b.RecordNotice(lease, slipwick.Notice{
 			Rest: f.rest,
 		})
 		b.Release(lease, evidence)
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -36,7 +36,7 @@
 			time.Sleep(3 * updateInterval)
 			b := tellers[size-1].Balancer
 			lease := acquire(t, b, 7)
-			b.Noticed(lease, slipwick.Notice{
+			b.RecordNotice(lease, slipwick.Notice{
 				Leaving: true,
 			})
 			time.Sleep(4 * updateInterval)
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -33,7 +33,7 @@
 	lease *balance.Lease, response *upstream.Answer, notice slipwick.Notice,
 ) (result, slipwick.Evidence, error) {
 	names := &c.gateway.Headers
-	c.gateway.Balancer.Noticed(lease, notice)
+	c.gateway.Balancer.RecordNotice(lease, notice)
 	c.gateway.Balancer.RecordResponseStart(lease)
 	if load, ok := parseLoad(response.Header.Get(names.Load)); ok {
 		c.gateway.Balancer.RecordLoad(lease, load)
