--- a/balance/notice.go
+++ b/balance/notice.go
@@ -112,7 +112,7 @@
 // RecordNoticeFrom takes what a backend server announced about itself in a response to
 // something other than a request. It is ignored unless the incarnation that was asked is the
 // one listed.
-func (b *Balancer) NoticedBy(backend *slipwick.Backend, notice slipwick.Notice) {
+func (b *Balancer) RecordNoticeFrom(backend *slipwick.Backend, notice slipwick.Notice) {
 	if !notice.Leaving && notice.Rest <= 0 {
 		return
 	}
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -110,8 +110,8 @@
 	b := newTestBalancer(3)
 	first, second := leaseAt(t, b, "p-0").Backend, leaseAt(t, b, "p-1").Backend
 	second.Born = 7
-	b.NoticedBy(&first, leaves)
-	b.NoticedBy(&second, leaves)
+	b.RecordNoticeFrom(&first, leaves)
+	b.RecordNoticeFrom(&second, leaves)
 	got := chosen(t, b, 30)
 	if got["p-0"] > 0 || got["p-1"] == 0 {
 		t.Errorf("got requests at %v, want none at p-0 and some at p-1", got)
--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -77,7 +77,7 @@
 // listCache asks an engine for the parts that it keeps.
 func (p *Process) listCache(ctx context.Context, engine slipwick.Backend) ([]uint64, error) {
 	ids, notice, err := p.Feeds.Caches.CachedParts(ctx, engine.Address)
-	p.balancer.NoticedBy(&engine, notice)
+	p.balancer.RecordNoticeFrom(&engine, notice)
 	if err != nil {
 		events.CacheListFailed.On(&p.Log).Str("backend", engine.ID).AnErr("cause", err).Send()
 		return nil, err
