--- a/balance/evacuation.go
+++ b/balance/evacuation.go
@@ -39,7 +39,7 @@
 // StillAccepts reports whether the lease's backend server may still get the request, when it
 // was not sent at once. It may not if meanwhile it is leaving, evacuated, asked for a pause or
 // became cold.
-func (b *Balancer) StillTakes(lease *Lease) bool {
+func (b *Balancer) StillAccepts(lease *Lease) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s, now := lease.server, clock.Now()
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -140,11 +140,11 @@
 func TestLeaseTellsWhetherItsServerStillTakesNew(t *testing.T) {
 	b := newPlacedBalancer(1, "d")
 	lease := acquire(t, b, plain)
-	if !b.StillTakes(lease) {
+	if !b.StillAccepts(lease) {
 		t.Error("got a server that takes nothing, want one that does")
 	}
 	b.SetEvacuated([]string{"d"})
-	if b.StillTakes(lease) {
+	if b.StillAccepts(lease) {
 		t.Error("got a server that takes new requests in an evacuated data centre")
 	}
 	b.SetEvacuated(nil)
@@ -154,11 +154,11 @@
 	list := placedPool(1, "d")
 	list[0].ColdUntil = time.Now().Add(time.Hour)
 	b.SetBackends(list)
-	if b.StillTakes(lease) {
+	if b.StillAccepts(lease) {
 		t.Error("got a server that takes what it was chosen for before it became cold")
 	}
 	b.SetBackends(nil)
-	if b.StillTakes(lease) {
+	if b.StillAccepts(lease) {
 		t.Error("got a server that takes new requests though it is gone")
 	}
 }
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -195,11 +195,11 @@
 	for _, notice := range []slipwick.Notice{leaves, restsFor3s} {
 		b := newTestBalancer(1)
 		lease := acquire(t, b, plain)
-		if !b.StillTakes(lease) {
+		if !b.StillAccepts(lease) {
 			t.Error("got the backend server taking nothing before its word, want it in use")
 		}
 		say(t, b, "p-0", notice)
-		if b.StillTakes(lease) {
+		if b.StillAccepts(lease) {
 			t.Errorf("%+v: got the request sent, want another choice", notice)
 		}
 		if got := b.Uncovered("p"); len(got) > 0 {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -38,7 +38,7 @@
 			reason, retryAfter = "no-backend", retryDelay(err)
 			break
 		}
-		if c.awaitPrefill(lease); lease.Wait > 0 && !c.gateway.Balancer.StillTakes(lease) {
+		if c.awaitPrefill(lease); lease.Wait > 0 && !c.gateway.Balancer.StillAccepts(lease) {
 			// The backend server left the pool or its data centre was evacuated during the wait.
 			c.gateway.Balancer.Abandon(lease)
 			continue
