--- a/balance/evacuation.go
+++ b/balance/evacuation.go
@@ -29,7 +29,7 @@
 
 // IsStaying reports whether the lease's backend server is listed and not leaving, so that an
 // end of its process would be unplanned.
-func (b *Balancer) Expects(lease *Lease) bool {
+func (b *Balancer) IsStaying(lease *Lease) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := lease.server
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -117,6 +117,6 @@
 // planned ends together with the requests that still run there, and the request is not the cause.
 func (w *crashWatch) hasCrashed() bool {
 	backend := &w.lease.Backend
-	return w.call.gateway.Balancer.Expects(w.lease) &&
+	return w.call.gateway.Balancer.IsStaying(w.lease) &&
 		w.call.gateway.Client.IsGone(w.call.ctx, backend.Life(), backend.Address)
 }
