--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -143,7 +143,7 @@
 		lease.server.coldSends = append(lease.server.coldSends, now)
 		// The request counts towards the limit for the second in which the server was chosen,
 		// so it must not wait for a prefill.
-		lease.isCold, lease.Wait, lease.Read = true, 0, nil
+		lease.isCold, lease.Wait, lease.PrefillDone = true, 0, nil
 	}
 	if lease.server.inFlight == 0 {
 		lease.server.busySince = now
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -15,7 +15,7 @@
 	// Wait is how long to delay sending the request, or until PrefillDone is closed: the prompt
 	// is being prefilled for another request. PrefillDone may be nil.
 	Wait time.Duration
-	Read <-chan struct{}
+	PrefillDone <-chan struct{}
 
 	server *server
 	// hasPrompt says that the request has a prompt, promptTokensToPrefill how many of its
--- a/balance/reading.go
+++ b/balance/reading.go
@@ -84,7 +84,7 @@
 	if wait <= 0 {
 		return
 	}
-	lease.Wait, lease.Read = wait, known.done
+	lease.Wait, lease.PrefillDone = wait, known.done
 	if source := b.hashes[known.engine]; source != nil && source != lease.server && request.allows(source) {
 		lease.FetchFrom = source.Address
 	}
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -18,7 +18,7 @@
 
 func isOver(lease *Lease) bool {
 	select {
-	case <-lease.Read:
+	case <-lease.PrefillDone:
 		return true
 	default:
 		return false
@@ -80,7 +80,7 @@
 		}
 		b.HearReadings(reads)
 		lease := acquire(t, b, longPrompt(7))
-		if want := startReading; lease.Backend.ID != "p-2" || lease.Wait != want || lease.Read != nil {
+		if want := startReading; lease.Backend.ID != "p-2" || lease.Wait != want || lease.PrefillDone != nil {
 			t.Errorf("got %s and a wait of %v, want p-2 and %v", lease.Backend.ID, lease.Wait, want)
 		}
 		if lease := acquire(t, b, prompt(7)); lease.Wait > 0 {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -105,7 +105,7 @@
 	timer := time.NewTimer(lease.Wait)
 	defer timer.Stop()
 	select {
-	case <-lease.Read:
+	case <-lease.PrefillDone:
 	case <-timer.C:
 	case <-c.ctx.Done():
 	}
