--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -269,7 +269,7 @@
 		b := f.routers[0]
 		time.Sleep(coldWindow)
 		lease := acquire(t, b, prompt(1))
-		b.Sent(lease)
+		b.RecordSend(lease)
 		time.Sleep(2 * time.Second)
 		b.RecordResponseStart(lease)
 		b.LearnPace(lease)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -131,7 +131,7 @@
 			synctest.Wait()
 			b := f.routers[random.IntN(len(f.routers))]
 			lease := acquire(t, b, plain)
-			b.Sent(lease)
+			b.RecordSend(lease)
 			f.mu.Lock()
 			ahead := f.load[lease.Backend.ID]
 			f.load[lease.Backend.ID]++
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -109,7 +109,7 @@
 }
 
 // RecordSend notes that the lease's request is about to be sent.
-func (b *Balancer) Sent(lease *Lease) {
+func (b *Balancer) RecordSend(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	lease.sentAt = clock.Now()
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -13,7 +13,7 @@
 func serve(t *testing.T, b *Balancer, ask *Request, took time.Duration) {
 	t.Helper()
 	lease := acquire(t, b, ask)
-	b.Sent(lease)
+	b.RecordSend(lease)
 	time.Sleep(took)
 	b.RecordResponseStart(lease)
 	b.LearnPace(lease)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -210,7 +210,7 @@
 	c.sends++
 	c.selection.Exclude = append(c.selection.Exclude, lease.Backend.ID)
 	request := c.upstreamRequest(lease)
-	c.gateway.Balancer.Sent(lease)
+	c.gateway.Balancer.RecordSend(lease)
 	response, err := c.gateway.Client.Do(watch.ctx, lease.Backend.Life(), lease.Backend.Address, request)
 	attempt := &Attempt{
 		Request: c.id,
