--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -272,7 +272,7 @@
 		b.RecordSend(lease)
 		time.Sleep(2 * time.Second)
 		b.RecordResponseStart(lease)
-		b.LearnPace(lease)
+		b.RecordResponseTime(lease)
 		if got := b.paceLocked("p").slowness.Len(); got != 0 {
 			t.Errorf("got %d times learnt from a cold engine, want none", got)
 		}
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -146,7 +146,7 @@
 				f.load[lease.Backend.ID]--
 				f.mu.Unlock()
 				b.RecordResponseStart(lease)
-				b.LearnPace(lease)
+				b.RecordResponseTime(lease)
 				b.Release(lease, slipwick.EvidenceGood)
 			})
 			if time.Since(told) > 200*time.Millisecond {
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -117,7 +117,7 @@
 
 // RecordResponseTime takes the time until the response to the lease's request began. Call it at
 // that moment, and only for a success.
-func (b *Balancer) LearnPace(lease *Lease) {
+func (b *Balancer) RecordResponseTime(lease *Lease) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if lease.sentAt.IsZero() || lease.isCold {
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -16,7 +16,7 @@
 	b.RecordSend(lease)
 	time.Sleep(took)
 	b.RecordResponseStart(lease)
-	b.LearnPace(lease)
+	b.RecordResponseTime(lease)
 	b.Release(lease, slipwick.EvidenceGood)
 }
 
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -52,7 +52,7 @@
 		return resultBroken, slipwick.EvidenceError, errInvalidResponse
 	}
 	if succeeded {
-		c.gateway.Balancer.LearnPace(lease)
+		c.gateway.Balancer.RecordResponseTime(lease)
 	}
 	if succeeded && c.route.Kind == routing.KindStream {
 		return c.forwardEvents(lease, response)
