--- a/balance/pace.go
+++ b/balance/pace.go
@@ -137,7 +137,7 @@
 
 // FirstByteTimeout returns how long the lease's request should wait for the first byte of its
 // response, by the pool's recent response times, or 0 while too few were measured.
-func (b *Balancer) Patience(lease *Lease) time.Duration {
+func (b *Balancer) FirstByteTimeout(lease *Lease) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	late := b.paceLocked(lease.server.Pool).responseTimeQuantile(lateQuantile, lease.promptTokensToPrefill)
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	lease := acquire(t, b, ask)
 	defer b.Abandon(lease)
-	return b.Patience(lease)
+	return b.FirstByteTimeout(lease)
 }
 
 func expectBetween(t *testing.T, what string, got, least, most time.Duration) {
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -52,7 +52,7 @@
 		mayRetry: c.route.MayRepeat() && c.possibleRuns+1 < c.route.MaxAttempts && c.sends < c.maxSends(),
 	}
 	timeouts := upstream.Patience{
-		First:   c.gateway.Balancer.Patience(lease),
+		First:   c.gateway.Balancer.FirstByteTimeout(lease),
 		Overdue: h.onTimeout,
 	}
 	if timeouts.First == 0 {
