--- a/balance/pace.go
+++ b/balance/pace.go
@@ -149,7 +149,7 @@
 
 // StreamIdleTimeout returns how long to wait for more of a stream that has begun, by the pool's
 // recent pauses, or 0 while too few were measured.
-func (b *Balancer) PausePatience(lease *Lease) time.Duration {
+func (b *Balancer) StreamIdleTimeout(lease *Lease) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	pauses := b.paceLocked(lease.server.Pool).pauses
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -169,14 +169,14 @@
 			b.Release(lease, slipwick.EvidenceGood)
 		}
 		lease := acquire(t, b, prompt(7))
-		if got := b.PausePatience(lease); got != 0 {
+		if got := b.StreamIdleTimeout(lease); got != 0 {
 			t.Errorf("got %v at the start, want 0", got)
 		}
 		for _, pause := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond, 40 * time.Millisecond} {
 			for range 2 * pausesWindow {
 				stream(pause)
 			}
-			if got, want := b.PausePatience(lease), timeoutFactor*pause; got != want {
+			if got, want := b.StreamIdleTimeout(lease), timeoutFactor*pause; got != want {
 				t.Errorf("pauses of %v: got %v, want %v", pause, got, want)
 			}
 		}
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -72,7 +72,7 @@
 	if timeout == 0 {
 		timeout = defaultIdleTimeout
 	}
-	return min(max(timeout, c.gateway.Balancer.PausePatience(lease)), max(timeout, maxIdleTimeout))
+	return min(max(timeout, c.gateway.Balancer.StreamIdleTimeout(lease)), max(timeout, maxIdleTimeout))
 }
 
 // onTimeout returns how long to wait for longer for a silent backend server: 0 ends the send.
