--- a/balance/pace.go
+++ b/balance/pace.go
@@ -161,7 +161,7 @@
 
 // MaxPrefillTime returns the longest time until the response begins if an engine of the pool
 // has to prefill the whole prompt.
-func (b *Balancer) ReadTime(request *Request) time.Duration {
+func (b *Balancer) MaxPrefillTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.paceLocked(request.Pool).maxPrefillTime(request.tokens())
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -95,7 +95,7 @@
 		limit = min(limit, balancer.ReadingTime(&c.selection))
 	}
 	if c.route.Objective > 0 {
-		limit = min(limit, c.route.Objective-balancer.ReadTime(&c.selection))
+		limit = min(limit, c.route.Objective-balancer.MaxPrefillTime(&c.selection))
 	}
 	return limit
 }
