--- a/balance/pace.go
+++ b/balance/pace.go
@@ -169,7 +169,7 @@
 
 // PrefillTime returns how long an engine of the pool prefills the whole prompt, without the
 // base time of any request.
-func (b *Balancer) ReadingTime(request *Request) time.Duration {
+func (b *Balancer) PrefillTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	reading := b.paceLocked(request.Pool).prefill
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -92,7 +92,7 @@
 func (c *call) maxCacheHolderWait() time.Duration {
 	balancer, limit := c.gateway.Balancer, startupWait
 	if !balancer.Switches.WaitForHomes {
-		limit = min(limit, balancer.ReadingTime(&c.selection))
+		limit = min(limit, balancer.PrefillTime(&c.selection))
 	}
 	if c.route.Objective > 0 {
 		limit = min(limit, c.route.Objective-balancer.MaxPrefillTime(&c.selection))
