--- a/balance/pace.go
+++ b/balance/pace.go
@@ -178,7 +178,7 @@
 
 // MedianResponseTime returns the median time until the response to such a request of the pool
 // begins, or 0 while too few were measured.
-func (b *Balancer) Usual(request *Request) time.Duration {
+func (b *Balancer) MedianResponseTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.paceLocked(request.Pool).responseTimeQuantile(medianQuantile, request.UniqueTokens)
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -140,7 +140,7 @@
 func TestUsualTimeIsTheMiddle(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		if got := b.Usual(plain); got != 0 {
+		if got := b.MedianResponseTime(plain); got != 0 {
 			t.Errorf("got %v at the start, want 0", got)
 		}
 		for i := range 512 {
@@ -150,7 +150,7 @@
 			}
 			serve(t, b, plain, took)
 		}
-		expectBetween(t, "usual", b.Usual(plain), 40*time.Millisecond, 45*time.Millisecond)
+		expectBetween(t, "usual", b.MedianResponseTime(plain), 40*time.Millisecond, 45*time.Millisecond)
 	})
 }
 
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -138,7 +138,7 @@
 
 // minRetryTime returns how much time must be left for another send.
 func (c *call) minRetryTime() time.Duration {
-	if usualTime := c.gateway.Balancer.Usual(&c.selection); usualTime > 0 {
+	if usualTime := c.gateway.Balancer.MedianResponseTime(&c.selection); usualTime > 0 {
 		return usualTime / minRetryTimeDivisor
 	}
 	return defaultMinRetryTime
