--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -63,8 +63,8 @@
 	for i, b := range f.routers {
 		if i != from {
 			b.Hear(fmt.Sprint("r", from), f.sequence, told.InFlight)
-			b.HearReads(told.Reads)
-			b.HearReadings(told.Reads)
+			b.HearReads(told.CachedParts)
+			b.HearReadings(told.CachedParts)
 			b.ReceiveOutcomes(told.Outcomes)
 		}
 	}
--- a/balance/told.go
+++ b/balance/told.go
@@ -12,7 +12,7 @@
 // requests where some failed, and which servers announced that they are leaving.
 type Told struct {
 	InFlight []InFlight
-	Reads    []Read
+	CachedParts    []Read
 	Outcomes []Outcomes
 	Leaving  []uint64
 }
@@ -59,7 +59,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	update := Told{
-		Reads:   b.pendingReads,
+		CachedParts:   b.pendingReads,
 		Leaving: b.pendingLeaving,
 	}
 	b.pendingReads, b.pendingLeaving = nil, nil
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -31,9 +31,9 @@
 		e.addCounts(update.InFlight[:n])
 		update.InFlight = update.InFlight[n:]
 		if n < maxCounts/2 {
-			n = min(len(update.Reads), maxReads)
-			e.addReads(update.Reads[:n])
-			update.Reads = update.Reads[n:]
+			n = min(len(update.CachedParts), maxReads)
+			e.addReads(update.CachedParts[:n])
+			update.CachedParts = update.CachedParts[n:]
 			n = min(len(update.Outcomes), maxOutcomes)
 			e.addOutcomes(update.Outcomes[:n])
 			update.Outcomes = update.Outcomes[n:]
@@ -48,7 +48,7 @@
 
 // countEvents counts the entries of an update that are sent only once, unlike the counts in flight.
 func countEvents(update *balance.Told) int {
-	return len(update.Reads) + len(update.Outcomes) + len(update.Leaving)
+	return len(update.CachedParts) + len(update.Outcomes) + len(update.Leaving)
 }
 
 func (t *Teller) message(scope exchangepb.Scope) *exchangepb.Told {
@@ -132,7 +132,7 @@
 		if i >= len(message.GetReaders()) || int(message.GetReaders()[i]) >= len(servers) {
 			break
 		}
-		update.Reads = append(update.Reads, balance.Read{
+		update.CachedParts = append(update.CachedParts, balance.Read{
 			Part:   part,
 			Server: servers[message.GetReaders()[i]],
 		})
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -59,7 +59,7 @@
 	const maxBytes, each = 1400, 200
 	var update balance.Told
 	for i := range uint64(each) {
-		update.Reads = append(update.Reads, balance.Read{
+		update.CachedParts = append(update.CachedParts, balance.Read{
 			Part:   ^i,
 			Server: i << 40,
 		})
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -191,8 +191,8 @@
 
 // addEvents appends the events of another update, as far as the queues have room.
 func addEvents(events *balance.Told, more balance.Told) {
-	if len(events.Reads) < maxQueued {
-		events.Reads = append(events.Reads, more.Reads...)
+	if len(events.CachedParts) < maxQueued {
+		events.CachedParts = append(events.CachedParts, more.CachedParts...)
 	}
 	if len(events.Outcomes) < maxQueued {
 		events.Outcomes = append(events.Outcomes, more.Outcomes...)
@@ -253,7 +253,7 @@
 	if hasCounts(message) {
 		t.receiveCounts(message, update.InFlight)
 	}
-	t.Balancer.HearReadings(update.Reads)
+	t.Balancer.HearReadings(update.CachedParts)
 	t.Balancer.ReceiveOutcomes(update.Outcomes)
 	t.Balancer.ReceiveLeaving(update.Leaving)
 }
@@ -275,11 +275,11 @@
 	switch scope {
 	case exchangepb.Scope_SCOPE_OWN:
 		addEvents(&t.groupEvents, events)
-		t.queueUrgentLocked(&t.urgentGroupReads, urgent, events.Reads)
+		t.queueUrgentLocked(&t.urgentGroupReads, urgent, events.CachedParts)
 	case exchangepb.Scope_SCOPE_GROUP:
 		addEvents(&t.hubEvents, events)
 	case exchangepb.Scope_SCOPE_NEWS:
-		t.queueUrgentLocked(&t.urgentHubReads, urgent, events.Reads)
+		t.queueUrgentLocked(&t.urgentHubReads, urgent, events.CachedParts)
 	default:
 	}
 }
--- a/exchange/urgent.go
+++ b/exchange/urgent.go
@@ -15,11 +15,11 @@
 		return
 	}
 	update := balance.Told{
-		Reads: t.Balancer.TellReads(),
+		CachedParts: t.Balancer.TellReads(),
 	}
 	t.mu.Lock()
 	addEvents(&t.groupEvents, update)
-	t.urgentGroupReads = append(t.urgentGroupReads, update.Reads...)
+	t.urgentGroupReads = append(t.urgentGroupReads, update.CachedParts...)
 	t.mu.Unlock()
 	t.relayUrgent()
 }
@@ -36,11 +36,11 @@
 	}
 	if len(groupReads) > 0 {
 		t.send(excluding(t.hubs.chosen, t.Self), t.encode(exchangepb.Scope_SCOPE_NEWS, true, balance.Told{
-			Reads: groupReads,
+			CachedParts: groupReads,
 		}))
 	}
 	t.send(t.hubs.groupOf(t.Self), t.encode(exchangepb.Scope_SCOPE_NONE, true, balance.Told{
-		Reads: slices.Concat(groupReads, hubReads),
+		CachedParts: slices.Concat(groupReads, hubReads),
 	}))
 }
 
