--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -53,12 +53,12 @@
 }
 
 // told gives what a router has to tell.
-func (f *lifeFleet) told(router int) Told {
+func (f *lifeFleet) told(router int) Update {
 	return f.routers[router].Tell()
 }
 
 // hear has all others hear what a router told.
-func (f *lifeFleet) hear(from int, told Told) {
+func (f *lifeFleet) hear(from int, told Update) {
 	f.sequence++
 	for i, b := range f.routers {
 		if i != from {
@@ -98,7 +98,7 @@
 			}
 			f.routers[i+1].RecordResponseStart(lease)
 		}
-		late := []Told{f.told(0), f.told(1), f.told(2)}
+		late := []Update{f.told(0), f.told(1), f.told(2)}
 		for i, told := range late {
 			f.hear(i, told)
 		}
--- a/balance/told.go
+++ b/balance/told.go
@@ -10,7 +10,7 @@
 // Update is what one router sends the others about the backend servers that it uses, by the
 // hash of their incarnation: its requests there, what engines cached for it, the outcomes of
 // requests where some failed, and which servers announced that they are leaving.
-type Told struct {
+type Update struct {
 	InFlight []InFlight
 	CachedParts    []Read
 	Outcomes []Outcomes
@@ -55,10 +55,10 @@
 
 // TakeUpdate returns what there is to send to the other routers. It returns cached parts,
 // outcomes and leaving servers only once.
-func (b *Balancer) Tell() Told {
+func (b *Balancer) Tell() Update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	update := Told{
+	update := Update{
 		CachedParts:   b.pendingReads,
 		Leaving: b.pendingLeaving,
 	}
--- a/balance/told_test.go
+++ b/balance/told_test.go
@@ -66,7 +66,7 @@
 
 // tellOfAll is what there is to tell, by a look at each listed server.
 func tellOfAll(b *Balancer) []string {
-	told := Told{}
+	told := Update{}
 	for _, s := range b.servers {
 		if s.errors.failed > 0 {
 			told.Outcomes = append(told.Outcomes, Outcomes{
@@ -86,7 +86,7 @@
 	return summaryOf(told)
 }
 
-func summaryOf(told Told) []string {
+func summaryOf(told Update) []string {
 	slices.SortFunc(told.InFlight, func(x, y InFlight) int { return cmp.Compare(x.Server, y.Server) })
 	slices.SortFunc(told.Outcomes, func(x, y Outcomes) int { return cmp.Compare(x.Server, y.Server) })
 	return []string{fmt.Sprint(told.InFlight), fmt.Sprint(told.Outcomes)}
--- a/balance/trial.go
+++ b/balance/trial.go
@@ -145,7 +145,7 @@
 }
 
 // addCanaryCountsLocked adds the unsent canary counts to an update.
-func (b *Balancer) addCanaryCountsLocked(update *Told) {
+func (b *Balancer) addCanaryCountsLocked(update *Update) {
 	for _, c := range b.canaries {
 		for _, side := range []*versionCounts{&c.stable, &c.canary} {
 			if side.unsent == (VersionCounts{}) {
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -18,7 +18,7 @@
 )
 
 // encode splits an update into datagrams, which all carry the same round number.
-func (t *Teller) encode(scope exchangepb.Scope, urgent bool, update balance.Told) [][]byte {
+func (t *Teller) encode(scope exchangepb.Scope, urgent bool, update balance.Update) [][]byte {
 	round := t.sequence.Add(1)
 	var packets [][]byte
 	for first := true; first || len(update.InFlight)+countEvents(&update) > 0; first = false {
@@ -47,7 +47,7 @@
 }
 
 // countEvents counts the entries of an update that are sent only once, unlike the counts in flight.
-func countEvents(update *balance.Told) int {
+func countEvents(update *balance.Update) int {
 	return len(update.CachedParts) + len(update.Outcomes) + len(update.Leaving)
 }
 
@@ -116,8 +116,8 @@
 
 // decode returns the update in a datagram, without entries whose lists are too short or whose index
 // is out of range.
-func decode(message *exchangepb.Told) balance.Told {
-	var update balance.Told
+func decode(message *exchangepb.Told) balance.Update {
+	var update balance.Update
 	servers := message.GetServers()
 	for i, count := range message.GetInFlight() {
 		if i < len(servers) && i < len(message.GetReading()) {
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -57,7 +57,7 @@
 // TestDatagramsFitOnePacket splits an update with many entries of each kind.
 func TestDatagramsFitOnePacket(t *testing.T) {
 	const maxBytes, each = 1400, 200
-	var update balance.Told
+	var update balance.Update
 	for i := range uint64(each) {
 		update.CachedParts = append(update.CachedParts, balance.Read{
 			Part:   ^i,
--- a/exchange/receive_bench_test.go
+++ b/exchange/receive_bench_test.go
@@ -19,7 +19,7 @@
 			t.Balancer.SetBackends(backends)
 			t.Balancer.SetPeers([]string{fleetSource}, 900)
 			hub := NewTeller("hub")
-			update := balance.Told{}
+			update := balance.Update{}
 			for i := range inFlight {
 				update.InFlight = append(update.InFlight, balance.InFlight{
 					Server: uint64(i),
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -69,7 +69,7 @@
 	own *counts
 	// groupEvents and hubEvents are reads, outcomes and leaving servers to relay. A router in the
 	// group of a hub receives its own outcomes with those of the fleet, and counts them twice.
-	groupEvents, hubEvents balance.Told
+	groupEvents, hubEvents balance.Update
 	// urgentGroupReads and urgentHubReads are the reads among these that are relayed at once. They
 	// are sent again with the next update, since datagrams may be lost.
 	urgentGroupReads, urgentHubReads []balance.Read
@@ -161,7 +161,7 @@
 		t.sendHubUpdates(hubs, update, others)
 	default:
 		t.mu.Lock()
-		t.groupEvents, t.hubEvents = balance.Told{}, balance.Told{}
+		t.groupEvents, t.hubEvents = balance.Update{}, balance.Update{}
 		t.urgentGroupReads, t.urgentHubReads = nil, nil
 		t.mu.Unlock()
 		hub, _ := hubs.hubOf(t.Self)
@@ -172,13 +172,13 @@
 
 // sendHubUpdates sends the counts of the group to the other hubs, and the counts of the fleet to
 // the group.
-func (t *Teller) sendHubUpdates(hubs *hubs, own balance.Told, fleet int) {
+func (t *Teller) sendHubUpdates(hubs *hubs, own balance.Update, fleet int) {
 	group, others := hubs.groupOf(t.Self), excluding(hubs.chosen, t.Self)
 	t.Balancer.SetPeers(slices.Concat(idsOf(group), idsOf(others)), fleet)
 	groupSum, hubSum := t.sumCounts(idsOf(group), idsOf(others))
 	t.mu.Lock()
 	update, hubEvents := t.groupEvents, t.hubEvents
-	t.groupEvents, t.hubEvents = balance.Told{}, balance.Told{}
+	t.groupEvents, t.hubEvents = balance.Update{}, balance.Update{}
 	t.mu.Unlock()
 	addEvents(&update, own)
 	update.InFlight = groupSum.list()
@@ -190,7 +190,7 @@
 }
 
 // addEvents appends the events of another update, as far as the queues have room.
-func addEvents(events *balance.Told, more balance.Told) {
+func addEvents(events *balance.Update, more balance.Update) {
 	if len(events.CachedParts) < maxQueued {
 		events.CachedParts = append(events.CachedParts, more.CachedParts...)
 	}
@@ -265,7 +265,7 @@
 
 // queueForRelay queues the events of an update for relay, unless the fleet is known to be too small
 // for hubs. If this router is no hub, its next update clears the queue.
-func (t *Teller) queueForRelay(scope exchangepb.Scope, urgent bool, events balance.Told) {
+func (t *Teller) queueForRelay(scope exchangepb.Scope, urgent bool, events balance.Update) {
 	size := t.fleetSize.Load()
 	if countEvents(&events) == 0 || size > 0 && size <= maxMeshSize {
 		return
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -361,7 +361,7 @@
 		router.Balancer.SetPeers([]string{fleetSource}, 30)
 		var last [][]byte
 		for round := range 3 {
-			update := balance.Told{}
+			update := balance.Update{}
 			for _, listed := range testBackends(inFlight - round) {
 				update.InFlight = append(update.InFlight, balance.InFlight{
 					Server: placement.IDHash(listed.Life()),
--- a/exchange/urgent.go
+++ b/exchange/urgent.go
@@ -14,7 +14,7 @@
 		t.sendUpdate(true)
 		return
 	}
-	update := balance.Told{
+	update := balance.Update{
 		CachedParts: t.Balancer.TellReads(),
 	}
 	t.mu.Lock()
@@ -35,11 +35,11 @@
 		return
 	}
 	if len(groupReads) > 0 {
-		t.send(excluding(t.hubs.chosen, t.Self), t.encode(exchangepb.Scope_SCOPE_NEWS, true, balance.Told{
+		t.send(excluding(t.hubs.chosen, t.Self), t.encode(exchangepb.Scope_SCOPE_NEWS, true, balance.Update{
 			CachedParts: groupReads,
 		}))
 	}
-	t.send(t.hubs.groupOf(t.Self), t.encode(exchangepb.Scope_SCOPE_NONE, true, balance.Told{
+	t.send(t.hubs.groupOf(t.Self), t.encode(exchangepb.Scope_SCOPE_NONE, true, balance.Update{
 		CachedParts: slices.Concat(groupReads, hubReads),
 	}))
 }
