--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -65,7 +65,7 @@
 	peers          []string
 	otherRouters   int
 	countsByRouter map[string]remoteCounts
-	pendingReads   []Read
+	pendingReads   []CachedPart
 	pendingLeaving []uint64
 	// prefills has the prompts that an engine prefills for the first time.
 	prefills prefills
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -111,7 +111,7 @@
 			keeper = l
 		}
 	}
-	b.HearReads([]Read{
+	b.HearReads([]CachedPart{
 		{
 			Part:   7,
 			Server: placement.IDHash(keeper.ID),
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -84,13 +84,13 @@
 }
 
 // locations returns every part with each of the given engines that have it cached.
-func (h *cacheIndex) locations(listed map[uint64]*server) []Read {
-	var reads []Read
+func (h *cacheIndex) locations(listed map[uint64]*server) []CachedPart {
+	var reads []CachedPart
 	for _, part := range h.holders.Keys() {
 		holders, _ := h.holders.Peek(part)
 		for _, engine := range holders {
 			if listed[engine] != nil {
-				reads = append(reads, Read{
+				reads = append(reads, CachedPart{
 					Part:   part,
 					Server: engine,
 				})
--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -16,7 +16,7 @@
 	// the last moments.
 	Covered []uint64
 	// CachedParts has all prompt parts that these engines are known to have cached.
-	Reads []Read
+	Reads []CachedPart
 }
 
 // CacheQuery says which caches a router asks another about, by the hash of the engine's
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -157,7 +157,7 @@
 func (b *Balancer) recordCachedPartsLocked(parts []uint64, s *server) {
 	for _, part := range parts {
 		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingReads) < maxPendingReads {
-			b.pendingReads = append(b.pendingReads, Read{
+			b.pendingReads = append(b.pendingReads, CachedPart{
 				Part:   part,
 				Server: s.hash,
 			})
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -72,7 +72,7 @@
 func TestRequestsWaitForLongReadingsOfOtherRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(4)
-		reads := []Read{
+		reads := []CachedPart{
 			{
 				Part:   7,
 				Server: placement.IDHash("p-2"),
--- a/balance/told.go
+++ b/balance/told.go
@@ -12,7 +12,7 @@
 // requests where some failed, and which servers announced that they are leaving.
 type Update struct {
 	InFlight []InFlight
-	CachedParts    []Read
+	CachedParts    []CachedPart
 	Outcomes []Outcomes
 	Leaving  []uint64
 }
@@ -34,7 +34,7 @@
 }
 
 // CachedPart says that an engine prefilled, and thus has cached, a part of a prompt.
-type Read struct {
+type CachedPart struct {
 	Part   uint64
 	Server uint64
 }
@@ -92,7 +92,7 @@
 
 // TakeCachedParts returns only the parts that engines cached since the last update, and each
 // only once.
-func (b *Balancer) TellReads() []Read {
+func (b *Balancer) TellReads() []CachedPart {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	parts := b.pendingReads
@@ -153,7 +153,7 @@
 }
 
 // ReceiveCachedParts takes what engines cached for other routers.
-func (b *Balancer) HearReads(parts []Read) {
+func (b *Balancer) HearReads(parts []CachedPart) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, part := range parts {
@@ -164,7 +164,7 @@
 }
 
 // ReceivePrefills takes what engines have just begun to prefill for other routers.
-func (b *Balancer) HearReadings(parts []Read) {
+func (b *Balancer) HearReadings(parts []CachedPart) {
 	b.mu.Lock()
 	now := clock.Now()
 	for _, part := range parts {
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -93,7 +93,7 @@
 	}
 }
 
-func (e *encoder) addReads(reads []balance.Read) {
+func (e *encoder) addReads(reads []balance.CachedPart) {
 	for _, read := range reads {
 		e.message.Parts = append(e.message.Parts, read.Part)
 		e.message.Readers = append(e.message.Readers, e.indexOf(read.Server))
@@ -132,7 +132,7 @@
 		if i >= len(message.GetReaders()) || int(message.GetReaders()[i]) >= len(servers) {
 			break
 		}
-		update.CachedParts = append(update.CachedParts, balance.Read{
+		update.CachedParts = append(update.CachedParts, balance.CachedPart{
 			Part:   part,
 			Server: servers[message.GetReaders()[i]],
 		})
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -51,7 +51,7 @@
 func FuzzKnowledge(f *testing.F) {
 	seed, _ := proto.Marshal(encodeKnowledge(&balance.Knowledge{
 		Covered: []uint64{7},
-		Reads: []balance.Read{
+		Reads: []balance.CachedPart{
 			{
 				Part:   1,
 				Server: 7,
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -154,7 +154,7 @@
 		if i >= len(message.GetKeepers()) || int(message.GetKeepers()[i]) >= len(servers) {
 			break
 		}
-		k.Reads = append(k.Reads, balance.Read{
+		k.Reads = append(k.Reads, balance.CachedPart{
 			Part:   part,
 			Server: servers[message.GetKeepers()[i]],
 		})
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -59,7 +59,7 @@
 	const maxBytes, each = 1400, 200
 	var update balance.Update
 	for i := range uint64(each) {
-		update.CachedParts = append(update.CachedParts, balance.Read{
+		update.CachedParts = append(update.CachedParts, balance.CachedPart{
 			Part:   ^i,
 			Server: i << 40,
 		})
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -160,7 +160,7 @@
 func TestKnowledgeIsDecodedAsEncoded(t *testing.T) {
 	want := &balance.Knowledge{
 		Covered: []uint64{7, 9},
-		Reads: []balance.Read{
+		Reads: []balance.CachedPart{
 			{Part: 1, Server: 9},
 			{Part: 1, Server: 8},
 			{Part: 2, Server: 7},
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -72,7 +72,7 @@
 	groupEvents, hubEvents balance.Update
 	// urgentGroupReads and urgentHubReads are the reads among these that are relayed at once. They
 	// are sent again with the next update, since datagrams may be lost.
-	urgentGroupReads, urgentHubReads []balance.Read
+	urgentGroupReads, urgentHubReads []balance.CachedPart
 
 	done chan struct{}
 }
--- a/exchange/urgent.go
+++ b/exchange/urgent.go
@@ -46,7 +46,7 @@
 
 // queueUrgentLocked queues reads that have to be relayed at once. Reads are dropped while the queue
 // is full.
-func (t *Teller) queueUrgentLocked(queue *[]balance.Read, urgent bool, reads []balance.Read) {
+func (t *Teller) queueUrgentLocked(queue *[]balance.CachedPart, urgent bool, reads []balance.CachedPart) {
 	if !urgent || len(reads) == 0 || len(*queue) >= maxQueued {
 		return
 	}
