--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -107,7 +107,7 @@
 		for _, id := range b.peers {
 			for _, in := range b.countsByRouter[id].inFlight {
 				if in.Server == s.hash {
-					cost += in.Reading
+					cost += in.PrefillTokens
 				}
 			}
 		}
@@ -182,7 +182,7 @@
 			list = append(list, InFlight{
 				Server:  s.hash,
 				Count:   count,
-				Reading: rapid.IntRange(0, 30000).Draw(t, "reading"),
+				PrefillTokens: rapid.IntRange(0, 30000).Draw(t, "reading"),
 			})
 		}
 	}
--- a/balance/told.go
+++ b/balance/told.go
@@ -30,7 +30,7 @@
 	Server uint64
 	Count  int
 	// PrefillTokens is how many tokens the server has yet to prefill for the router.
-	Reading int
+	PrefillTokens int
 }
 
 // CachedPart says that an engine prefilled, and thus has cached, a part of a prompt.
@@ -81,7 +81,7 @@
 			update.InFlight = append(update.InFlight, InFlight{
 				Server:  s.hash,
 				Count:   s.inFlight,
-				Reading: max(s.prefillTokens, 0),
+				PrefillTokens: max(s.prefillTokens, 0),
 			})
 		} else {
 			delete(b.active, s)
@@ -137,7 +137,7 @@
 	for _, in := range list {
 		if s := b.hashes[in.Server]; s != nil {
 			s.remoteInFlight += sign * in.Count
-			s.remotePrefillTokens += sign * in.Reading
+			s.remotePrefillTokens += sign * in.PrefillTokens
 		}
 	}
 }
--- a/balance/told_test.go
+++ b/balance/told_test.go
@@ -79,7 +79,7 @@
 			told.InFlight = append(told.InFlight, InFlight{
 				Server:  s.hash,
 				Count:   s.inFlight,
-				Reading: max(s.prefillTokens, 0),
+				PrefillTokens: max(s.prefillTokens, 0),
 			})
 		}
 	}
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -89,7 +89,7 @@
 	for _, in := range list {
 		e.indexOf(in.Server)
 		e.message.InFlight = append(e.message.InFlight, uint32(in.Count))
-		e.message.Reading = append(e.message.Reading, uint32(in.Reading))
+		e.message.Reading = append(e.message.Reading, uint32(in.PrefillTokens))
 	}
 }
 
@@ -124,7 +124,7 @@
 			update.InFlight = append(update.InFlight, balance.InFlight{
 				Server:  servers[i],
 				Count:   int(count),
-				Reading: int(message.GetReading()[i]),
+				PrefillTokens: int(message.GetReading()[i]),
 			})
 		}
 	}
--- a/exchange/counts.go
+++ b/exchange/counts.go
@@ -39,7 +39,7 @@
 		sum := c.byServer[server]
 		sum.Server = server
 		sum.Count = max(sum.Count+sign*in.Count, 0)
-		sum.Reading = max(sum.Reading+sign*in.Reading, 0)
+		sum.PrefillTokens = max(sum.PrefillTokens+sign*in.PrefillTokens, 0)
 		c.byServer[server] = sum
 	}
 }
@@ -48,7 +48,7 @@
 func (c *counts) list() []balance.InFlight {
 	list := make([]balance.InFlight, 0, len(c.byServer))
 	for _, in := range c.byServer {
-		if in.Count > 0 || in.Reading > 0 {
+		if in.Count > 0 || in.PrefillTokens > 0 {
 			list = append(list, in)
 		}
 	}
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -333,8 +333,8 @@
 	others := list[:0]
 	for _, in := range list {
 		own := t.own.byServer[in.Server]
-		in.Count, in.Reading = max(in.Count-own.Count, 0), max(in.Reading-own.Reading, 0)
-		if in.Count > 0 || in.Reading > 0 {
+		in.Count, in.PrefillTokens = max(in.Count-own.Count, 0), max(in.PrefillTokens-own.PrefillTokens, 0)
+		if in.Count > 0 || in.PrefillTokens > 0 {
 			others = append(others, in)
 		}
 	}
