--- a/balance/cutoff_test.go
+++ b/balance/cutoff_test.go
@@ -12,7 +12,7 @@
 // tellOutcomes has all routers hear how the others' requests ended.
 func (f *testFleet) tellOutcomes() {
 	for i, b := range f.routers {
-		told := b.Tell()
+		told := b.TakeUpdate()
 		for j, other := range f.routers {
 			if j != i {
 				other.ReceiveOutcomes(told.Outcomes)
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -100,15 +100,15 @@
 	for range 3 * maxUnsentSuccesses {
 		end(slipwick.EvidenceGood)
 	}
-	if got := b.Tell().Outcomes; len(got) != 0 {
+	if got := b.TakeUpdate().Outcomes; len(got) != 0 {
 		t.Errorf("without a failure: got %v, want nothing told", got)
 	}
 	end(slipwick.EvidenceError)
-	got := b.Tell().Outcomes
+	got := b.TakeUpdate().Outcomes
 	if len(got) != 1 || got[0].Good != maxUnsentSuccesses || got[0].Failed != 1 {
 		t.Errorf("got %v, want %d good and 1 failed", got, maxUnsentSuccesses)
 	}
-	if got := b.Tell().Outcomes; len(got) != 0 {
+	if got := b.TakeUpdate().Outcomes; len(got) != 0 {
 		t.Errorf("told again: got %v, want nothing", got)
 	}
 }
@@ -280,7 +280,7 @@
 				})
 			}
 			b.Release(lease, evidence)
-			other.ReceiveOutcomes(b.Tell().Outcomes)
+			other.ReceiveOutcomes(b.TakeUpdate().Outcomes)
 		}
 		counts := make(map[string]int)
 		for range 40 {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -45,7 +45,7 @@
 // tell has all routers hear what the others have in flight.
 func (f *testFleet) tell(sequence uint64) {
 	for i, b := range f.routers {
-		told := b.Tell()
+		told := b.TakeUpdate()
 		for j, other := range f.routers {
 			if j != i {
 				other.Hear(fmt.Sprint("r", i), sequence, told.InFlight)
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -54,7 +54,7 @@
 
 // told gives what a router has to tell.
 func (f *lifeFleet) told(router int) Update {
-	return f.routers[router].Tell()
+	return f.routers[router].TakeUpdate()
 }
 
 // hear has all others hear what a router told.
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -116,7 +116,7 @@
 	if got["p-0"] > 0 || got["p-1"] == 0 {
 		t.Errorf("got requests at %v, want none at p-0 and some at p-1", got)
 	}
-	if told, want := b.Tell().Leaving, 1; len(told) != want {
+	if told, want := b.TakeUpdate().Leaving, 1; len(told) != want {
 		t.Errorf("got %d leaves to tell the others, want %d", len(told), want)
 	}
 }
@@ -293,7 +293,7 @@
 			if time.Since(told) > 200*time.Millisecond {
 				told = time.Now()
 				for i, b := range f.routers {
-					news := b.Tell()
+					news := b.TakeUpdate()
 					for j, other := range f.routers {
 						if j != i && isTold {
 							other.ReceiveLeaving(news.Leaving)
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -57,7 +57,7 @@
 // tell has all routers hear what the others have in flight, and how it ended.
 func (f *sheddingFleet) tell(sequence uint64) {
 	for i, b := range f.routers {
-		told := b.Tell()
+		told := b.TakeUpdate()
 		for j, other := range f.routers {
 			if j != i {
 				other.Hear(fmt.Sprint("r", i), sequence, told.InFlight)
--- a/balance/told.go
+++ b/balance/told.go
@@ -55,7 +55,7 @@
 
 // TakeUpdate returns what there is to send to the other routers. It returns cached parts,
 // outcomes and leaving servers only once.
-func (b *Balancer) Tell() Update {
+func (b *Balancer) TakeUpdate() Update {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	update := Update{
--- a/balance/told_test.go
+++ b/balance/told_test.go
@@ -17,7 +17,7 @@
 	for _, servers := range []int{1000, 2000, 4000} {
 		b := newTestBalancer(servers)
 		first, second := acquire(t, b, prompt(1)), acquire(t, b, prompt(2))
-		if got := len(b.Tell().InFlight); got != 2 {
+		if got := len(b.TakeUpdate().InFlight); got != 2 {
 			t.Errorf("%d servers: got %d told, want 2", servers, got)
 		}
 		b.Release(first, slipwick.EvidenceGood)
@@ -25,7 +25,7 @@
 		if got := len(b.active); got != 2 {
 			t.Errorf("%d servers: got %d to look at, want 2", servers, got)
 		}
-		b.Tell()
+		b.TakeUpdate()
 		if got := len(b.active); got != 0 {
 			t.Errorf("%d servers: got %d to look at when nothing runs, want none", servers, got)
 		}
@@ -56,7 +56,7 @@
 				b.SetBackends(listed(rapid.IntRange(4, 8).Draw(t, "listed")))
 			case "tell":
 				want := tellOfAll(b)
-				if got := summaryOf(b.Tell()); !slices.Equal(got, want) {
+				if got := summaryOf(b.TakeUpdate()); !slices.Equal(got, want) {
 					t.Fatalf("got %v, want %v", got, want)
 				}
 			}
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -87,7 +87,7 @@
 			b.Release(lease, evidence)
 		}
 	}
-	fromFirst, fromSecond := first.Tell(), second.Tell()
+	fromFirst, fromSecond := first.TakeUpdate(), second.TakeUpdate()
 	first.ReceiveOutcomes(fromSecond.Outcomes)
 	second.ReceiveOutcomes(fromFirst.Outcomes)
 	want := TrialCounts{
@@ -105,7 +105,7 @@
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	}
-	if again := first.Tell(); len(again.Outcomes) > 0 {
+	if again := first.TakeUpdate(); len(again.Outcomes) > 0 {
 		t.Errorf("got %v told twice", again.Outcomes)
 	}
 }
--- a/cmd/internal/gatewayd/rollouts_test.go
+++ b/cmd/internal/gatewayd/rollouts_test.go
@@ -130,7 +130,7 @@
 		}
 		time.Sleep(rolloutLook)
 		for _, r := range f.routers {
-			told := r.process.balancer.Tell()
+			told := r.process.balancer.TakeUpdate()
 			for _, other := range f.routers {
 				if other != r {
 					other.process.balancer.ReceiveOutcomes(told.Outcomes)
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -148,7 +148,7 @@
 	hubs := t.hubs
 	others := len(excluding(hubs.routers, t.Self))
 	t.fleetSize.Store(int64(len(hubs.routers)))
-	update := t.Balancer.Tell()
+	update := t.Balancer.TakeUpdate()
 	t.mu.Lock()
 	t.own = newCounts(update.InFlight)
 	t.mu.Unlock()
--- a/gateway/prefill_test.go
+++ b/gateway/prefill_test.go
@@ -51,7 +51,7 @@
 		hanging.Go(func() { f.post(t, "/single/x") })
 	}
 	time.Sleep(defaultFirstByteTimeout + 200*time.Millisecond)
-	reported := f.gateway.Balancer.Tell().Outcomes
+	reported := f.gateway.Balancer.TakeUpdate().Outcomes
 	close(release)
 	hanging.Wait()
 	if len(reported) != 1 || reported[0].Failed != 3 {
--- a/gateway/timeouts_test.go
+++ b/gateway/timeouts_test.go
@@ -208,7 +208,7 @@
 	if got := send(t, r); got.body != "late" {
 		t.Errorf("got %d %q, want the late response", got.status, got.body)
 	}
-	if got := f.gateway.Balancer.Tell().CachedParts; len(got) != 1 {
+	if got := f.gateway.Balancer.TakeUpdate().CachedParts; len(got) != 1 {
 		t.Errorf("got %v, want the one engine that computed the prompt", got)
 	}
 }
