--- a/balance/told.go
+++ b/balance/told.go
@@ -92,7 +92,7 @@
 
 // TakeCachedParts returns only the parts that engines cached since the last update, and each
 // only once.
-func (b *Balancer) TellReads() []CachedPart {
+func (b *Balancer) TakeCachedParts() []CachedPart {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	parts := b.pendingReads
--- a/exchange/urgent.go
+++ b/exchange/urgent.go
@@ -15,7 +15,7 @@
 		return
 	}
 	update := balance.Update{
-		CachedParts: t.Balancer.TellReads(),
+		CachedParts: t.Balancer.TakeCachedParts(),
 	}
 	t.mu.Lock()
 	addEvents(&t.groupEvents, update)
