--- a/balance/told.go
+++ b/balance/told.go
@@ -120,7 +120,7 @@
 }
 
 // ReceiveMoreCounts adds to the latest counts of another router.
-func (b *Balancer) HearMore(router string, list []InFlight) {
+func (b *Balancer) ReceiveMoreCounts(router string, list []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.countsByRouter[router]
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -296,7 +296,7 @@
 		source, list = fleetSource, t.subtractOwn(list)
 	}
 	if isMore {
-		t.Balancer.HearMore(source, list)
+		t.Balancer.ReceiveMoreCounts(source, list)
 		return
 	}
 	t.Balancer.Hear(source, message.GetSequence(), list)
