--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -111,7 +111,7 @@
 			keeper = l
 		}
 	}
-	b.HearReads([]CachedPart{
+	b.ReceiveCachedParts([]CachedPart{
 		{
 			Part:   7,
 			Server: placement.IDHash(keeper.ID),
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -49,7 +49,7 @@
 		for j, other := range f.routers {
 			if j != i {
 				other.Hear(fmt.Sprint("r", i), sequence, told.InFlight)
-				other.HearReads(told.CachedParts)
+				other.ReceiveCachedParts(told.CachedParts)
 			}
 		}
 	}
--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -84,7 +84,7 @@
 
 // MergeCacheSnapshot adds what another router knows.
 func (b *Balancer) Learn(k *Knowledge) {
-	b.HearReads(k.Reads)
+	b.ReceiveCachedParts(k.Reads)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, hash := range k.Covered {
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -63,7 +63,7 @@
 	for i, b := range f.routers {
 		if i != from {
 			b.Hear(fmt.Sprint("r", from), f.sequence, told.InFlight)
-			b.HearReads(told.CachedParts)
+			b.ReceiveCachedParts(told.CachedParts)
 			b.HearReadings(told.CachedParts)
 			b.ReceiveOutcomes(told.Outcomes)
 		}
--- a/balance/told.go
+++ b/balance/told.go
@@ -153,7 +153,7 @@
 }
 
 // ReceiveCachedParts takes what engines cached for other routers.
-func (b *Balancer) HearReads(parts []CachedPart) {
+func (b *Balancer) ReceiveCachedParts(parts []CachedPart) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, part := range parts {
@@ -181,7 +181,7 @@
 		})
 	}
 	b.mu.Unlock()
-	b.HearReads(parts)
+	b.ReceiveCachedParts(parts)
 }
 
 // InFlight returns the requests of all routers at a pool, as far as known.
