--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -64,7 +64,7 @@
 		if i != from {
 			b.Hear(fmt.Sprint("r", from), f.sequence, told.InFlight)
 			b.ReceiveCachedParts(told.CachedParts)
-			b.HearReadings(told.CachedParts)
+			b.ReceivePrefills(told.CachedParts)
 			b.ReceiveOutcomes(told.Outcomes)
 		}
 	}
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -78,7 +78,7 @@
 				Server: placement.IDHash("p-2"),
 			},
 		}
-		b.HearReadings(reads)
+		b.ReceivePrefills(reads)
 		lease := acquire(t, b, longPrompt(7))
 		if want := startReading; lease.Backend.ID != "p-2" || lease.Wait != want || lease.PrefillDone != nil {
 			t.Errorf("got %s and a wait of %v, want p-2 and %v", lease.Backend.ID, lease.Wait, want)
@@ -87,7 +87,7 @@
 			t.Errorf("a short prompt: got a wait of %v, want none", lease.Wait)
 		}
 		time.Sleep(startReading)
-		b.HearReadings(reads)
+		b.ReceivePrefills(reads)
 		if lease := acquire(t, b, longPrompt(7)); lease.Wait > 0 {
 			t.Errorf("when it is read: got a wait of %v, want none", lease.Wait)
 		}
--- a/balance/told.go
+++ b/balance/told.go
@@ -164,7 +164,7 @@
 }
 
 // ReceivePrefills takes what engines have just begun to prefill for other routers.
-func (b *Balancer) HearReadings(parts []CachedPart) {
+func (b *Balancer) ReceivePrefills(parts []CachedPart) {
 	b.mu.Lock()
 	now := clock.Now()
 	for _, part := range parts {
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -253,7 +253,7 @@
 	if hasCounts(message) {
 		t.receiveCounts(message, update.InFlight)
 	}
-	t.Balancer.HearReadings(update.CachedParts)
+	t.Balancer.ReceivePrefills(update.CachedParts)
 	t.Balancer.ReceiveOutcomes(update.Outcomes)
 	t.Balancer.ReceiveLeaving(update.Leaving)
 }
