--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -260,13 +260,13 @@
 			Running: 50,
 		})
 		b.SetPeers([]string{"r2"}, 1)
-		b.Hear("r2", 5, []InFlight{
+		b.ReceiveCounts("r2", 5, []InFlight{
 			{
 				Server: placement.IDHash(lease.Backend.ID),
 				Count:  1,
 			},
 		})
-		b.Hear("r2", 4, nil)
+		b.ReceiveCounts("r2", 4, nil)
 		load := func() float64 {
 			b.mu.Lock()
 			defer b.mu.Unlock()
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -147,7 +147,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				sequence++
-				b.Hear(fmt.Sprint("r", rapid.IntRange(0, 4).Draw(t, "peer")), sequence, drawTold(t, b))
+				b.ReceiveCounts(fmt.Sprint("r", rapid.IntRange(0, 4).Draw(t, "peer")), sequence, drawTold(t, b))
 			case 1:
 				b.SetPeers(ids[:rapid.IntRange(0, len(ids)).Draw(t, "live")], 3*peers)
 			case 2:
@@ -219,7 +219,7 @@
 	sequence := uint64(0)
 	for b.Loop() {
 		if sequence%1000 == 0 {
-			balancer.Hear("fleet", sequence+1, list)
+			balancer.ReceiveCounts("fleet", sequence+1, list)
 		}
 		sequence++
 		if !isKnown {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -48,7 +48,7 @@
 		told := b.TakeUpdate()
 		for j, other := range f.routers {
 			if j != i {
-				other.Hear(fmt.Sprint("r", i), sequence, told.InFlight)
+				other.ReceiveCounts(fmt.Sprint("r", i), sequence, told.InFlight)
 				other.ReceiveCachedParts(told.CachedParts)
 			}
 		}
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -62,7 +62,7 @@
 	f.sequence++
 	for i, b := range f.routers {
 		if i != from {
-			b.Hear(fmt.Sprint("r", from), f.sequence, told.InFlight)
+			b.ReceiveCounts(fmt.Sprint("r", from), f.sequence, told.InFlight)
 			b.ReceiveCachedParts(told.CachedParts)
 			b.ReceivePrefills(told.CachedParts)
 			b.ReceiveOutcomes(told.Outcomes)
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -62,8 +62,8 @@
 			whole.SetBackends(slices.Collect(maps.Values(state)))
 			if rapid.Bool().Draw(t, "told") {
 				told := toldOf(byChanges, int(round))
-				byChanges.Hear("peer", round+1, told)
-				whole.Hear("peer", round+1, told)
+				byChanges.ReceiveCounts("peer", round+1, told)
+				whole.ReceiveCounts("peer", round+1, told)
 			}
 			if got, want := summary(byChanges), summary(whole); !slices.Equal(got, want) {
 				t.Fatalf("got %v, want %v", got, want)
--- a/balance/sleep_test.go
+++ b/balance/sleep_test.go
@@ -20,7 +20,7 @@
 			b.SetPeers([]string{"r"}, 1)
 			lease := acquire(t, b, &Request{Pool: "p"})
 			b.Release(lease, slipwick.EvidenceRefused)
-			b.Hear("r", 1, []InFlight{{Server: b.servers[lease.Backend.ID].hash, Count: 9}})
+			b.ReceiveCounts("r", 1, []InFlight{{Server: b.servers[lease.Backend.ID].hash, Count: 9}})
 			if !b.hasAllUpdatesLocked(clock.Now()) || !b.isUnavailableLocked(b.servers[lease.Backend.ID], clock.Now()) {
 				t.Fatal("got what was just told and judged not believed")
 			}
--- a/balance/told.go
+++ b/balance/told.go
@@ -102,7 +102,7 @@
 
 // ReceiveCounts takes the counts of another router. It ignores counts that arrive after later
 // ones.
-func (b *Balancer) Hear(router string, sequence uint64, list []InFlight) {
+func (b *Balancer) ReceiveCounts(router string, sequence uint64, list []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if sequence <= b.countsByRouter[router].sequence {
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -299,7 +299,7 @@
 		t.Balancer.ReceiveMoreCounts(source, list)
 		return
 	}
-	t.Balancer.Hear(source, message.GetSequence(), list)
+	t.Balancer.ReceiveCounts(source, message.GetSequence(), list)
 }
 
 // storeCounts stores the counts of a datagram, for a hub to add up. isMore says that the datagram
