--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -14,7 +14,7 @@
 type Knowledge struct {
 	// Engines are those whose caches the router knows, except for what was cached there within
 	// the last moments.
-	Covered []uint64
+	Engines []uint64
 	// CachedParts has all prompt parts that these engines are known to have cached.
 	Reads []CachedPart
 }
@@ -77,7 +77,7 @@
 	if len(requested) == 0 {
 		return k
 	}
-	k.Covered = slices.Collect(maps.Keys(requested))
+	k.Engines = slices.Collect(maps.Keys(requested))
 	k.Reads = b.cacheIndex.locations(requested)
 	return k
 }
@@ -87,7 +87,7 @@
 	b.ReceiveCachedParts(k.Reads)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, hash := range k.Covered {
+	for _, hash := range k.Engines {
 		if s := b.hashes[hash]; s != nil {
 			s.cacheKnown = true
 		}
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -50,7 +50,7 @@
 // the answer can hold.
 func FuzzKnowledge(f *testing.F) {
 	seed, _ := proto.Marshal(encodeKnowledge(&balance.Knowledge{
-		Covered: []uint64{7},
+		Engines: []uint64{7},
 		Reads: []balance.CachedPart{
 			{
 				Part:   1,
@@ -64,8 +64,8 @@
 		if err != nil {
 			return
 		}
-		if len(known.Reads) > len(body) || len(known.Covered) > len(body) {
-			t.Errorf("got %d parts and %d engines from %d bytes", len(known.Reads), len(known.Covered), len(body))
+		if len(known.Reads) > len(body) || len(known.Engines) > len(body) {
+			t.Errorf("got %d parts and %d engines from %d bytes", len(known.Reads), len(known.Engines), len(body))
 		}
 	})
 }
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -131,7 +131,7 @@
 		}
 		return index
 	}
-	for _, engine := range k.Covered {
+	for _, engine := range k.Engines {
 		message.Covered[indexOf(engine)] = true
 	}
 	for _, read := range k.Reads {
@@ -147,7 +147,7 @@
 	servers := message.GetServers()
 	for i, covered := range message.GetCovered() {
 		if covered && i < len(servers) {
-			k.Covered = append(k.Covered, servers[i])
+			k.Engines = append(k.Engines, servers[i])
 		}
 	}
 	for i, part := range message.GetParts() {
