--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -16,7 +16,7 @@
 	// the last moments.
 	Engines []uint64
 	// CachedParts has all prompt parts that these engines are known to have cached.
-	Reads []CachedPart
+	CachedParts []CachedPart
 }
 
 // CacheQuery says which caches a router asks another about, by the hash of the engine's
@@ -78,13 +78,13 @@
 		return k
 	}
 	k.Engines = slices.Collect(maps.Keys(requested))
-	k.Reads = b.cacheIndex.locations(requested)
+	k.CachedParts = b.cacheIndex.locations(requested)
 	return k
 }
 
 // MergeCacheSnapshot adds what another router knows.
 func (b *Balancer) Learn(k *Knowledge) {
-	b.ReceiveCachedParts(k.Reads)
+	b.ReceiveCachedParts(k.CachedParts)
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, hash := range k.Engines {
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -51,7 +51,7 @@
 func FuzzKnowledge(f *testing.F) {
 	seed, _ := proto.Marshal(encodeKnowledge(&balance.Knowledge{
 		Engines: []uint64{7},
-		Reads: []balance.CachedPart{
+		CachedParts: []balance.CachedPart{
 			{
 				Part:   1,
 				Server: 7,
@@ -64,8 +64,8 @@
 		if err != nil {
 			return
 		}
-		if len(known.Reads) > len(body) || len(known.Engines) > len(body) {
-			t.Errorf("got %d parts and %d engines from %d bytes", len(known.Reads), len(known.Engines), len(body))
+		if len(known.CachedParts) > len(body) || len(known.Engines) > len(body) {
+			t.Errorf("got %d parts and %d engines from %d bytes", len(known.CachedParts), len(known.Engines), len(body))
 		}
 	})
 }
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -134,7 +134,7 @@
 	for _, engine := range k.Engines {
 		message.Covered[indexOf(engine)] = true
 	}
-	for _, read := range k.Reads {
+	for _, read := range k.CachedParts {
 		message.Parts = append(message.Parts, read.Part)
 		message.Keepers = append(message.Keepers, indexOf(read.Server))
 	}
@@ -154,7 +154,7 @@
 		if i >= len(message.GetKeepers()) || int(message.GetKeepers()[i]) >= len(servers) {
 			break
 		}
-		k.Reads = append(k.Reads, balance.CachedPart{
+		k.CachedParts = append(k.CachedParts, balance.CachedPart{
 			Part:   part,
 			Server: servers[message.GetKeepers()[i]],
 		})
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -154,7 +154,7 @@
 		k := other.Balancer.Knowledge(q)
 		f.mu.Lock()
 		f.enginesNamed += len(q.Known) + len(q.Wanted)
-		f.partsSent += len(k.Reads)
+		f.partsSent += len(k.CachedParts)
 		f.mu.Unlock()
 		return &k, nil
 	}
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -160,7 +160,7 @@
 func TestKnowledgeIsDecodedAsEncoded(t *testing.T) {
 	want := &balance.Knowledge{
 		Engines: []uint64{7, 9},
-		Reads: []balance.CachedPart{
+		CachedParts: []balance.CachedPart{
 			{Part: 1, Server: 9},
 			{Part: 1, Server: 8},
 			{Part: 2, Server: 7},
@@ -172,7 +172,7 @@
 	}
 	invalid := encodeKnowledge(want)
 	invalid.Keepers[1], invalid.Servers = 17, invalid.Servers[:1]
-	if got := decodeKnowledge(invalid); len(got.Reads) != 0 || len(got.Engines) != 1 {
+	if got := decodeKnowledge(invalid); len(got.CachedParts) != 0 || len(got.Engines) != 1 {
 		t.Errorf("invalid: got %+v, want only the valid entries", got)
 	}
 }
