--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -11,7 +11,7 @@
 
 // CacheSnapshot is what a router knows of the caches of engines, which it identifies by the
 // hash of their incarnation.
-type Knowledge struct {
+type CacheSnapshot struct {
 	// Engines are those whose caches the router knows, except for what was cached there within
 	// the last moments.
 	Engines []uint64
@@ -53,7 +53,7 @@
 }
 
 // CacheSnapshot returns what this router knows of the caches that a query asks for.
-func (b *Balancer) Knowledge(q *Question) Knowledge {
+func (b *Balancer) Knowledge(q *Question) CacheSnapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	requested := make(map[uint64]*server)
@@ -73,7 +73,7 @@
 			delete(requested, hash)
 		}
 	}
-	k := Knowledge{}
+	k := CacheSnapshot{}
 	if len(requested) == 0 {
 		return k
 	}
@@ -83,7 +83,7 @@
 }
 
 // MergeCacheSnapshot adds what another router knows.
-func (b *Balancer) Learn(k *Knowledge) {
+func (b *Balancer) Learn(k *CacheSnapshot) {
 	b.ReceiveCachedParts(k.CachedParts)
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -49,7 +49,7 @@
 // FuzzKnowledge checks that no answer to a cache query makes its reader panic, or return more than
 // the answer can hold.
 func FuzzKnowledge(f *testing.F) {
-	seed, _ := proto.Marshal(encodeKnowledge(&balance.Knowledge{
+	seed, _ := proto.Marshal(encodeKnowledge(&balance.CacheSnapshot{
 		Engines: []uint64{7},
 		CachedParts: []balance.CachedPart{
 			{
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -48,7 +48,7 @@
 // blocks until the answer arrives or ctx ends.
 func FetchKnowledge(
 	ctx context.Context, client *http.Client, address string, q *balance.Question,
-) (*balance.Knowledge, error) {
+) (*balance.CacheSnapshot, error) {
 	query, err := proto.Marshal(encodeQuestion(q))
 	if err != nil {
 		return nil, errors.Wrap(err, "query a router for its cache index")
@@ -68,7 +68,7 @@
 	return readKnowledge(response.Body)
 }
 
-func readKnowledge(from io.Reader) (*balance.Knowledge, error) {
+func readKnowledge(from io.Reader) (*balance.CacheSnapshot, error) {
 	message, err := readMessage(from)
 	if err != nil {
 		return nil, err
@@ -118,7 +118,7 @@
 	return q
 }
 
-func encodeKnowledge(k *balance.Knowledge) *exchangepb.Knowledge {
+func encodeKnowledge(k *balance.CacheSnapshot) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
 	indexes := make(map[uint64]uint32)
 	indexOf := func(engine uint64) uint32 {
@@ -142,8 +142,8 @@
 }
 
 // decodeKnowledge leaves out entries whose lists are too short or whose index is out of range.
-func decodeKnowledge(message *exchangepb.Knowledge) *balance.Knowledge {
-	k := &balance.Knowledge{}
+func decodeKnowledge(message *exchangepb.Knowledge) *balance.CacheSnapshot {
+	k := &balance.CacheSnapshot{}
 	servers := message.GetServers()
 	for i, covered := range message.GetCovered() {
 		if covered && i < len(servers) {
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -158,7 +158,7 @@
 }
 
 func TestKnowledgeIsDecodedAsEncoded(t *testing.T) {
-	want := &balance.Knowledge{
+	want := &balance.CacheSnapshot{
 		Engines: []uint64{7, 9},
 		CachedParts: []balance.CachedPart{
 			{Part: 1, Server: 9},
@@ -194,7 +194,7 @@
 			for i := range size {
 				r := f.add(fmt.Sprint("r", i))
 				ask := r.Ask
-				r.Ask = func(ctx context.Context, other slipwick.Router, q *balance.Question) (*balance.Knowledge, error) {
+				r.Ask = func(ctx context.Context, other slipwick.Router, q *balance.Question) (*balance.CacheSnapshot, error) {
 					mu.Lock()
 					asked[r.Self]++
 					mu.Unlock()
