--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -22,14 +22,14 @@
 // CacheQuery says which caches a router asks another about, by the hash of the engine's
 // incarnation: all but the Known ones, or the Wanted ones, whichever list is shorter. Routers
 // of a fleet that restarts ask each other many times.
-type Question struct {
+type CacheQuery struct {
 	Known  []uint64
 	Wanted []uint64
 }
 
 // CacheQuery returns what to ask another router about the engines of the pools. ok is false if
 // no cache is unknown.
-func (b *Balancer) Question(pools []string) (q Question, ok bool) {
+func (b *Balancer) Question(pools []string) (q CacheQuery, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
@@ -53,7 +53,7 @@
 }
 
 // CacheSnapshot returns what this router knows of the caches that a query asks for.
-func (b *Balancer) Knowledge(q *Question) CacheSnapshot {
+func (b *Balancer) Knowledge(q *CacheQuery) CacheSnapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	requested := make(map[uint64]*server)
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -47,7 +47,7 @@
 // FetchKnowledge queries the router at host:port for what it knows of the caches of engines. It
 // blocks until the answer arrives or ctx ends.
 func FetchKnowledge(
-	ctx context.Context, client *http.Client, address string, q *balance.Question,
+	ctx context.Context, client *http.Client, address string, q *balance.CacheQuery,
 ) (*balance.CacheSnapshot, error) {
 	query, err := proto.Marshal(encodeQuestion(q))
 	if err != nil {
@@ -91,7 +91,7 @@
 // encodeQuestion sends the engines that are known as covered, or those that are wanted as not
 // covered. Older routers read only the known ones, and answer a query for wanted engines with all
 // that they know.
-func encodeQuestion(q *balance.Question) *exchangepb.Knowledge {
+func encodeQuestion(q *balance.CacheQuery) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
 	for _, engine := range q.Known {
 		message.Servers, message.Covered = append(message.Servers, engine), append(message.Covered, true)
@@ -103,8 +103,8 @@
 }
 
 // decodeQuestion stops at the first entry without a server.
-func decodeQuestion(message *exchangepb.Knowledge) *balance.Question {
-	q := &balance.Question{}
+func decodeQuestion(message *exchangepb.Knowledge) *balance.CacheQuery {
+	q := &balance.CacheQuery{}
 	for i, covered := range message.GetCovered() {
 		switch {
 		case i >= len(message.GetServers()):
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -64,7 +64,7 @@
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
 	// Ask queries another router for what it knows.
-	Ask func(ctx context.Context, router slipwick.Router, q *balance.Question) (*balance.CacheSnapshot, error)
+	Ask func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error)
 	// List asks an engine for the parts in its cache. If it is nil, no engine is asked.
 	List func(context.Context, slipwick.Backend) ([]uint64, error)
 	// Settled is closed once this router knows the others, since only then does it know which
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -194,7 +194,7 @@
 			for i := range size {
 				r := f.add(fmt.Sprint("r", i))
 				ask := r.Ask
-				r.Ask = func(ctx context.Context, other slipwick.Router, q *balance.Question) (*balance.CacheSnapshot, error) {
+				r.Ask = func(ctx context.Context, other slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
 					mu.Lock()
 					asked[r.Self]++
 					mu.Unlock()
