--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -29,7 +29,7 @@
 
 // CacheQuery returns what to ask another router about the engines of the pools. ok is false if
 // no cache is unknown.
-func (b *Balancer) Question(pools []string) (q CacheQuery, ok bool) {
+func (b *Balancer) CacheQuery(pools []string) (q CacheQuery, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -185,7 +185,7 @@
 		if !ok {
 			return
 		}
-		query, ok := r.Balancer.Question(r.Pools())
+		query, ok := r.Balancer.CacheQuery(r.Pools())
 		if !ok {
 			return
 		}
