--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -53,7 +53,7 @@
 }
 
 // CacheSnapshot returns what this router knows of the caches that a query asks for.
-func (b *Balancer) Knowledge(q *CacheQuery) CacheSnapshot {
+func (b *Balancer) CacheSnapshot(q *CacheQuery) CacheSnapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	requested := make(map[uint64]*server)
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -34,7 +34,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	k := s.Balancer.Knowledge(decodeQuestion(message))
+	k := s.Balancer.CacheSnapshot(decodeQuestion(message))
 	body, err := proto.Marshal(encodeKnowledge(&k))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -151,7 +151,7 @@
 			return nil, errUnresponsive
 		}
 		q = decodeQuestion(encodeQuestion(q))
-		k := other.Balancer.Knowledge(q)
+		k := other.Balancer.CacheSnapshot(q)
 		f.mu.Lock()
 		f.enginesNamed += len(q.Known) + len(q.Wanted)
 		f.partsSent += len(k.CachedParts)
