--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -83,7 +83,7 @@
 }
 
 // MergeCacheSnapshot adds what another router knows.
-func (b *Balancer) Learn(k *CacheSnapshot) {
+func (b *Balancer) MergeCacheSnapshot(k *CacheSnapshot) {
 	b.ReceiveCachedParts(k.CachedParts)
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -194,7 +194,7 @@
 		cancel()
 		// A router that doesn't answer is skipped; the next round queries another one.
 		if err == nil {
-			r.Balancer.Learn(k)
+			r.Balancer.MergeCacheSnapshot(k)
 		}
 	}
 }
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -239,7 +239,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tellers[1].Balancer.Learn(k)
+		tellers[1].Balancer.MergeCacheSnapshot(k)
 	}
 	learn()
 	if got := len(tellers[1].Balancer.Uncovered("p")); got != 20 {
