--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -118,7 +118,7 @@
 
 // RecordCachedParts takes the parts that an engine lists as cached, and records those that were
 // probably placed there.
-func (b *Balancer) Keeps(id string, parts []uint64) {
+func (b *Balancer) RecordCachedParts(id string, parts []uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s := b.servers[id]
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -124,7 +124,7 @@
 			keeper = l
 		}
 	}
-	b.Keeps(keeper.ID, []uint64{head})
+	b.RecordCachedParts(keeper.ID, []uint64{head})
 	ask := &Request{
 		Pool: "p",
 		Prompt: []Part{
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -253,7 +253,7 @@
 			defer cancel()
 			// The cache of an engine that doesn't answer stays unknown. List logs the reason.
 			if parts, err := r.List(limited, engine); err == nil {
-				r.Balancer.Keeps(engine.ID, parts)
+				r.Balancer.RecordCachedParts(engine.ID, parts)
 			}
 		})
 	}
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -27,7 +27,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t, newBackend(t, "b1", respondWith(http.StatusOK, "answer")))
 			f.gateway.Homes = make(chan struct{})
-			f.gateway.Balancer.Keeps("b1", []uint64{PartKey("ab")})
+			f.gateway.Balancer.RecordCachedParts("b1", []uint64{PartKey("ab")})
 			request := f.request(t, test.path, "question")
 			if test.prompt != "" {
 				request.Header.Set("Slipwick-Prompt", test.prompt)
