--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -135,7 +135,7 @@
 
 // HasCachedPrompt reports whether a listed engine of the pool is known to have all shared parts
 // of the prompt cached.
-func (b *Balancer) HasHome(request *Request) bool {
+func (b *Balancer) HasCachedPrompt(request *Request) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(request.Prompt) == 0 {
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -105,7 +105,7 @@
 
 		f.setBackends(bornAt(id, 9_000))
 		for i, b := range f.routers {
-			if b.HasHome(prompt(7)) {
+			if b.HasCachedPrompt(prompt(7)) {
 				t.Errorf("router %d: got the prompt's home believed, want it unknown", i)
 			}
 			if got := b.InFlight("p"); got != 0 {
@@ -116,9 +116,9 @@
 			f.hear(i, told)
 		}
 		for i, b := range f.routers {
-			if b.HasHome(prompt(7)) || b.InFlight("p") != 0 {
+			if b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 0 {
 				t.Errorf("router %d: got news of the earlier life believed: home %t, %v in flight",
-					i, b.HasHome(prompt(7)), b.InFlight("p"))
+					i, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
 			}
 			// What was in flight at the earlier life ends, and fails.
 			b.Release(leases[i], slipwick.EvidenceError)
@@ -168,8 +168,8 @@
 				b.RecordResponseStart(acquire(t, b, prompt(7)))
 			}
 		}
-		if !b.HasHome(prompt(7)) || b.InFlight("p") != 1 {
-			t.Errorf("births %v: got home %t and %v in flight, want one life", births, b.HasHome(prompt(7)), b.InFlight("p"))
+		if !b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 1 {
+			t.Errorf("births %v: got home %t and %v in flight, want one life", births, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
 		}
 	}
 }
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -70,7 +70,7 @@
 func (f *recoveringFleet) unknownParts(r *Recovery) int {
 	n := 0
 	for part := range uint64(f.engines * f.parts) {
-		if !r.Balancer.HasHome(&balance.Request{
+		if !r.Balancer.HasCachedPrompt(&balance.Request{
 			Pool: "p",
 			Prompt: []balance.Part{
 				{
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -73,7 +73,7 @@
 	defer timer.Stop()
 	ticker := time.NewTicker(startupPollInterval)
 	defer ticker.Stop()
-	for !c.gateway.Balancer.HasHome(&c.selection) {
+	for !c.gateway.Balancer.HasCachedPrompt(&c.selection) {
 		select {
 		case <-cacheIndex:
 			return
