--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -151,7 +151,7 @@
 // EnginesWithUnknownCaches returns the engines of a pool whose caches this router does not
 // know. It leaves out engines that accept no new requests or asked for a pause, because listing
 // a cache costs an engine work as well.
-func (b *Balancer) Uncovered(pool string) []slipwick.Backend {
+func (b *Balancer) EnginesWithUnknownCaches(pool string) []slipwick.Backend {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -202,7 +202,7 @@
 		if b.StillAccepts(lease) {
 			t.Errorf("%+v: got the request sent, want another choice", notice)
 		}
-		if got := b.Uncovered("p"); len(got) > 0 {
+		if got := b.EnginesWithUnknownCaches("p"); len(got) > 0 {
 			t.Errorf("%+v: got its cache asked for, want nothing sent there", notice)
 		}
 	}
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -173,7 +173,7 @@
 func (r *Recovery) missing() []slipwick.Backend {
 	var missing []slipwick.Backend
 	for _, pool := range r.Pools() {
-		missing = append(missing, r.Balancer.Uncovered(pool)...)
+		missing = append(missing, r.Balancer.EnginesWithUnknownCaches(pool)...)
 	}
 	return missing
 }
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -242,12 +242,12 @@
 		tellers[1].Balancer.MergeCacheSnapshot(k)
 	}
 	learn()
-	if got := len(tellers[1].Balancer.Uncovered("p")); got != 20 {
+	if got := len(tellers[1].Balancer.EnginesWithUnknownCaches("p")); got != 20 {
 		t.Errorf("the other router does not know all caches: got %d of 20 engines missing, want all", got)
 	}
 	tellers[0].Balancer.CoverAll()
 	learn()
-	got, missing := tellers[1].Balancer.KnownParts(), len(tellers[1].Balancer.Uncovered("p"))
+	got, missing := tellers[1].Balancer.KnownParts(), len(tellers[1].Balancer.EnginesWithUnknownCaches("p"))
 	if got != 500 || missing > 0 {
 		t.Errorf("got %d parts and %d engines missing, want 500 and none", got, missing)
 	}
