--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -192,7 +192,7 @@
 // benchmarkAcquire chooses for one router of a fleet that a hub tells.
 func benchmarkAcquire(b *testing.B, engines int, isKnown bool) {
 	balancer := newTestBalancer(engines)
-	balancer.CoverAll()
+	balancer.MarkCachesKnown()
 	balancer.SetPeers([]string{"fleet"}, 294)
 	var list []InFlight
 	for _, s := range balancer.servers {
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -115,7 +115,7 @@
 
 func TestFailingEngineIsStillFetchedFrom(t *testing.T) {
 	b := newTestBalancer(4)
-	b.CoverAll()
+	b.MarkCachesKnown()
 	first := acquire(t, b, prompt(7))
 	b.RecordResponseStart(first)
 	b.Release(first, slipwick.EvidenceGood)
--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -166,7 +166,7 @@
 
 // MarkCachesKnown notes that no engine has anything cached that this router does not know, as
 // when the whole fleet starts for the first time.
-func (b *Balancer) CoverAll() {
+func (b *Balancer) MarkCachesKnown() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.empty = true
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -35,7 +35,7 @@
 	for range 3 {
 		b := New("dc-0")
 		b.SetBackends(bornAt("", 0))
-		b.CoverAll()
+		b.MarkCachesKnown()
 		b.SetPeers(f.others(len(f.routers)), 2)
 		f.routers = append(f.routers, b)
 	}
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -116,7 +116,7 @@
 // its first part.
 func TestFirstPartsAreFetchedForNewPrompts(t *testing.T) {
 	b := newTestBalancer(6)
-	b.CoverAll()
+	b.MarkCachesKnown()
 	const head, part = 7, 8
 	var keeper Listed
 	for _, l := range listed(6) {
--- a/balance/switches_test.go
+++ b/balance/switches_test.go
@@ -60,7 +60,7 @@
 			first := acquire(t, b, prompt(7))
 			b.RecordResponseStart(first)
 			b.SetEvacuated([]string{first.Backend.DataCentre})
-			b.CoverAll()
+			b.MarkCachesKnown()
 			got := acquire(t, b, prompt(7)).FetchFrom == first.Backend.Address
 			if got != test.wantFetch {
 				t.Errorf("got a fetch from there: %t, want %t", got, test.wantFetch)
--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -35,7 +35,7 @@
 	p.awaitRollouts(ctx)
 	close(p.ready)
 	if p.Settings.FirstStart {
-		p.balancer.CoverAll()
+		p.balancer.MarkCachesKnown()
 		return
 	}
 	started := time.Now()
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -245,7 +245,7 @@
 	if got := len(tellers[1].Balancer.EnginesWithUnknownCaches("p")); got != 20 {
 		t.Errorf("the other router does not know all caches: got %d of 20 engines missing, want all", got)
 	}
-	tellers[0].Balancer.CoverAll()
+	tellers[0].Balancer.MarkCachesKnown()
 	learn()
 	got, missing := tellers[1].Balancer.KnownParts(), len(tellers[1].Balancer.EnginesWithUnknownCaches("p"))
 	if got != 500 || missing > 0 {
