--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -177,7 +177,7 @@
 
 // CachedPartCount returns the number of prompt parts that are known to be cached on some
 // engine.
-func (b *Balancer) KnownParts() int {
+func (b *Balancer) CachedPartCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.cacheIndex.holders.Len()
--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -49,7 +49,7 @@
 		StoreTimeline: p.timeline.Load(),
 		InFlight:      p.gateway.InFlight(),
 		Evacuated:     p.evacuatedNow(),
-		KnownParts:    p.balancer.KnownParts(),
+		KnownParts:    p.balancer.CachedPartCount(),
 		MissingCaches: p.recovery.Missing(),
 		Quarantined:   p.ledger.Count(),
 		Backends:      p.balancer.States(),
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -27,7 +27,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newRecoveringFleet()
 				for _, r := range f.startAll(t, test.size, test.pause) {
-					if got, want := r.Balancer.KnownParts(), testEngines*testParts; got != want || r.Missing() > 0 {
+					if got, want := r.Balancer.CachedPartCount(), testEngines*testParts; got != want || r.Missing() > 0 {
 						t.Errorf("router %s: got %d parts and %d engines missing, want %d and none", r.Self, got, r.Missing(), want)
 					}
 				}
@@ -62,7 +62,7 @@
 			f.engines, f.parts, f.settleAfter = test.engines, test.parts, 200*time.Millisecond
 			started := time.Now()
 			for _, r := range f.startAll(t, test.routers, time.Millisecond) {
-				if got, want := r.Balancer.KnownParts(), test.engines*test.parts; got != want || r.Missing() > 0 {
+				if got, want := r.Balancer.CachedPartCount(), test.engines*test.parts; got != want || r.Missing() > 0 {
 					t.Errorf("router %s: got %d parts and %d engines missing, want %d and none", r.Self, got, r.Missing(), want)
 				}
 			}
@@ -87,7 +87,7 @@
 		clear(f.lists)
 		r := f.add("late")
 		r.Run(t.Context())
-		if got, want := r.Balancer.KnownParts(), testEngines*testParts; got != want || len(f.lists) > 0 {
+		if got, want := r.Balancer.CachedPartCount(), testEngines*testParts; got != want || len(f.lists) > 0 {
 			t.Errorf("got %d parts and lists %v, want %d parts and no list", got, f.lists, want)
 		}
 	})
@@ -147,7 +147,7 @@
 		for _, r := range f.startAll(t, 4, 0) {
 			// Its cache holds shared parts, and as many ends of prompts as the mean of the engines.
 			lost := len(f.partsOf("engine-3")) - testParts
-			if got, want := r.Balancer.KnownParts(), testEngines*testParts-lost; got != want || r.Missing() != 1 {
+			if got, want := r.Balancer.CachedPartCount(), testEngines*testParts-lost; got != want || r.Missing() != 1 {
 				t.Errorf("router %s: got %d parts and %d engines missing, want %d and 1", r.Self, got, r.Missing(), want)
 			}
 		}
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -154,7 +154,7 @@
 			if got := teller.Balancer.InFlight("p"); got != size {
 				t.Errorf("router %s: got %v requests in the fleet, want %d", teller.Self, got, size)
 			}
-			if got := teller.Balancer.KnownParts(); got != size {
+			if got := teller.Balancer.CachedPartCount(); got != size {
 				t.Errorf("router %s: got %d parts, want %d", teller.Self, got, size)
 			}
 		}
@@ -247,7 +247,7 @@
 	}
 	tellers[0].Balancer.MarkCachesKnown()
 	learn()
-	got, missing := tellers[1].Balancer.KnownParts(), len(tellers[1].Balancer.EnginesWithUnknownCaches("p"))
+	got, missing := tellers[1].Balancer.CachedPartCount(), len(tellers[1].Balancer.EnginesWithUnknownCaches("p"))
 	if got != 500 || missing > 0 {
 		t.Errorf("got %d parts and %d engines missing, want 500 and none", got, missing)
 	}
@@ -262,7 +262,7 @@
 	for _, packet := range []string{"", "garbage", "\x2a\x08\x01\x02\x03\x04\x05\x06\x07\x08\x32\x01\x09"} {
 		tellers[0].Receive("x", []byte(packet))
 	}
-	if got := tellers[0].Balancer.KnownParts(); got != 0 {
+	if got := tellers[0].Balancer.CachedPartCount(); got != 0 {
 		t.Errorf("got %d parts from invalid datagrams, want 0", got)
 	}
 }
