--- a/balance/trial.go
+++ b/balance/trial.go
@@ -18,7 +18,7 @@
 }
 
 // CanaryCounts has the outcomes in a pool during a canary, of all routers as far as known.
-type TrialCounts struct {
+type CanaryCounts struct {
 	Old, New VersionCounts
 }
 
@@ -85,14 +85,14 @@
 }
 
 // CanaryCounts returns the counts of a pool's canary, or zeros without one.
-func (b *Balancer) TrialCounts(pool string) TrialCounts {
+func (b *Balancer) TrialCounts(pool string) CanaryCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.canaries[pool]
 	if c == nil {
-		return TrialCounts{}
+		return CanaryCounts{}
 	}
-	return TrialCounts{
+	return CanaryCounts{
 		Old: c.stable.VersionCounts,
 		New: c.canary.VersionCounts,
 	}
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -90,7 +90,7 @@
 	fromFirst, fromSecond := first.TakeUpdate(), second.TakeUpdate()
 	first.ReceiveOutcomes(fromSecond.Outcomes)
 	second.ReceiveOutcomes(fromFirst.Outcomes)
-	want := TrialCounts{
+	want := CanaryCounts{
 		Old: VersionCounts{
 			Good: 1,
 			Bad:  2,
