--- a/balance/trial.go
+++ b/balance/trial.go
@@ -85,7 +85,7 @@
 }
 
 // CanaryCounts returns the counts of a pool's canary, or zeros without one.
-func (b *Balancer) TrialCounts(pool string) CanaryCounts {
+func (b *Balancer) CanaryCounts(pool string) CanaryCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.canaries[pool]
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -101,7 +101,7 @@
 		},
 	}
 	for _, b := range []*Balancer{first, second} {
-		if got := b.TrialCounts("p"); got != want {
+		if got := b.CanaryCounts("p"); got != want {
 			t.Errorf("got %+v, want %+v", got, want)
 		}
 	}
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -174,7 +174,7 @@
 func (r *rollouts) applyLocked(now time.Time) {
 	trials := make(map[string]balance.Trial)
 	for name, f := range r.following {
-		counts := r.process.balancer.TrialCounts(f.Order.Pool)
+		counts := r.process.balancer.CanaryCounts(f.Order.Pool)
 		verdict := f.Observe(now, rollout.Counts(counts.Old), rollout.Counts(counts.New))
 		if verdict != f.told {
 			f.told = verdict
