--- a/balance/trial.go
+++ b/balance/trial.go
@@ -62,7 +62,7 @@
 }
 
 // SetCanaries sets the canaries by pool name. The counts of one that goes on are kept.
-func (b *Balancer) SetTrials(canaries map[string]Trial) {
+func (b *Balancer) SetCanaries(canaries map[string]Trial) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.canaries
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -192,7 +192,7 @@
 			Share:   f.Share(now),
 		}
 	}
-	r.process.balancer.SetTrials(trials)
+	r.process.balancer.SetCanaries(trials)
 }
 
 // dueWrite is a state that is to be written.
