--- a/balance/trial.go
+++ b/balance/trial.go
@@ -10,7 +10,7 @@
 
 // Canary sends a share of a pool's requests to backend servers of a new version, and the others
 // to servers of any other version.
-type Trial struct {
+type Canary struct {
 	// Version is the new version, Share the fraction of the requests that it gets. With 0 it
 	// gets none, even if no other server is available.
 	Version string
@@ -30,7 +30,7 @@
 
 // canaryState is a Canary with its counts.
 type canaryState struct {
-	Trial
+	Canary
 	// stable and canary are the counts of both sides.
 	stable, canary versionCounts
 }
@@ -62,7 +62,7 @@
 }
 
 // SetCanaries sets the canaries by pool name. The counts of one that goes on are kept.
-func (b *Balancer) SetCanaries(canaries map[string]Trial) {
+func (b *Balancer) SetCanaries(canaries map[string]Canary) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	known := b.canaries
@@ -79,7 +79,7 @@
 				},
 			}
 		}
-		entry.Trial = c
+		entry.Canary = c
 		b.canaries[pool] = entry
 	}
 }
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -21,7 +21,7 @@
 func newTrialBalancer(share float64) *Balancer {
 	b := New("d")
 	b.SetBackends(append(versions("v1", 6), versions("v2", 6)...))
-	b.SetCanaries(map[string]Trial{
+	b.SetCanaries(map[string]Canary{
 		"p": {
 			Version: "v2",
 			Share:   share,
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -172,7 +172,7 @@
 
 // applyLocked judges the rollouts, and has the balancer send by them.
 func (r *rollouts) applyLocked(now time.Time) {
-	trials := make(map[string]balance.Trial)
+	trials := make(map[string]balance.Canary)
 	for name, f := range r.following {
 		counts := r.process.balancer.CanaryCounts(f.Order.Pool)
 		verdict := f.Observe(now, rollout.Counts(counts.Old), rollout.Counts(counts.New))
@@ -187,7 +187,7 @@
 		if verdict == rollout.StateCompleted && isOver {
 			continue
 		}
-		trials[f.Order.Pool] = balance.Trial{
+		trials[f.Order.Pool] = balance.Canary{
 			Version: f.Order.Version,
 			Share:   f.Share(now),
 		}
