--- a/balance/trial.go
+++ b/balance/trial.go
@@ -213,7 +213,7 @@
 
 // RolloutsKnown notes that all rollouts are known that the store had at the time. Versions that
 // appeared earlier and are named in none are used like any other.
-func (b *Balancer) OrdersKnown(asOf time.Time) {
+func (b *Balancer) RolloutsKnown(asOf time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if asOf.After(b.rolloutsAsOf) {
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -133,12 +133,12 @@
 			}
 			return false
 		}
-		b.OrdersKnown(time.Now().Add(-time.Millisecond))
+		b.RolloutsKnown(time.Now().Add(-time.Millisecond))
 		if uses() {
 			t.Error("got a new version in use before its order can be known")
 		}
 		time.Sleep(time.Millisecond)
-		b.OrdersKnown(time.Now())
+		b.RolloutsKnown(time.Now())
 		if !uses() {
 			t.Error("got a new version held that no order names")
 		}
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -77,13 +77,13 @@
 		dependency.answered(batch)
 		asOf = clock.Now().Add(-batch.Age)
 		if len(batch.Entries) == 0 {
-			p.balancer.OrdersKnown(asOf)
+			p.balancer.RolloutsKnown(asOf)
 		}
 	}
 	follower.OnChange = func(changes []directory.Change[rollout.Order]) {
 		p.rollouts.change(changes)
 		// Orders are in force before versions that none names are used.
-		p.balancer.OrdersKnown(asOf)
+		p.balancer.RolloutsKnown(asOf)
 		if isFirst {
 			isFirst = false
 			close(p.rolloutsKnown)
