--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -305,7 +305,7 @@
 		})
 		list := placedPool(2, "d", "e")
 		b.SetBackends(list[:1])
-		time.Sleep(2 * LateListing)
+		time.Sleep(2 * RelistWindow)
 		b.SetBackends(list)
 		first, added := b.servers[list[0].ID], b.servers[list[1].ID]
 		if b.isColdLocked(first, time.Now()) || !b.isColdLocked(added, time.Now()) {
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -86,7 +86,7 @@
 func TestServerBackUnderItsIDIsAnother(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newLifeFleet()
-		time.Sleep(LateListing + time.Second)
+		time.Sleep(RelistWindow + time.Second)
 		first := acquire(t, f.routers[0], prompt(7))
 		id := first.Backend.ID
 		f.hear(0, f.told(0))
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -48,7 +48,7 @@
 		b.firstListed = now
 	}
 	since := now
-	if now.Sub(b.firstListed) < LateListing {
+	if now.Sub(b.firstListed) < RelistWindow {
 		// These servers started before this router.
 		since = time.Time{}
 	}
--- a/balance/server.go
+++ b/balance/server.go
@@ -18,7 +18,7 @@
 // RelistWindow is how long after a router's first list a newly listed backend server may have
 // been running before the router: entries that expired while the store was away reappear within
 // about 2 s of its return.
-const LateListing = 4 * time.Second
+const RelistWindow = 4 * time.Second
 
 // server is the balancer's state of a backend server.
 type server struct {
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -116,7 +116,7 @@
 		b := New("d")
 		b.HoldVersions = true
 		b.SetBackends(versions("v1", 3))
-		time.Sleep(2 * LateListing)
+		time.Sleep(2 * RelistWindow)
 		b.ChangeBackends(&Changes{
 			Listed: versions("v2", 30),
 		})
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -107,7 +107,7 @@
 // long as engines may be listed late, or until ctx ends; engines that are listed later than that
 // are new.
 func (r *Recovery) Follow(ctx context.Context) {
-	for end := clock.Now().Add(balance.LateListing + lateListingMargin); clock.Now().Before(end); {
+	for end := clock.Now().Add(balance.RelistWindow + lateListingMargin); clock.Now().Before(end); {
 		if !sleep(ctx, lateListingPollInterval) {
 			return
 		}
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -123,7 +123,7 @@
 				t.Errorf("router %s: got %d shared parts unknown and %d engines missing, want none", r.Self, got, r.Missing())
 			}
 		}
-		time.Sleep(balance.LateListing)
+		time.Sleep(balance.RelistWindow)
 		lists := len(f.lists)
 		for _, r := range started {
 			r.Balancer.SetBackends(testBackends(testEngines + 1))
