--- a/balance/cold.go
+++ b/balance/cold.go
@@ -6,7 +6,7 @@
 type ColdLimit struct {
 	// MaxPerSecond is how many requests all routers together may send to one server in any
 	// second. With 0 there is no limit.
-	Most float64
+	MaxPerSecond float64
 	// NewServerTime is how long a newly listed server counts as cold if its entry does not say.
 	New time.Duration
 }
@@ -31,7 +31,7 @@
 // split returns how many routers share the limit and how many requests each may send in a
 // second.
 func (l *ColdLimit) split(routers int) (sharers, part int) {
-	shared := int(sharedPart * l.Most)
+	shared := int(sharedPart * l.MaxPerSecond)
 	sharers = max(min(shared/minSharerLimit, routers), 1)
 	return sharers, shared / sharers
 }
@@ -45,7 +45,7 @@
 
 // isColdLocked reports whether a server is cold and its pool has a limit for cold servers.
 func (b *Balancer) isColdLocked(s *server, now time.Time) bool {
-	return now.Before(s.coldUntil) && b.coldLimits[s.Pool].Most > 0
+	return now.Before(s.coldUntil) && b.coldLimits[s.Pool].MaxPerSecond > 0
 }
 
 // maySendToColdLocked reports whether this router may send to a cold server now. A router whose
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -15,7 +15,7 @@
 // testLimit is that of a pool whose engines bear 13 requests a second while they are
 // cold, with half more and 5 allowed.
 var testLimit = ColdLimit{
-	Most: 1.5*13 + 5,
+	MaxPerSecond: 1.5*13 + 5,
 }
 
 // coldFleet is routers before a pool of cold engines.
@@ -120,9 +120,9 @@
 			}
 			most, _ = f.most()
 		})
-		if float64(most) > testLimit.Most {
+		if float64(most) > testLimit.MaxPerSecond {
 			rt.Fatalf("%d routers, %v: got %d requests at a cold engine in a second, want at most %v",
-				size, kinds, most, testLimit.Most)
+				size, kinds, most, testLimit.MaxPerSecond)
 		}
 	})
 }
@@ -184,10 +184,10 @@
 				time.Sleep(coldWindow)
 				f.run(rand.New(rand.NewPCG(1, 2)), during)
 				most, sum := f.most()
-				if float64(most) > testLimit.Most/2 {
+				if float64(most) > testLimit.MaxPerSecond/2 {
 					t.Errorf("got %d requests at an engine in a second, want at most half of the limit", most)
 				}
-				if got, want := float64(sum)/engines/during.Seconds(), 0.35*testLimit.Most; got < want {
+				if got, want := float64(sum)/engines/during.Seconds(), 0.35*testLimit.MaxPerSecond; got < want {
 					t.Errorf("got %.1f requests a second at each engine, want %.1f at least", got, want)
 				}
 			})
@@ -255,8 +255,8 @@
 				delete(f.arrivals, listed.ID)
 			}
 		}
-		if most, _ := f.most(); float64(most) > testLimit.Most {
-			t.Errorf("got %d requests in a second at a cold engine, want at most %v", most, testLimit.Most)
+		if most, _ := f.most(); float64(most) > testLimit.MaxPerSecond {
+			t.Errorf("got %d requests in a second at a cold engine, want at most %v", most, testLimit.MaxPerSecond)
 		}
 	})
 }
--- a/cmd/internal/gatewayd/cold_test.go
+++ b/cmd/internal/gatewayd/cold_test.go
@@ -45,10 +45,10 @@
 	}, nil, nil)
 	for entersItself, want := range map[bool]balance.ColdLimit{
 		true: {
-			Most: 27,
+			MaxPerSecond: 27,
 		},
 		false: {
-			Most: 27,
+			MaxPerSecond: 27,
 			New:  3 * time.Second,
 		},
 	} {
