--- a/balance/cold.go
+++ b/balance/cold.go
@@ -8,7 +8,7 @@
 	// second. With 0 there is no limit.
 	MaxPerSecond float64
 	// NewServerTime is how long a newly listed server counts as cold if its entry does not say.
-	New time.Duration
+	NewServerTime time.Duration
 }
 
 // Only a few routers of the fleet, the sharers, send to a cold server: those that rank first
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -299,7 +299,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := New("d")
 		limit := testLimit
-		limit.New = 3 * time.Second
+		limit.NewServerTime = 3 * time.Second
 		b.SetColdLimits(map[string]ColdLimit{
 			"p": limit,
 		})
@@ -311,7 +311,7 @@
 		if b.isColdLocked(first, time.Now()) || !b.isColdLocked(added, time.Now()) {
 			t.Error("got the wrong servers cold, want the added one alone")
 		}
-		time.Sleep(limit.New)
+		time.Sleep(limit.NewServerTime)
 		if b.isColdLocked(added, time.Now()) {
 			t.Error("got a server cold after its time")
 		}
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -86,7 +86,7 @@
 		s.cacheKnown = s.cacheKnown || b.empty
 		s.notices = b.notices[s.hash]
 		if !since.IsZero() {
-			s.coldUntil = since.Add(b.coldLimits[listed.Pool].New)
+			s.coldUntil = since.Add(b.coldLimits[listed.Pool].NewServerTime)
 		}
 	}
 	known := *listed
--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -80,7 +80,7 @@
 			MaxPerSecond: b.ColdFactor*pool.Cold.PerSecond + b.ColdSlack,
 		}
 		if !entersItself {
-			limit.New = pool.Cold.Time
+			limit.NewServerTime = pool.Cold.Time
 		}
 		limits[name] = limit
 	}
--- a/cmd/internal/gatewayd/cold_test.go
+++ b/cmd/internal/gatewayd/cold_test.go
@@ -49,7 +49,7 @@
 		},
 		false: {
 			MaxPerSecond: 27,
-			New:  3 * time.Second,
+			NewServerTime:  3 * time.Second,
 		},
 	} {
 		if got := p.bounds.Load().coldLimits(table, entersItself)["p"]; got != want {
