--- a/balance/listing.go
+++ b/balance/listing.go
@@ -13,7 +13,7 @@
 type Changes struct {
 	// Listed has the entries that are new or differ, Removed the IDs of those that are gone.
 	Listed []Listed
-	Gone   []string
+	Removed   []string
 }
 
 // SetBackends replaces the whole list of backend servers.
@@ -29,7 +29,7 @@
 	defer b.mu.Unlock()
 	for id := range b.servers {
 		if !listed[id] {
-			changes.Gone = append(changes.Gone, id)
+			changes.Removed = append(changes.Removed, id)
 		}
 	}
 	b.changeLocked(&changes)
@@ -52,7 +52,7 @@
 		// These servers started before this router.
 		since = time.Time{}
 	}
-	for _, id := range changes.Gone {
+	for _, id := range changes.Removed {
 		if s := b.servers[id]; s != nil {
 			b.unlistLocked(s)
 		}
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -21,7 +21,7 @@
 			listed.ID = fmt.Sprint("new-", next)
 			b.ChangeBackends(&Changes{
 				Listed: []Listed{listed},
-				Gone:   []string{fmt.Sprint("p-", next)},
+				Removed:   []string{fmt.Sprint("p-", next)},
 			})
 			next++
 		}))
@@ -48,7 +48,7 @@
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 0, 4, rapid.ID[int]).Draw(t, "entries") {
 				entry := listed(10)[i]
 				if _, ok := state[entry.ID]; ok && rapid.Bool().Draw(t, "gone") {
-					changes.Gone = append(changes.Gone, entry.ID)
+					changes.Removed = append(changes.Removed, entry.ID)
 					delete(state, entry.ID)
 					continue
 				}
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -144,7 +144,7 @@
 		}
 	}
 	events.BackendsChanged.On(&p.Log).Int("listed", p.balancer.Listed()).Int("changed", len(changes.Listed)).
-		Int("leaving", leaving).Int("cold", cold).Int("gone", len(changes.Gone)).Send()
+		Int("leaving", leaving).Int("cold", cold).Int("gone", len(changes.Removed)).Send()
 	p.client.Retain(p.balancer.IsListed)
 	p.listed.Store(true)
 }
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -265,7 +265,7 @@
 			listed, ok = b.expired[name]
 		}
 		if id := b.ids[name]; id != "" && (!ok || id != listed.ID) {
-			changes.Gone = append(changes.Gone, id)
+			changes.Removed = append(changes.Removed, id)
 			delete(b.ids, name)
 		}
 		if ok {
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -19,7 +19,7 @@
 func (l *listLog) take(changes *balance.Changes) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	isGone := func(id string) bool { return slices.Contains(changes.Gone, id) }
+	isGone := func(id string) bool { return slices.Contains(changes.Removed, id) }
 	l.ids = slices.DeleteFunc(l.ids, isGone)
 	for i := range changes.Listed {
 		l.ids = append(l.ids, changes.Listed[i].ID)
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -184,7 +184,7 @@
 func (r *modelRouter) takeBackends(changes *balance.Changes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, id := range changes.Gone {
+	for _, id := range changes.Removed {
 		delete(r.listed, id)
 	}
 	for i := range changes.Listed {
