--- a/balance/listing.go
+++ b/balance/listing.go
@@ -152,7 +152,7 @@
 }
 
 // ServerCount returns the number of listed backend servers.
-func (b *Balancer) Listed() int {
+func (b *Balancer) ServerCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.servers)
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -25,7 +25,7 @@
 			})
 			next++
 		}))
-		if got := b.Listed(); got != servers {
+		if got := b.ServerCount(); got != servers {
 			t.Errorf("got %d servers, want %d", got, servers)
 		}
 	}
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -143,7 +143,7 @@
 			cold++
 		}
 	}
-	events.BackendsChanged.On(&p.Log).Int("listed", p.balancer.Listed()).Int("changed", len(changes.Listed)).
+	events.BackendsChanged.On(&p.Log).Int("listed", p.balancer.ServerCount()).Int("changed", len(changes.Listed)).
 		Int("leaving", leaving).Int("cold", cold).Int("gone", len(changes.Removed)).Send()
 	p.client.Retain(p.balancer.IsListed)
 	p.listed.Store(true)
