--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -11,10 +11,10 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-func listed(n int) []Listed {
-	list := make([]Listed, 0, n)
+func listed(n int) []Entry {
+	list := make([]Entry, 0, n)
 	for i := range n {
-		list = append(list, Listed{
+		list = append(list, Entry{
 			Backend: slipwick.Backend{
 				ID:         fmt.Sprintf("p-%d", i),
 				Address:    fmt.Sprintf("10.0.0.%d:80", i),
@@ -105,7 +105,7 @@
 
 func TestSpillPrefersEnginesThatHaveThePrompt(t *testing.T) {
 	b := newTestBalancer(6)
-	var keeper Listed
+	var keeper Entry
 	for _, l := range listed(6) {
 		if l.ID != home(7, 6) {
 			keeper = l
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -20,11 +20,11 @@
 
 // placedPool gives engines that lie in as many data centres and regions as are named,
 // by turns.
-func placedPool(engines int, dataCentres ...string) []Listed {
-	var list []Listed
+func placedPool(engines int, dataCentres ...string) []Entry {
+	var list []Entry
 	for i := range engines {
 		name := dataCentres[i%len(dataCentres)]
-		list = append(list, Listed{
+		list = append(list, Entry{
 			Backend: slipwick.Backend{
 				ID:         fmt.Sprint("e", i),
 				Address:    fmt.Sprintf("10.0.0.%d:80", i),
@@ -123,7 +123,7 @@
 func TestServersListedDuringAnEvacuationAreEvacuatedToo(t *testing.T) {
 	b := New("d")
 	b.SetEvacuated([]string{"e"})
-	b.SetBackends([]Listed{
+	b.SetBackends([]Entry{
 		{
 			Backend: slipwick.Backend{
 				ID:         "e1",
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -13,7 +13,7 @@
 const lifeEngines = 6
 
 // bornAt lists engines of which one began at another time than the others.
-func bornAt(id string, born int64) []Listed {
+func bornAt(id string, born int64) []Entry {
 	list := listed(lifeEngines)
 	for i := range list {
 		list[i].Born = 1_000
@@ -70,7 +70,7 @@
 	}
 }
 
-func (f *lifeFleet) setBackends(list []Listed) {
+func (f *lifeFleet) setBackends(list []Entry) {
 	for _, b := range f.routers {
 		b.SetBackends(list)
 	}
--- a/balance/listed.go
+++ b/balance/listed.go
@@ -6,8 +6,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Listed is an entry of the list of backend servers.
-type Listed struct {
+// Entry is an entry of the list of backend servers.
+type Entry struct {
 	slipwick.Backend
 	Pool string
 	// Version is the version of the server's software. It is empty if unknown.
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -12,12 +12,12 @@
 // of these, not on the length of the list.
 type Changes struct {
 	// Listed has the entries that are new or differ, Removed the IDs of those that are gone.
-	Listed []Listed
+	Listed []Entry
 	Removed   []string
 }
 
 // SetBackends replaces the whole list of backend servers.
-func (b *Balancer) SetBackends(list []Listed) {
+func (b *Balancer) SetBackends(list []Entry) {
 	listed := make(map[string]bool, len(list))
 	for i := range list {
 		listed[list[i].ID] = true
@@ -72,7 +72,7 @@
 }
 
 // listLocked applies an entry. isNew says that its incarnation was not listed before.
-func (b *Balancer) listLocked(listed *Listed, since time.Time) (s *server, isNew bool) {
+func (b *Balancer) listLocked(listed *Entry, since time.Time) (s *server, isNew bool) {
 	s = b.servers[listed.ID]
 	isBack := s != nil && !s.isSameIncarnation(listed)
 	isNew = s == nil || isBack
@@ -96,7 +96,7 @@
 	if !isNew && known.Pool != s.Pool {
 		b.removeFromPoolLocked(s)
 	}
-	s.Listed = known
+	s.Entry = known
 	s.evacuated = b.evacuated[s.DataCentre]
 	if known.ColdUntil.After(s.coldUntil) {
 		s.coldUntil = known.ColdUntil
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -20,7 +20,7 @@
 			listed := listed(1)[0]
 			listed.ID = fmt.Sprint("new-", next)
 			b.ChangeBackends(&Changes{
-				Listed: []Listed{listed},
+				Listed: []Entry{listed},
 				Removed:   []string{fmt.Sprint("p-", next)},
 			})
 			next++
@@ -42,7 +42,7 @@
 		for _, b := range []*Balancer{byChanges, whole} {
 			b.SetPeers([]string{"peer"}, 1)
 		}
-		state := make(map[string]Listed)
+		state := make(map[string]Entry)
 		for round := range uint64(rapid.IntRange(1, 20).Draw(t, "rounds")) {
 			changes := Changes{}
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 0, 4, rapid.ID[int]).Draw(t, "entries") {
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -48,22 +48,22 @@
 // TestWordOfALifeBindsThatLifeAlone has servers say that they leave, and ask for rest, and
 // then begin anew under their ID, vanish from the list and come back, or both.
 func TestWordOfALifeBindsThatLifeAlone(t *testing.T) {
-	born := func(at int64) []Listed {
+	born := func(at int64) []Entry {
 		list := listed(2)
 		list[0].Born = at
 		return list
 	}
 	for name, test := range map[string]struct {
-		lists [][]Listed
+		lists [][]Entry
 		want  bool
 	}{
-		"same life":                    {[][]Listed{born(1)}, false},
-		"entry without a start":        {[][]Listed{born(0)}, false},
-		"lapsed, back":                 {[][]Listed{born(1)[1:], born(1)}, false},
-		"began anew":                   {[][]Listed{born(2)}, true},
-		"gone, began anew":             {[][]Listed{born(1)[1:], born(2)}, true},
-		"began anew, old entry, newer": {[][]Listed{born(2), born(1), born(2)}, true},
-		"began anew, old entry":        {[][]Listed{born(2), born(1)}, false},
+		"same life":                    {[][]Entry{born(1)}, false},
+		"entry without a start":        {[][]Entry{born(0)}, false},
+		"lapsed, back":                 {[][]Entry{born(1)[1:], born(1)}, false},
+		"began anew":                   {[][]Entry{born(2)}, true},
+		"gone, began anew":             {[][]Entry{born(1)[1:], born(2)}, true},
+		"began anew, old entry, newer": {[][]Entry{born(2), born(1), born(2)}, true},
+		"began anew, old entry":        {[][]Entry{born(2), born(1)}, false},
 	} {
 		for what, notice := range map[string]slipwick.Notice{"leaves": leaves, "rests": restsFor3s} {
 			t.Run(name+", "+what, func(t *testing.T) {
--- a/balance/reading_test.go
+++ b/balance/reading_test.go
@@ -118,7 +118,7 @@
 	b := newTestBalancer(6)
 	b.MarkCachesKnown()
 	const head, part = 7, 8
-	var keeper Listed
+	var keeper Entry
 	for _, l := range listed(6) {
 		if l.ID != home(part, 6) {
 			keeper = l
--- a/balance/server.go
+++ b/balance/server.go
@@ -22,7 +22,7 @@
 
 // server is the balancer's state of a backend server.
 type server struct {
-	Listed
+	Entry
 	// poolIndex is the index in the pool, -1 if the server is in none.
 	poolIndex int
 	// hash identifies the incarnation. What routers know and tell each other of a server
@@ -81,9 +81,9 @@
 	ejectedForErrors     bool
 }
 
-func newServer(listed Listed, since time.Time) *server {
+func newServer(listed Entry, since time.Time) *server {
 	return &server{
-		Listed:    listed,
+		Entry:    listed,
 		hash:      placement.IDHash(listed.Life()),
 		poolIndex: -1,
 		listedAt:  since,
@@ -94,7 +94,7 @@
 
 // isSameIncarnation reports whether an entry is of the same incarnation. An entry without a
 // start time matches any.
-func (s *server) isSameIncarnation(listed *Listed) bool {
+func (s *server) isSameIncarnation(listed *Entry) bool {
 	return listed.Born == 0 || listed.Born == s.Born
 }
 
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -9,7 +9,7 @@
 )
 
 // versions lists servers of a version.
-func versions(version string, n int) []Listed {
+func versions(version string, n int) []Entry {
 	list := placedPool(n, "d", "e")
 	for i := range list {
 		list[i].ID += "-" + version
--- a/cmd/internal/gatewayd/crashing_test.go
+++ b/cmd/internal/gatewayd/crashing_test.go
@@ -151,10 +151,10 @@
 			},
 		}, nil), nil
 	}
-	feeds.DecodeBackend = func(name string, _ []byte) (balance.Listed, error) {
+	feeds.DecodeBackend = func(name string, _ []byte) (balance.Entry, error) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		return balance.Listed{
+		return balance.Entry{
 			Backend: slipwick.Backend{
 				ID:         name,
 				Address:    f.at[name],
--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -122,8 +122,8 @@
 				},
 			}, nil), nil
 		},
-		DecodeBackend: func(name string, _ []byte) (balance.Listed, error) {
-			return balance.Listed{
+		DecodeBackend: func(name string, _ []byte) (balance.Entry, error) {
+			return balance.Entry{
 				Backend: slipwick.Backend{
 					ID:         name,
 					Address:    w.backend.Listener.Addr().String(),
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -67,7 +67,7 @@
 // followBackends keeps the list of backend servers.
 func (p *Process) followBackends(ctx context.Context) {
 	rhythm := p.Settings.Bounds.rhythm()
-	follower := directory.NewFollower[balance.Listed](
+	follower := directory.NewFollower[balance.Entry](
 		p.shared(feedBackends, p.Feeds.Backends, rhythm), p.mirrors[feedBackends])
 	follower.Rhythm = rhythm
 	follower.Decode = p.Feeds.DecodeBackend
--- a/cmd/internal/gatewayd/notices_test.go
+++ b/cmd/internal/gatewayd/notices_test.go
@@ -171,8 +171,8 @@
 			},
 		}, nil), nil
 	}
-	feeds.DecodeBackend = func(name string, _ []byte) (balance.Listed, error) {
-		listed := balance.Listed{
+	feeds.DecodeBackend = func(name string, _ []byte) (balance.Entry, error) {
+		listed := balance.Entry{
 			Backend: slipwick.Backend{
 				ID:         name,
 				DataCentre: "d",
--- a/cmd/internal/gatewayd/rollouts_test.go
+++ b/cmd/internal/gatewayd/rollouts_test.go
@@ -51,9 +51,9 @@
 		})
 		p.Log = zerolog.Nop()
 		p.balancer = balance.New("d")
-		var list []balance.Listed
+		var list []balance.Entry
 		for n := range 20 {
-			list = append(list, balance.Listed{
+			list = append(list, balance.Entry{
 				Backend: slipwick.Backend{
 					ID:         fmt.Sprint("s", n),
 					DataCentre: "d",
--- a/cmd/internal/gatewayd/settings.go
+++ b/cmd/internal/gatewayd/settings.go
@@ -61,7 +61,7 @@
 	Evacuations slipwick.Feed
 	// DecodeTable gives nil for objects that are no table.
 	DecodeTable   func(name string, value []byte) (*routing.Table, error)
-	DecodeBackend func(name string, value []byte) (balance.Listed, error)
+	DecodeBackend func(name string, value []byte) (balance.Entry, error)
 	// DecodeEvacuation gives the data centre that an object evacuates.
 	DecodeEvacuation func(name string, value []byte) (string, error)
 	// Rollouts has an object for each order of a rollout, WriteRollout writes the state of
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -37,8 +37,8 @@
 	Heartbeat, Leave time.Duration
 
 	mu      sync.Mutex
-	entries map[string]balance.Listed
-	expired map[string]balance.Listed
+	entries map[string]balance.Entry
+	expired map[string]balance.Entry
 	// ids has the IDs of the published backend servers, by the name of their entry.
 	ids map[string]string
 	// answeredAt is when the latest answer arrived, confirmedAt when the store was in its
@@ -61,8 +61,8 @@
 func NewBackends(onChange func(*balance.Changes)) *Backends {
 	return &Backends{
 		OnChange: onChange,
-		entries:  make(map[string]balance.Listed),
-		expired:  make(map[string]balance.Listed),
+		entries:  make(map[string]balance.Entry),
+		expired:  make(map[string]balance.Entry),
 		ids:      make(map[string]string),
 
 		departures: newDepartures(),
@@ -193,13 +193,13 @@
 }
 
 // Change applies changes of entries and reports the resulting changes of the list.
-func (b *Backends) Change(changes []Change[balance.Listed]) {
+func (b *Backends) Change(changes []Change[balance.Entry]) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	isRestored := b.restored
 	b.restored = false
 	if len(b.entries) == 0 && len(b.ids) == 0 {
-		b.entries = make(map[string]balance.Listed, len(changes))
+		b.entries = make(map[string]balance.Entry, len(changes))
 		b.ids = make(map[string]string, len(changes))
 	}
 	names := make([]string, 0, len(changes))
@@ -231,8 +231,8 @@
 
 // checkEntryLocked marks an entry as suspect if it is from the first list after a restore and
 // its server had left, and trusts one that was written later.
-func (b *Backends) checkEntryLocked(name string, received *balance.Listed, isRestored bool) {
-	var known *balance.Listed
+func (b *Backends) checkEntryLocked(name string, received *balance.Entry, isRestored bool) {
+	var known *balance.Entry
 	if listed, ok := b.entries[name]; ok {
 		known = &listed
 	}
@@ -245,7 +245,7 @@
 
 // keepExpiredLocked keeps an entry that disappeared within the grace period, unless its server
 // was leaving anyway.
-func (b *Backends) keepExpiredLocked(name string, listed balance.Listed) {
+func (b *Backends) keepExpiredLocked(name string, listed balance.Entry) {
 	if clock.Now().Before(b.graceUntil) && !listed.Leaving {
 		b.expired[name] = listed
 	}
@@ -255,7 +255,7 @@
 // only.
 func (b *Backends) publishLocked(names []string) {
 	changes := balance.Changes{
-		Listed: make([]balance.Listed, 0, len(names)),
+		Listed: make([]balance.Entry, 0, len(names)),
 	}
 	for _, name := range names {
 		listed, ok := b.entries[name]
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -28,11 +28,11 @@
 	l.ids = slices.Compact(l.ids)
 }
 
-func entry(id string, gone bool) Change[balance.Listed] {
-	return Change[balance.Listed]{
+func entry(id string, gone bool) Change[balance.Entry] {
+	return Change[balance.Entry]{
 		Name: id,
 		Gone: gone,
-		Value: balance.Listed{
+		Value: balance.Entry{
 			Backend: slipwick.Backend{
 				ID: id,
 			},
@@ -54,8 +54,8 @@
 		var log listLog
 		b := NewBackends(log.take)
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("a", false), entry("b", false)})
-		b.Change([]Change[balance.Listed]{entry("b", true)})
+		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
+		b.Change([]Change[balance.Entry]{entry("b", true)})
 		log.expect(t, "after the removal", "a")
 	})
 }
@@ -67,14 +67,14 @@
 		var log listLog
 		b := NewBackends(log.take)
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("a", false), entry("b", false), entry("c", false)})
+		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false), entry("c", false)})
 		time.Sleep(5 * time.Second)
 		b.Failed()
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("b", true), entry("c", true)})
+		b.Change([]Change[balance.Entry]{entry("b", true), entry("c", true)})
 		log.expect(t, "on return", "a", "b", "c")
 		time.Sleep(time.Second)
-		b.Change([]Change[balance.Listed]{entry("b", false)})
+		b.Change([]Change[balance.Entry]{entry("b", false)})
 		time.Sleep(time.Second)
 		log.expect(t, "two seconds after the return", "a", "b")
 	})
@@ -85,11 +85,11 @@
 		var log listLog
 		b := NewBackends(log.take)
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("a", false), entry("b", false)})
+		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
 		time.Sleep(time.Second)
 		b.Failed()
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("b", true)})
+		b.Change([]Change[balance.Entry]{entry("b", true)})
 		log.expect(t, "after the removal", "a")
 	})
 }
@@ -109,12 +109,12 @@
 			b := NewBackends(log.take)
 			b.Leave = leave
 			b.Answered(0, 0)
-			b.Change([]Change[balance.Listed]{entry("a", false), entry("b", false)})
+			b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
 			began := time.Now()
 			time.Sleep(gap)
 			b.Failed()
 			b.Answered(0, 0)
-			b.Change([]Change[balance.Listed]{entry("b", true)})
+			b.Change([]Change[balance.Entry]{entry("b", true)})
 			time.Sleep(time.Until(began.Add(leave)))
 			synctest.Wait()
 			log.expect(t, "after a gap of "+gap.String(), "a")
@@ -134,11 +134,11 @@
 		b.Leave = leave
 		confirmed := time.Now().Add(-age)
 		b.Answered(age, 0)
-		b.Change([]Change[balance.Listed]{entry("a", false), entry("b", false)})
+		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
 		time.Sleep(gap)
 		b.Failed()
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("b", true)})
+		b.Change([]Change[balance.Entry]{entry("b", true)})
 		time.Sleep(time.Until(confirmed.Add(leave)))
 		synctest.Wait()
 		log.expect(t, "after a gap of "+gap.String(), "a")
@@ -154,11 +154,11 @@
 		b := NewBackends(log.take)
 		b.Leave = 2 * time.Second
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("a", false), entry("b", false)})
+		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
 		time.Sleep(4 * time.Second)
 		b.Failed()
 		b.Answered(100*time.Millisecond, time.Minute)
-		b.Change([]Change[balance.Listed]{entry("b", true)})
+		b.Change([]Change[balance.Entry]{entry("b", true)})
 		synctest.Wait()
 		log.expect(t, "after the gap", "a")
 	})
--- a/directory/departures.go
+++ b/directory/departures.go
@@ -48,7 +48,7 @@
 }
 
 // record remembers that an incarnation has left.
-func (d *departures) record(listed *balance.Listed) {
+func (d *departures) record(listed *balance.Entry) {
 	now := clock.Now()
 	if now.Sub(d.sweptAt) > sweepInterval {
 		d.sweptAt = now
@@ -61,7 +61,7 @@
 }
 
 // removed handles the removal of an entry.
-func (d *departures) removed(name string, listed *balance.Listed) {
+func (d *departures) removed(name string, listed *balance.Entry) {
 	d.record(listed)
 	delete(d.suspect, name)
 }
@@ -69,7 +69,7 @@
 // checkRestored marks an entry of a restored store as suspect or as trusted. Known is the entry
 // before the restore, nil if there was none; an incarnation that started before the known one
 // has ended.
-func (d *departures) checkRestored(name string, known, received *balance.Listed) {
+func (d *departures) checkRestored(name string, known, received *balance.Entry) {
 	if known != nil && received.Born != 0 && received.Born < known.Born {
 		d.suspect[name] = true
 		return
@@ -87,7 +87,7 @@
 
 // checkWritten handles an entry that its server wrote. The incarnation that it replaces has
 // ended.
-func (d *departures) checkWritten(name string, known, received *balance.Listed) {
+func (d *departures) checkWritten(name string, known, received *balance.Entry) {
 	if known != nil && known.Life() != received.Life() {
 		d.removed(name, known)
 	}
--- a/directory/firstlist_bench_test.go
+++ b/directory/firstlist_bench_test.go
@@ -16,16 +16,16 @@
 				Whole:    true,
 				Revision: 1,
 			}
-			changes := make([]Change[balance.Listed], 0, size)
+			changes := make([]Change[balance.Entry], 0, size)
 			for i := range size {
 				id := fmt.Sprintf("s-%08x", i*2654435761)
 				whole.Entries = append(whole.Entries, slipwick.FeedEntry{
 					Name:  id,
 					Value: []byte("entry"),
 				})
-				changes = append(changes, Change[balance.Listed]{
+				changes = append(changes, Change[balance.Entry]{
 					Name: id,
-					Value: balance.Listed{
+					Value: balance.Entry{
 						Backend: slipwick.Backend{
 							ID:         id,
 							Address:    fmt.Sprint("10.0.0.1:", i),
--- a/directory/foreign_test.go
+++ b/directory/foreign_test.go
@@ -39,19 +39,19 @@
 	reasons map[string]error
 }
 
-func (w *foreignWorld) run(ctx context.Context) *Follower[balance.Listed] {
+func (w *foreignWorld) run(ctx context.Context) *Follower[balance.Entry] {
 	var log listLog
 	backends := NewBackends(func(changes *balance.Changes) {
 		log.take(changes)
 		w.list = slices.Clone(log.ids)
 	})
 	w.reasons = make(map[string]error)
-	follower := NewFollower[balance.Listed](w.store, NewMirror())
-	follower.Decode = func(name string, value []byte) (balance.Listed, error) {
+	follower := NewFollower[balance.Entry](w.store, NewMirror())
+	follower.Decode = func(name string, value []byte) (balance.Entry, error) {
 		if string(value) == "foreign" {
-			return balance.Listed{}, errors.New("no address")
+			return balance.Entry{}, errors.New("no address")
 		}
-		return balance.Listed{
+		return balance.Entry{
 			Backend: slipwick.Backend{
 				ID: name,
 			},
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -132,11 +132,11 @@
 }
 
 // decodeModelServer reads a server's entry: its state, and its life if that is not the first.
-func decodeModelServer(name string, value []byte) (balance.Listed, error) {
+func decodeModelServer(name string, value []byte) (balance.Entry, error) {
 	state, life, _ := strings.Cut(string(value), "@")
 	// The first life has no number.
 	born, _ := strconv.ParseInt(life, 10, 64)
-	return balance.Listed{
+	return balance.Entry{
 		Backend: slipwick.Backend{
 			ID:   name,
 			Born: born,
--- a/directory/rhythm_test.go
+++ b/directory/rhythm_test.go
@@ -42,11 +42,11 @@
 		b := NewBackends(log.take)
 		b.Heartbeat, b.Leave = 600*time.Millisecond, time.Second
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("a", false), entry("b", false)})
+		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
 		time.Sleep(900 * time.Millisecond)
 		b.Failed()
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Listed]{entry("b", true)})
+		b.Change([]Change[balance.Entry]{entry("b", true)})
 		log.expect(t, "on return after more than a heartbeat", "a", "b")
 		time.Sleep(960 * time.Millisecond)
 		log.expect(t, "before the time allowed", "a")
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -85,7 +85,7 @@
 }
 
 // rankedBy returns the IDs of the engines in the order of their rank for a part.
-func rankedBy(part uint64, listed []balance.Listed) []string {
+func rankedBy(part uint64, listed []balance.Entry) []string {
 	ids := make([]string, 0, len(listed))
 	scores := make(map[string]uint64, len(listed))
 	for _, e := range listed {
@@ -111,10 +111,10 @@
 var errUnresponsive = errors.New("unresponsive")
 
 // testBackends returns the first n engines.
-func testBackends(n int) []balance.Listed {
-	var backends []balance.Listed
+func testBackends(n int) []balance.Entry {
+	var backends []balance.Entry
 	for i := range n {
-		backends = append(backends, balance.Listed{
+		backends = append(backends, balance.Entry{
 			Backend: slipwick.Backend{
 				ID:         fmt.Sprintf("engine-%d", i),
 				DataCentre: dataCentreOf(i),
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -62,9 +62,9 @@
 			DataCentre: fmt.Sprint(i % dataCentres),
 		})
 	}
-	var backends []balance.Listed
+	var backends []balance.Entry
 	for i := range 20 {
-		backends = append(backends, balance.Listed{
+		backends = append(backends, balance.Entry{
 			Backend: slipwick.Backend{
 				ID:      fmt.Sprintf("engine-%d", i),
 				Address: fmt.Sprintf("10.0.0.%d:80", i),
--- a/exchange/telling_bench_test.go
+++ b/exchange/telling_bench_test.go
@@ -25,9 +25,9 @@
 			}
 			t := NewTeller("r-0000")
 			t.Balancer = balance.New("dc-0")
-			var list []balance.Listed
+			var list []balance.Entry
 			for i := range 10 * size {
-				list = append(list, balance.Listed{
+				list = append(list, balance.Entry{
 					Pool: "p",
 					Backend: slipwick.Backend{
 						ID: fmt.Sprint("s", i),
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -198,14 +198,14 @@
 func newFixture(t *testing.T, backends ...*backend) *fixture {
 	t.Helper()
 	balancer := balance.New("near")
-	var list []balance.Listed
+	var list []balance.Entry
 	for i, b := range backends {
 		dataCentre := "near"
 		if i > 0 {
 			// The balancer prefers the first backend server, which is in the gateway's data centre.
 			dataCentre = "far"
 		}
-		list = append(list, balance.Listed{
+		list = append(list, balance.Entry{
 			Backend: slipwick.Backend{
 				ID:         b.id,
 				Address:    b.server.Listener.Addr().String(),
--- a/tablefile/feed.go
+++ b/tablefile/feed.go
@@ -113,8 +113,8 @@
 }
 
 // DecodeBackend reads an object of Backends.
-func DecodeBackend(_ string, value []byte) (balance.Listed, error) {
-	var listed balance.Listed
+func DecodeBackend(_ string, value []byte) (balance.Entry, error) {
+	var listed balance.Entry
 	err := json.Unmarshal(value, &listed)
 	return listed, errors.Wrap(err, "decode a backend server")
 }
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -183,11 +183,11 @@
 }
 
 // Backends gives the backend servers of all pools.
-func (f *File) Backends() []balance.Listed {
-	var list []balance.Listed
+func (f *File) Backends() []balance.Entry {
+	var list []balance.Entry
 	for i := range f.Pools {
 		for _, backend := range f.Pools[i].Backends {
-			list = append(list, balance.Listed{
+			list = append(list, balance.Entry{
 				Backend: backend,
 				Pool:    f.Pools[i].Name,
 			})
