--- a/balance/listing.go
+++ b/balance/listing.go
@@ -11,8 +11,8 @@
 // fleets change all the time, by a few entries each. The cost of a change depends on the number
 // of these, not on the length of the list.
 type Changes struct {
-	// Listed has the entries that are new or differ, Removed the IDs of those that are gone.
-	Listed []Entry
+	// Entries has the entries that are new or differ, Removed the IDs of those that are gone.
+	Entries []Entry
 	Removed   []string
 }
 
@@ -23,7 +23,7 @@
 		listed[list[i].ID] = true
 	}
 	changes := Changes{
-		Listed: list,
+		Entries: list,
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,12 +58,12 @@
 		}
 	}
 	if len(b.servers) == 0 {
-		b.servers = make(map[string]*server, len(changes.Listed))
-		b.hashes = make(map[uint64]*server, len(changes.Listed))
+		b.servers = make(map[string]*server, len(changes.Entries))
+		b.hashes = make(map[uint64]*server, len(changes.Entries))
 	}
-	added := make(map[uint64]bool, len(changes.Listed))
-	for i := range changes.Listed {
-		if s, isNew := b.listLocked(&changes.Listed[i], since); isNew {
+	added := make(map[uint64]bool, len(changes.Entries))
+	for i := range changes.Entries {
+		if s, isNew := b.listLocked(&changes.Entries[i], since); isNew {
 			added[s.hash] = true
 		}
 	}
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -20,7 +20,7 @@
 			listed := listed(1)[0]
 			listed.ID = fmt.Sprint("new-", next)
 			b.ChangeBackends(&Changes{
-				Listed: []Entry{listed},
+				Entries: []Entry{listed},
 				Removed:   []string{fmt.Sprint("p-", next)},
 			})
 			next++
@@ -56,7 +56,7 @@
 				entry.Pool = rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool")
 				entry.Leaving = rapid.Bool().Draw(t, "leaving")
 				state[entry.ID] = entry
-				changes.Listed = append(changes.Listed, entry)
+				changes.Entries = append(changes.Entries, entry)
 			}
 			byChanges.ChangeBackends(&changes)
 			whole.SetBackends(slices.Collect(maps.Values(state)))
--- a/balance/trial_test.go
+++ b/balance/trial_test.go
@@ -68,7 +68,7 @@
 		leaving[i].Leaving = true
 	}
 	b.ChangeBackends(&Changes{
-		Listed: leaving,
+		Entries: leaving,
 	})
 	if lease, err := b.Acquire(prompt(1)); err == nil {
 		t.Errorf("got a request at %s, want none", lease.Backend.ID)
@@ -118,7 +118,7 @@
 		b.SetBackends(versions("v1", 3))
 		time.Sleep(2 * RelistWindow)
 		b.ChangeBackends(&Changes{
-			Listed: versions("v2", 30),
+			Entries: versions("v2", 30),
 		})
 		key := uint64(0)
 		uses := func() bool {
@@ -144,7 +144,7 @@
 		}
 		time.Sleep(time.Millisecond)
 		b.ChangeBackends(&Changes{
-			Listed: versions("v3", 300),
+			Entries: versions("v3", 300),
 		})
 		if !b.heldVersionsLocked("p", time.Now())["v3"] {
 			t.Error("got the next version not held")
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -135,15 +135,15 @@
 func (p *Process) onBackends(changes *balance.Changes) {
 	p.balancer.ChangeBackends(changes)
 	leaving, cold, now := 0, 0, clock.Now()
-	for i := range changes.Listed {
-		if changes.Listed[i].Leaving {
+	for i := range changes.Entries {
+		if changes.Entries[i].Leaving {
 			leaving++
 		}
-		if changes.Listed[i].ColdUntil.After(now) {
+		if changes.Entries[i].ColdUntil.After(now) {
 			cold++
 		}
 	}
-	events.BackendsChanged.On(&p.Log).Int("listed", p.balancer.ServerCount()).Int("changed", len(changes.Listed)).
+	events.BackendsChanged.On(&p.Log).Int("listed", p.balancer.ServerCount()).Int("changed", len(changes.Entries)).
 		Int("leaving", leaving).Int("cold", cold).Int("gone", len(changes.Removed)).Send()
 	p.client.Retain(p.balancer.IsListed)
 	p.listed.Store(true)
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -255,7 +255,7 @@
 // only.
 func (b *Backends) publishLocked(names []string) {
 	changes := balance.Changes{
-		Listed: make([]balance.Entry, 0, len(names)),
+		Entries: make([]balance.Entry, 0, len(names)),
 	}
 	for _, name := range names {
 		listed, ok := b.entries[name]
@@ -269,7 +269,7 @@
 			delete(b.ids, name)
 		}
 		if ok {
-			changes.Listed = append(changes.Listed, listed)
+			changes.Entries = append(changes.Entries, listed)
 			b.ids[name] = listed.ID
 		}
 	}
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -21,8 +21,8 @@
 	defer l.mu.Unlock()
 	isGone := func(id string) bool { return slices.Contains(changes.Removed, id) }
 	l.ids = slices.DeleteFunc(l.ids, isGone)
-	for i := range changes.Listed {
-		l.ids = append(l.ids, changes.Listed[i].ID)
+	for i := range changes.Entries {
+		l.ids = append(l.ids, changes.Entries[i].ID)
 	}
 	slices.Sort(l.ids)
 	l.ids = slices.Compact(l.ids)
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -187,12 +187,12 @@
 	for _, id := range changes.Removed {
 		delete(r.listed, id)
 	}
-	for i := range changes.Listed {
+	for i := range changes.Entries {
 		state := "ready"
-		if changes.Listed[i].Leaving {
+		if changes.Entries[i].Leaving {
 			state = "leaving"
 		}
-		r.listed[changes.Listed[i].ID] = modelEntry(state, changes.Listed[i].Born)
+		r.listed[changes.Entries[i].ID] = modelEntry(state, changes.Entries[i].Born)
 	}
 }
 
