--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -61,12 +61,12 @@
 	unlistedNotices map[uint64]bool
 	// peers are the IDs of the senders whose updates this router receives, otherRouters is the
 	// number of routers that these represent, countsByRouter has their latest counts.
-	// pendingReads and pendingLeaving are what the next update to them will contain.
-	peers          []string
-	otherRouters   int
-	countsByRouter map[string]remoteCounts
-	pendingReads   []CachedPart
-	pendingLeaving []uint64
+	// pendingCachedParts and pendingLeaving are what the next update to them will contain.
+	peers              []string
+	otherRouters       int
+	countsByRouter     map[string]remoteCounts
+	pendingCachedParts []CachedPart
+	pendingLeaving     []uint64
 	// prefills has the prompts that an engine prefills for the first time.
 	prefills prefills
 	// paces has the response times measured for each pool.
@@ -99,10 +99,10 @@
 		DataCentre:      dataCentre,
 		LoadFactor:      DefaultLoadFactor,
 		LoadSlack:       DefaultLoadSlack,
-		OnLongPrefill:      func() {},
-		OnEjected:           func(slipwick.Backend, time.Duration) {},
+		OnLongPrefill:   func() {},
+		OnEjected:       func(slipwick.Backend, time.Duration) {},
 		OnNotice:        func(slipwick.Backend, slipwick.Notice) {},
-		Random:            rand.Float64,
+		Random:          rand.Float64,
 		servers:         make(map[string]*server),
 		hashes:          make(map[uint64]*server),
 		active:          make(map[*server]bool),
@@ -218,7 +218,7 @@
 // but never those that are leaving or asked for a pause. The slice is valid until the next
 // call.
 func (b *Balancer) usableLocked(pool []*server, request *Request, now time.Time) []*server {
-	usable, cold, out := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.ejected[:0]
+	usable, cold, ejected := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.ejected[:0]
 	paused := b.scratch.paused[:0]
 	for _, s := range pool {
 		switch {
@@ -229,14 +229,14 @@
 			paused = append(paused, s)
 		case b.isColdLocked(s, now) && !b.maySendToColdLocked(s, now):
 		case b.isUnavailableLocked(s, now):
-			out = append(out, s)
+			ejected = append(ejected, s)
 		case b.isColdLocked(s, now) && !b.Switches.ColdAsOthers:
 			cold = append(cold, s)
 		default:
 			usable = append(usable, s)
 		}
 	}
-	b.scratch.usable, b.scratch.cold, b.scratch.ejected, b.scratch.paused = usable, cold, out, paused
+	b.scratch.usable, b.scratch.cold, b.scratch.ejected, b.scratch.paused = usable, cold, ejected, paused
 	switch {
 	case len(usable) > 0:
 		return usable
@@ -246,7 +246,7 @@
 	case request.HealthyOnly:
 		return nil
 	}
-	return out
+	return ejected
 }
 
 // leastLoadedLocked returns one of the least loaded servers, with a preference for the router's
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -154,7 +154,7 @@
 	list[0].Leaving = true
 	b.SetBackends(list)
 	ask := &Request{
-		Pool:  "p",
+		Pool:    "p",
 		Exclude: []string{"p-1"},
 	}
 	for range 5 {
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -180,8 +180,8 @@
 	for _, s := range b.pools["p"] {
 		if count := rapid.IntRange(0, 6).Draw(t, "in flight"); count > 0 {
 			list = append(list, InFlight{
-				Server:  s.hash,
-				Count:   count,
+				Server:        s.hash,
+				Count:         count,
 				PrefillTokens: rapid.IntRange(0, 30000).Draw(t, "reading"),
 			})
 		}
--- a/balance/errors.go
+++ b/balance/errors.go
@@ -150,13 +150,13 @@
 // atEjectionLimitLocked reports whether the pool has no further servers to spare.
 func (b *Balancer) atEjectionLimitLocked(s *server, now time.Time) bool {
 	pool := b.pools[s.Pool]
-	out := 0
+	unavailable := 0
 	for _, other := range pool {
 		if other != s && (b.isUnavailableLocked(other, now) || other.notices.isResting(now)) {
-			out++
+			unavailable++
 		}
 	}
-	return ejectableOneIn*(out+1) > len(pool)+ejectableOneIn-1
+	return ejectableOneIn*(unavailable+1) > len(pool)+ejectableOneIn-1
 }
 
 // otherServersErrorRateLocked returns the mean error rate of the pool's other servers.
--- a/balance/homes.go
+++ b/balance/homes.go
@@ -31,8 +31,8 @@
 
 // addLocal records that an engine prefilled a part for this router. isNew says that this was
 // not known.
-func (h *cacheIndex) addLocal(part, engine uint64) (isNew bool) {
-	known, _ := h.holders.Get(part)
+func (c *cacheIndex) addLocal(part, engine uint64) (isNew bool) {
+	known, _ := c.holders.Get(part)
 	if len(known) > 0 && known[0] == engine {
 		return false
 	}
@@ -42,35 +42,35 @@
 			latest = append(latest, other)
 		}
 	}
-	h.holders.Add(part, latest)
+	c.holders.Add(part, latest)
 	return !slices.Contains(known, engine)
 }
 
 // addReported records that an engine prefilled a part for another router.
-func (h *cacheIndex) addReported(part, engine uint64) {
-	known, _ := h.holders.Get(part)
+func (c *cacheIndex) addReported(part, engine uint64) {
+	known, _ := c.holders.Get(part)
 	if slices.Contains(known, engine) {
 		return
 	}
 	if len(known) == maxHoldersPerPart {
 		known = known[:maxHoldersPerPart-1]
 	}
-	h.holders.Add(part, append(slices.Clone(known), engine))
+	c.holders.Add(part, append(slices.Clone(known), engine))
 }
 
 // holds reports whether an engine is known to have a part cached.
-func (h *cacheIndex) holds(part uint64, s *server) bool {
-	known, _ := h.holders.Peek(part)
+func (c *cacheIndex) holds(part uint64, s *server) bool {
+	known, _ := c.holders.Peek(part)
 	return slices.Contains(known, s.hash)
 }
 
 // findHolder returns the usable engine with the longest cached prefix beyond that of the chosen
 // one, or nil. known is false if no usable engine is known to have any of the parts cached.
-func (h *cacheIndex) findHolder(
+func (c *cacheIndex) findHolder(
 	parts []uint64, chosen *server, usable func(engine uint64) *server,
 ) (s *server, known bool) {
 	for _, part := range slices.Backward(parts) {
-		holders, _ := h.holders.Get(part)
+		holders, _ := c.holders.Get(part)
 		if slices.Contains(holders, chosen.hash) {
 			return nil, true
 		}
@@ -84,18 +84,18 @@
 }
 
 // locations returns every part with each of the given engines that have it cached.
-func (h *cacheIndex) locations(listed map[uint64]*server) []CachedPart {
-	var reads []CachedPart
-	for _, part := range h.holders.Keys() {
-		holders, _ := h.holders.Peek(part)
+func (c *cacheIndex) locations(engines map[uint64]*server) []CachedPart {
+	var cached []CachedPart
+	for _, part := range c.holders.Keys() {
+		holders, _ := c.holders.Peek(part)
 		for _, engine := range holders {
-			if listed[engine] != nil {
-				reads = append(reads, CachedPart{
+			if engines[engine] != nil {
+				cached = append(cached, CachedPart{
 					Part:   part,
 					Server: engine,
 				})
 			}
 		}
 	}
-	return reads
+	return cached
 }
--- a/balance/knowledge.go
+++ b/balance/knowledge.go
@@ -29,7 +29,7 @@
 
 // CacheQuery returns what to ask another router about the engines of the pools. ok is false if
 // no cache is unknown.
-func (b *Balancer) CacheQuery(pools []string) (q CacheQuery, ok bool) {
+func (b *Balancer) CacheQuery(pools []string) (query CacheQuery, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
@@ -37,28 +37,28 @@
 		for _, s := range b.pools[pool] {
 			switch {
 			case s.cacheKnown:
-				q.Known = append(q.Known, s.hash)
+				query.Known = append(query.Known, s.hash)
 			case s.acceptsNew() && !s.notices.isResting(now):
-				q.Wanted = append(q.Wanted, s.hash)
+				query.Wanted = append(query.Wanted, s.hash)
 			}
 		}
 	}
-	ok = len(q.Wanted) > 0
-	if len(q.Wanted) < len(q.Known) {
-		q.Known = nil
+	ok = len(query.Wanted) > 0
+	if len(query.Wanted) < len(query.Known) {
+		query.Known = nil
 	} else {
-		q.Wanted = nil
+		query.Wanted = nil
 	}
-	return q, ok
+	return query, ok
 }
 
 // CacheSnapshot returns what this router knows of the caches that a query asks for.
-func (b *Balancer) CacheSnapshot(q *CacheQuery) CacheSnapshot {
+func (b *Balancer) CacheSnapshot(query *CacheQuery) CacheSnapshot {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	requested := make(map[uint64]*server)
-	if len(q.Wanted) > 0 {
-		for _, hash := range q.Wanted {
+	if len(query.Wanted) > 0 {
+		for _, hash := range query.Wanted {
 			if s := b.hashes[hash]; s != nil && s.cacheKnown {
 				requested[hash] = s
 			}
@@ -69,25 +69,25 @@
 				requested[hash] = s
 			}
 		}
-		for _, hash := range q.Known {
+		for _, hash := range query.Known {
 			delete(requested, hash)
 		}
 	}
-	k := CacheSnapshot{}
+	snapshot := CacheSnapshot{}
 	if len(requested) == 0 {
-		return k
+		return snapshot
 	}
-	k.Engines = slices.Collect(maps.Keys(requested))
-	k.CachedParts = b.cacheIndex.locations(requested)
-	return k
+	snapshot.Engines = slices.Collect(maps.Keys(requested))
+	snapshot.CachedParts = b.cacheIndex.locations(requested)
+	return snapshot
 }
 
 // MergeCacheSnapshot adds what another router knows.
-func (b *Balancer) MergeCacheSnapshot(k *CacheSnapshot) {
-	b.ReceiveCachedParts(k.CachedParts)
+func (b *Balancer) MergeCacheSnapshot(snapshot *CacheSnapshot) {
+	b.ReceiveCachedParts(snapshot.CachedParts)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for _, hash := range k.Engines {
+	for _, hash := range snapshot.Engines {
 		if s := b.hashes[hash]; s != nil {
 			s.cacheKnown = true
 		}
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -14,7 +14,7 @@
 	FetchFrom string
 	// Wait is how long to delay sending the request, or until PrefillDone is closed: the prompt
 	// is being prefilled for another request. PrefillDone may be nil.
-	Wait time.Duration
+	Wait        time.Duration
 	PrefillDone <-chan struct{}
 
 	server *server
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -169,7 +169,8 @@
 			}
 		}
 		if !b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 1 {
-			t.Errorf("births %v: got home %t and %v in flight, want one life", births, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
+			t.Errorf("births %v: got home %t and %v in flight, want one life",
+				births, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
 		}
 	}
 }
--- a/balance/listing.go
+++ b/balance/listing.go
@@ -13,7 +13,7 @@
 type Changes struct {
 	// Entries has the entries that are new or differ, Removed the IDs of those that are gone.
 	Entries []Entry
-	Removed   []string
+	Removed []string
 }
 
 // SetBackends replaces the whole list of backend servers.
@@ -47,10 +47,10 @@
 	if b.firstListed.IsZero() {
 		b.firstListed = now
 	}
-	since := now
+	listedAt := now
 	if now.Sub(b.firstListed) < RelistWindow {
 		// These servers started before this router.
-		since = time.Time{}
+		listedAt = time.Time{}
 	}
 	for _, id := range changes.Removed {
 		if s := b.servers[id]; s != nil {
@@ -63,7 +63,7 @@
 	}
 	added := make(map[uint64]bool, len(changes.Entries))
 	for i := range changes.Entries {
-		if s, isNew := b.listLocked(&changes.Entries[i], since); isNew {
+		if s, isNew := b.listLocked(&changes.Entries[i], listedAt); isNew {
 			added[s.hash] = true
 		}
 	}
@@ -72,36 +72,36 @@
 }
 
 // listLocked applies an entry. isNew says that its incarnation was not listed before.
-func (b *Balancer) listLocked(listed *Entry, since time.Time) (s *server, isNew bool) {
-	s = b.servers[listed.ID]
-	isBack := s != nil && !s.isSameIncarnation(listed)
-	isNew = s == nil || isBack
-	if isBack {
+func (b *Balancer) listLocked(entry *Entry, listedAt time.Time) (s *server, isNew bool) {
+	s = b.servers[entry.ID]
+	isRestarted := s != nil && !s.isSameIncarnation(entry)
+	isNew = s == nil || isRestarted
+	if isRestarted {
 		b.unlistLocked(s)
 		// This incarnation started after the router, so its cache is empty.
-		since = clock.Now()
+		listedAt = clock.Now()
 	}
 	if isNew {
-		s = newServer(*listed, since)
+		s = newServer(*entry, listedAt)
 		s.cacheKnown = s.cacheKnown || b.empty
 		s.notices = b.notices[s.hash]
-		if !since.IsZero() {
-			s.coldUntil = since.Add(b.coldLimits[listed.Pool].NewServerTime)
+		if !listedAt.IsZero() {
+			s.coldUntil = listedAt.Add(b.coldLimits[entry.Pool].NewServerTime)
 		}
 	}
-	known := *listed
-	if known.Born == 0 {
-		known.Born = s.Born
+	current := *entry
+	if current.Born == 0 {
+		current.Born = s.Born
 	}
-	if !isNew && known.Pool != s.Pool {
+	if !isNew && current.Pool != s.Pool {
 		b.removeFromPoolLocked(s)
 	}
-	s.Entry = known
+	s.Entry = current
 	s.evacuated = b.evacuated[s.DataCentre]
-	if known.ColdUntil.After(s.coldUntil) {
-		s.coldUntil = known.ColdUntil
+	if current.ColdUntil.After(s.coldUntil) {
+		s.coldUntil = current.ColdUntil
 	}
-	b.noteVersionLocked(s, !since.IsZero())
+	b.noteVersionLocked(s, !listedAt.IsZero())
 	b.servers[s.ID], b.hashes[s.hash] = s, s
 	if s.poolIndex < 0 {
 		s.poolIndex = len(b.pools[s.Pool])
@@ -145,10 +145,10 @@
 }
 
 // IsListed reports whether an incarnation of a backend server is listed.
-func (b *Balancer) IsListed(life string) bool {
+func (b *Balancer) IsListed(incarnation string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.hashes[placement.IDHash(life)] != nil
+	return b.hashes[placement.IDHash(incarnation)] != nil
 }
 
 // ServerCount returns the number of listed backend servers.
--- a/balance/listing_test.go
+++ b/balance/listing_test.go
@@ -21,7 +21,7 @@
 			listed.ID = fmt.Sprint("new-", next)
 			b.ChangeBackends(&Changes{
 				Entries: []Entry{listed},
-				Removed:   []string{fmt.Sprint("p-", next)},
+				Removed: []string{fmt.Sprint("p-", next)},
 			})
 			next++
 		}))
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -21,7 +21,7 @@
 // server reported, or else they are the mean of what the other servers reported. The slice is
 // valid until the next call.
 func (b *Balancer) loadsLocked(servers []*server, now time.Time) []float64 {
-	each := b.scratch.costs[:0]
+	loads := b.scratch.costs[:0]
 	complete, typical := b.hasAllUpdatesLocked(now), 0.0
 	if !complete {
 		typical = meanReportedLoad(servers, now)
@@ -33,17 +33,17 @@
 		} else if reported, ok := s.inFlightElsewhere(now); ok {
 			others = float64(reported)
 		}
-		each = append(each, float64(s.inFlight)+others)
+		loads = append(loads, float64(s.inFlight)+others)
 	}
-	b.scratch.costs = each
-	return each
+	b.scratch.costs = loads
+	return loads
 }
 
 // expectedLoadsLocked returns the loads plus the requests that other routers have probably sent
 // since their last update, and the mean of these sums.
 func (b *Balancer) expectedLoadsLocked(
 	servers []*server, now time.Time, decay float64,
-) (each []float64, mean float64) {
+) (loads []float64, mean float64) {
 	known := b.loadsLocked(servers, now)
 	typical, others := meanSends(servers, decay), float64(b.otherRouters)
 	for i, s := range servers {
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -57,16 +57,16 @@
 
 // ensureNoticesLocked returns the notices of an incarnation, and creates them if needed. They
 // outlive its entry, which may expire and reappear while the server runs.
-func (b *Balancer) ensureNoticesLocked(life uint64) *notices {
-	n := b.notices[life]
+func (b *Balancer) ensureNoticesLocked(incarnation uint64) *notices {
+	n := b.notices[incarnation]
 	if n == nil {
 		n = &notices{}
 		if b.EntriesReused {
 			n.expiry = leavingExpiry
 		}
-		b.notices[life] = n
+		b.notices[incarnation] = n
 	}
-	if s := b.hashes[life]; s != nil {
+	if s := b.hashes[incarnation]; s != nil {
 		s.notices = n
 	}
 	return n
@@ -74,26 +74,26 @@
 
 // markUnlistedLocked notes that an incarnation is no longer listed, and drops its notices if
 // they are empty.
-func (b *Balancer) markUnlistedLocked(life uint64) {
-	if n := b.notices[life]; n == nil || n.leavingAt.IsZero() && n.restUntil.IsZero() {
-		delete(b.notices, life)
+func (b *Balancer) markUnlistedLocked(incarnation uint64) {
+	if n := b.notices[incarnation]; n == nil || n.leavingAt.IsZero() && n.restUntil.IsZero() {
+		delete(b.notices, incarnation)
 		return
 	}
-	b.unlistedNotices[life] = true
+	b.unlistedNotices[incarnation] = true
 }
 
 // dropOldNoticesLocked drops notices of incarnations that have not been listed for a while.
 func (b *Balancer) dropOldNoticesLocked() {
 	now := clock.Now()
-	for life := range b.unlistedNotices {
-		n := b.notices[life]
-		if b.hashes[life] != nil || n == nil {
-			delete(b.unlistedNotices, life)
+	for incarnation := range b.unlistedNotices {
+		n := b.notices[incarnation]
+		if b.hashes[incarnation] != nil || n == nil {
+			delete(b.unlistedNotices, incarnation)
 			continue
 		}
 		if !n.isResting(now) && now.Sub(n.leavingAt) > noticeRetention {
-			delete(b.notices, life)
-			delete(b.unlistedNotices, life)
+			delete(b.notices, incarnation)
+			delete(b.unlistedNotices, incarnation)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 // receiveNoticeLocked applies a notice that this router received from the server, and queues it
 // for the other routers.
 func (b *Balancer) receiveNoticeLocked(s *server, notice slipwick.Notice) {
-	if b.applyNoticeLocked(s, notice) && notice.Leaving && len(b.pendingLeaving) < maxPendingReads {
+	if b.applyNoticeLocked(s, notice) && notice.Leaving && len(b.pendingLeaving) < maxPendingEntries {
 		b.pendingLeaving = append(b.pendingLeaving, s.hash)
 	}
 }
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -88,11 +88,11 @@
 
 // responseTimeQuantile returns the time within which a fraction of the requests with as many
 // tokens to prefill get the start of their response, 0 while too few were measured.
-func (p *poolPace) responseTimeQuantile(share float64, tokens int) time.Duration {
+func (p *poolPace) responseTimeQuantile(quantile float64, tokens int) time.Duration {
 	if p.slowness.Len() < minSlownessSamples {
 		return 0
 	}
-	return p.slowness.Within(share, tokens)
+	return p.slowness.Within(quantile, tokens)
 }
 
 // maxPrefillTime returns how long an engine prefills a prompt at most.
@@ -172,8 +172,8 @@
 func (b *Balancer) PrefillTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	reading := b.paceLocked(request.Pool).prefill
-	return reading.Time(request.tokens()) - reading.Base()
+	prefill := b.paceLocked(request.Pool).prefill
+	return prefill.Time(request.tokens()) - prefill.Base()
 }
 
 // MedianResponseTime returns the median time until the response to such a request of the pool
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -13,19 +13,19 @@
 func (b *Balancer) chooseByPromptLocked(request *Request, pool, usable []*server, now time.Time, decay float64) *Lease {
 	parts := request.keys()
 	prompt := parts[len(parts)-1]
-	each, mean := b.expectedLoadsLocked(usable, now, decay)
+	loads, mean := b.expectedLoadsLocked(usable, now, decay)
 	bound := b.usableBoundLocked(usable, mean, now)
 	holders, _ := b.cacheIndex.holders.Peek(prompt)
 	best := candidate{}
 	for i, s := range usable {
-		if each[i] >= bound {
+		if loads[i] >= bound {
 			continue
 		}
 		c := candidate{
-			server:  s,
-			has:     slices.Contains(holders, s.hash),
-			isLocal: s.DataCentre == b.DataCentre,
-			score:   placement.Score(prompt, s.hash),
+			server:   s,
+			isCached: slices.Contains(holders, s.hash),
+			isLocal:  s.DataCentre == b.DataCentre,
+			score:    placement.Score(prompt, s.hash),
 		}
 		if c.isBetterThan(&best) {
 			best = c
@@ -34,9 +34,9 @@
 	chosen := best.server
 	switch {
 	case chosen == nil:
-		chosen = usable[chooseByWaterFilling(each, b.unreportedRequestsLocked(usable, decay), b.Random())]
-	case !best.has:
-		chosen = b.leastPrefillLocked(prompt, usable, each, bound, now)
+		chosen = usable[chooseByWaterFilling(loads, b.unreportedRequestsLocked(usable, decay), b.Random())]
+	case !best.isCached:
+		chosen = b.leastPrefillLocked(prompt, usable, loads, bound, now)
 	}
 	if overflow := b.coldOverflowLocked(mean); overflow != nil {
 		chosen = overflow
@@ -67,11 +67,11 @@
 // rank order and still get the prompt. Routers learn late of each other's prefills, and without
 // the lead they would choose the same engine for all prompts.
 func (b *Balancer) leastPrefillLocked(
-	prompt uint64, usable []*server, each []float64, bound float64, now time.Time,
+	prompt uint64, usable []*server, loads []float64, bound float64, now time.Time,
 ) *server {
 	below := b.scratch.below[:0]
 	for i, s := range usable {
-		if each[i] < bound {
+		if loads[i] < bound {
 			below = append(below, s)
 		}
 	}
@@ -119,24 +119,24 @@
 			holds = append(holds, holder.DataCentre)
 		}
 	}
-	near := 0
+	matches := 0
 	for i, e := range engines {
 		if slices.Contains(holds, e.DataCentre) {
-			engines[near], engines[i] = engines[i], engines[near]
-			near++
+			engines[matches], engines[i] = engines[i], engines[matches]
+			matches++
 		}
 	}
-	if near == 0 {
+	if matches == 0 {
 		return engines
 	}
-	return engines[:near]
+	return engines[:matches]
 }
 
 // candidate is an engine that a prompt could be sent to.
 type candidate struct {
 	server *server
-	// has says that the engine is known to have the prompt cached.
-	has bool
+	// isCached says that the engine is known to have the prompt cached.
+	isCached bool
 	// isLocal says that the engine is in the router's data centre. Among several that have the
 	// prompt cached, a local one saves traffic between data centres.
 	isLocal bool
@@ -144,10 +144,10 @@
 }
 
 func (c *candidate) isBetterThan(other *candidate) bool {
-	if other.server == nil || c.has != other.has {
-		return other.server == nil || c.has
+	if other.server == nil || c.isCached != other.isCached {
+		return other.server == nil || c.isCached
 	}
-	if c.has && c.isLocal != other.isLocal {
+	if c.isCached && c.isLocal != other.isLocal {
 		return c.isLocal
 	}
 	return c.score > other.score
@@ -156,8 +156,8 @@
 // recordCachedPartsLocked records where parts are cached, also for the next update.
 func (b *Balancer) recordCachedPartsLocked(parts []uint64, s *server) {
 	for _, part := range parts {
-		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingReads) < maxPendingReads {
-			b.pendingReads = append(b.pendingReads, CachedPart{
+		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingCachedParts) < maxPendingEntries {
+			b.pendingCachedParts = append(b.pendingCachedParts, CachedPart{
 				Part:   part,
 				Server: s.hash,
 			})
--- a/balance/server.go
+++ b/balance/server.go
@@ -81,21 +81,21 @@
 	ejectedForErrors     bool
 }
 
-func newServer(listed Entry, since time.Time) *server {
+func newServer(entry Entry, listedAt time.Time) *server {
 	return &server{
-		Entry:    listed,
-		hash:      placement.IDHash(listed.Life()),
+		Entry:     entry,
+		hash:      placement.IDHash(entry.Life()),
 		poolIndex: -1,
-		listedAt:  since,
+		listedAt:  listedAt,
 		// The cache of a server that starts after the router is empty.
-		cacheKnown: !since.IsZero(),
+		cacheKnown: !listedAt.IsZero(),
 	}
 }
 
 // isSameIncarnation reports whether an entry is of the same incarnation. An entry without a
 // start time matches any.
-func (s *server) isSameIncarnation(listed *Entry) bool {
-	return listed.Born == 0 || listed.Born == s.Born
+func (s *server) isSameIncarnation(entry *Entry) bool {
+	return entry.Born == 0 || entry.Born == s.Born
 }
 
 // inFlightElsewhere returns how many requests the other routers have there by the latest load
--- a/balance/spread.go
+++ b/balance/spread.go
@@ -12,12 +12,12 @@
 	if len(servers) == 0 {
 		return 0
 	}
-	each := meanSends(servers, decay)
+	perServer := meanSends(servers, decay)
 	typical := b.paceLocked(servers[0].Pool).responseTimeQuantile(medianQuantile, 0)
 	if typical > 0 && typical < updateDelay {
-		each *= float64(typical) / float64(updateDelay)
+		perServer *= float64(typical) / float64(updateDelay)
 	}
-	return each * float64(len(servers)) * float64(b.otherRouters+1)
+	return perServer * float64(len(servers)) * float64(b.otherRouters+1)
 }
 
 // minUnreported is the least amount that is distributed: the request itself.
--- a/balance/told.go
+++ b/balance/told.go
@@ -11,10 +11,10 @@
 // hash of their incarnation: its requests there, what engines cached for it, the outcomes of
 // requests where some failed, and which servers announced that they are leaving.
 type Update struct {
-	InFlight []InFlight
-	CachedParts    []CachedPart
-	Outcomes []Outcomes
-	Leaving  []uint64
+	InFlight    []InFlight
+	CachedParts []CachedPart
+	Outcomes    []Outcomes
+	Leaving     []uint64
 }
 
 // Outcomes counts the requests that ended since the last update, at a server or, in a canary,
@@ -42,8 +42,8 @@
 const (
 	// remoteCountsLifetime is how long the counts of another router are used.
 	remoteCountsLifetime = time.Second
-	// maxPendingReads bounds the entries that wait for the next update. More are dropped.
-	maxPendingReads = 512
+	// maxPendingEntries bounds the entries that wait for the next update. More are dropped.
+	maxPendingEntries = 512
 )
 
 // remoteCounts has the latest counts of another router.
@@ -59,10 +59,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	update := Update{
-		CachedParts:   b.pendingReads,
-		Leaving: b.pendingLeaving,
+		CachedParts: b.pendingCachedParts,
+		Leaving:     b.pendingLeaving,
 	}
-	b.pendingReads, b.pendingLeaving = nil, nil
+	b.pendingCachedParts, b.pendingLeaving = nil, nil
 	b.addCanaryCountsLocked(&update)
 	for s := range b.active {
 		if b.hashes[s.hash] != s {
@@ -79,8 +79,8 @@
 		}
 		if s.inFlight > 0 {
 			update.InFlight = append(update.InFlight, InFlight{
-				Server:  s.hash,
-				Count:   s.inFlight,
+				Server:        s.hash,
+				Count:         s.inFlight,
 				PrefillTokens: max(s.prefillTokens, 0),
 			})
 		} else {
@@ -95,14 +95,14 @@
 func (b *Balancer) TakeCachedParts() []CachedPart {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	parts := b.pendingReads
-	b.pendingReads = nil
+	parts := b.pendingCachedParts
+	b.pendingCachedParts = nil
 	return parts
 }
 
 // ReceiveCounts takes the counts of another router. It ignores counts that arrive after later
 // ones.
-func (b *Balancer) ReceiveCounts(router string, sequence uint64, list []InFlight) {
+func (b *Balancer) ReceiveCounts(router string, sequence uint64, counts []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if sequence <= b.countsByRouter[router].sequence {
@@ -110,31 +110,31 @@
 	}
 	if slices.Contains(b.peers, router) {
 		b.addRemoteCountsLocked(b.countsByRouter[router].inFlight, -1)
-		b.addRemoteCountsLocked(list, 1)
+		b.addRemoteCountsLocked(counts, 1)
 	}
 	b.countsByRouter[router] = remoteCounts{
 		receivedAt: clock.Now(),
 		sequence:   sequence,
-		inFlight:   list,
+		inFlight:   counts,
 	}
 }
 
 // ReceiveMoreCounts adds to the latest counts of another router.
-func (b *Balancer) ReceiveMoreCounts(router string, list []InFlight) {
+func (b *Balancer) ReceiveMoreCounts(router string, counts []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.countsByRouter[router]
 	c.receivedAt = clock.Now()
-	c.inFlight = append(c.inFlight, list...)
+	c.inFlight = append(c.inFlight, counts...)
 	b.countsByRouter[router] = c
 	if slices.Contains(b.peers, router) {
-		b.addRemoteCountsLocked(list, 1)
+		b.addRemoteCountsLocked(counts, 1)
 	}
 }
 
 // addRemoteCountsLocked adds counts, multiplied by sign, to the servers' sums.
-func (b *Balancer) addRemoteCountsLocked(list []InFlight, sign int) {
-	for _, in := range list {
+func (b *Balancer) addRemoteCountsLocked(counts []InFlight, sign int) {
+	for _, in := range counts {
 		if s := b.hashes[in.Server]; s != nil {
 			s.remoteInFlight += sign * in.Count
 			s.remotePrefillTokens += sign * in.PrefillTokens
--- a/balance/told_test.go
+++ b/balance/told_test.go
@@ -77,8 +77,8 @@
 		}
 		if s.inFlight > 0 {
 			told.InFlight = append(told.InFlight, InFlight{
-				Server:  s.hash,
-				Count:   s.inFlight,
+				Server:        s.hash,
+				Count:         s.inFlight,
 				PrefillTokens: max(s.prefillTokens, 0),
 			})
 		}
--- a/balance/trial.go
+++ b/balance/trial.go
@@ -105,23 +105,23 @@
 	if c == nil && len(held) == 0 {
 		return pool
 	}
-	old, canary := b.scratch.stable[:0], b.scratch.canary[:0]
+	stable, canary := b.scratch.stable[:0], b.scratch.canary[:0]
 	for _, s := range pool {
 		switch {
 		case c != nil && s.Version == c.Version:
 			canary = append(canary, s)
 		case !held[s.Version]:
-			old = append(old, s)
+			stable = append(stable, s)
 		}
 	}
-	b.scratch.stable, b.scratch.canary = old, canary
+	b.scratch.stable, b.scratch.canary = stable, canary
 	if c == nil || c.Share <= 0 {
-		return old
+		return stable
 	}
-	if len(old) == 0 || len(canary) > 0 && b.Random() < c.Share {
+	if len(stable) == 0 || len(canary) > 0 && b.Random() < c.Share {
 		return canary
 	}
-	return old
+	return stable
 }
 
 // recordCanaryResultLocked counts the outcome of a request of this router if its pool has a
--- a/cmd/internal/gatewayd/cold_test.go
+++ b/cmd/internal/gatewayd/cold_test.go
@@ -48,8 +48,8 @@
 			MaxPerSecond: 27,
 		},
 		false: {
-			MaxPerSecond: 27,
-			NewServerTime:  3 * time.Second,
+			MaxPerSecond:  27,
+			NewServerTime: 3 * time.Second,
 		},
 	} {
 		if got := p.bounds.Load().coldLimits(table, entersItself)["p"]; got != want {
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -122,8 +122,8 @@
 	for i, count := range message.GetInFlight() {
 		if i < len(servers) && i < len(message.GetReading()) {
 			update.InFlight = append(update.InFlight, balance.InFlight{
-				Server:  servers[i],
-				Count:   int(count),
+				Server:        servers[i],
+				Count:         int(count),
 				PrefillTokens: int(message.GetReading()[i]),
 			})
 		}
