--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -71,10 +71,10 @@
 	prefills prefills
 	// paces has the response times measured for each pool.
 	paces map[string]*poolPace
-	// firstListed is when the first list was received. empty says that no engine had anything
+	// firstListAt is when the first list was received. startedEmpty says that no engine had anything
 	// cached when the router started.
-	firstListed time.Time
-	empty       bool
+	firstListAt  time.Time
+	startedEmpty bool
 	// canaries has the canary of each pool. versions has when each version first appeared in a
 	// pool that had no server of it, zero if it was there at first. All rollouts that the store
 	// had at rolloutsAsOf are known.
@@ -83,11 +83,11 @@
 	rolloutsAsOf time.Time
 	// evacuated has the data centres whose servers get no new requests.
 	evacuated map[string]bool
-	// coldLimits has the limit for cold servers of each pool, began is when the balancer was
+	// coldLimits has the limit for cold servers of each pool, createdAt is when the balancer was
 	// created.
 	coldLimits map[string]ColdLimit
 	ranking    routerRanking
-	began      time.Time
+	createdAt  time.Time
 	// sendsFrom is the time to which the servers' decayed send counts refer.
 	sendsFrom time.Time
 	scratch   scratch
@@ -114,7 +114,7 @@
 		unlistedNotices: make(map[uint64]bool),
 		paces:           make(map[string]*poolPace),
 		versions:        make(map[string]map[string]time.Time),
-		began:           clock.Now(),
+		createdAt:       clock.Now(),
 	}
 }
 
--- a/balance/cacheindex.go
+++ b/balance/cacheindex.go
@@ -18,21 +18,21 @@
 // identifies engines by the hash of their incarnation, because one whose entry expires and
 // reappears has kept its cache.
 type cacheIndex struct {
-	holders *lru.LRU[uint64, []uint64]
+	holdersByPart *lru.LRU[uint64, []uint64]
 }
 
 func newCacheIndex() *cacheIndex {
 	// NewLRU fails only for a size that is not positive.
 	holders, _ := lru.NewLRU[uint64, []uint64](maxCachedParts, nil)
 	return &cacheIndex{
-		holders: holders,
+		holdersByPart: holders,
 	}
 }
 
 // addLocal records that an engine prefilled a part for this router. isNew says that this was
 // not known.
 func (c *cacheIndex) addLocal(part, engine uint64) (isNew bool) {
-	known, _ := c.holders.Get(part)
+	known, _ := c.holdersByPart.Get(part)
 	if len(known) > 0 && known[0] == engine {
 		return false
 	}
@@ -42,25 +42,25 @@
 			latest = append(latest, other)
 		}
 	}
-	c.holders.Add(part, latest)
+	c.holdersByPart.Add(part, latest)
 	return !slices.Contains(known, engine)
 }
 
 // addReported records that an engine prefilled a part for another router.
 func (c *cacheIndex) addReported(part, engine uint64) {
-	known, _ := c.holders.Get(part)
+	known, _ := c.holdersByPart.Get(part)
 	if slices.Contains(known, engine) {
 		return
 	}
 	if len(known) == maxHoldersPerPart {
 		known = known[:maxHoldersPerPart-1]
 	}
-	c.holders.Add(part, append(slices.Clone(known), engine))
+	c.holdersByPart.Add(part, append(slices.Clone(known), engine))
 }
 
 // holds reports whether an engine is known to have a part cached.
 func (c *cacheIndex) holds(part uint64, s *server) bool {
-	known, _ := c.holders.Peek(part)
+	known, _ := c.holdersByPart.Peek(part)
 	return slices.Contains(known, s.hash)
 }
 
@@ -70,7 +70,7 @@
 	parts []uint64, chosen *server, usable func(engine uint64) *server,
 ) (s *server, known bool) {
 	for _, part := range slices.Backward(parts) {
-		holders, _ := c.holders.Get(part)
+		holders, _ := c.holdersByPart.Get(part)
 		if slices.Contains(holders, chosen.hash) {
 			return nil, true
 		}
@@ -86,8 +86,8 @@
 // locations returns every part with each of the given engines that have it cached.
 func (c *cacheIndex) locations(engines map[uint64]*server) []CachedPart {
 	var cached []CachedPart
-	for _, part := range c.holders.Keys() {
-		holders, _ := c.holders.Peek(part)
+	for _, part := range c.holdersByPart.Keys() {
+		holders, _ := c.holdersByPart.Peek(part)
 		for _, engine := range holders {
 			if engines[engine] != nil {
 				cached = append(cached, CachedPart{
--- a/balance/cachesnapshot.go
+++ b/balance/cachesnapshot.go
@@ -141,7 +141,7 @@
 	if len(request.Prompt) == 0 {
 		return false
 	}
-	holders, _ := b.cacheIndex.holders.Peek(request.Prompt[len(request.Prompt)-1].Key)
+	holders, _ := b.cacheIndex.holdersByPart.Peek(request.Prompt[len(request.Prompt)-1].Key)
 	return slices.ContainsFunc(holders, func(hash uint64) bool {
 		s := b.hashes[hash]
 		return s != nil && s.Pool == request.Pool && !s.isLeaving()
@@ -169,7 +169,7 @@
 func (b *Balancer) MarkCachesKnown() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.empty = true
+	b.startedEmpty = true
 	for _, s := range b.servers {
 		s.cacheKnown = true
 	}
@@ -180,5 +180,5 @@
 func (b *Balancer) CachedPartCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.cacheIndex.holders.Len()
+	return b.cacheIndex.holdersByPart.Len()
 }
--- a/balance/canary.go
+++ b/balance/canary.go
@@ -43,7 +43,7 @@
 	key uint64
 }
 
-// A response is slow if it begins later than slowFactor times the usual time.
+// slowFactor times the usual time until a response begins is the limit above which it is slow.
 const slowFactor = 3
 
 func (c *versionCounts) add(good, bad int) {
@@ -176,10 +176,10 @@
 // store is away nobody can tell whether one does, but then no server can register either.
 const maxVersionHold = 2 * time.Second
 
-// noteVersionLocked records a version that appears in a pool. Servers of a rollout's version
+// recordVersionLocked records a version that appears in a pool. Servers of a rollout's version
 // may be listed before the rollout is known, and would get a full share of the requests until
 // then.
-func (b *Balancer) noteVersionLocked(s *server, isNewlyListed bool) {
+func (b *Balancer) recordVersionLocked(s *server, isNewlyListed bool) {
 	if !b.HoldVersions || s.Version == "" {
 		return
 	}
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -83,7 +83,7 @@
 }
 
 func plainLeastReading(b *Balancer, prompt uint64, below []*server, now time.Time) *server {
-	holders, _ := b.cacheIndex.holders.Peek(prompt)
+	holders, _ := b.cacheIndex.holdersByPart.Peek(prompt)
 	var near []*server
 	for _, s := range below {
 		if slices.ContainsFunc(holders, func(hash uint64) bool {
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -56,8 +56,8 @@
 	sharers, part := limit.split(len(b.ranking.live))
 	rank := b.rankLocked(s)
 	rankedAt := rank.changedAt
-	if b.began.After(rankedAt) {
-		rankedAt = b.began
+	if b.createdAt.After(rankedAt) {
+		rankedAt = b.createdAt
 	}
 	if b.ranking.live == nil || rank.routersBefore >= sharers || now.Sub(rankedAt) < coldWindow {
 		return false
--- a/balance/errors.go
+++ b/balance/errors.go
@@ -28,8 +28,8 @@
 	// errorEjection is the duration of the first ejection for errors. Ejections by chance are
 	// rare enough, and other servers can take the load meanwhile.
 	errorEjection = time.Second
-	// ejectableOneIn bounds the ejected servers to one in so many of a pool, rounded up: the
-	// others have to carry the load.
+	// ejectableOneIn limits ejections to one in ejectableOneIn servers of a pool, rounded up:
+	// the others have to carry the load. Resting servers count as ejected.
 	ejectableOneIn = 3
 	// maxUnsentSuccesses bounds the successes that are sent together with the next failure.
 	// More would only say that the server was healthy long before.
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -18,11 +18,11 @@
 	PrefillDone <-chan struct{}
 
 	server *server
-	// hasPrompt says that the request has a prompt, promptTokensToPrefill how many of its
+	// hasPrompt says that the request has a prompt, tokensToPrefill how many of its
 	// tokens the engine had to prefill when it was chosen, sentAt when the request was sent.
-	hasPrompt             bool
-	promptTokensToPrefill int
-	sentAt                time.Time
+	hasPrompt       bool
+	tokensToPrefill int
+	sentAt          time.Time
 	// lastActivityAt is when the response began or last continued, longestPause the longest
 	// time in between.
 	lastActivityAt time.Time
--- a/balance/list.go
+++ b/balance/list.go
@@ -32,23 +32,23 @@
 			changes.Removed = append(changes.Removed, id)
 		}
 	}
-	b.changeLocked(&changes)
+	b.applyChangesLocked(&changes)
 }
 
 // ChangeBackends applies changes to the list of backend servers.
 func (b *Balancer) ChangeBackends(changes *Changes) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.changeLocked(changes)
+	b.applyChangesLocked(changes)
 }
 
-func (b *Balancer) changeLocked(changes *Changes) {
+func (b *Balancer) applyChangesLocked(changes *Changes) {
 	now := clock.Now()
-	if b.firstListed.IsZero() {
-		b.firstListed = now
+	if b.firstListAt.IsZero() {
+		b.firstListAt = now
 	}
 	listedAt := now
-	if now.Sub(b.firstListed) < RelistWindow {
+	if now.Sub(b.firstListAt) < RelistWindow {
 		// These servers started before this router.
 		listedAt = time.Time{}
 	}
@@ -63,7 +63,7 @@
 	}
 	added := make(map[uint64]bool, len(changes.Entries))
 	for i := range changes.Entries {
-		if s, isNew := b.listLocked(&changes.Entries[i], listedAt); isNew {
+		if s, isNew := b.applyEntryLocked(&changes.Entries[i], listedAt); isNew {
 			added[s.hash] = true
 		}
 	}
@@ -71,8 +71,8 @@
 	b.dropOldNoticesLocked()
 }
 
-// listLocked applies an entry. isNew says that its incarnation was not listed before.
-func (b *Balancer) listLocked(entry *Entry, listedAt time.Time) (s *server, isNew bool) {
+// applyEntryLocked applies an entry. isNew says that its incarnation was not listed before.
+func (b *Balancer) applyEntryLocked(entry *Entry, listedAt time.Time) (s *server, isNew bool) {
 	s = b.servers[entry.ID]
 	isRestarted := s != nil && !s.isSameIncarnation(entry)
 	isNew = s == nil || isRestarted
@@ -83,7 +83,7 @@
 	}
 	if isNew {
 		s = newServer(*entry, listedAt)
-		s.cacheKnown = s.cacheKnown || b.empty
+		s.cacheKnown = s.cacheKnown || b.startedEmpty
 		s.notices = b.notices[s.hash]
 		if !listedAt.IsZero() {
 			s.coldUntil = listedAt.Add(b.coldLimits[entry.Pool].NewServerTime)
@@ -101,7 +101,7 @@
 	if current.ColdUntil.After(s.coldUntil) {
 		s.coldUntil = current.ColdUntil
 	}
-	b.noteVersionLocked(s, !listedAt.IsZero())
+	b.recordVersionLocked(s, !listedAt.IsZero())
 	b.servers[s.ID], b.hashes[s.hash] = s, s
 	if s.poolIndex < 0 {
 		s.poolIndex = len(b.pools[s.Pool])
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -125,13 +125,13 @@
 		return
 	}
 	elapsed, p := clock.Since(lease.sentAt), b.paceLocked(lease.server.Pool)
-	if typical := p.responseTimeQuantile(medianQuantile, lease.promptTokensToPrefill); typical > 0 {
+	if typical := p.responseTimeQuantile(medianQuantile, lease.tokensToPrefill); typical > 0 {
 		lease.isSlow = elapsed > slowFactor*typical
 	}
 	p.hasPrompts = p.hasPrompts || lease.hasPrompt
-	p.slowness.Seen(lease.promptTokensToPrefill, elapsed)
+	p.slowness.Seen(lease.tokensToPrefill, elapsed)
 	if lease.hasPrompt && lease.FetchFrom == "" {
-		p.prefill.Seen(lease.promptTokensToPrefill, elapsed)
+		p.prefill.Seen(lease.tokensToPrefill, elapsed)
 	}
 }
 
@@ -140,7 +140,7 @@
 func (b *Balancer) FirstByteTimeout(lease *Lease) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	late := b.paceLocked(lease.server.Pool).responseTimeQuantile(lateQuantile, lease.promptTokensToPrefill)
+	late := b.paceLocked(lease.server.Pool).responseTimeQuantile(lateQuantile, lease.tokensToPrefill)
 	if late == 0 {
 		return 0
 	}
--- a/balance/prefill.go
+++ b/balance/prefill.go
@@ -51,7 +51,7 @@
 	started := &prefill{
 		engine:    lease.server.hash,
 		startedAt: now,
-		deadline:  now.Add(b.paceLocked(lease.server.Pool).maxPrefillTime(lease.promptTokensToPrefill)),
+		deadline:  now.Add(b.paceLocked(lease.server.Pool).maxPrefillTime(lease.tokensToPrefill)),
 		done:      make(chan struct{}),
 	}
 	if b.prefills.start(part, started) {
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -11,11 +11,11 @@
 // bound. Without one, it chooses the engine below the bound with the least prefill work, and if
 // all are above it, the least loaded.
 func (b *Balancer) chooseByPromptLocked(request *Request, pool, usable []*server, now time.Time, decay float64) *Lease {
-	parts := request.keys()
+	parts := request.partKeys()
 	prompt := parts[len(parts)-1]
 	loads, mean := b.expectedLoadsLocked(usable, now, decay)
 	bound := b.usableBoundLocked(usable, mean, now)
-	holders, _ := b.cacheIndex.holders.Peek(prompt)
+	holders, _ := b.cacheIndex.holdersByPart.Peek(prompt)
 	best := candidate{}
 	for i, s := range usable {
 		if loads[i] >= bound {
@@ -48,7 +48,7 @@
 	if !has {
 		lease.pendingPrefill = request.tokens()
 	}
-	lease.promptTokensToPrefill = lease.pendingPrefill
+	lease.tokensToPrefill = lease.pendingPrefill
 	holder := b.fetchSourceLocked(request, parts, pool, chosen, now)
 	if holder != nil {
 		lease.FetchFrom = holder.Address
@@ -112,7 +112,7 @@
 // reachable engine that has the prompt cached, because they fetch it in half the time. Without
 // any it returns all engines. It reorders the slice.
 func (b *Balancer) preferHolderDataCentresLocked(prompt uint64, engines []*server, now time.Time) []*server {
-	known, _ := b.cacheIndex.holders.Peek(prompt)
+	known, _ := b.cacheIndex.holdersByPart.Peek(prompt)
 	var holds []string
 	for _, hash := range known {
 		if holder := b.hashes[hash]; holder != nil && b.canFetchFromLocked(holder, now) {
--- a/balance/request.go
+++ b/balance/request.go
@@ -30,7 +30,7 @@
 	Tokens int
 }
 
-func (r *Request) keys() []uint64 {
+func (r *Request) partKeys() []uint64 {
 	keys := make([]uint64, 0, len(r.Prompt))
 	for _, part := range r.Prompt {
 		keys = append(keys, part.Key)
--- a/balance/update.go
+++ b/balance/update.go
@@ -169,7 +169,7 @@
 	now := clock.Now()
 	for _, part := range parts {
 		s := b.hashes[part.Server]
-		if known, _ := b.cacheIndex.holders.Peek(part.Part); len(known) > 0 || s == nil {
+		if known, _ := b.cacheIndex.holdersByPart.Peek(part.Part); len(known) > 0 || s == nil {
 			continue
 		}
 		// The length of the prompt is not sent.
