--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -74,20 +74,20 @@
 	// askedEngines are the engines that were asked so far, abandoned those whose caches were still
 	// unknown when the last run of learnMissing gave up, and queries counts the queries to routers.
 	// turnOrder is computed from the routers known last.
-	askedEngines    map[string]bool
-	abandoned map[string]bool
-	queries   int
-	turnOrder turnOrder
-	done      chan struct{}
+	askedEngines map[string]bool
+	abandoned    map[string]bool
+	queries      int
+	turnOrder    turnOrder
+	done         chan struct{}
 }
 
 // NewRecovery returns a recovery for the router with this ID. Set the other exported fields before
 // Run.
 func NewRecovery(self string) *Recovery {
 	return &Recovery{
-		Self:   self,
+		Self:         self,
 		askedEngines: make(map[string]bool),
-		done:   make(chan struct{}),
+		done:         make(chan struct{}),
 	}
 }
 
