--- a/directory/follower.go
+++ b/directory/follower.go
@@ -186,7 +186,7 @@
 	clock.Notice()
 	slept := clock.Slept()
 	if f.listed {
-		batch, err = f.Feed.Watch(ctx, f.position, f.Rhythm.Watch)
+		batch, err = f.Feed.Watch(ctx, f.position, f.Rhythm.WatchWait)
 	} else {
 		batch, err = f.Feed.List(ctx)
 	}
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -65,7 +65,7 @@
 			t.Errorf("first: got %v, want %v", got, want)
 		}
 		store.fail(errors.New("down"))
-		time.Sleep(2 * rhythm.Watch)
+		time.Sleep(2 * rhythm.WatchWait)
 		store.Apply(batch(2, false, "b", "c1"))
 		time.Sleep(10 * time.Second)
 		store.fail(nil)
@@ -88,10 +88,10 @@
 		store.fail(&slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		})
-		time.Sleep(2 * rhythm.Watch)
+		time.Sleep(2 * rhythm.WatchWait)
 		store.Apply(batch(9, true, "b2"))
 		store.fail(nil)
-		time.Sleep(2 * rhythm.Watch)
+		time.Sleep(2 * rhythm.WatchWait)
 		if got, want := state(), []string{"b2"}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
@@ -108,7 +108,7 @@
 		defer stop()
 		state()
 		store.fail(errors.New("not read in time"))
-		time.Sleep(2 * rhythm.Watch)
+		time.Sleep(2 * rhythm.WatchWait)
 		store.Apply(batch(2, false, "a2"))
 		store.fail(nil)
 		before := store.listed()
@@ -147,7 +147,7 @@
 		synctest.Wait()
 		store.fail(errors.New("down"))
 		other.grow(rhythm.Age + time.Second)
-		time.Sleep(2 * rhythm.Watch)
+		time.Sleep(2 * rhythm.WatchWait)
 		before := store.called()
 		answers.Store(0)
 		const outage = 10 * time.Second
@@ -222,7 +222,7 @@
 		defer stop()
 		state()
 		store.fail(errors.New("down"))
-		time.Sleep(2 * rhythm.Watch)
+		time.Sleep(2 * rhythm.WatchWait)
 		store.Mirror = NewMirror()
 		store.Apply(batch(3, true, "a3"))
 		store.fail(nil)
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -6,9 +6,9 @@
 // every router learns of a change within the time allowed, even if a router on the way has
 // stopped answering.
 type Rhythm struct {
-	// Watch is how long a watch of the store waits, Margin how much longer its answer may take.
+	// WatchWait is how long a watch of the store waits, Margin how much longer its answer may take.
 	// An unresponsive store is detected early enough for the routers that follow this one.
-	Watch, Margin time.Duration
+	WatchWait, Margin time.Duration
 	// Relay is how long a watch at another router waits: somewhat longer than a watch of the
 	// store, at whose end the other router confirms its copy. RelayMargin is how much longer
 	// the answer may take, and the time limit of a list from another router. Together with a
@@ -61,7 +61,7 @@
 		return time.Duration(of * float64(within))
 	}
 	return Rhythm{
-		Watch:       share(watchShare),
+		WatchWait:   share(watchShare),
 		Margin:      share(marginShare),
 		Relay:       share(relayShare),
 		RelayMargin: share(relayMarginShare),
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -225,7 +225,7 @@
 				return f.Watch(ctx, after, wait)
 			})
 		if watched.isCurrent {
-			s.setKeepsTurn(watched.batch.Age > rhythm.Watch)
+			s.setKeepsTurn(watched.batch.Age > rhythm.WatchWait)
 			s.avoidIfOthersReachIt(place, &watched.batch)
 			return s.record(watched.batch, nil)
 		}
@@ -275,7 +275,7 @@
 // newsMargin returns by how much a copy has to be confirmed later than the local one to count
 // as fresher.
 func (s *Shared) newsMargin() time.Duration {
-	return time.Duration(newsMarginShare * float64(s.Rhythm.orDefault().Watch))
+	return time.Duration(newsMarginShare * float64(s.Rhythm.orDefault().WatchWait))
 }
 
 // isUsable reports whether to continue with the current copy of a router that this one does not
@@ -288,7 +288,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maxAge, now := s.Rhythm.orDefault().Watch, clock.Now()
+	maxAge, now := s.Rhythm.orDefault().WatchWait, clock.Now()
 	switch {
 	case s.position.Before(f.batch.Position()):
 		return true
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -34,7 +34,7 @@
 		defer cancel()
 		go confirmAlways(ctx, peers.relays["r1"], peers.relays["r2"])
 		for range 10 {
-			if _, err := shared.Watch(t.Context(), at(1), rhythm.Watch); err != nil {
+			if _, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -62,7 +62,7 @@
 			started := time.Now()
 			store.Apply(batch(2, false, "a2"))
 			for after := uint64(1); after == 1; {
-				got, err := shared.Watch(t.Context(), at(1), rhythm.Watch)
+				got, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait)
 				switch {
 				case slipwick.IsKind(err, slipwick.KindNotCurrent):
 					// The routers answer, and know nothing either: those whose
@@ -88,7 +88,7 @@
 		store.fail(errors.New("503"))
 		peers.relays["r1"].Apply(batch(3, false, "a3"))
 		peers.relays["r2"].Apply(batch(3, false, "a3"))
-		got, err := shared.Watch(t.Context(), at(1), rhythm.Watch)
+		got, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +131,7 @@
 			t.Fatal(err)
 		}
 		expectNames(t, "list", got.Entries, "a1")
-		if _, err := shared.Watch(t.Context(), got.Position(), rhythm.Watch); err == nil {
+		if _, err := shared.Watch(t.Context(), got.Position(), rhythm.WatchWait); err == nil {
 			t.Error("watch of old copies: got no error, want the store tried again")
 		}
 	})
@@ -144,7 +144,7 @@
 		store.fail(&slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		})
-		if _, err := shared.Watch(t.Context(), at(1), rhythm.Watch); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
+		if _, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
 			t.Errorf("got %v, want history lost, so that the store is listed", err)
 		}
 	})
@@ -165,7 +165,7 @@
 			go confirmAlways(ctx, peers.relays["r1"], peers.relays["r2"])
 			called := store.called()
 			for range 4 {
-				got, err := shared.Watch(t.Context(), at(1), rhythm.Watch)
+				got, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -132,7 +132,7 @@
 		}
 		state, stop := follow(t, shared)
 		defer stop()
-		time.Sleep(rhythm.Watch)
+		time.Sleep(rhythm.WatchWait)
 		store.fail(errAway)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
