--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -6,9 +6,9 @@
 // every router learns of a change within the time allowed, even if a router on the way has
 // stopped answering.
 type Rhythm struct {
-	// WatchWait is how long a watch of the store waits, Margin how much longer its answer may take.
+	// WatchWait is how long a watch of the store waits, WatchMargin how much longer its answer may take.
 	// An unresponsive store is detected early enough for the routers that follow this one.
-	WatchWait, Margin time.Duration
+	WatchWait, WatchMargin time.Duration
 	// Relay is how long a watch at another router waits: somewhat longer than a watch of the
 	// store, at whose end the other router confirms its copy. RelayMargin is how much longer
 	// the answer may take, and the time limit of a list from another router. Together with a
@@ -62,7 +62,7 @@
 	}
 	return Rhythm{
 		WatchWait:   share(watchShare),
-		Margin:      share(marginShare),
+		WatchMargin: share(marginShare),
 		Relay:       share(relayShare),
 		RelayMargin: share(relayMarginShare),
 		Age:         share(watchShare + marginShare + detectionShare),
--- a/directory/rhythm_test.go
+++ b/directory/rhythm_test.go
@@ -14,7 +14,7 @@
 	for _, within := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 		r := RhythmWithin(within)
 		rest := within / 5
-		if got := r.WatchWait + r.Margin + rest; got > within {
+		if got := r.WatchWait + r.WatchMargin + rest; got > within {
 			t.Errorf("within %v: got %v for a silent store, want less", within, got)
 		}
 		if got := r.Relay + r.RelayMargin + rest; got > within {
@@ -25,7 +25,7 @@
 		if got := r.Age + rest; got > within {
 			t.Errorf("within %v: got %v for a copy that is current no more, want less", within, got)
 		}
-		if r.Age < r.WatchWait+r.Margin {
+		if r.Age < r.WatchWait+r.WatchMargin {
 			t.Errorf("within %v: got %v for the age of a copy, want the wait of its watch at least", within, r.Age)
 		}
 	}
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -179,7 +179,7 @@
 func (s *Shared) watchStore(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+s.Rhythm.orDefault().Margin)
+	ctx, cancel := context.WithTimeout(ctx, wait+s.Rhythm.orDefault().WatchMargin)
 	defer cancel()
 	if s.isStoreFailing() {
 		return s.fromStore(ctx)
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -27,7 +27,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rhythm := s.Rhythm.orDefault()
-	since, first, step := s.confirmedAt, rhythm.WatchWait+rhythm.Margin, rhythm.TurnStep
+	since, first, step := s.confirmedAt, rhythm.WatchWait+rhythm.WatchMargin, rhythm.TurnStep
 	if since.IsZero() {
 		since, first, step = s.startedAt, startTurnDelay, startTurnStep
 	}
