--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -9,11 +9,11 @@
 	// WatchWait is how long a watch of the store waits, WatchMargin how much longer its answer may take.
 	// An unresponsive store is detected early enough for the routers that follow this one.
 	WatchWait, WatchMargin time.Duration
-	// Relay is how long a watch at another router waits: somewhat longer than a watch of the
+	// RelayWait is how long a watch at another router waits: somewhat longer than a watch of the
 	// store, at whose end the other router confirms its copy. RelayMargin is how much longer
 	// the answer may take, and the time limit of a list from another router. Together with a
 	// few lists and one call to the store they stay within the time allowed.
-	Relay, RelayMargin time.Duration
+	RelayWait, RelayMargin time.Duration
 	// Age is how old a current copy may be: the wait of the other router's own watch and the
 	// time to detect that the store does not answer. TurnStep is the delay between the turns in
 	// which routers ask the store in place of the watchers.
@@ -63,7 +63,7 @@
 	return Rhythm{
 		WatchWait:   share(watchShare),
 		WatchMargin: share(marginShare),
-		Relay:       share(relayShare),
+		RelayWait:   share(relayShare),
 		RelayMargin: share(relayMarginShare),
 		Age:         share(watchShare + marginShare + detectionShare),
 		TurnStep:    share(turnShare),
--- a/directory/rhythm_test.go
+++ b/directory/rhythm_test.go
@@ -17,7 +17,7 @@
 		if got := r.WatchWait + r.WatchMargin + rest; got > within {
 			t.Errorf("within %v: got %v for a silent store, want less", within, got)
 		}
-		if got := r.Relay + r.RelayMargin + rest; got > within {
+		if got := r.RelayWait + r.RelayMargin + rest; got > within {
 			t.Errorf("within %v: got %v for a silent router, want less", within, got)
 		}
 		// A router that the store has fallen silent for still has a copy that
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -219,7 +219,7 @@
 	candidates := s.candidates(place)
 	answered, isLoading := false, false
 	if len(candidates) > 0 {
-		wait := s.boundRelayWait(place, rhythm.Relay)
+		wait := s.boundRelayWait(place, rhythm.RelayWait)
 		watched := s.queryPeer(ctx, candidates[0], wait+rhythm.RelayMargin, func() {},
 			func(ctx context.Context, f slipwick.Feed) (slipwick.FeedBatch, error) {
 				return f.Watch(ctx, after, wait)
