--- a/directory/follower.go
+++ b/directory/follower.go
@@ -144,7 +144,7 @@
 	if isRestored {
 		f.OnFellBack(f.position, batch)
 	}
-	isCurrent := batch.Age <= f.Rhythm.Age
+	isCurrent := batch.Age <= f.Rhythm.MaxAge
 	if isCurrent {
 		f.answeredAt = clock.Now()
 		f.OnAnswer(batch)
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -146,7 +146,7 @@
 		go follower.Run(ctx)
 		synctest.Wait()
 		store.fail(errors.New("down"))
-		other.grow(rhythm.Age + time.Second)
+		other.grow(rhythm.MaxAge + time.Second)
 		time.Sleep(2 * rhythm.WatchWait)
 		before := store.called()
 		answers.Store(0)
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -205,7 +205,7 @@
 		f.answered = true
 		return f
 	}
-	if err == nil && batch.Age <= s.Rhythm.orDefault().Age {
+	if err == nil && batch.Age <= s.Rhythm.orDefault().MaxAge {
 		f.batch, f.hasCopy, f.isCurrent, f.answered = batch, true, true, true
 		return f
 	}
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -14,10 +14,10 @@
 	// the answer may take, and the time limit of a list from another router. Together with a
 	// few lists and one call to the store they stay within the time allowed.
 	RelayWait, RelayMargin time.Duration
-	// Age is how old a current copy may be: the wait of the other router's own watch and the
+	// MaxAge is how old a current copy may be: the wait of the other router's own watch and the
 	// time to detect that the store does not answer. TurnStep is the delay between the turns in
 	// which routers ask the store in place of the watchers.
-	Age, TurnStep time.Duration
+	MaxAge, TurnStep time.Duration
 	// Gather is the pause after an answer with changes, so that changes in quick succession are
 	// delivered together.
 	Gather time.Duration
@@ -65,7 +65,7 @@
 		WatchMargin: share(marginShare),
 		RelayWait:   share(relayShare),
 		RelayMargin: share(relayMarginShare),
-		Age:         share(watchShare + marginShare + detectionShare),
+		MaxAge:      share(watchShare + marginShare + detectionShare),
 		TurnStep:    share(turnShare),
 		Gather:      share(batchDelayShare),
 		Outing:      share(peerBackoffShare),
--- a/directory/rhythm_test.go
+++ b/directory/rhythm_test.go
@@ -22,11 +22,11 @@
 		}
 		// A router that the store has fallen silent for still has a copy that
 		// counts as current; those that follow it list from the store after.
-		if got := r.Age + rest; got > within {
+		if got := r.MaxAge + rest; got > within {
 			t.Errorf("within %v: got %v for a copy that is current no more, want less", within, got)
 		}
-		if r.Age < r.WatchWait+r.WatchMargin {
-			t.Errorf("within %v: got %v for the age of a copy, want the wait of its watch at least", within, r.Age)
+		if r.MaxAge < r.WatchWait+r.WatchMargin {
+			t.Errorf("within %v: got %v for the age of a copy, want the wait of its watch at least", within, r.MaxAge)
 		}
 	}
 	if got, want := RhythmWithin(0), RhythmWithin(DefaultWithin); got != want {
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -181,7 +181,7 @@
 	if s.storeFailedAt.After(last) {
 		last = s.storeFailedAt
 	}
-	if since := clock.Since(last); since <= s.Rhythm.orDefault().Age {
+	if since := clock.Since(last); since <= s.Rhythm.orDefault().MaxAge {
 		return since
 	}
 	return 0
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -51,7 +51,7 @@
 	for name, fail := range map[string]func(*fakeFeed){
 		"hang":       func(f *fakeFeed) { f.hangs = true },
 		"refuse":     func(f *fakeFeed) { f.err = errors.New("refused") },
-		"lag":        func(f *fakeFeed) { f.age = rhythm.Age },
+		"lag":        func(f *fakeFeed) { f.age = rhythm.MaxAge },
 		"are unsure": func(f *fakeFeed) { f.Fail() },
 	} {
 		synctest.Test(t, func(t *testing.T) {
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -14,7 +14,7 @@
 	// startTurnDelay, and each further group startTurnStep later.
 	startTurnDelay = 500 * time.Millisecond
 	startTurnStep  = 250 * time.Millisecond
-	// checkFactor times Rhythm.Age is how long a router that acts in place of the watchers, or
+	// checkFactor times Rhythm.MaxAge is how long a router that acts in place of the watchers, or
 	// a watcher that avoids the store, stays so before it checks again.
 	checkFactor = 1.5
 )
@@ -35,7 +35,7 @@
 	if !answered {
 		return !s.confirmedAt.IsZero() || now.Sub(since) >= first
 	}
-	if place.Turn < 0 || now.Sub(s.triedAt) < rhythm.Age {
+	if place.Turn < 0 || now.Sub(s.triedAt) < rhythm.MaxAge {
 		return false
 	}
 	return now.Sub(since) >= first+time.Duration(place.Turn)*step
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	now := clock.Now()
 	watches, acting := place.Watches && now.After(s.avoidStoreUntil), s.acting
-	isDue := now.Sub(s.checkedAt) > time.Duration(checkFactor*float64(s.Rhythm.orDefault().Age))
+	isDue := now.Sub(s.checkedAt) > time.Duration(checkFactor*float64(s.Rhythm.orDefault().MaxAge))
 	if acting && isDue {
 		s.checkedAt = now
 	}
@@ -105,7 +105,7 @@
 	defer s.mu.Unlock()
 	s.acting = false
 	if othersReachIt {
-		s.avoidStoreUntil = clock.Now().Add(time.Duration(checkFactor * float64(s.Rhythm.orDefault().Age)))
+		s.avoidStoreUntil = clock.Now().Add(time.Duration(checkFactor * float64(s.Rhythm.orDefault().MaxAge)))
 		return
 	}
 	s.storeBackoff = min(max(2*s.storeBackoff, minBackoff), maxBackoff)
