--- a/directory/follower.go
+++ b/directory/follower.go
@@ -164,7 +164,7 @@
 		// called more often because of that. Once the store is back, a list answers at once.
 		f.waitBackoff(ctx)
 	case len(changes) > 0:
-		sleep(ctx, f.Rhythm.Gather)
+		sleep(ctx, f.Rhythm.BatchDelay)
 	}
 }
 
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -265,7 +265,7 @@
 		if got := store.called() - called; got > 20 {
 			t.Errorf("got %d calls for 40 changes in a second, want at most 20", got)
 		}
-		time.Sleep(rhythm.Gather)
+		time.Sleep(rhythm.BatchDelay)
 		if got, want := state(), []string{"a" + string(rune('A'+39))}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -18,9 +18,9 @@
 	// time to detect that the store does not answer. TurnStep is the delay between the turns in
 	// which routers ask the store in place of the watchers.
 	MaxAge, TurnStep time.Duration
-	// Gather is the pause after an answer with changes, so that changes in quick succession are
+	// BatchDelay is the pause after an answer with changes, so that changes in quick succession are
 	// delivered together.
-	Gather time.Duration
+	BatchDelay time.Duration
 	// Outing is how long a router that failed is not asked again.
 	Outing time.Duration
 	// List is the time limit of one list.
@@ -67,7 +67,7 @@
 		RelayMargin: share(relayMarginShare),
 		MaxAge:      share(watchShare + marginShare + detectionShare),
 		TurnStep:    share(turnShare),
-		Gather:      share(batchDelayShare),
+		BatchDelay:  share(batchDelayShare),
 		Outing:      share(peerBackoffShare),
 		List:        share(listShare),
 	}
