--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -73,7 +73,7 @@
 	}
 	var healthy []string
 	for _, id := range all {
-		if failed, ok := s.failedAt[id]; !ok || clock.Since(failed) > s.Rhythm.orDefault().Outing {
+		if failed, ok := s.failedAt[id]; !ok || clock.Since(failed) > s.Rhythm.orDefault().PeerBackoff {
 			healthy = append(healthy, id)
 		}
 	}
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -21,8 +21,8 @@
 	// BatchDelay is the pause after an answer with changes, so that changes in quick succession are
 	// delivered together.
 	BatchDelay time.Duration
-	// Outing is how long a router that failed is not asked again.
-	Outing time.Duration
+	// PeerBackoff is how long a router that failed is not asked again.
+	PeerBackoff time.Duration
 	// List is the time limit of one list.
 	List time.Duration
 }
@@ -68,7 +68,7 @@
 		MaxAge:      share(watchShare + marginShare + detectionShare),
 		TurnStep:    share(turnShare),
 		BatchDelay:  share(batchDelayShare),
-		Outing:      share(peerBackoffShare),
+		PeerBackoff: share(peerBackoffShare),
 		List:        share(listShare),
 	}
 }
