--- a/directory/follower.go
+++ b/directory/follower.go
@@ -18,7 +18,7 @@
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 	// maxUrgentBackoff is the upper bound instead of maxBackoff while the latest answer, or the
-	// start, is less than Rhythm.List ago: a router that starts serves no requests without a
+	// start, is less than Rhythm.ListTimeout ago: a router that starts serves no requests without a
 	// copy, and one that has just lost its source can still learn of changes in time.
 	maxUrgentBackoff = 200 * time.Millisecond
 )
@@ -173,7 +173,7 @@
 func (f *Follower[T]) waitBackoff(ctx context.Context) {
 	sleepJittered(ctx, f.backoff)
 	limit := maxBackoff
-	if clock.Since(f.answeredAt) < f.Rhythm.List {
+	if clock.Since(f.answeredAt) < f.Rhythm.ListTimeout {
 		limit = maxUrgentBackoff
 	}
 	f.backoff = min(2*f.backoff, limit)
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -191,7 +191,7 @@
 	defer timer.Stop()
 	var began atomic.Bool
 	hooked := withBeginHook(limited, func() {
-		timer.Reset(s.Rhythm.orDefault().List)
+		timer.Reset(s.Rhythm.orDefault().ListTimeout)
 		if !began.Swap(true) {
 			onBegin()
 		}
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -23,8 +23,8 @@
 	BatchDelay time.Duration
 	// PeerBackoff is how long a router that failed is not asked again.
 	PeerBackoff time.Duration
-	// List is the time limit of one list.
-	List time.Duration
+	// ListTimeout is the time limit of one list.
+	ListTimeout time.Duration
 }
 
 // The fields of a Rhythm as shares of the time allowed. A watch that ends in an outage, or the
@@ -69,7 +69,7 @@
 		TurnStep:    share(turnShare),
 		BatchDelay:  share(batchDelayShare),
 		PeerBackoff: share(peerBackoffShare),
-		List:        share(listShare),
+		ListTimeout: share(listShare),
 	}
 }
 
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -78,7 +78,7 @@
 // List lists from the store if this router follows it, else from other routers. Without a local
 // copy, a stale copy is returned if no current one is available.
 func (s *Shared) List(ctx context.Context) (slipwick.FeedBatch, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.Rhythm.orDefault().List)
+	ctx, cancel := context.WithTimeout(ctx, s.Rhythm.orDefault().ListTimeout)
 	defer cancel()
 	if found := s.awaitPeers(ctx); found.isCurrent {
 		return s.record(found.batch, nil)
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -63,7 +63,7 @@
 		place:        place,
 		retriesStore: repeats,
 		suffices:     suffices,
-		fromStore:    make(chan listResult, s.Rhythm.orDefault().List/storeRetryInterval+1),
+		fromStore:    make(chan listResult, s.Rhythm.orDefault().ListTimeout/storeRetryInterval+1),
 		fromPeers:    make(chan peerAnswer, 1),
 		progress:     make(chan struct{}, 1),
 	}
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -48,7 +48,7 @@
 	s.mu.Lock()
 	s.triedAt = clock.Now()
 	s.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, rhythm.List)
+	ctx, cancel := context.WithTimeout(ctx, rhythm.ListTimeout)
 	defer cancel()
 	answer := s.listStore(ctx, place, false, s.isUsable)
 	if answer.err != nil || !answer.fromStore {
