--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -65,7 +65,7 @@
 
 // rhythm is how long to wait for the store and other routers.
 func (b Bounds) rhythm() directory.Rhythm {
-	return directory.RhythmWithin(min(b.Apply, b.Leave))
+	return directory.TimingWithin(min(b.Apply, b.Leave))
 }
 
 // coldLimits gives the limits of the table's pools. Where backend servers do not enter
--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -21,7 +21,7 @@
 	if !p.followsEvacuations() {
 		return
 	}
-	rhythm := directory.RhythmWithin(p.Settings.Bounds.Evacuate)
+	rhythm := directory.TimingWithin(p.Settings.Bounds.Evacuate)
 	follower := directory.NewFollower[string](
 		p.shared(feedEvacuations, p.Feeds.Evacuations, rhythm), p.mirrors[feedEvacuations])
 	follower.Rhythm = rhythm
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -129,7 +129,7 @@
 func (p *fakePeers) Relay(id, _ string) slipwick.Feed { return p.relays[id] }
 
 // rhythm is the one that followers have by default.
-var rhythm = RhythmWithin(DefaultWithin)
+var rhythm = TimingWithin(DefaultWithin)
 
 // at is a position of a store that tells no timelines.
 func at(revision uint64) slipwick.Position {
--- a/directory/following_test.go
+++ b/directory/following_test.go
@@ -90,7 +90,7 @@
 			Store:  &storeOf{r},
 			Peers:  r,
 			Copy:   mirror,
-			Rhythm: RhythmWithin(fleetWithin),
+			Rhythm: TimingWithin(fleetWithin),
 		}
 		r.follower = NewFollower[string](shared, mirror)
 		r.follower.Rhythm = shared.Rhythm
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -162,7 +162,7 @@
 
 // followModel makes the follower of one kind of object.
 func followModel[T any](r *modelRouter, kind string, decode func(string, []byte) (T, error)) *Follower[T] {
-	rhythm := RhythmWithin(modelLeave)
+	rhythm := TimingWithin(modelLeave)
 	mirror := NewMirror()
 	r.served.Mirrors[kind] = mirror
 	follower := NewFollower[T](&Shared{
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -50,9 +50,9 @@
 	maxWithin     = 4 * time.Second
 )
 
-// RhythmWithin returns the wait times with which changes are known within the given time; 0
+// TimingWithin returns the wait times with which changes are known within the given time; 0
 // stands for DefaultWithin.
-func RhythmWithin(within time.Duration) Rhythm {
+func TimingWithin(within time.Duration) Rhythm {
 	if within <= 0 {
 		within = DefaultWithin
 	}
@@ -76,7 +76,7 @@
 // orDefault returns the default if r is the zero value, else r.
 func (r Rhythm) orDefault() Rhythm {
 	if r == (Rhythm{}) {
-		return RhythmWithin(DefaultWithin)
+		return TimingWithin(DefaultWithin)
 	}
 	return r
 }
--- a/directory/rhythm_test.go
+++ b/directory/rhythm_test.go
@@ -12,7 +12,7 @@
 // has to suffice for one call more.
 func TestRhythmFitsTheTimeAllowed(t *testing.T) {
 	for _, within := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
-		r := RhythmWithin(within)
+		r := TimingWithin(within)
 		rest := within / 5
 		if got := r.WatchWait + r.WatchMargin + rest; got > within {
 			t.Errorf("within %v: got %v for a silent store, want less", within, got)
@@ -29,7 +29,7 @@
 			t.Errorf("within %v: got %v for the age of a copy, want the wait of its watch at least", within, r.MaxAge)
 		}
 	}
-	if got, want := RhythmWithin(0), RhythmWithin(DefaultWithin); got != want {
+	if got, want := TimingWithin(0), TimingWithin(DefaultWithin); got != want {
 		t.Errorf("without a bound: got %v, want %v", got, want)
 	}
 }
