--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -64,7 +64,7 @@
 }
 
 // rhythm is how long to wait for the store and other routers.
-func (b Bounds) rhythm() directory.Rhythm {
+func (b Bounds) rhythm() directory.Timing {
 	return directory.TimingWithin(min(b.Apply, b.Leave))
 }
 
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -26,7 +26,7 @@
 )
 
 // shared gives a feed as the fleet shares it.
-func (p *Process) shared(name string, store slipwick.Feed, rhythm directory.Rhythm) slipwick.Feed {
+func (p *Process) shared(name string, store slipwick.Feed, rhythm directory.Timing) slipwick.Feed {
 	if p.Feeds.Private {
 		return store
 	}
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -18,7 +18,7 @@
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
 	// maxUrgentBackoff is the upper bound instead of maxBackoff while the latest answer, or the
-	// start, is less than Rhythm.ListTimeout ago: a router that starts serves no requests without a
+	// start, is less than Timing.ListTimeout ago: a router that starts serves no requests without a
 	// copy, and one that has just lost its source can still learn of changes in time.
 	maxUrgentBackoff = 200 * time.Millisecond
 )
@@ -38,7 +38,7 @@
 	Feed   slipwick.Feed
 	Mirror *Mirror
 	// Rhythm has the wait times; the zero value stands for the default.
-	Rhythm Rhythm
+	Rhythm Timing
 	// Decode decodes one object.
 	Decode func(name string, value []byte) (T, error)
 	// Outdated reports whether a received object is an earlier state than the known one. Such
--- a/directory/rhythm.go
+++ b/directory/rhythm.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Rhythm has the wait times of calls between routers and to the store. They are chosen so that
+// Timing has the wait times of calls between routers and to the store. They are chosen so that
 // every router learns of a change within the time allowed, even if a router on the way has
 // stopped answering.
-type Rhythm struct {
+type Timing struct {
 	// WatchWait is how long a watch of the store waits, WatchMargin how much longer its answer may take.
 	// An unresponsive store is detected early enough for the routers that follow this one.
 	WatchWait, WatchMargin time.Duration
@@ -27,7 +27,7 @@
 	ListTimeout time.Duration
 }
 
-// The fields of a Rhythm as shares of the time allowed. A watch that ends in an outage, or the
+// The fields of a Timing as shares of the time allowed. A watch that ends in an outage, or the
 // age of a current copy, fits into it together with a list from the store over a slow link.
 const (
 	watchShare       = 0.4
@@ -52,7 +52,7 @@
 
 // TimingWithin returns the wait times with which changes are known within the given time; 0
 // stands for DefaultWithin.
-func TimingWithin(within time.Duration) Rhythm {
+func TimingWithin(within time.Duration) Timing {
 	if within <= 0 {
 		within = DefaultWithin
 	}
@@ -60,7 +60,7 @@
 	share := func(of float64) time.Duration {
 		return time.Duration(of * float64(within))
 	}
-	return Rhythm{
+	return Timing{
 		WatchWait:   share(watchShare),
 		WatchMargin: share(marginShare),
 		RelayWait:   share(relayShare),
@@ -74,8 +74,8 @@
 }
 
 // orDefault returns the default if r is the zero value, else r.
-func (r Rhythm) orDefault() Rhythm {
-	if r == (Rhythm{}) {
+func (r Timing) orDefault() Timing {
+	if r == (Timing{}) {
 		return TimingWithin(DefaultWithin)
 	}
 	return r
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -39,7 +39,7 @@
 	// from it where possible. If nil, they are asked for whole lists.
 	Copy *Mirror
 	// Rhythm has the wait times; the zero value stands for the default.
-	Rhythm Rhythm
+	Rhythm Timing
 
 	mu       sync.Mutex
 	failedAt map[string]time.Time
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -14,7 +14,7 @@
 	// startTurnDelay, and each further group startTurnStep later.
 	startTurnDelay = 500 * time.Millisecond
 	startTurnStep  = 250 * time.Millisecond
-	// checkFactor times Rhythm.MaxAge is how long a router that acts in place of the watchers, or
+	// checkFactor times Timing.MaxAge is how long a router that acts in place of the watchers, or
 	// a watcher that avoids the store, stays so before it checks again.
 	checkFactor = 1.5
 )
