--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -24,7 +24,7 @@
 	rhythm := directory.TimingWithin(p.Settings.Bounds.Evacuate)
 	follower := directory.NewFollower[string](
 		p.shared(feedEvacuations, p.Feeds.Evacuations, rhythm), p.mirrors[feedEvacuations])
-	follower.Rhythm = rhythm
+	follower.Timing = rhythm
 	follower.Decode = p.Feeds.DecodeEvacuation
 	follower.OnInvalid = p.foreign.of(feedEvacuations)
 	dependency := p.newDependency(feedEvacuations)
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -43,7 +43,7 @@
 func (p *Process) followTables(ctx context.Context) {
 	rhythm := p.Settings.Bounds.rhythm()
 	follower := directory.NewFollower[*routing.Table](p.shared(feedTables, p.Feeds.Tables, rhythm), p.mirrors[feedTables])
-	follower.Rhythm = rhythm
+	follower.Timing = rhythm
 	follower.Decode = p.Feeds.DecodeTable
 	follower.OnInvalid = p.foreign.of(feedTables)
 	dependency := p.newDependency(feedTables)
@@ -69,7 +69,7 @@
 	rhythm := p.Settings.Bounds.rhythm()
 	follower := directory.NewFollower[balance.Entry](
 		p.shared(feedBackends, p.Feeds.Backends, rhythm), p.mirrors[feedBackends])
-	follower.Rhythm = rhythm
+	follower.Timing = rhythm
 	follower.Decode = p.Feeds.DecodeBackend
 	follower.OnInvalid = p.foreign.of(feedBackends)
 	follower.OnChange = p.backends.Change
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -67,7 +67,7 @@
 	rhythm := p.Settings.Bounds.rhythm()
 	follower := directory.NewFollower[rollout.Order](
 		p.shared(feedRollouts, p.Feeds.Rollouts, rhythm), p.mirrors[feedRollouts])
-	follower.Rhythm = rhythm
+	follower.Timing = rhythm
 	follower.Decode = p.Feeds.DecodeRollout
 	follower.OnInvalid = p.foreign.of(feedRollouts)
 	dependency := p.newDependency(feedRollouts)
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -37,8 +37,8 @@
 type Follower[T any] struct {
 	Feed   slipwick.Feed
 	Mirror *Mirror
-	// Rhythm has the wait times; the zero value stands for the default.
-	Rhythm Timing
+	// Timing has the wait times; the zero value stands for the default.
+	Timing Timing
 	// Decode decodes one object.
 	Decode func(name string, value []byte) (T, error)
 	// Outdated reports whether a received object is an earlier state than the known one. Such
@@ -105,7 +105,7 @@
 // Run follows the feed until ctx ends. Call it once.
 func (f *Follower[T]) Run(ctx context.Context) {
 	defer close(f.done)
-	f.Rhythm = f.Rhythm.orDefault()
+	f.Timing = f.Timing.orDefault()
 	f.watched, f.backoff, f.answeredAt = true, minBackoff, clock.Now()
 	for {
 		batch, err := f.callFeed(ctx)
@@ -144,7 +144,7 @@
 	if isRestored {
 		f.OnFellBack(f.position, batch)
 	}
-	isCurrent := batch.Age <= f.Rhythm.MaxAge
+	isCurrent := batch.Age <= f.Timing.MaxAge
 	if isCurrent {
 		f.answeredAt = clock.Now()
 		f.OnAnswer(batch)
@@ -164,7 +164,7 @@
 		// called more often because of that. Once the store is back, a list answers at once.
 		f.waitBackoff(ctx)
 	case len(changes) > 0:
-		sleep(ctx, f.Rhythm.BatchDelay)
+		sleep(ctx, f.Timing.BatchDelay)
 	}
 }
 
@@ -173,7 +173,7 @@
 func (f *Follower[T]) waitBackoff(ctx context.Context) {
 	sleepJittered(ctx, f.backoff)
 	limit := maxBackoff
-	if clock.Since(f.answeredAt) < f.Rhythm.ListTimeout {
+	if clock.Since(f.answeredAt) < f.Timing.ListTimeout {
 		limit = maxUrgentBackoff
 	}
 	f.backoff = min(2*f.backoff, limit)
@@ -186,7 +186,7 @@
 	clock.Notice()
 	slept := clock.Slept()
 	if f.listed {
-		batch, err = f.Feed.Watch(ctx, f.position, f.Rhythm.WatchWait)
+		batch, err = f.Feed.Watch(ctx, f.position, f.Timing.WatchWait)
 	} else {
 		batch, err = f.Feed.List(ctx)
 	}
--- a/directory/following_test.go
+++ b/directory/following_test.go
@@ -93,7 +93,7 @@
 			Rhythm: TimingWithin(fleetWithin),
 		}
 		r.follower = NewFollower[string](shared, mirror)
-		r.follower.Rhythm = shared.Rhythm
+		r.follower.Timing = shared.Rhythm
 		r.follower.Decode = func(_ string, value []byte) (string, error) { return string(value), nil }
 		r.follower.OnChange = func(changes []Change[string]) {
 			r.mu.Lock()
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -175,7 +175,7 @@
 		Copy:   mirror,
 		Rhythm: rhythm,
 	}, mirror)
-	follower.Rhythm = rhythm
+	follower.Timing = rhythm
 	follower.Decode = decode
 	r.done = append(r.done, follower.Done())
 	return follower
