--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -35,7 +35,7 @@
 		Store:  store,
 		Peers:  p.peers,
 		Copy:   p.mirrors[name],
-		Rhythm: rhythm,
+		Timing: rhythm,
 	}
 }
 
--- a/directory/following_test.go
+++ b/directory/following_test.go
@@ -90,10 +90,10 @@
 			Store:  &storeOf{r},
 			Peers:  r,
 			Copy:   mirror,
-			Rhythm: TimingWithin(fleetWithin),
+			Timing: TimingWithin(fleetWithin),
 		}
 		r.follower = NewFollower[string](shared, mirror)
-		r.follower.Timing = shared.Rhythm
+		r.follower.Timing = shared.Timing
 		r.follower.Decode = func(_ string, value []byte) (string, error) { return string(value), nil }
 		r.follower.OnChange = func(changes []Change[string]) {
 			r.mu.Lock()
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -173,7 +173,7 @@
 		},
 		Peers:  r,
 		Copy:   mirror,
-		Rhythm: rhythm,
+		Timing: rhythm,
 	}, mirror)
 	follower.Timing = rhythm
 	follower.Decode = decode
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -73,7 +73,7 @@
 	}
 	var healthy []string
 	for _, id := range all {
-		if failed, ok := s.failedAt[id]; !ok || clock.Since(failed) > s.Rhythm.orDefault().PeerBackoff {
+		if failed, ok := s.failedAt[id]; !ok || clock.Since(failed) > s.Timing.orDefault().PeerBackoff {
 			healthy = append(healthy, id)
 		}
 	}
@@ -191,7 +191,7 @@
 	defer timer.Stop()
 	var began atomic.Bool
 	hooked := withBeginHook(limited, func() {
-		timer.Reset(s.Rhythm.orDefault().ListTimeout)
+		timer.Reset(s.Timing.orDefault().ListTimeout)
 		if !began.Swap(true) {
 			onBegin()
 		}
@@ -205,7 +205,7 @@
 		f.answered = true
 		return f
 	}
-	if err == nil && batch.Age <= s.Rhythm.orDefault().MaxAge {
+	if err == nil && batch.Age <= s.Timing.orDefault().MaxAge {
 		f.batch, f.hasCopy, f.isCurrent, f.answered = batch, true, true, true
 		return f
 	}
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -38,8 +38,8 @@
 	// Copy is the local copy: other routers and the store are then asked for the difference
 	// from it where possible. If nil, they are asked for whole lists.
 	Copy *Mirror
-	// Rhythm has the wait times; the zero value stands for the default.
-	Rhythm Timing
+	// Timing has the wait times; the zero value stands for the default.
+	Timing Timing
 
 	mu       sync.Mutex
 	failedAt map[string]time.Time
@@ -78,7 +78,7 @@
 // List lists from the store if this router follows it, else from other routers. Without a local
 // copy, a stale copy is returned if no current one is available.
 func (s *Shared) List(ctx context.Context) (slipwick.FeedBatch, error) {
-	ctx, cancel := context.WithTimeout(ctx, s.Rhythm.orDefault().ListTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.Timing.orDefault().ListTimeout)
 	defer cancel()
 	if found := s.awaitPeers(ctx); found.isCurrent {
 		return s.record(found.batch, nil)
@@ -181,7 +181,7 @@
 	if s.storeFailedAt.After(last) {
 		last = s.storeFailedAt
 	}
-	if since := clock.Since(last); since <= s.Rhythm.orDefault().MaxAge {
+	if since := clock.Since(last); since <= s.Timing.orDefault().MaxAge {
 		return since
 	}
 	return 0
@@ -200,7 +200,7 @@
 		return s.record(batch, err)
 	}
 	s.stopActing(err)
-	found := s.listPeers(ctx, s.candidates(&place), s.Rhythm.orDefault().RelayMargin)
+	found := s.listPeers(ctx, s.candidates(&place), s.Timing.orDefault().RelayMargin)
 	s.avoidStore(s.isFresher(&found))
 	if !s.isUsable(&found) {
 		return slipwick.FeedBatch{}, err
@@ -215,7 +215,7 @@
 func (s *Shared) watchPeers(
 	ctx context.Context, place *fleet.Place, after slipwick.Position,
 ) (slipwick.FeedBatch, error) {
-	rhythm := s.Rhythm.orDefault()
+	rhythm := s.Timing.orDefault()
 	candidates := s.candidates(place)
 	answered, isLoading := false, false
 	if len(candidates) > 0 {
@@ -275,7 +275,7 @@
 // newsMargin returns by how much a copy has to be confirmed later than the local one to count
 // as fresher.
 func (s *Shared) newsMargin() time.Duration {
-	return time.Duration(newsMarginShare * float64(s.Rhythm.orDefault().WatchWait))
+	return time.Duration(newsMarginShare * float64(s.Timing.orDefault().WatchWait))
 }
 
 // isUsable reports whether to continue with the current copy of a router that this one does not
@@ -288,7 +288,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maxAge, now := s.Rhythm.orDefault().WatchWait, clock.Now()
+	maxAge, now := s.Timing.orDefault().WatchWait, clock.Now()
 	switch {
 	case s.position.Before(f.batch.Position()):
 		return true
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -63,7 +63,7 @@
 		place:        place,
 		retriesStore: repeats,
 		suffices:     suffices,
-		fromStore:    make(chan listResult, s.Rhythm.orDefault().ListTimeout/storeRetryInterval+1),
+		fromStore:    make(chan listResult, s.Timing.orDefault().ListTimeout/storeRetryInterval+1),
 		fromPeers:    make(chan peerAnswer, 1),
 		progress:     make(chan struct{}, 1),
 	}
@@ -179,7 +179,7 @@
 func (s *Shared) watchStore(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+s.Rhythm.orDefault().WatchMargin)
+	ctx, cancel := context.WithTimeout(ctx, wait+s.Timing.orDefault().WatchMargin)
 	defer cancel()
 	if s.isStoreFailing() {
 		return s.fromStore(ctx)
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -26,7 +26,7 @@
 func (s *Shared) mayTakeOver(place *fleet.Place, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rhythm := s.Rhythm.orDefault()
+	rhythm := s.Timing.orDefault()
 	since, first, step := s.confirmedAt, rhythm.WatchWait+rhythm.WatchMargin, rhythm.TurnStep
 	if since.IsZero() {
 		since, first, step = s.startedAt, startTurnDelay, startTurnStep
@@ -44,7 +44,7 @@
 // takeOver lists from the store in place of the watchers, unless one of them gets a current
 // copy in the meantime.
 func (s *Shared) takeOver(ctx context.Context, place *fleet.Place) (slipwick.FeedBatch, error) {
-	rhythm := s.Rhythm.orDefault()
+	rhythm := s.Timing.orDefault()
 	s.mu.Lock()
 	s.triedAt = clock.Now()
 	s.mu.Unlock()
@@ -66,7 +66,7 @@
 	s.mu.Lock()
 	now := clock.Now()
 	watches, acting := place.Watches && now.After(s.avoidStoreUntil), s.acting
-	isDue := now.Sub(s.checkedAt) > time.Duration(checkFactor*float64(s.Rhythm.orDefault().MaxAge))
+	isDue := now.Sub(s.checkedAt) > time.Duration(checkFactor*float64(s.Timing.orDefault().MaxAge))
 	if acting && isDue {
 		s.checkedAt = now
 	}
@@ -105,7 +105,7 @@
 	defer s.mu.Unlock()
 	s.acting = false
 	if othersReachIt {
-		s.avoidStoreUntil = clock.Now().Add(time.Duration(checkFactor * float64(s.Rhythm.orDefault().MaxAge)))
+		s.avoidStoreUntil = clock.Now().Add(time.Duration(checkFactor * float64(s.Timing.orDefault().MaxAge)))
 		return
 	}
 	s.storeBackoff = min(max(2*s.storeBackoff, minBackoff), maxBackoff)
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -128,7 +128,7 @@
 				},
 				order: []string{"asleep"},
 			},
-			Rhythm: rhythm,
+			Timing: rhythm,
 		}
 		state, stop := follow(t, shared)
 		defer stop()
