--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -30,7 +30,7 @@
 	dependency := p.newDependency(feedEvacuations)
 	follower.OnError, follower.OnAnswer = dependency.failed, dependency.answered
 	evacuated := directory.NewEvacuations(p.Settings.Bounds.Evacuate, p.setEvacuated)
-	follower.OnFellBack = func(known slipwick.Position, batch *slipwick.FeedBatch) {
+	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
 		evacuated.FellBack(batch.Steady)
 		dependency.fellBack(known, batch)
 	}
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -48,7 +48,7 @@
 	follower.OnInvalid = p.foreign.of(feedTables)
 	dependency := p.newDependency(feedTables)
 	follower.OnError, follower.OnAnswer = dependency.failed, dependency.answered
-	follower.OnFellBack = dependency.fellBack
+	follower.OnStoreRestored = dependency.fellBack
 	follower.Outdated = func(known, told *routing.Table) bool { return told.Version < known.Version }
 	follower.OnChange = func(changes []directory.Change[*routing.Table]) {
 		for _, c := range changes {
@@ -78,7 +78,7 @@
 		p.backends.Answered(batch.Age, batch.Steady)
 		dependency.answered(batch)
 	}
-	follower.OnFellBack = func(known slipwick.Position, batch *slipwick.FeedBatch) {
+	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
 		p.backends.FellBack(batch.Age, batch.Steady)
 		dependency.fellBack(known, batch)
 	}
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -71,7 +71,7 @@
 	follower.Decode = p.Feeds.DecodeRollout
 	follower.OnInvalid = p.foreign.of(feedRollouts)
 	dependency := p.newDependency(feedRollouts)
-	follower.OnError, follower.OnFellBack = dependency.failed, dependency.fellBack
+	follower.OnError, follower.OnStoreRestored = dependency.failed, dependency.fellBack
 	isFirst, asOf := true, time.Time{}
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) {
 		dependency.answered(batch)
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -55,10 +55,10 @@
 	// failure of the store. With a nil reason it reports that the object can be decoded again
 	// or was removed.
 	OnInvalid func(name string, reason error)
-	// OnFellBack is called with the first answer of a store that was restored from a backup,
+	// OnStoreRestored is called with the first answer of a store that was restored from a backup,
 	// before OnAnswer and OnChange. Writes that the store had acknowledged may be missing until
 	// their writers repeat them.
-	OnFellBack func(known slipwick.Position, batch *slipwick.FeedBatch)
+	OnStoreRestored func(known slipwick.Position, batch *slipwick.FeedBatch)
 	// OnAnswer is called with each answer that is current, whether it came from the store or
 	// through another router, before its changes are delivered.
 	OnAnswer func(*slipwick.FeedBatch)
@@ -88,8 +88,8 @@
 
 		OnInvalid: func(string, error) {},
 
-		OnFellBack: func(slipwick.Position, *slipwick.FeedBatch) {},
-		OnAnswer:   func(*slipwick.FeedBatch) {},
+		OnStoreRestored: func(slipwick.Position, *slipwick.FeedBatch) {},
+		OnAnswer:        func(*slipwick.FeedBatch) {},
 
 		latest:  make(map[string]T),
 		decoded: make(map[string]decodeResult[T]),
@@ -142,7 +142,7 @@
 func (f *Follower[T]) handleBatch(ctx context.Context, batch *slipwick.FeedBatch) {
 	isRestored := batch.Timeline > f.position.Timeline && f.position.Timeline != 0
 	if isRestored {
-		f.OnFellBack(f.position, batch)
+		f.OnStoreRestored(f.position, batch)
 	}
 	isCurrent := batch.Age <= f.Timing.MaxAge
 	if isCurrent {
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -149,7 +149,7 @@
 func (r *modelRouter) follow() {
 	backends := followModel(r, modelBackends, decodeModelServer)
 	backends.OnAnswer = func(batch *slipwick.FeedBatch) { r.backends.Answered(batch.Age, batch.Steady) }
-	backends.OnFellBack = func(_ slipwick.Position, batch *slipwick.FeedBatch) {
+	backends.OnStoreRestored = func(_ slipwick.Position, batch *slipwick.FeedBatch) {
 		r.backends.FellBack(batch.Age, batch.Steady)
 	}
 	backends.OnError = func(error) { r.backends.Failed() }
