--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -79,7 +79,7 @@
 		dependency.answered(batch)
 	}
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
-		p.backends.FellBack(batch.Age, batch.Steady)
+		p.backends.StoreRestored(batch.Age, batch.Steady)
 		dependency.fellBack(known, batch)
 	}
 	follower.OnError = func(err error) {
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -150,7 +150,7 @@
 	backends := followModel(r, modelBackends, decodeModelServer)
 	backends.OnAnswer = func(batch *slipwick.FeedBatch) { r.backends.Answered(batch.Age, batch.Steady) }
 	backends.OnStoreRestored = func(_ slipwick.Position, batch *slipwick.FeedBatch) {
-		r.backends.FellBack(batch.Age, batch.Steady)
+		r.backends.StoreRestored(batch.Age, batch.Steady)
 	}
 	backends.OnError = func(error) { r.backends.Failed() }
 	backends.OnChange = r.backends.Change
