--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -31,7 +31,7 @@
 	follower.OnError, follower.OnAnswer = dependency.failed, dependency.answered
 	evacuated := directory.NewEvacuations(p.Settings.Bounds.Evacuate, p.setEvacuated)
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
-		evacuated.FellBack(batch.Steady)
+		evacuated.StoreRestored(batch.Steady)
 		dependency.fellBack(known, batch)
 	}
 	isFirst := true
--- a/directory/evacuations.go
+++ b/directory/evacuations.go
@@ -36,12 +36,12 @@
 	}
 }
 
-// FellBack starts a grace period after the store was restored from a backup; steady is how long
+// StoreRestored starts a grace period after the store was restored from a backup; steady is how long
 // ago the fleet noticed the restore. An evacuation that the backup lacks may not have been
 // ended but be about to be written again, so it stays in force for the time in which routers
 // have to follow its end. To send no requests to a data centre for that long costs less than to
 // send some to one that has to be empty.
-func (e *Evacuations) FellBack(steady time.Duration) {
+func (e *Evacuations) StoreRestored(steady time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	within := e.Within - steady
--- a/directory/evacuations_test.go
+++ b/directory/evacuations_test.go
@@ -43,7 +43,7 @@
 		put("c", false)
 		put("c", true)
 		expect("one taken back", "dc-a", "dc-b")
-		e.FellBack(time.Second)
+		e.StoreRestored(time.Second)
 		put("a", true)
 		put("b", true)
 		expect("on the store's return", "dc-a", "dc-b")
