--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -30,7 +30,7 @@
 	if p.Feeds.Private {
 		return store
 	}
-	return &directory.Shared{
+	return &directory.SharedFeed{
 		Name:   name,
 		Store:  store,
 		Peers:  p.peers,
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -127,7 +127,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
 		other := newFakeFeed(batch(1, true, "a1"))
-		shared := &Shared{
+		shared := &SharedFeed{
 			Name:  "backends",
 			Store: store,
 			Peers: &fakePeers{
@@ -178,7 +178,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			store := newFakeFeed(batch(1, true, "a1"))
 			store.hang(true)
-			state, stop := follow(t, &Shared{
+			state, stop := follow(t, &SharedFeed{
 				Store: store,
 				Peers: &fakePeers{
 					watches: true,
@@ -200,7 +200,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
 		store.slow = 3 * storeRetryInterval / 2
-		state, stop := follow(t, &Shared{
+		state, stop := follow(t, &SharedFeed{
 			Store: store,
 			Peers: &fakePeers{
 				watches: true,
--- a/directory/following_test.go
+++ b/directory/following_test.go
@@ -85,7 +85,7 @@
 		f.members = append(f.members, r.self)
 		f.byID[r.self.ID] = r
 		mirror := NewMirror()
-		shared := &Shared{
+		shared := &SharedFeed{
 			Name:   "feed",
 			Store:  &storeOf{r},
 			Peers:  r,
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -165,7 +165,7 @@
 	rhythm := TimingWithin(modelLeave)
 	mirror := NewMirror()
 	r.served.Mirrors[kind] = mirror
-	follower := NewFollower[T](&Shared{
+	follower := NewFollower[T](&SharedFeed{
 		Name: kind,
 		Store: &reachedStore{
 			router: r,
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -31,12 +31,12 @@
 // then the reserves, both without those that failed lately unless all did; then some random
 // ones. The preferred ones may all be cut off from the store while others reach it. A router
 // that finds one of these by chance is in turn found by others.
-func (s *Shared) candidates(place *fleet.Place) []string {
+func (s *SharedFeed) candidates(place *fleet.Place) []string {
 	return s.withRandomPeers(s.preferredPeers(place))
 }
 
 // withRandomPeers appends routers drawn at random from all others.
-func (s *Shared) withRandomPeers(ids []string) []string {
+func (s *SharedFeed) withRandomPeers(ids []string) []string {
 	others := slices.Clone(s.Peers.Others())
 	for added := 0; added < randomPeers && len(others) > 0; {
 		i := rand.IntN(len(others))
@@ -51,7 +51,7 @@
 }
 
 // preferredPeers returns the routers that this one's position in the relay tree names.
-func (s *Shared) preferredPeers(place *fleet.Place) []string {
+func (s *SharedFeed) preferredPeers(place *fleet.Place) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.keepsTurn {
@@ -93,7 +93,7 @@
 // listPeers lists from the routers in order, each limited by the timeout, until one returns a
 // current copy; otherwise it returns a stale one if there is any. While a response is being
 // received no further router is asked, because a large list takes the capacity of the link.
-func (s *Shared) listPeers(ctx context.Context, ids []string, patience time.Duration) peerAnswer {
+func (s *SharedFeed) listPeers(ctx context.Context, ids []string, patience time.Duration) peerAnswer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers, begins := make(chan peerAnswer, len(ids)), make(chan struct{}, len(ids))
@@ -150,7 +150,7 @@
 
 // fetchFrom reads from another router's feed what differs from the local copy, or all of it if
 // there is none.
-func (s *Shared) fetchFrom(ctx context.Context, feed slipwick.Feed) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) fetchFrom(ctx context.Context, feed slipwick.Feed) (slipwick.FeedBatch, error) {
 	if s.Copy == nil {
 		return feed.List(ctx)
 	}
@@ -182,7 +182,7 @@
 
 // queryPeer calls the feed of another router. Its response has to begin within limit, at which
 // onBegin is called; the rest may take as long as a list.
-func (s *Shared) queryPeer(ctx context.Context, id string, limit time.Duration, onBegin func(),
+func (s *SharedFeed) queryPeer(ctx context.Context, id string, limit time.Duration, onBegin func(),
 	call func(context.Context, slipwick.Feed) (slipwick.FeedBatch, error),
 ) peerAnswer {
 	limited, cancel := context.WithCancel(ctx)
@@ -226,14 +226,14 @@
 }
 
 // isSuperseded reports whether a copy is of an earlier timeline than the known one.
-func (s *Shared) isSuperseded(batch *slipwick.FeedBatch) bool {
+func (s *SharedFeed) isSuperseded(batch *slipwick.FeedBatch) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return isLater(s.position.Timeline, batch.Timeline)
 }
 
 // markFailed excludes a router from the candidates for a while, unless all have failed.
-func (s *Shared) markFailed(id string) {
+func (s *SharedFeed) markFailed(id string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.failedAt == nil {
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -26,12 +26,12 @@
 	newsMarginShare = 0.25
 )
 
-// Shared is a feed that a few routers of the fleet read from the store and all others from the
+// SharedFeed is a feed that a few routers of the fleet read from the store and all others from the
 // copies of these routers, so that the load on the store does not grow with the fleet. A router
 // whose peers fail asks other ones. It reads from the store in place of the watchers if all
 // peers lack a current copy and its turn has come, or if no peer answers. Set the exported
 // fields before use.
-type Shared struct {
+type SharedFeed struct {
 	Name  string
 	Store slipwick.Feed
 	Peers Peers
@@ -73,11 +73,11 @@
 	storeFailing  bool
 }
 
-var _ slipwick.Feed = (*Shared)(nil)
+var _ slipwick.Feed = (*SharedFeed)(nil)
 
 // List lists from the store if this router follows it, else from other routers. Without a local
 // copy, a stale copy is returned if no current one is available.
-func (s *Shared) List(ctx context.Context) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.Timing.orDefault().ListTimeout)
 	defer cancel()
 	if found := s.awaitPeers(ctx); found.isCurrent {
@@ -108,14 +108,14 @@
 }
 
 // isEmpty reports whether this router has had no copy yet.
-func (s *Shared) isEmpty() bool {
+func (s *SharedFeed) isEmpty() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.position.IsZero()
 }
 
 // markStarted starts the wait for this router's turn at the store, at the first call.
-func (s *Shared) markStarted() {
+func (s *SharedFeed) markStarted() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.startedAt.IsZero() {
@@ -126,7 +126,7 @@
 // awaitPeers blocks, at the first list, until this router has discovered the others. Which
 // routers it follows depends on them; with only a few known it would often conclude that it has
 // to ask the store itself. In the meantime it asks the known ones for a current copy.
-func (s *Shared) awaitPeers(ctx context.Context) peerAnswer {
+func (s *SharedFeed) awaitPeers(ctx context.Context) peerAnswer {
 	s.mu.Lock()
 	isFirst := s.startedAt.IsZero()
 	s.mu.Unlock()
@@ -154,7 +154,7 @@
 }
 
 // record updates confirmedAt and position from an answer.
-func (s *Shared) record(batch slipwick.FeedBatch, err error) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) record(batch slipwick.FeedBatch, err error) (slipwick.FeedBatch, error) {
 	if err != nil {
 		return slipwick.FeedBatch{}, err
 	}
@@ -176,7 +176,7 @@
 // stableForLocked returns for how long the store is known not to have been restored from a
 // backup. The restore cannot be earlier than the last time at which the store was confirmed in
 // the known timeline, or failed. It returns 0 if that is too long ago to tell.
-func (s *Shared) stableForLocked() time.Duration {
+func (s *SharedFeed) stableForLocked() time.Duration {
 	last := s.confirmedAt
 	if s.storeFailedAt.After(last) {
 		last = s.storeFailedAt
@@ -189,7 +189,7 @@
 
 // Watch waits for changes at the store if this router follows it, else at another router. If
 // the store fails, it returns a current copy of another router if there is one.
-func (s *Shared) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	place := s.Peers.Place()
 	if !s.usesStore(ctx, &place) {
 		return s.watchPeers(ctx, &place, after)
@@ -212,7 +212,7 @@
 // routers instead of watching them: time has been lost, and a watch brings every version since
 // the position, which a slow link may not carry in time when versions follow each other
 // quickly. A list has the newest version only.
-func (s *Shared) watchPeers(
+func (s *SharedFeed) watchPeers(
 	ctx context.Context, place *fleet.Place, after slipwick.Position,
 ) (slipwick.FeedBatch, error) {
 	rhythm := s.Timing.orDefault()
@@ -246,7 +246,7 @@
 // setKeepsTurn makes the next call use the same peer again if the peer's copy is overdue. An
 // overdue peer is itself waiting for a silent router and will soon have found another one. The
 // next peer in rotation may be that silent router.
-func (s *Shared) setKeepsTurn(overdue bool) {
+func (s *SharedFeed) setKeepsTurn(overdue bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.keepsTurn = overdue
@@ -255,7 +255,7 @@
 // retryAllPeersLocked clears the back-off of all failed peers, once for each value of
 // confirmedAt. No peer knows more than this router then, and those without a current copy a
 // moment ago may be the first to have one.
-func (s *Shared) retryAllPeersLocked() {
+func (s *SharedFeed) retryAllPeersLocked() {
 	if s.retriedAllFor.Equal(s.confirmedAt) {
 		return
 	}
@@ -266,7 +266,7 @@
 // isFresher reports whether a current copy was confirmed later than the local one, which proves
 // that the store answers other routers. A copy from before the store stopped answering here
 // proves nothing; if it counted, all routers would wait for each other.
-func (s *Shared) isFresher(f *peerAnswer) bool {
+func (s *SharedFeed) isFresher(f *peerAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return f.isCurrent && clock.Now().Add(-f.batch.Age).After(s.confirmedAt.Add(s.newsMargin()))
@@ -274,7 +274,7 @@
 
 // newsMargin returns by how much a copy has to be confirmed later than the local one to count
 // as fresher.
-func (s *Shared) newsMargin() time.Duration {
+func (s *SharedFeed) newsMargin() time.Duration {
 	return time.Duration(newsMarginShare * float64(s.Timing.orDefault().WatchWait))
 }
 
@@ -282,7 +282,7 @@
 // follow. Copies are confirmed with every round of watches; one that is older comes from a
 // router that is itself waiting for a silent one. When the store stops answering, other routers
 // have what they knew before for a while; returning that again is useful, but with a pause.
-func (s *Shared) isUsable(f *peerAnswer) bool {
+func (s *SharedFeed) isUsable(f *peerAnswer) bool {
 	if !f.isCurrent {
 		return false
 	}
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -12,7 +12,7 @@
 
 // newShared makes a router that follows routers r1 and r2 rather than the
 // store.
-func newShared() (shared *Shared, store *fakeFeed, peers *fakePeers) {
+func newShared() (shared *SharedFeed, store *fakeFeed, peers *fakePeers) {
 	store = newFakeFeed(batch(1, true, "a1"))
 	peers = &fakePeers{
 		relays: map[string]*fakeFeed{
@@ -21,7 +21,7 @@
 		},
 		order: []string{"r1", "r2"},
 	}
-	return &Shared{
+	return &SharedFeed{
 		Store: store,
 		Peers: peers,
 	}, store, peers
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -33,7 +33,7 @@
 // storeList is a running list from the store, which falls back to other routers if the store
 // fails or is slow.
 type storeList struct {
-	shared *Shared
+	shared *SharedFeed
 	place  *fleet.Place
 	// retriesStore is true if the store is asked again while it does not answer, since a store
 	// that had stopped answering never answers earlier requests. Whether it answers other
@@ -53,7 +53,7 @@
 
 // listStore lists from the store, and from other routers if the store fails or is slow. It
 // returns the first usable answer.
-func (s *Shared) listStore(
+func (s *SharedFeed) listStore(
 	ctx context.Context, place *fleet.Place, repeats bool, suffices func(*peerAnswer) bool,
 ) listResult {
 	ctx, cancel := context.WithCancel(ctx)
@@ -152,7 +152,7 @@
 
 // noteLoading makes routers that ask this one for its first copy learn that a list is under
 // way.
-func (s *Shared) noteLoading(duration time.Duration) {
+func (s *SharedFeed) noteLoading(duration time.Duration) {
 	if s.Copy != nil && duration > 0 {
 		s.Copy.Loading(duration)
 	}
@@ -161,7 +161,7 @@
 // fromStore returns what differs from the local copy if a list of it would take several pages,
 // else the whole list. If the store was restored from a backup it has to be listed, because its
 // revisions may stand for other states.
-func (s *Shared) fromStore(ctx context.Context) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) fromStore(ctx context.Context) (slipwick.FeedBatch, error) {
 	if s.Copy == nil || s.Copy.Len() <= storePageSize {
 		return s.Store.List(ctx)
 	}
@@ -176,7 +176,7 @@
 // watchStore waits for changes at the store. After a failed call it lists instead: the store
 // may have been restored from a backup, and a watch from a revision that it assigned again
 // would miss the changes up to that revision.
-func (s *Shared) watchStore(
+func (s *SharedFeed) watchStore(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+s.Timing.orDefault().WatchMargin)
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -23,7 +23,7 @@
 // current copy. If none answered at all, it is cut off from the others and need not wait. If
 // some answered, they have no current copy either, perhaps because the store is down for all,
 // and routers ask it in turns.
-func (s *Shared) mayTakeOver(place *fleet.Place, answered bool) bool {
+func (s *SharedFeed) mayTakeOver(place *fleet.Place, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	rhythm := s.Timing.orDefault()
@@ -43,7 +43,7 @@
 
 // takeOver lists from the store in place of the watchers, unless one of them gets a current
 // copy in the meantime.
-func (s *Shared) takeOver(ctx context.Context, place *fleet.Place) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) takeOver(ctx context.Context, place *fleet.Place) (slipwick.FeedBatch, error) {
 	rhythm := s.Timing.orDefault()
 	s.mu.Lock()
 	s.triedAt = clock.Now()
@@ -62,7 +62,7 @@
 
 // usesStore reports whether this router calls the store itself. A router that acts in place of
 // the watchers checks from time to time whether these have a current copy again.
-func (s *Shared) usesStore(ctx context.Context, place *fleet.Place) bool {
+func (s *SharedFeed) usesStore(ctx context.Context, place *fleet.Place) bool {
 	s.mu.Lock()
 	now := clock.Now()
 	watches, acting := place.Watches && now.After(s.avoidStoreUntil), s.acting
@@ -88,7 +88,7 @@
 
 // stopActing ends acting in place of the watchers if a call to the store failed. The router
 // then waits for its turn again.
-func (s *Shared) stopActing(failure error) {
+func (s *SharedFeed) stopActing(failure error) {
 	if failure == nil {
 		return
 	}
@@ -100,7 +100,7 @@
 // avoidStore makes a watcher that the store does not answer follow other routers, for a long
 // time if these reach the store. Otherwise the store may be back for all at any moment, so it
 // is asked again after a pause that doubles each time.
-func (s *Shared) avoidStore(othersReachIt bool) {
+func (s *SharedFeed) avoidStore(othersReachIt bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.acting = false
@@ -114,7 +114,7 @@
 
 // avoidIfOthersReachIt makes a watcher avoid the store for a long time once it learns that the
 // store has answered other routers since it failed here.
-func (s *Shared) avoidIfOthersReachIt(place *fleet.Place, batch *slipwick.FeedBatch) {
+func (s *SharedFeed) avoidIfOthersReachIt(place *fleet.Place, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
 	othersReachIt := place.Watches && !s.storeFailedAt.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailedAt)
 	s.mu.Unlock()
@@ -125,7 +125,7 @@
 
 // boundRelayWait limits the wait at another router to the time at which this router, if it is a
 // watcher, asks the store again.
-func (s *Shared) boundRelayWait(place *fleet.Place, wait time.Duration) time.Duration {
+func (s *SharedFeed) boundRelayWait(place *fleet.Place, wait time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if left := s.avoidStoreUntil.Sub(clock.Now()); place.Watches && left > 0 {
@@ -136,7 +136,7 @@
 
 // recordStoreResult resets the pause when the store answers, and records a failure when it does
 // not. A lost history is no failure of the store.
-func (s *Shared) recordStoreResult(failure error) {
+func (s *SharedFeed) recordStoreResult(failure error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -148,7 +148,7 @@
 }
 
 // isStoreFailing reports whether the latest call to the store failed.
-func (s *Shared) isStoreFailing() bool {
+func (s *SharedFeed) isStoreFailing() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.storeFailing
@@ -156,7 +156,7 @@
 
 // stopAvoidingStore lets a watcher ask the store again at once, since the other routers have no
 // current copy either.
-func (s *Shared) stopAvoidingStore() {
+func (s *SharedFeed) stopAvoidingStore() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.avoidStoreUntil = time.Time{}
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -118,7 +118,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		asleep := newFakeFeed(on(1, batch(50, true, "a1")))
 		store := newFakeFeed(on(2, batch(10, true, "a2")))
-		shared := &Shared{
+		shared := &SharedFeed{
 			Name:  "backends",
 			Store: store,
 			Peers: &fakePeers{
