--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -34,7 +34,7 @@
 		Name:   name,
 		Store:  store,
 		Peers:  p.peers,
-		Copy:   p.mirrors[name],
+		Mirror: p.mirrors[name],
 		Timing: rhythm,
 	}
 }
--- a/directory/following_test.go
+++ b/directory/following_test.go
@@ -89,7 +89,7 @@
 			Name:   "feed",
 			Store:  &storeOf{r},
 			Peers:  r,
-			Copy:   mirror,
+			Mirror: mirror,
 			Timing: TimingWithin(fleetWithin),
 		}
 		r.follower = NewFollower[string](shared, mirror)
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -172,7 +172,7 @@
 			feed:   r.fleet.store.kind(kind),
 		},
 		Peers:  r,
-		Copy:   mirror,
+		Mirror: mirror,
 		Timing: rhythm,
 	}, mirror)
 	follower.Timing = rhythm
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -151,10 +151,10 @@
 // fetchFrom reads from another router's feed what differs from the local copy, or all of it if
 // there is none.
 func (s *SharedFeed) fetchFrom(ctx context.Context, feed slipwick.Feed) (slipwick.FeedBatch, error) {
-	if s.Copy == nil {
+	if s.Mirror == nil {
 		return feed.List(ctx)
 	}
-	known := s.Copy.Position()
+	known := s.Mirror.Position()
 	if known.IsZero() {
 		return feed.List(ctx)
 	}
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -35,9 +35,9 @@
 	Name  string
 	Store slipwick.Feed
 	Peers Peers
-	// Copy is the local copy: other routers and the store are then asked for the difference
+	// Mirror is the local copy: other routers and the store are then asked for the difference
 	// from it where possible. If nil, they are asked for whole lists.
-	Copy *Mirror
+	Mirror *Mirror
 	// Timing has the wait times; the zero value stands for the default.
 	Timing Timing
 
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -153,8 +153,8 @@
 // noteLoading makes routers that ask this one for its first copy learn that a list is under
 // way.
 func (s *SharedFeed) noteLoading(duration time.Duration) {
-	if s.Copy != nil && duration > 0 {
-		s.Copy.Loading(duration)
+	if s.Mirror != nil && duration > 0 {
+		s.Mirror.Loading(duration)
 	}
 }
 
@@ -162,10 +162,10 @@
 // else the whole list. If the store was restored from a backup it has to be listed, because its
 // revisions may stand for other states.
 func (s *SharedFeed) fromStore(ctx context.Context) (slipwick.FeedBatch, error) {
-	if s.Copy == nil || s.Copy.Len() <= storePageSize {
+	if s.Mirror == nil || s.Mirror.Len() <= storePageSize {
 		return s.Store.List(ctx)
 	}
-	known := s.Copy.Position()
+	known := s.Mirror.Position()
 	batch, err := s.Store.Watch(ctx, known, 0)
 	if slipwick.IsKind(err, slipwick.KindHistoryLost) || err == nil && batch.Timeline != known.Timeline {
 		return s.Store.List(ctx)
