--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -31,11 +31,11 @@
 		return store
 	}
 	return &directory.SharedFeed{
-		Name:   name,
-		Store:  store,
-		Peers:  p.peers,
-		Mirror: p.mirrors[name],
-		Timing: rhythm,
+		FeedName: name,
+		Store:    store,
+		Peers:    p.peers,
+		Mirror:   p.mirrors[name],
+		Timing:   rhythm,
 	}
 }
 
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -128,8 +128,8 @@
 		store := newFakeFeed(batch(1, true, "a1"))
 		other := newFakeFeed(batch(1, true, "a1"))
 		shared := &SharedFeed{
-			Name:  "backends",
-			Store: store,
+			FeedName: "backends",
+			Store:    store,
 			Peers: &fakePeers{
 				watches: true,
 				relays: map[string]*fakeFeed{
--- a/directory/following_test.go
+++ b/directory/following_test.go
@@ -86,11 +86,11 @@
 		f.byID[r.self.ID] = r
 		mirror := NewMirror()
 		shared := &SharedFeed{
-			Name:   "feed",
-			Store:  &storeOf{r},
-			Peers:  r,
-			Mirror: mirror,
-			Timing: TimingWithin(fleetWithin),
+			FeedName: "feed",
+			Store:    &storeOf{r},
+			Peers:    r,
+			Mirror:   mirror,
+			Timing:   TimingWithin(fleetWithin),
 		}
 		r.follower = NewFollower[string](shared, mirror)
 		r.follower.Timing = shared.Timing
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -166,7 +166,7 @@
 	mirror := NewMirror()
 	r.served.Mirrors[kind] = mirror
 	follower := NewFollower[T](&SharedFeed{
-		Name: kind,
+		FeedName: kind,
 		Store: &reachedStore{
 			router: r,
 			feed:   r.fleet.store.kind(kind),
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -196,7 +196,7 @@
 			onBegin()
 		}
 	})
-	batch, err := call(hooked, s.Peers.Relay(id, s.Name))
+	batch, err := call(hooked, s.Peers.Relay(id, s.FeedName))
 	f := peerAnswer{
 		began: began.Load(),
 	}
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -32,9 +32,9 @@
 // peers lack a current copy and its turn has come, or if no peer answers. Set the exported
 // fields before use.
 type SharedFeed struct {
-	Name  string
-	Store slipwick.Feed
-	Peers Peers
+	FeedName string
+	Store    slipwick.Feed
+	Peers    Peers
 	// Mirror is the local copy: other routers and the store are then asked for the difference
 	// from it where possible. If nil, they are asked for whole lists.
 	Mirror *Mirror
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -119,8 +119,8 @@
 		asleep := newFakeFeed(on(1, batch(50, true, "a1")))
 		store := newFakeFeed(on(2, batch(10, true, "a2")))
 		shared := &SharedFeed{
-			Name:  "backends",
-			Store: store,
+			FeedName: "backends",
+			Store:    store,
 			Peers: &fakePeers{
 				watches: true,
 				relays: map[string]*fakeFeed{
