--- a/directory/copy_test.go
+++ b/directory/copy_test.go
@@ -99,7 +99,7 @@
 // two routers of eight were given the answer that had been encoded before.
 func TestCopyOfARevisionGivenOutAgainIsTheNewOne(t *testing.T) {
 	mirror := NewMirror()
-	relay := &Relay{
+	relay := &RelayClient{
 		Address: "other",
 		Name:    "f",
 		HTTP: &http.Client{
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -261,7 +261,7 @@
 }
 
 func (r *modelRouter) Relay(id, feed string) slipwick.Feed {
-	relay := &Relay{
+	relay := &RelayClient{
 		Address: id,
 		Name:    feed,
 	}
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -15,8 +15,8 @@
 	"github.com/slipwick/slipwick/httpclient"
 )
 
-// Relay is a feed that reads another router's copy over HTTP.
-type Relay struct {
+// RelayClient is a feed that reads another router's copy over HTTP.
+type RelayClient struct {
 	// Address is the host:port at which the router serves its peers. Name is the name of the
 	// feed.
 	Address string
@@ -24,13 +24,13 @@
 	HTTP    *http.Client
 }
 
-var _ slipwick.Feed = (*Relay)(nil)
+var _ slipwick.Feed = (*RelayClient)(nil)
 
 // firstCopyWait is how long a list waits for a router that is starting too and has no copy yet.
 const firstCopyWait = 150 * time.Millisecond
 
 // List returns the whole copy.
-func (r *Relay) List(ctx context.Context) (slipwick.FeedBatch, error) {
+func (r *RelayClient) List(ctx context.Context) (slipwick.FeedBatch, error) {
 	return r.get(ctx, url.Values{
 		"wait": {firstCopyWait.String()},
 	})
@@ -38,7 +38,7 @@
 
 // Watch waits for changes of the copy. If the other router has discarded the changes since the
 // position, it lists the whole copy instead.
-func (r *Relay) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
+func (r *RelayClient) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	batch, err := r.get(ctx, url.Values{
 		"after":    {strconv.FormatUint(after.Revision, 10)},
 		"timeline": {strconv.FormatUint(after.Timeline, 10)},
@@ -50,7 +50,7 @@
 	return batch, err
 }
 
-func (r *Relay) get(ctx context.Context, query url.Values) (slipwick.FeedBatch, error) {
+func (r *RelayClient) get(ctx context.Context, query url.Values) (slipwick.FeedBatch, error) {
 	address := url.URL{
 		Scheme:   "http",
 		Host:     r.Address,
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -18,7 +18,7 @@
 		},
 	})
 	defer server.Close()
-	relay := &Relay{
+	relay := &RelayClient{
 		Address: strings.TrimPrefix(server.URL, "http://"),
 		Name:    "f",
 		HTTP:    http.DefaultClient,
--- a/directory/relayserver_test.go
+++ b/directory/relayserver_test.go
@@ -67,7 +67,7 @@
 	var all sync.WaitGroup
 	for range routers {
 		all.Go(func() {
-			relay := &Relay{
+			relay := &RelayClient{
 				Address: strings.TrimPrefix(server.URL, "http://"),
 				Name:    "f",
 				HTTP:    http.DefaultClient,
@@ -107,7 +107,7 @@
 		},
 	})
 	defer server.Close()
-	relay := &Relay{
+	relay := &RelayClient{
 		Address: strings.TrimPrefix(server.URL, "http://"),
 		Name:    "f",
 		HTTP:    http.DefaultClient,
@@ -145,7 +145,7 @@
 		_, _ = w.Write(recorder.Body.Bytes())
 	}))
 	defer server.Close()
-	relay := &Relay{
+	relay := &RelayClient{
 		Address: server.Listener.Addr().String(),
 		Name:    "f",
 		HTTP:    server.Client(),
