--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -56,8 +56,8 @@
 // Relay gives another router's copy of a feed.
 func (p *peers) Relay(id, feed string) slipwick.Feed {
 	return &directory.RelayClient{
-		Address: p.node.Address(id),
-		Name:    feed,
-		HTTP:    p.http,
+		Address:  p.node.Address(id),
+		FeedName: feed,
+		HTTP:     p.http,
 	}
 }
--- a/directory/copy_test.go
+++ b/directory/copy_test.go
@@ -100,8 +100,8 @@
 func TestCopyOfARevisionGivenOutAgainIsTheNewOne(t *testing.T) {
 	mirror := NewMirror()
 	relay := &RelayClient{
-		Address: "other",
-		Name:    "f",
+		Address:  "other",
+		FeedName: "f",
 		HTTP: &http.Client{
 			Transport: &directWay{
 				to: &RelayServer{
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -262,8 +262,8 @@
 
 func (r *modelRouter) Relay(id, feed string) slipwick.Feed {
 	relay := &RelayClient{
-		Address: id,
-		Name:    feed,
+		Address:  id,
+		FeedName: feed,
 	}
 	for _, other := range r.fleet.all() {
 		if other.self.ID == id {
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -19,9 +19,9 @@
 type RelayClient struct {
 	// Address is the host:port at which the router serves its peers. Name is the name of the
 	// feed.
-	Address string
-	Name    string
-	HTTP    *http.Client
+	Address  string
+	FeedName string
+	HTTP     *http.Client
 }
 
 var _ slipwick.Feed = (*RelayClient)(nil)
@@ -54,7 +54,7 @@
 	address := url.URL{
 		Scheme:   "http",
 		Host:     r.Address,
-		Path:     RelayPath + r.Name,
+		Path:     RelayPath + r.FeedName,
 		RawQuery: query.Encode(),
 	}
 	request, err := httpclient.Request(ctx, http.MethodGet, address.String(), nil)
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -19,9 +19,9 @@
 	})
 	defer server.Close()
 	relay := &RelayClient{
-		Address: strings.TrimPrefix(server.URL, "http://"),
-		Name:    "f",
-		HTTP:    http.DefaultClient,
+		Address:  strings.TrimPrefix(server.URL, "http://"),
+		FeedName: "f",
+		HTTP:     http.DefaultClient,
 	}
 	if _, err := relay.List(t.Context()); !slipwick.IsKind(err, slipwick.KindNotCurrent) {
 		t.Errorf("copy that is not current: got %v, want not current", err)
@@ -42,7 +42,7 @@
 	if err != nil || !got.Whole {
 		t.Errorf("watch from before the copy: got %+v, %v; want the whole copy", got, err)
 	}
-	relay.Name = "none"
+	relay.FeedName = "none"
 	if _, err := relay.List(t.Context()); !slipwick.IsKind(err, slipwick.KindUnavailable) {
 		t.Errorf("unknown feed: got %v, want unavailable", err)
 	}
--- a/directory/relayserver_test.go
+++ b/directory/relayserver_test.go
@@ -68,9 +68,9 @@
 	for range routers {
 		all.Go(func() {
 			relay := &RelayClient{
-				Address: strings.TrimPrefix(server.URL, "http://"),
-				Name:    "f",
-				HTTP:    http.DefaultClient,
+				Address:  strings.TrimPrefix(server.URL, "http://"),
+				FeedName: "f",
+				HTTP:     http.DefaultClient,
 			}
 			got, err := relay.List(t.Context())
 			if err != nil {
@@ -108,9 +108,9 @@
 	})
 	defer server.Close()
 	relay := &RelayClient{
-		Address: strings.TrimPrefix(server.URL, "http://"),
-		Name:    "f",
-		HTTP:    http.DefaultClient,
+		Address:  strings.TrimPrefix(server.URL, "http://"),
+		FeedName: "f",
+		HTTP:     http.DefaultClient,
 	}
 	for _, least := range []time.Duration{0, 30 * time.Millisecond} {
 		time.Sleep(least)
@@ -146,9 +146,9 @@
 	}))
 	defer server.Close()
 	relay := &RelayClient{
-		Address: server.Listener.Addr().String(),
-		Name:    "f",
-		HTTP:    server.Client(),
+		Address:  server.Listener.Addr().String(),
+		FeedName: "f",
+		HTTP:     server.Client(),
 	}
 	got, err := relay.List(t.Context())
 	if err != nil {
