--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -67,7 +67,7 @@
 func TestLoadingIsNoReasonToWaitForEachOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirrors := []*Mirror{NewMirror(), NewMirror()}
-		mirrors[0].Loading(storeRetryInterval)
+		mirrors[0].SetLoading(storeRetryInterval)
 		started := time.Now()
 		for i := 0; ; i++ {
 			_, err := mirrors[i%2].AwaitList(t.Context(), 10*time.Millisecond)
@@ -76,7 +76,7 @@
 			}
 			var busy *slipwick.Error
 			if errors.As(err, &busy) {
-				mirrors[(i+1)%2].Loading(busy.RetryAfter)
+				mirrors[(i+1)%2].SetLoading(busy.RetryAfter)
 			}
 		}
 		if took := time.Since(started); took > storeRetryInterval+20*time.Millisecond {
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -240,11 +240,11 @@
 	}
 }
 
-// Loading records that a first list counts as under way for the given duration from now.
+// SetLoading records that a first list counts as under way for the given duration from now.
 // Routers that ask in the meantime get the remaining time as an error instead of a copy, so
 // that they do not send the store further requests for a list that takes long. Because the
 // remaining time is passed on, not the full one, two routers cannot keep each other waiting.
-func (m *Mirror) Loading(duration time.Duration) {
+func (m *Mirror) SetLoading(duration time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if until := clock.Now().Add(duration); until.After(m.loadingUntil) {
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -154,7 +154,7 @@
 // way.
 func (s *SharedFeed) noteLoading(duration time.Duration) {
 	if s.Mirror != nil && duration > 0 {
-		s.Mirror.Loading(duration)
+		s.Mirror.SetLoading(duration)
 	}
 }
 
