--- a/directory/follower.go
+++ b/directory/follower.go
@@ -129,7 +129,7 @@
 // watch succeeded, the back-off applies, so that the store is not called in a tight loop.
 func (f *Follower[T]) handleFailure(ctx context.Context, err error) {
 	f.OnError(err)
-	f.Mirror.Fail()
+	f.Mirror.MarkUnconfirmed()
 	f.listed = false
 	if slipwick.IsKind(err, slipwick.KindHistoryLost) && f.watched {
 		f.watched = false
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -165,8 +165,8 @@
 	return differs
 }
 
-// Fail records that the latest call did not confirm the copy, and wakes those that watch it.
-func (m *Mirror) Fail() {
+// MarkUnconfirmed records that the latest call did not confirm the copy, and wakes those that watch it.
+func (m *Mirror) MarkUnconfirmed() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if !m.failing {
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -96,7 +96,7 @@
 			t.Fatal(err)
 		}
 		expectNames(t, "change", got.Entries, "a2")
-		time.AfterFunc(100*time.Millisecond, m.Fail)
+		time.AfterFunc(100*time.Millisecond, m.MarkUnconfirmed)
 		started = time.Now()
 		if _, err = m.Watch(t.Context(), at(2), time.Second); err == nil || time.Since(started) != 100*time.Millisecond {
 			t.Errorf("doubt: got %v after %v, want an error at once", err, time.Since(started))
@@ -157,7 +157,7 @@
 		}
 		m.Apply(list)
 		m.Apply(batch(3, false, "a1"))
-		m.Fail()
+		m.MarkUnconfirmed()
 		later := *list
 		later.Revision = 9
 		later.Entries = append(slices.Clone(list.Entries[1:]), slipwick.FeedEntry{
@@ -206,7 +206,7 @@
 	}
 	m.Apply(batch(1, true, "a1", "b1"))
 	m.Apply(batch(2, false, "a2"))
-	m.Fail()
+	m.MarkUnconfirmed()
 	got, err := m.Watch(t.Context(), at(1), 0)
 	if err != nil {
 		t.Fatal(err)
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -52,7 +52,7 @@
 		"hang":       func(f *fakeFeed) { f.hangs = true },
 		"refuse":     func(f *fakeFeed) { f.err = errors.New("refused") },
 		"lag":        func(f *fakeFeed) { f.age = rhythm.MaxAge },
-		"are unsure": func(f *fakeFeed) { f.Fail() },
+		"are unsure": func(f *fakeFeed) { f.MarkUnconfirmed() },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			shared, store, peers := newShared()
@@ -124,7 +124,7 @@
 		store.fail(errors.New("503"))
 		time.Sleep(10 * time.Second)
 		for _, f := range peers.relays {
-			f.Fail()
+			f.MarkUnconfirmed()
 		}
 		got, err := shared.List(t.Context())
 		if err != nil {
