--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -49,7 +49,7 @@
 	dependency := p.newDependency(feedTables)
 	follower.OnError, follower.OnAnswer = dependency.failed, dependency.answered
 	follower.OnStoreRestored = dependency.fellBack
-	follower.Outdated = func(known, told *routing.Table) bool { return told.Version < known.Version }
+	follower.IsOutdated = func(known, told *routing.Table) bool { return told.Version < known.Version }
 	follower.OnChange = func(changes []directory.Change[*routing.Table]) {
 		for _, c := range changes {
 			if c.Value == nil || !p.gateway.SetTable(c.Value) {
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -41,10 +41,10 @@
 	Timing Timing
 	// Decode decodes one object.
 	Decode func(name string, value []byte) (T, error)
-	// Outdated reports whether a received object is an earlier state than the known one. Such
+	// IsOutdated reports whether a received object is an earlier state than the known one. Such
 	// an object never replaces the known one, neither here nor in the copy that other routers
 	// get, even if the store lists it. Nil if the states of an object have no order.
-	Outdated func(known, told T) bool
+	IsOutdated func(known, told T) bool
 	// OnChange receives the changes of each answer. It is also called without changes if the
 	// first list, or the first one after a restore of the store, has none. Calls do not
 	// overlap.
@@ -71,7 +71,7 @@
 	answeredAt      time.Time
 	listed, watched bool
 	backoff         time.Duration
-	// latest has the decoded objects by name, if Outdated orders them. decoded has the objects
+	// latest has the decoded objects by name, if IsOutdated orders them. decoded has the objects
 	// that were decoded for the comparison within the current batch.
 	latest  map[string]T
 	decoded map[string]decodeResult[T]
@@ -198,7 +198,7 @@
 // dropOutdated replaces each received entry that is an earlier state than the known one by the
 // known one.
 func (f *Follower[T]) dropOutdated(batch *slipwick.FeedBatch) {
-	if f.Outdated == nil {
+	if f.IsOutdated == nil {
 		return
 	}
 	for i := range batch.Entries {
@@ -210,7 +210,7 @@
 		known, isKnown := f.latest[e.Name]
 		// An entry that cannot be decoded is reported later, with the changes.
 		received, err := f.Decode(e.Name, e.Value)
-		if err == nil && isKnown && f.Outdated(known, received) {
+		if err == nil && isKnown && f.IsOutdated(known, received) {
 			e.Value = value
 			continue
 		}
@@ -251,7 +251,7 @@
 			change.Value, err = f.decodeOnce(&e)
 			change.Invalid = err != nil
 			f.OnInvalid(e.Name, err)
-			if f.Outdated != nil && err == nil {
+			if f.IsOutdated != nil && err == nil {
 				f.latest[e.Name] = change.Value
 			}
 		} else {
--- a/directory/followeronce_test.go
+++ b/directory/followeronce_test.go
@@ -26,7 +26,7 @@
 		})
 		reads, latest := make(map[string]int), ""
 		follower := NewFollower[string](feed, NewMirror())
-		follower.Outdated = func(known, told string) bool { return told < known }
+		follower.IsOutdated = func(known, told string) bool { return told < known }
 		follower.Decode = func(_ string, value []byte) (string, error) {
 			reads[string(value)]++
 			return string(value), nil
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -156,7 +156,7 @@
 	backends.OnChange = r.backends.Change
 	tables := followModel(r, modelTables, func(_ string, value []byte) (string, error) { return string(value), nil })
 	tables.OnChange = r.takeTables
-	tables.Outdated = func(known, told string) bool { return told < known }
+	tables.IsOutdated = func(known, told string) bool { return told < known }
 	r.followers = append(r.followers, backends.Run, tables.Run)
 }
 
