--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -17,9 +17,9 @@
 // peerAnswer is the answer of one or several other routers.
 type peerAnswer struct {
 	batch slipwick.FeedBatch
-	// hasCopy is true if there is a copy, isCurrent if it is a current one, answered if any
+	// any is true if there is a copy at all, isCurrent if it is a current one, answered if any
 	// router answered at all.
-	hasCopy, isCurrent, answered bool
+	any, isCurrent, answered bool
 	// loadingFor is how long a first list counts as under way at a router that receives one or
 	// sends its copy to others.
 	loadingFor time.Duration
@@ -170,11 +170,11 @@
 func (f *peerAnswer) merge(other *peerAnswer) peerAnswer {
 	joined := peerAnswer{
 		batch:      f.batch,
-		hasCopy:    f.hasCopy || other.hasCopy,
+		any:        f.any || other.any,
 		answered:   f.answered || other.answered,
 		loadingFor: max(f.loadingFor, other.loadingFor),
 	}
-	if other.hasCopy && (!f.hasCopy || f.batch.Position().Before(other.batch.Position())) {
+	if other.any && (!f.any || f.batch.Position().Before(other.batch.Position())) {
 		joined.batch = other.batch
 	}
 	return joined
@@ -206,7 +206,7 @@
 		return f
 	}
 	if err == nil && batch.Age <= s.Timing.orDefault().MaxAge {
-		f.batch, f.hasCopy, f.isCurrent, f.answered = batch, true, true, true
+		f.batch, f.any, f.isCurrent, f.answered = batch, true, true, true
 		return f
 	}
 	lacksCopy := slipwick.IsKind(err, slipwick.KindNotCurrent)
@@ -220,7 +220,7 @@
 	if ctx.Err() == nil && !isLoading && !isStarting {
 		s.markFailed(id)
 	}
-	f.batch, f.hasCopy = batch, err == nil
+	f.batch, f.any = batch, err == nil
 	f.answered = err == nil || isLoading || lacksCopy
 	return f
 }
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -86,7 +86,7 @@
 	s.markStarted()
 	place := s.Peers.Place()
 	if s.usesStore(ctx, &place) {
-		answer := s.listStore(ctx, &place, true, func(f *peerAnswer) bool { return f.hasCopy })
+		answer := s.listStore(ctx, &place, true, func(f *peerAnswer) bool { return f.any })
 		s.stopActing(answer.err)
 		return s.record(answer.batch, answer.err)
 	}
@@ -96,10 +96,10 @@
 		return s.record(found.batch, nil)
 	case found.loadingFor <= 0 && s.mayTakeOver(&place, found.answered):
 		batch, err := s.takeOver(ctx, &place)
-		if err == nil || !found.hasCopy {
+		if err == nil || !found.any {
 			return s.record(batch, err)
 		}
-	case !found.hasCopy || !s.isEmpty():
+	case !found.any || !s.isEmpty():
 		return slipwick.FeedBatch{}, notCurrentError()
 	}
 	// A router without a copy accepts a stale one; the following watch brings the changes
