--- a/directory/shared.go
+++ b/directory/shared.go
@@ -215,21 +215,21 @@
 func (s *SharedFeed) watchPeers(
 	ctx context.Context, place *fleet.Place, after slipwick.Position,
 ) (slipwick.FeedBatch, error) {
-	rhythm := s.Timing.orDefault()
+	timing := s.Timing.orDefault()
 	candidates := s.candidates(place)
 	answered, isLoading := false, false
 	if len(candidates) > 0 {
-		wait := s.boundRelayWait(place, rhythm.RelayWait)
-		watched := s.queryPeer(ctx, candidates[0], wait+rhythm.RelayMargin, func() {},
+		wait := s.boundRelayWait(place, timing.RelayWait)
+		watched := s.queryPeer(ctx, candidates[0], wait+timing.RelayMargin, func() {},
 			func(ctx context.Context, f slipwick.Feed) (slipwick.FeedBatch, error) {
 				return f.Watch(ctx, after, wait)
 			})
 		if watched.isCurrent {
-			s.setKeepsTurn(watched.batch.Age > rhythm.WatchWait)
+			s.setKeepsTurn(watched.batch.Age > timing.WatchWait)
 			s.avoidIfOthersReachIt(place, &watched.batch)
 			return s.record(watched.batch, nil)
 		}
-		others := s.listPeers(ctx, candidates[1:], rhythm.RelayMargin)
+		others := s.listPeers(ctx, candidates[1:], timing.RelayMargin)
 		if s.isUsable(&others) {
 			return s.record(others.batch, nil)
 		}
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -26,8 +26,8 @@
 func (s *SharedFeed) mayTakeOver(place *fleet.Place, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	rhythm := s.Timing.orDefault()
-	since, first, step := s.confirmedAt, rhythm.WatchWait+rhythm.WatchMargin, rhythm.TurnStep
+	timing := s.Timing.orDefault()
+	since, first, step := s.confirmedAt, timing.WatchWait+timing.WatchMargin, timing.TurnStep
 	if since.IsZero() {
 		since, first, step = s.startedAt, startTurnDelay, startTurnStep
 	}
@@ -35,7 +35,7 @@
 	if !answered {
 		return !s.confirmedAt.IsZero() || now.Sub(since) >= first
 	}
-	if place.Turn < 0 || now.Sub(s.triedAt) < rhythm.MaxAge {
+	if place.Turn < 0 || now.Sub(s.triedAt) < timing.MaxAge {
 		return false
 	}
 	return now.Sub(since) >= first+time.Duration(place.Turn)*step
@@ -44,11 +44,11 @@
 // takeOver lists from the store in place of the watchers, unless one of them gets a current
 // copy in the meantime.
 func (s *SharedFeed) takeOver(ctx context.Context, place *fleet.Place) (slipwick.FeedBatch, error) {
-	rhythm := s.Timing.orDefault()
+	timing := s.Timing.orDefault()
 	s.mu.Lock()
 	s.triedAt = clock.Now()
 	s.mu.Unlock()
-	ctx, cancel := context.WithTimeout(ctx, rhythm.ListTimeout)
+	ctx, cancel := context.WithTimeout(ctx, timing.ListTimeout)
 	defer cancel()
 	answer := s.listStore(ctx, place, false, s.isUsable)
 	if answer.err != nil || !answer.fromStore {
