--- a/directory/relay.go
+++ b/directory/relay.go
@@ -38,7 +38,9 @@
 
 // Watch waits for changes of the copy. If the other router has discarded the changes since the
 // position, it lists the whole copy instead.
-func (r *RelayClient) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
+func (r *RelayClient) Watch(
+	ctx context.Context, after slipwick.Position, wait time.Duration,
+) (slipwick.FeedBatch, error) {
 	batch, err := r.get(ctx, url.Values{
 		"after":    {strconv.FormatUint(after.Revision, 10)},
 		"timeline": {strconv.FormatUint(after.Timeline, 10)},
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -162,7 +162,7 @@
 	defer s.mu.Unlock()
 	at := clock.Now().Add(-batch.Age)
 	if batch.Hops == 0 {
-		batch.Steady = s.stableForLocked()
+		batch.Steady = s.sinceRestoreLocked()
 	}
 	if s.position.Before(batch.Position()) {
 		s.position = batch.Position()
@@ -173,10 +173,10 @@
 	return batch, nil
 }
 
-// stableForLocked returns for how long the store is known not to have been restored from a
-// backup. The restore cannot be earlier than the last time at which the store was confirmed in
-// the known timeline, or failed. It returns 0 if that is too long ago to tell.
-func (s *SharedFeed) stableForLocked() time.Duration {
+// sinceRestoreLocked returns how long ago at most the store was restored from a backup, if it
+// was: not before it was last confirmed in the known timeline or last failed. It returns 0 if
+// this router has not asked the store for too long to tell.
+func (s *SharedFeed) sinceRestoreLocked() time.Duration {
 	last := s.confirmedAt
 	if s.storeFailedAt.After(last) {
 		last = s.storeFailedAt
@@ -189,7 +189,9 @@
 
 // Watch waits for changes at the store if this router follows it, else at another router. If
 // the store fails, it returns a current copy of another router if there is one.
-func (s *SharedFeed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) Watch(
+	ctx context.Context, after slipwick.Position, wait time.Duration,
+) (slipwick.FeedBatch, error) {
 	place := s.Peers.Place()
 	if !s.usesStore(ctx, &place) {
 		return s.watchPeers(ctx, &place, after)
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -54,14 +54,14 @@
 // listStore lists from the store, and from other routers if the store fails or is slow. It
 // returns the first usable answer.
 func (s *SharedFeed) listStore(
-	ctx context.Context, place *fleet.Place, repeats bool, suffices func(*peerAnswer) bool,
+	ctx context.Context, place *fleet.Place, retriesStore bool, suffices func(*peerAnswer) bool,
 ) listResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	list := &storeList{
 		shared:       s,
 		place:        place,
-		retriesStore: repeats,
+		retriesStore: retriesStore,
 		suffices:     suffices,
 		fromStore:    make(chan listResult, s.Timing.orDefault().ListTimeout/storeRetryInterval+1),
 		fromPeers:    make(chan peerAnswer, 1),
--- a/directory/timing.go
+++ b/directory/timing.go
@@ -6,8 +6,9 @@
 // every router learns of a change within the time allowed, even if a router on the way has
 // stopped answering.
 type Timing struct {
-	// WatchWait is how long a watch of the store waits, WatchMargin how much longer its answer may take.
-	// An unresponsive store is detected early enough for the routers that follow this one.
+	// WatchWait is how long a watch of the store waits, WatchMargin how much longer its answer
+	// may take. An unresponsive store is detected early enough for the routers that follow this
+	// one.
 	WatchWait, WatchMargin time.Duration
 	// RelayWait is how long a watch at another router waits: somewhat longer than a watch of the
 	// store, at whose end the other router confirms its copy. RelayMargin is how much longer
@@ -18,8 +19,8 @@
 	// time to detect that the store does not answer. TurnStep is the delay between the turns in
 	// which routers ask the store in place of the watchers.
 	MaxAge, TurnStep time.Duration
-	// BatchDelay is the pause after an answer with changes, so that changes in quick succession are
-	// delivered together.
+	// BatchDelay is the pause after an answer with changes, so that changes in quick succession
+	// are delivered together.
 	BatchDelay time.Duration
 	// PeerBackoff is how long a router that failed is not asked again.
 	PeerBackoff time.Duration
