--- a/directory/follower.go
+++ b/directory/follower.go
@@ -44,7 +44,7 @@
 	// IsOutdated reports whether a received object is an earlier state than the known one. Such
 	// an object never replaces the known one, neither here nor in the copy that other routers
 	// get, even if the store lists it. Nil if the states of an object have no order.
-	IsOutdated func(known, told T) bool
+	IsOutdated func(known, received T) bool
 	// OnChange receives the changes of each answer. It is also called without changes if the
 	// first list, or the first one after a restore of the store, has none. Calls do not
 	// overlap.
