--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -18,7 +18,7 @@
 	ledger := quarantine.NewLedger(r.Settings.ID)
 	teller := exchange.NewMarkTeller(r.Settings.ID)
 	ledger.Routers = r.node.Routers
-	ledger.OnNews = teller.Soon
+	ledger.OnPending = teller.Soon
 	ledger.OnQuarantined = func(key quarantine.Key, ends int) {
 		events.RequestQuarantined.On(&r.Log).Stringer("key", key).Int("ends", ends).Send()
 	}
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -13,7 +13,7 @@
 	ledger := quarantine.NewLedger(p.Settings.ID)
 	teller := exchange.NewMarkTeller(p.Settings.ID)
 	ledger.Routers = p.node.Routers
-	ledger.OnNews = teller.Soon
+	ledger.OnPending = teller.Soon
 	ledger.OnQuarantined = p.onQuarantined
 	ledger.OnReleased = p.onReleased
 	teller.Ledger = ledger
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -70,7 +70,7 @@
 func (f *gossipFleet) start(ctx context.Context, id string) {
 	ledger, teller := quarantine.NewLedger(id), NewMarkTeller(id)
 	ledger.Routers, teller.Routers = f.liveRouters, f.liveRouters
-	ledger.OnNews = teller.Soon
+	ledger.OnPending = teller.Soon
 	teller.Ledger, teller.Wire = ledger, gossipTransport{f, id}
 	teller.Shuffle = rand.New(rand.NewPCG(f.seed, placement.IDHash(id))).Shuffle
 	teller.Address = func(r slipwick.Router) string { return r.ID }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -36,8 +36,8 @@
 	// Self is the router's ID, Routers returns the live routers.
 	Self    string
 	Routers func() []slipwick.Router
-	// OnNews is called when there are crashes to send to the other routers.
-	OnNews func()
+	// OnPending is called when there are crashes to send to the other routers.
+	OnPending func()
 	// OnQuarantined is called for each request that becomes quarantined, with the number of servers
 	// that crashed under it, and OnReleased for each that is no longer quarantined.
 	OnQuarantined func(key Key, crashes int)
@@ -68,7 +68,7 @@
 	return &Ledger{
 		Self:          self,
 		Routers:       func() []slipwick.Router { return nil },
-		OnNews:        func() {},
+		OnPending:        func() {},
 		OnQuarantined: func(Key, int) {},
 		OnReleased:    func(Key) {},
 		records:       records,
@@ -236,7 +236,7 @@
 		}
 	}
 	if hasPending {
-		l.OnNews()
+		l.OnPending()
 	}
 }
 
