--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -40,7 +40,7 @@
 		if got := tellers[0].Balancer.InFlight("p"); got < 0 {
 			t.Errorf("got %v requests in flight", got)
 		}
-		if got := len(ledger.News()); got > len(packet) {
+		if got := len(ledger.TakePending()); got > len(packet) {
 			t.Errorf("got %d crashes from %d bytes", got, len(packet))
 		}
 	})
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -86,7 +86,7 @@
 			// Crashes of several requests at one server arrive together and are sent in one
 			// datagram.
 			time.Sleep(urgentDelay)
-			t.gossip(t.Ledger.News(), gossipFanOut)
+			t.gossip(t.Ledger.TakePending(), gossipFanOut)
 		}
 	}
 }
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -106,7 +106,7 @@
 		for range 6 {
 			f.post(t, "/resumable/x")
 		}
-		if ledger.Count() > 0 || len(ledger.News()) > 0 {
+		if ledger.Count() > 0 || len(ledger.TakePending()) > 0 {
 			t.Errorf("servers that %s: got a request quarantined or marked, want neither", name)
 		}
 	}
@@ -125,7 +125,7 @@
 		})
 	}
 	f.post(t, "/repeatable/x")
-	if got := ledger.News(); len(got) > 0 {
+	if got := ledger.TakePending(); len(got) > 0 {
 		t.Errorf("got %v marked, want nothing", got)
 	}
 }
@@ -144,7 +144,7 @@
 		f := newFixture(t, b)
 		ledger := f.enableQuarantine()
 		f.post(t, "/stream/x")
-		if got := len(ledger.News()); got != want {
+		if got := len(ledger.TakePending()); got != want {
 			t.Errorf("end %v after the first event: got %d marks, want %d", wait, got, want)
 		}
 	}
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -240,8 +240,8 @@
 	}
 }
 
-// News removes and returns the crashes that were not yet sent to the other routers.
-func (l *Ledger) News() []Mark {
+// TakePending removes and returns the crashes that were not yet sent to the other routers.
+func (l *Ledger) TakePending() []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	crashes := l.pending
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -89,7 +89,7 @@
 	l := NewLedger("r")
 	runAttempt(t, l, 7, "a", 1_000, FateEnded)
 	runAttempt(t, l, 7, "b", 1_000, FateEnded)
-	early := l.News()
+	early := l.TakePending()
 	runAttempt(t, l, 7, "c", 1_000, FateSurvived)
 	l.Hear(early)
 	runAttempt(t, l, 7, "d", 1_000, FateEnded)
@@ -103,7 +103,7 @@
 	}
 	released := 0
 	other.OnReleased = func(Key) { released++ }
-	other.Hear(l.News())
+	other.Hear(l.TakePending())
 	if other.IsQuarantined(7) || released != 1 {
 		t.Errorf("another router: got quarantined %t, released %d times, want it released once",
 			other.IsQuarantined(7), released)
@@ -144,11 +144,11 @@
 		exchange := func() {
 			var news []Mark
 			for _, l := range ledgers {
-				news = append(news, l.News()...)
+				news = append(news, l.TakePending()...)
 			}
 			for _, l := range ledgers {
 				l.Hear(news)
-				l.News()
+				l.TakePending()
 			}
 		}
 		for _, id := range []string{"a", "b", "c"} {
@@ -228,7 +228,7 @@
 	if got := l.records.Len(); got > maxRecords {
 		t.Errorf("got %d records, want at most %d", got, maxRecords)
 	}
-	if got := len(l.News()); got > maxPending {
+	if got := len(l.TakePending()); got > maxPending {
 		t.Errorf("got %d crashes to send, want at most %d", got, maxPending)
 	}
 	recent := l.Recent(10)
