--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -20,7 +20,7 @@
 	teller.Wire = p.tellings
 	teller.Routers = p.node.Routers
 	teller.Address = tellingsAddress
-	p.teller.OnMarks = ledger.Hear
+	p.teller.OnMarks = ledger.Merge
 	return ledger, teller
 }
 
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -214,8 +214,8 @@
 	}
 }
 
-// Hear adds crashes that another router reported.
-func (l *Ledger) Hear(crashes []Mark) {
+// Merge adds crashes that another router reported.
+func (l *Ledger) Merge(crashes []Mark) {
 	l.mu.Lock()
 	for _, crash := range crashes {
 		l.addCrashLocked(crash)
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -54,7 +54,7 @@
 	for range 4 {
 		runAttempt(t, l, 7, "a", 1_000, FateEnded)
 	}
-	l.Hear([]Mark{{Key: 7, Server: 5, Life: 2_000}, {Key: 7, Server: 5, Life: 2_400}})
+	l.Merge([]Mark{{Key: 7, Server: 5, Life: 2_000}, {Key: 7, Server: 5, Life: 2_400}})
 	if l.IsQuarantined(7) {
 		t.Error("got quarantined after the crashes of two incarnations, want three")
 	}
@@ -91,19 +91,19 @@
 	runAttempt(t, l, 7, "b", 1_000, FateEnded)
 	early := l.TakePending()
 	runAttempt(t, l, 7, "c", 1_000, FateSurvived)
-	l.Hear(early)
+	l.Merge(early)
 	runAttempt(t, l, 7, "d", 1_000, FateEnded)
 	if l.IsQuarantined(7) {
 		t.Error("got quarantined by excused crashes")
 	}
 	other := NewLedger("s")
-	other.Hear(slices.Concat(early, []Mark{{Key: 7, Server: 9, Life: 1}}))
+	other.Merge(slices.Concat(early, []Mark{{Key: 7, Server: 9, Life: 1}}))
 	if !other.IsQuarantined(7) {
 		t.Fatal("another router: got not quarantined after three crashes")
 	}
 	released := 0
 	other.OnReleased = func(Key) { released++ }
-	other.Hear(l.TakePending())
+	other.Merge(l.TakePending())
 	if other.IsQuarantined(7) || released != 1 {
 		t.Errorf("another router: got quarantined %t, released %d times, want it released once",
 			other.IsQuarantined(7), released)
@@ -147,7 +147,7 @@
 				news = append(news, l.TakePending()...)
 			}
 			for _, l := range ledgers {
-				l.Hear(news)
+				l.Merge(news)
 				l.TakePending()
 			}
 		}
@@ -199,9 +199,9 @@
 			}
 		}), 0, 40).Draw(t, "crashes")
 		a, b := NewLedger("a"), NewLedger("b")
-		a.Hear(crashes)
+		a.Merge(crashes)
 		for _, crash := range rapid.Permutation(slices.Concat(crashes, crashes[:len(crashes)/2])).Draw(t, "order") {
-			b.Hear([]Mark{crash})
+			b.Merge([]Mark{crash})
 		}
 		for key := range Key(5) {
 			if got, want := b.IsQuarantined(key), a.IsQuarantined(key); got != want {
