--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -81,7 +81,7 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			t.gossip(t.Ledger.Recent(maxResent), resendFanOut)
+			t.gossip(t.Ledger.RecentCrashes(maxResent), resendFanOut)
 		case <-t.trigger:
 			// Crashes of several requests at one server arrive together and are sent in one
 			// datagram.
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -16,10 +16,10 @@
 	// maxRecords bounds the requests that are remembered, at about 300 bytes each. A server that
 	// crashes adds a few dozen, and requests that are retried are kept as the most recently used.
 	maxRecords = 4096
-	// maxPending bounds the crashes that wait to be sent to the other routers; Recent returns any
+	// maxPending bounds the crashes that wait to be sent to the other routers; RecentCrashes returns any
 	// beyond that.
 	maxPending = 512
-	// recentPeriod is how long Recent returns the crashes of a record after a change.
+	// recentPeriod is how long RecentCrashes returns the crashes of a record after a change.
 	recentPeriod = 10 * time.Second
 )
 
@@ -249,10 +249,10 @@
 	return crashes
 }
 
-// Recent returns up to limit crashes: first those of quarantined requests, then those of requests
+// RecentCrashes returns up to limit crashes: first those of quarantined requests, then those of requests
 // with several crashes whose record changed recently. They are for routers that started
 // since, or that missed an update.
-func (l *Ledger) Recent(limit int) []Mark {
+func (l *Ledger) RecentCrashes(limit int) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var quarantined, changed []Mark
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -231,7 +231,7 @@
 	if got := len(l.TakePending()); got > maxPending {
 		t.Errorf("got %d crashes to send, want at most %d", got, maxPending)
 	}
-	recent := l.Recent(10)
+	recent := l.RecentCrashes(10)
 	if len(recent) > 10 || recent[0].Key != 1 {
 		t.Errorf("got %v from Recent, want those of the quarantined request first and at most ten", recent)
 	}
