--- a/cmd/internal/gatewayd/metrics.go
+++ b/cmd/internal/gatewayd/metrics.go
@@ -113,7 +113,7 @@
 		{
 			name: "slipwick_quarantined_requests",
 			help: "Requests that get no backend server, as several ended under each.",
-			read: func() float64 { return float64(p.ledger.Count()) },
+			read: func() float64 { return float64(p.ledger.QuarantinedCount()) },
 		},
 		{
 			name: "slipwick_members",
--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -51,7 +51,7 @@
 		Evacuated:     p.evacuatedNow(),
 		KnownParts:    p.balancer.CachedPartCount(),
 		MissingCaches: p.recovery.Missing(),
-		Quarantined:   p.ledger.Count(),
+		Quarantined:   p.ledger.QuarantinedCount(),
 		Backends:      p.balancer.States(),
 	}
 	if table := p.gateway.Table(); table != nil {
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -106,7 +106,7 @@
 		for range 6 {
 			f.post(t, "/resumable/x")
 		}
-		if ledger.Count() > 0 || len(ledger.TakePending()) > 0 {
+		if ledger.QuarantinedCount() > 0 || len(ledger.TakePending()) > 0 {
 			t.Errorf("servers that %s: got a request quarantined or marked, want neither", name)
 		}
 	}
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -269,8 +269,8 @@
 	return crashes[:min(len(crashes), limit)]
 }
 
-// Count returns the number of quarantined requests.
-func (l *Ledger) Count() int {
+// QuarantinedCount returns the number of quarantined requests.
+func (l *Ledger) QuarantinedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	quarantined := 0
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -42,8 +42,8 @@
 	if _, ok := l.Begin(7, &slipwick.Backend{}, false, func() {}); ok {
 		t.Error("got a quarantined request sent")
 	}
-	if l.Admit(8).Refused || l.Count() != 1 || !slices.Equal(quarantined, []int{3}) {
-		t.Errorf("got %d quarantined, callbacks %v, want one with three crashes", l.Count(), quarantined)
+	if l.Admit(8).Refused || l.QuarantinedCount() != 1 || !slices.Equal(quarantined, []int{3}) {
+		t.Errorf("got %d quarantined, callbacks %v, want one with three crashes", l.QuarantinedCount(), quarantined)
 	}
 }
 
@@ -179,7 +179,7 @@
 			}
 		}
 		for _, l := range ledgers {
-			if l.Count() != 0 {
+			if l.QuarantinedCount() != 0 {
 				t.Errorf("router %s: got quarantined after it completed, want it released", l.Self)
 			}
 		}
