--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -15,7 +15,7 @@
 // newLedger makes the ledger of requests under which backend servers end, and the part
 // that tells the other routers, over the streams between them.
 func (r *Router) newLedger() (*quarantine.Ledger, *exchange.MarkTeller) {
-	ledger := quarantine.NewLedger(r.Settings.ID)
+	ledger := quarantine.NewTracker(r.Settings.ID)
 	teller := exchange.NewMarkTeller(r.Settings.ID)
 	ledger.Routers = r.node.Routers
 	ledger.OnPending = teller.Soon
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -69,7 +69,7 @@
 func TestChatThatCrashesEnginesIsQuarantined(t *testing.T) {
 	e := newCrashingEngines(10)
 	d := e.dispatcher()
-	d.Quarantine = quarantine.NewLedger("r")
+	d.Quarantine = quarantine.NewTracker("r")
 	var err error
 	for i := range 5 {
 		err = sendChat(t, d, fmt.Sprint("r", i))
@@ -90,7 +90,7 @@
 	e := newCrashingEngines(10)
 	e.survive = true
 	d := e.dispatcher()
-	d.Quarantine = quarantine.NewLedger("r")
+	d.Quarantine = quarantine.NewTracker("r")
 	for i := range 5 {
 		if err := sendChat(t, d, fmt.Sprint("r", i)); slipwick.IsKind(err, slipwick.KindQuarantined) {
 			t.Fatalf("got %v, want no quarantine refusal", err)
@@ -133,7 +133,7 @@
 		e := newCrashingEngines(3)
 		e.survive = true
 		d := e.dispatcher()
-		d.Quarantine = quarantine.NewLedger("r")
+		d.Quarantine = quarantine.NewTracker("r")
 		change(e, d)
 		err := sendChat(t, d, "r")
 		failure, ok := slipwick.AsError(err)
@@ -148,7 +148,7 @@
 func TestRequestQuarantinedBeforeFirstAttemptIsNotRun(t *testing.T) {
 	e := newCrashingEngines(3)
 	d := e.dispatcher()
-	d.Quarantine = quarantine.NewLedger("r")
+	d.Quarantine = quarantine.NewTracker("r")
 	e.onAcquire = func(int) {
 		d.Quarantine.Merge([]quarantine.Mark{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
 	}
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -34,7 +34,7 @@
 	}
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		tellers, _ := newTellers(2)
-		ledger := quarantine.NewLedger("0")
+		ledger := quarantine.NewTracker("0")
 		tellers[0].OnMarks = ledger.Merge
 		tellers[0].Receive("", packet)
 		if got := tellers[0].Balancer.InFlight("p"); got < 0 {
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -68,7 +68,7 @@
 
 // start adds a router to the fleet and runs it.
 func (f *gossipFleet) start(ctx context.Context, id string) {
-	ledger, teller := quarantine.NewLedger(id), NewMarkTeller(id)
+	ledger, teller := quarantine.NewTracker(id), NewMarkTeller(id)
 	ledger.Routers, teller.Routers = f.liveRouters, f.liveRouters
 	ledger.OnPending = teller.Soon
 	teller.Ledger, teller.Wire = ledger, gossipTransport{f, id}
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -19,7 +19,7 @@
 
 // enableQuarantine gives the gateway a ledger.
 func (f *fixture) enableQuarantine() *quarantine.Ledger {
-	f.gateway.Quarantine = quarantine.NewLedger("r")
+	f.gateway.Quarantine = quarantine.NewTracker("r")
 	return f.gateway.Quarantine
 }
 
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -9,7 +9,7 @@
 // BenchmarkRequest measures what quarantine adds to a request that completes: hashing a body of 24
 // KB for its key, and the calls to the ledger while all its records are in use.
 func BenchmarkRequest(b *testing.B) {
-	l := NewLedger("r")
+	l := NewTracker("r")
 	for key := range Key(2 * maxRecords) {
 		l.Merge([]Mark{{Key: key, Server: 1, Life: 1}})
 	}
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -187,7 +187,7 @@
 func newSimulation(seed uint64) *simulation {
 	return &simulation{
 		random:  rand.New(rand.NewPCG(seed, seed)),
-		ledger:  NewLedger("r"),
+		ledger:  NewTracker("r"),
 		running: make(map[*execution]bool),
 	}
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -60,8 +60,8 @@
 	crashes     int
 }
 
-// NewLedger returns an empty ledger for the router with this ID.
-func NewLedger(self string) *Ledger {
+// NewTracker returns an empty ledger for the router with this ID.
+func NewTracker(self string) *Ledger {
 	// NewLRU fails only for sizes that are not positive.
 	records, _ := lru.NewLRU[Key, *record](maxRecords, nil)
 	completedAt, _ := lru.NewLRU[Key, time.Time](maxRecords, nil)
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -27,7 +27,7 @@
 }
 
 func TestThirdCrashQuarantinesRequest(t *testing.T) {
-	l := NewLedger("r")
+	l := NewTracker("r")
 	var quarantined []int
 	l.OnQuarantined = func(_ Key, crashes int) { quarantined = append(quarantined, crashes) }
 	for i, id := range []string{"a", "b", "c"} {
@@ -50,7 +50,7 @@
 // TestCrashesAreCountedPerIncarnation reports one crash several times, as two routers that see it
 // do, and has one server crash in two incarnations.
 func TestCrashesAreCountedPerIncarnation(t *testing.T) {
-	l := NewLedger("r")
+	l := NewTracker("r")
 	for range 4 {
 		runAttempt(t, l, 7, "a", 1_000, FateEnded)
 	}
@@ -68,7 +68,7 @@
 // when it started.
 func TestIncarnationsWithoutStartTimeAreDistinguishedByCrashTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewLedger("r")
+		l := NewTracker("r")
 		for i := range 3 {
 			second, _ := l.Begin(7, &slipwick.Backend{
 				ID: "a",
@@ -86,7 +86,7 @@
 // TestCompletedRequestIsExcused lets a request complete after two crashes. Late reports of the
 // earlier crashes must change nothing.
 func TestCompletedRequestIsExcused(t *testing.T) {
-	l := NewLedger("r")
+	l := NewTracker("r")
 	runAttempt(t, l, 7, "a", 1_000, FateEnded)
 	runAttempt(t, l, 7, "b", 1_000, FateEnded)
 	early := l.TakePending()
@@ -96,7 +96,7 @@
 	if l.IsQuarantined(7) {
 		t.Error("got quarantined by excused crashes")
 	}
-	other := NewLedger("s")
+	other := NewTracker("s")
 	other.Merge(slices.Concat(early, []Mark{{Key: 7, Server: 9, Life: 1}}))
 	if !other.IsQuarantined(7) {
 		t.Fatal("another router: got not quarantined after three crashes")
@@ -113,7 +113,7 @@
 // TestAttemptsStopWhenRequestIsQuarantined has one attempt wait at a server while three others end
 // with crashes.
 func TestAttemptsStopWhenRequestIsQuarantined(t *testing.T) {
-	l := NewLedger("r")
+	l := NewTracker("r")
 	stopped := 0
 	run, _ := l.Begin(7, &slipwick.Backend{
 		ID: "d",
@@ -137,7 +137,7 @@
 		routers := []slipwick.Router{{ID: "r1"}, {ID: "r2"}, {ID: "r3"}}
 		var ledgers []*Ledger
 		for _, r := range routers {
-			l := NewLedger(r.ID)
+			l := NewTracker(r.ID)
 			l.Routers = func() []slipwick.Router { return routers }
 			ledgers = append(ledgers, l)
 		}
@@ -198,7 +198,7 @@
 				Excused: rapid.IntRange(0, 3).Draw(t, "excused") == 0,
 			}
 		}), 0, 40).Draw(t, "crashes")
-		a, b := NewLedger("a"), NewLedger("b")
+		a, b := NewTracker("a"), NewTracker("b")
 		a.Merge(crashes)
 		for _, crash := range rapid.Permutation(slices.Concat(crashes, crashes[:len(crashes)/2])).Draw(t, "order") {
 			b.Merge([]Mark{crash})
@@ -214,7 +214,7 @@
 // TestNumberOfRecordsIsBounded adds far more requests than are kept. One of them is quarantined and
 // asked for now and then, and must not be evicted.
 func TestNumberOfRecordsIsBounded(t *testing.T) {
-	l := NewLedger("r")
+	l := NewTracker("r")
 	for _, id := range []string{"a", "b", "c"} {
 		runAttempt(t, l, 1, id, 0, FateEnded)
 	}
@@ -242,7 +242,7 @@
 // then, though it is not the cause.
 func TestPopularRequestSurvivesSimultaneousCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewLedger("r")
+		l := NewTracker("r")
 		begin := func(server string) *Run {
 			run, ok := l.Begin(7, &slipwick.Backend{ID: server}, false, func() {})
 			if !ok {
