--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -14,7 +14,7 @@
 
 // newLedger makes the ledger of requests under which backend servers end, and the part
 // that tells the other routers, over the streams between them.
-func (r *Router) newLedger() (*quarantine.Ledger, *exchange.MarkTeller) {
+func (r *Router) newLedger() (*quarantine.Tracker, *exchange.MarkTeller) {
 	ledger := quarantine.NewTracker(r.Settings.ID)
 	teller := exchange.NewMarkTeller(r.Settings.ID)
 	ledger.Routers = r.node.Routers
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -44,7 +44,7 @@
 	udp         *membership.UDP
 	// ledger keeps requests from backend servers that end under them, marks tells the
 	// others.
-	ledger   *quarantine.Ledger
+	ledger   *quarantine.Tracker
 	marks    *exchange.MarkTeller
 	health   chan healthNews
 	eligible atomic.Pointer[[]slipwick.Router]
--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -63,7 +63,7 @@
 	recovery *exchange.Recovery
 	// ledger keeps requests from backend servers that end under them, marks tells the
 	// other routers.
-	ledger   *quarantine.Ledger
+	ledger   *quarantine.Tracker
 	marks    *exchange.MarkTeller
 	peers    *peers
 	mirrors  map[string]*directory.Mirror
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -9,7 +9,7 @@
 
 // newLedger makes the ledger of requests under which backend servers end, and the part
 // that tells the other routers.
-func (p *Process) newLedger() (*quarantine.Ledger, *exchange.MarkTeller) {
+func (p *Process) newLedger() (*quarantine.Tracker, *exchange.MarkTeller) {
 	ledger := quarantine.NewTracker(p.Settings.ID)
 	teller := exchange.NewMarkTeller(p.Settings.ID)
 	ledger.Routers = p.node.Routers
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -30,7 +30,7 @@
 	// Quarantine records the requests during which backend servers crashed and refuses those that
 	// crashed several; nil turns this off. IsGone reports whether a backend server whose connection
 	// was lost has crashed.
-	Quarantine *quarantine.Ledger
+	Quarantine *quarantine.Tracker
 	IsGone     func(context.Context, slipwick.Backend) bool
 
 	budgets Budgets
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -35,7 +35,7 @@
 // a second. Set the exported fields before Run.
 type MarkTeller struct {
 	Self   string
-	Ledger *quarantine.Ledger
+	Ledger *quarantine.Tracker
 	Wire   Wire
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -19,7 +19,7 @@
 type gossipFleet struct {
 	mu      sync.Mutex
 	routers []slipwick.Router
-	ledgers map[string]*quarantine.Ledger
+	ledgers map[string]*quarantine.Tracker
 	// lossRate is the share of datagrams that are lost, maxPacket the size of the largest one, sent
 	// the number of all. Routers in partitioned receive nothing.
 	lossRate  float64
@@ -101,7 +101,7 @@
 
 func newGossipFleet(ctx context.Context, n int, lossRate float64, seed uint64) *gossipFleet {
 	f := &gossipFleet{
-		ledgers:     make(map[string]*quarantine.Ledger),
+		ledgers:     make(map[string]*quarantine.Tracker),
 		lossRate:    lossRate,
 		seed:        seed,
 		sentOnLink:  make(map[[2]string]uint64),
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -30,7 +30,7 @@
 	Budget   *retry.Budget
 	// Quarantine keeps requests away from backend servers that crash while they run; nil disables
 	// it.
-	Quarantine *quarantine.Ledger
+	Quarantine *quarantine.Tracker
 	// Ready is closed once the router has a configuration, the list of backend servers and the list
 	// of evacuated data centres. Homes is closed once the router has learnt which engines have
 	// which prompts cached. Requests that arrive earlier wait for a limited time. A nil channel
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -18,7 +18,7 @@
 }
 
 // enableQuarantine gives the gateway a ledger.
-func (f *fixture) enableQuarantine() *quarantine.Ledger {
+func (f *fixture) enableQuarantine() *quarantine.Tracker {
 	f.gateway.Quarantine = quarantine.NewTracker("r")
 	return f.gateway.Quarantine
 }
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -36,7 +36,7 @@
 // simulation runs requests at engines, on a simulated clock.
 type simulation struct {
 	random *rand.Rand
-	ledger *Ledger
+	ledger *Tracker
 	now    time.Duration
 	events eventQueue
 	// engines are the incarnations of the engines; 0 is an engine that is restarting.
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -23,7 +23,7 @@
 	recentPeriod = 10 * time.Second
 )
 
-// Ledger tracks which requests were running when backend servers crashed, and quarantines those
+// Tracker tracks which requests were running when backend servers crashed, and quarantines those
 // under which several crashed. Otherwise a request that crashes each server that runs it would take
 // down one after the other, whichever router the caller asks, together with everything else that
 // runs there.
@@ -32,7 +32,7 @@
 // only grows, so that routers which received the same crashes, in any order, reach the same
 // decision. Set the exported fields before the first call; the callbacks must not call back into
 // it.
-type Ledger struct {
+type Tracker struct {
 	// Self is the router's ID, Routers returns the live routers.
 	Self    string
 	Routers func() []slipwick.Router
@@ -61,11 +61,11 @@
 }
 
 // NewTracker returns an empty ledger for the router with this ID.
-func NewTracker(self string) *Ledger {
+func NewTracker(self string) *Tracker {
 	// NewLRU fails only for sizes that are not positive.
 	records, _ := lru.NewLRU[Key, *record](maxRecords, nil)
 	completedAt, _ := lru.NewLRU[Key, time.Time](maxRecords, nil)
-	return &Ledger{
+	return &Tracker{
 		Self:          self,
 		Routers:       func() []slipwick.Router { return nil },
 		OnPending:        func() {},
@@ -78,7 +78,7 @@
 }
 
 // IsQuarantined reports whether the request is quarantined.
-func (l *Ledger) IsQuarantined(key Key) bool {
+func (l *Tracker) IsQuarantined(key Key) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, isKnown := l.records.Get(key)
@@ -101,7 +101,7 @@
 const minRetryAfter = time.Second
 
 // Admit decides whether a new request may be sent.
-func (l *Ledger) Admit(key Key) Admission {
+func (l *Tracker) Admit(key Key) Admission {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	r, isKnown := l.records.Get(key)
@@ -124,7 +124,7 @@
 
 // ownsTrial reports whether this router is the one that runs the trials of the request: a trial at
 // each router would crash many servers at once.
-func (l *Ledger) ownsTrial(key Key) bool {
+func (l *Tracker) ownsTrial(key Key) bool {
 	routers := l.Routers()
 	chosen := placement.Choose(uint64(key), routers)
 	return chosen < 0 || routers[chosen].ID == l.Self
@@ -133,7 +133,7 @@
 // Begin records that the request is sent to a backend server. It returns false if the request is
 // quarantined and this is no trial. If the request becomes quarantined before the attempt ends,
 // stop is called, so that the attempt can be aborted before the server begins to run the request.
-func (l *Ledger) Begin(key Key, backend *slipwick.Backend, isTrial bool, stop func()) (*Run, bool) {
+func (l *Tracker) Begin(key Key, backend *slipwick.Backend, isTrial bool, stop func()) (*Run, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r, isKnown := l.records.Peek(key); isKnown && r.quarantined && !isTrial {
@@ -152,7 +152,7 @@
 	return run, true
 }
 
-func (l *Ledger) removeAttemptLocked(run *Run) {
+func (l *Tracker) removeAttemptLocked(run *Run) {
 	key := run.crash.Key
 	remaining := slices.DeleteFunc(l.running[key], func(other *Run) bool { return other == run })
 	if len(remaining) == 0 {
@@ -163,7 +163,7 @@
 }
 
 // addCrashLocked adds a crash, and updates the request's status if the crash is new.
-func (l *Ledger) addCrashLocked(crash Mark) {
+func (l *Tracker) addCrashLocked(crash Mark) {
 	r, isKnown := l.records.Get(crash.Key)
 	if !isKnown {
 		r = &record{}
@@ -195,14 +195,14 @@
 
 // completedRecentlyLocked reports whether the request completed at this router within
 // recentCompletionPeriod.
-func (l *Ledger) completedRecentlyLocked(key Key) bool {
+func (l *Tracker) completedRecentlyLocked(key Key) bool {
 	at, isKnown := l.completedAt.Get(key)
 	return isKnown && clock.Since(at) < recentCompletionPeriod
 }
 
 // recordCompletionLocked records that a server completed the request, which excuses it from its
 // crashes.
-func (l *Ledger) recordCompletionLocked(key Key) {
+func (l *Tracker) recordCompletionLocked(key Key) {
 	l.completedAt.Add(key, clock.Now())
 	r, isKnown := l.records.Peek(key)
 	if !isKnown {
@@ -215,7 +215,7 @@
 }
 
 // Merge adds crashes that another router reported.
-func (l *Ledger) Merge(crashes []Mark) {
+func (l *Tracker) Merge(crashes []Mark) {
 	l.mu.Lock()
 	for _, crash := range crashes {
 		l.addCrashLocked(crash)
@@ -224,7 +224,7 @@
 }
 
 // unlockAndNotify releases the lock and calls the callbacks for what changed while it was held.
-func (l *Ledger) unlockAndNotify() {
+func (l *Tracker) unlockAndNotify() {
 	changes, hasPending := l.changes, len(l.pending) > 0
 	l.changes = nil
 	l.mu.Unlock()
@@ -241,7 +241,7 @@
 }
 
 // TakePending removes and returns the crashes that were not yet sent to the other routers.
-func (l *Ledger) TakePending() []Mark {
+func (l *Tracker) TakePending() []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	crashes := l.pending
@@ -252,7 +252,7 @@
 // RecentCrashes returns up to limit crashes: first those of quarantined requests, then those of requests
 // with several crashes whose record changed recently. They are for routers that started
 // since, or that missed an update.
-func (l *Ledger) RecentCrashes(limit int) []Mark {
+func (l *Tracker) RecentCrashes(limit int) []Mark {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var quarantined, changed []Mark
@@ -270,7 +270,7 @@
 }
 
 // QuarantinedCount returns the number of quarantined requests.
-func (l *Ledger) QuarantinedCount() int {
+func (l *Tracker) QuarantinedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	quarantined := 0
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -14,7 +14,7 @@
 )
 
 // runAttempt runs a request at an incarnation of a backend server, with the given outcome.
-func runAttempt(t *testing.T, l *Ledger, key Key, id string, born int64, fate Fate) {
+func runAttempt(t *testing.T, l *Tracker, key Key, id string, born int64, fate Fate) {
 	t.Helper()
 	run, ok := l.Begin(key, &slipwick.Backend{
 		ID:   id,
@@ -135,7 +135,7 @@
 func TestOneRouterRunsTrials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		routers := []slipwick.Router{{ID: "r1"}, {ID: "r2"}, {ID: "r3"}}
-		var ledgers []*Ledger
+		var ledgers []*Tracker
 		for _, r := range routers {
 			l := NewTracker(r.ID)
 			l.Routers = func() []slipwick.Router { return routers }
