--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -118,7 +118,7 @@
 	for _, crash := range crashes {
 		message.EndedKeys = append(message.EndedKeys, uint64(crash.Key))
 		message.EndedServers = append(message.EndedServers, crash.Server)
-		message.EndedLives = append(message.EndedLives, crash.Life)
+		message.EndedLives = append(message.EndedLives, crash.Incarnation)
 		message.EndedExcused = append(message.EndedExcused, crash.Excused)
 	}
 	return message
@@ -142,7 +142,7 @@
 		crashes = append(crashes, quarantine.Mark{
 			Key:     quarantine.Key(message.GetEndedKeys()[i]),
 			Server:  message.GetEndedServers()[i],
-			Life:    message.GetEndedLives()[i],
+			Incarnation:    message.GetEndedLives()[i],
 			Excused: message.GetEndedExcused()[i],
 		})
 	}
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -144,7 +144,7 @@
 		crash: Mark{
 			Key:    key,
 			Server: placement.IDHash(backend.ID),
-			Life:   backend.Born,
+			Incarnation:   backend.Born,
 		},
 		stop: stop,
 	}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -54,7 +54,7 @@
 	for range 4 {
 		runAttempt(t, l, 7, "a", 1_000, FateEnded)
 	}
-	l.Merge([]Mark{{Key: 7, Server: 5, Life: 2_000}, {Key: 7, Server: 5, Life: 2_400}})
+	l.Merge([]Mark{{Key: 7, Server: 5, Incarnation: 2_000}, {Key: 7, Server: 5, Incarnation: 2_400}})
 	if l.IsQuarantined(7) {
 		t.Error("got quarantined after the crashes of two incarnations, want three")
 	}
@@ -97,7 +97,7 @@
 		t.Error("got quarantined by excused crashes")
 	}
 	other := NewTracker("s")
-	other.Merge(slices.Concat(early, []Mark{{Key: 7, Server: 9, Life: 1}}))
+	other.Merge(slices.Concat(early, []Mark{{Key: 7, Server: 9, Incarnation: 1}}))
 	if !other.IsQuarantined(7) {
 		t.Fatal("another router: got not quarantined after three crashes")
 	}
@@ -194,7 +194,7 @@
 			return Mark{
 				Key:     Key(rapid.IntRange(1, 4).Draw(t, "key")),
 				Server:  uint64(rapid.IntRange(1, 3).Draw(t, "server")),
-				Life:    int64(rapid.IntRange(1, 3).Draw(t, "life")) * 5_000,
+				Incarnation:    int64(rapid.IntRange(1, 3).Draw(t, "life")) * 5_000,
 				Excused: rapid.IntRange(0, 3).Draw(t, "excused") == 0,
 			}
 		}), 0, 40).Draw(t, "crashes")
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -7,9 +7,9 @@
 	Key Key
 	// Server is the hash of the backend server's ID.
 	Server uint64
-	// Life identifies the incarnation of the server: the time at which it started, as the server
+	// Incarnation identifies the incarnation of the server: the time at which it started, as the server
 	// reports it, or else the time at which its crash was seen, in Unix milliseconds.
-	Life int64
+	Incarnation int64
 	// Excused says that the request has since completed, at any server, so that it probably did not
 	// cause this crash.
 	Excused bool
@@ -22,6 +22,6 @@
 
 // isSameIncarnation reports whether both crashes are of the same incarnation of the same server.
 func (m *Mark) isSameIncarnation(other *Mark) bool {
-	apart := time.Duration(m.Life-other.Life) * time.Millisecond
+	apart := time.Duration(m.Incarnation-other.Incarnation) * time.Millisecond
 	return m.Server == other.Server && apart.Abs() < incarnationTolerance
 }
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -30,8 +30,8 @@
 	case fate == FateSurvived:
 		l.recordCompletionLocked(r.crash.Key)
 	case fate == FateEnded && !l.completedRecentlyLocked(r.crash.Key):
-		if r.crash.Life == 0 {
-			r.crash.Life = time.Now().UnixMilli()
+		if r.crash.Incarnation == 0 {
+			r.crash.Incarnation = time.Now().UnixMilli()
 		}
 		l.addCrashLocked(r.crash)
 	}
