--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -106,14 +106,14 @@
 		"quarantined between its attempts": func(_ *crashingEngines, d *Dispatcher) {
 			d.IsGone = func(context.Context, slipwick.Backend) bool {
 				// The marks of another router arrive between the attempts.
-				d.Quarantine.Merge([]quarantine.Mark{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
+				d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
 				return false
 			}
 		},
 		"quarantined before its next attempt": func(e *crashingEngines, d *Dispatcher) {
 			e.onAcquire = func(asked int) {
 				if asked == 2 {
-					d.Quarantine.Merge([]quarantine.Mark{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
+					d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
 				}
 			}
 		},
@@ -150,7 +150,7 @@
 	d := e.dispatcher()
 	d.Quarantine = quarantine.NewTracker("r")
 	e.onAcquire = func(int) {
-		d.Quarantine.Merge([]quarantine.Mark{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
+		d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
 	}
 	err := sendChat(t, d, "r")
 	failure, ok := slipwick.AsError(err)
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -92,7 +92,7 @@
 }
 
 // gossip sends crashes to a number of routers chosen at random.
-func (t *MarkTeller) gossip(crashes []quarantine.Mark, fanOut int) {
+func (t *MarkTeller) gossip(crashes []quarantine.Crash, fanOut int) {
 	if len(crashes) == 0 {
 		return
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-func (t *MarkTeller) encode(crashes []quarantine.Mark) *exchangepb.Told {
+func (t *MarkTeller) encode(crashes []quarantine.Crash) *exchangepb.Told {
 	message := &exchangepb.Told{
 		From:     t.Self,
 		Sequence: t.sequence.Add(1),
@@ -125,7 +125,7 @@
 }
 
 // DecodeMarks returns the crashes in a datagram. It returns nil if the datagram can't be decoded.
-func DecodeMarks(packet []byte) []quarantine.Mark {
+func DecodeMarks(packet []byte) []quarantine.Crash {
 	message := &exchangepb.Told{}
 	if proto.Unmarshal(packet, message) != nil {
 		return nil
@@ -134,12 +134,12 @@
 }
 
 // decodeCrashes leaves out entries for which one of the lists is too short.
-func decodeCrashes(message *exchangepb.Told) []quarantine.Mark {
+func decodeCrashes(message *exchangepb.Told) []quarantine.Crash {
 	n := min(len(message.GetEndedKeys()), len(message.GetEndedServers()),
 		len(message.GetEndedLives()), len(message.GetEndedExcused()))
-	crashes := make([]quarantine.Mark, 0, n)
+	crashes := make([]quarantine.Crash, 0, n)
 	for i := range n {
-		crashes = append(crashes, quarantine.Mark{
+		crashes = append(crashes, quarantine.Crash{
 			Key:     quarantine.Key(message.GetEndedKeys()[i]),
 			Server:  message.GetEndedServers()[i],
 			Incarnation:    message.GetEndedLives()[i],
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -50,7 +50,7 @@
 	// Address returns the address at which a router receives datagrams.
 	Address func(slipwick.Router) string
 	// OnMarks is called with the crashes that arrive among the other datagrams.
-	OnMarks func([]quarantine.Mark)
+	OnMarks func([]quarantine.Crash)
 
 	sequence atomic.Uint64
 	sendSoon chan struct{}
@@ -81,7 +81,7 @@
 func NewTeller(self string) *Teller {
 	t := &Teller{
 		Self:    self,
-		OnMarks: func([]quarantine.Mark) {},
+		OnMarks: func([]quarantine.Crash) {},
 
 		received: make(map[string]*counts),
 		own:      newCounts(nil),
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -167,7 +167,7 @@
 	go func() { ended <- send(t, r) }()
 	<-began
 	key := quarantine.KeyOf("w", http.MethodPost, "/repeatable/x", []byte("question"))
-	ledger.Merge([]quarantine.Mark{{Key: key, Server: 1}, {Key: key, Server: 2}, {Key: key, Server: 3}})
+	ledger.Merge([]quarantine.Crash{{Key: key, Server: 1}, {Key: key, Server: 2}, {Key: key, Server: 3}})
 	select {
 	case <-gone:
 	case <-time.After(2 * time.Second):
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkRequest(b *testing.B) {
 	l := NewTracker("r")
 	for key := range Key(2 * maxRecords) {
-		l.Merge([]Mark{{Key: key, Server: 1, Incarnation: 1}})
+		l.Merge([]Crash{{Key: key, Server: 1, Incarnation: 1}})
 	}
 	backend := &slipwick.Backend{
 		ID: "engine",
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -48,7 +48,7 @@
 	// completedAt is when each request last completed at this router.
 	completedAt *lru.LRU[Key, time.Time]
 	running     map[Key][]*Run
-	pending     []Mark
+	pending     []Crash
 	// changes are the requests whose status changed and whose callbacks were not called yet.
 	changes []statusChange
 }
@@ -141,7 +141,7 @@
 	}
 	run := &Run{
 		ledger: l,
-		crash: Mark{
+		crash: Crash{
 			Key:    key,
 			Server: placement.IDHash(backend.ID),
 			Incarnation:   backend.Born,
@@ -163,7 +163,7 @@
 }
 
 // addCrashLocked adds a crash, and updates the request's status if the crash is new.
-func (l *Tracker) addCrashLocked(crash Mark) {
+func (l *Tracker) addCrashLocked(crash Crash) {
 	r, isKnown := l.records.Get(crash.Key)
 	if !isKnown {
 		r = &record{}
@@ -215,7 +215,7 @@
 }
 
 // Merge adds crashes that another router reported.
-func (l *Tracker) Merge(crashes []Mark) {
+func (l *Tracker) Merge(crashes []Crash) {
 	l.mu.Lock()
 	for _, crash := range crashes {
 		l.addCrashLocked(crash)
@@ -241,7 +241,7 @@
 }
 
 // TakePending removes and returns the crashes that were not yet sent to the other routers.
-func (l *Tracker) TakePending() []Mark {
+func (l *Tracker) TakePending() []Crash {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	crashes := l.pending
@@ -252,10 +252,10 @@
 // RecentCrashes returns up to limit crashes: first those of quarantined requests, then those of requests
 // with several crashes whose record changed recently. They are for routers that started
 // since, or that missed an update.
-func (l *Tracker) RecentCrashes(limit int) []Mark {
+func (l *Tracker) RecentCrashes(limit int) []Crash {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	var quarantined, changed []Mark
+	var quarantined, changed []Crash
 	now := clock.Now()
 	for _, r := range l.records.Values() {
 		switch {
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -54,7 +54,7 @@
 	for range 4 {
 		runAttempt(t, l, 7, "a", 1_000, FateEnded)
 	}
-	l.Merge([]Mark{{Key: 7, Server: 5, Incarnation: 2_000}, {Key: 7, Server: 5, Incarnation: 2_400}})
+	l.Merge([]Crash{{Key: 7, Server: 5, Incarnation: 2_000}, {Key: 7, Server: 5, Incarnation: 2_400}})
 	if l.IsQuarantined(7) {
 		t.Error("got quarantined after the crashes of two incarnations, want three")
 	}
@@ -97,7 +97,7 @@
 		t.Error("got quarantined by excused crashes")
 	}
 	other := NewTracker("s")
-	other.Merge(slices.Concat(early, []Mark{{Key: 7, Server: 9, Incarnation: 1}}))
+	other.Merge(slices.Concat(early, []Crash{{Key: 7, Server: 9, Incarnation: 1}}))
 	if !other.IsQuarantined(7) {
 		t.Fatal("another router: got not quarantined after three crashes")
 	}
@@ -142,7 +142,7 @@
 			ledgers = append(ledgers, l)
 		}
 		exchange := func() {
-			var news []Mark
+			var news []Crash
 			for _, l := range ledgers {
 				news = append(news, l.TakePending()...)
 			}
@@ -190,8 +190,8 @@
 // of them twice.
 func TestRoutersAgreeInAnyOrderOfCrashes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Mark {
-			return Mark{
+		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
+			return Crash{
 				Key:     Key(rapid.IntRange(1, 4).Draw(t, "key")),
 				Server:  uint64(rapid.IntRange(1, 3).Draw(t, "server")),
 				Incarnation:    int64(rapid.IntRange(1, 3).Draw(t, "life")) * 5_000,
@@ -201,7 +201,7 @@
 		a, b := NewTracker("a"), NewTracker("b")
 		a.Merge(crashes)
 		for _, crash := range rapid.Permutation(slices.Concat(crashes, crashes[:len(crashes)/2])).Draw(t, "order") {
-			b.Merge([]Mark{crash})
+			b.Merge([]Crash{crash})
 		}
 		for key := range Key(5) {
 			if got, want := b.IsQuarantined(key), a.IsQuarantined(key); got != want {
--- a/quarantine/mark.go
+++ b/quarantine/mark.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Mark records that a backend server crashed while it ran a request.
-type Mark struct {
+// Crash records that a backend server crashed while it ran a request.
+type Crash struct {
 	Key Key
 	// Server is the hash of the backend server's ID.
 	Server uint64
@@ -21,7 +21,7 @@
 const incarnationTolerance = time.Second
 
 // isSameIncarnation reports whether both crashes are of the same incarnation of the same server.
-func (m *Mark) isSameIncarnation(other *Mark) bool {
+func (m *Crash) isSameIncarnation(other *Crash) bool {
 	apart := time.Duration(m.Incarnation-other.Incarnation) * time.Millisecond
 	return m.Server == other.Server && apart.Abs() < incarnationTolerance
 }
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -27,7 +27,7 @@
 
 // record holds what is known of one request. Callers have to synchronise access.
 type record struct {
-	crashes []Mark
+	crashes []Crash
 	// lastCrash is when this router learned of the latest crash, changedAt is when the record
 	// changed last.
 	lastCrash, changedAt time.Time
@@ -37,7 +37,7 @@
 }
 
 // add adds a crash and reports whether it changed the record.
-func (r *record) add(crash Mark, now time.Time) bool {
+func (r *record) add(crash Crash, now time.Time) bool {
 	for i := range r.crashes {
 		known := &r.crashes[i]
 		if !known.isSameIncarnation(&crash) {
@@ -64,7 +64,7 @@
 // evictExcused removes an excused crash to make room for another; it returns false if there is
 // none.
 func (r *record) evictExcused() bool {
-	at := slices.IndexFunc(r.crashes, func(m Mark) bool { return m.Excused })
+	at := slices.IndexFunc(r.crashes, func(m Crash) bool { return m.Excused })
 	if at < 0 {
 		return false
 	}
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -5,7 +5,7 @@
 // Run is one attempt to run a request at a backend server. The caller has to call End exactly once.
 type Run struct {
 	ledger *Tracker
-	crash  Mark
+	crash  Crash
 	stop   func()
 }
 
