--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -56,7 +56,7 @@
 		return
 	}
 	failure, isTyped := slipwick.AsError(err)
-	fate := quarantine.FateUnknown
+	fate := quarantine.OutcomeUnknown
 	switch {
 	case err == nil:
 		fate = quarantine.FateSurvived
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -84,7 +84,7 @@
 	if w.run == nil {
 		return
 	}
-	fate := quarantine.FateUnknown
+	fate := quarantine.OutcomeUnknown
 	switch {
 	case outcome == resultDelivered || outcome == resultFailed:
 		fate = quarantine.FateSurvived
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -129,7 +129,7 @@
 		delete(s.running, e)
 		fate := FateEnded
 		if e.key != badKey && s.now-e.began > firstEventDelay+suspicionPeriod && !s.suspectAll {
-			fate = FateUnknown
+			fate = OutcomeUnknown
 		}
 		s.schedule(crashDetectionDelay, func() { e.run.End(fate) })
 		retry := *e
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -124,7 +124,7 @@
 	if stopped != 1 {
 		t.Errorf("got %d stops, want one", stopped)
 	}
-	run.End(FateUnknown)
+	run.End(OutcomeUnknown)
 	if len(l.running) != 0 {
 		t.Errorf("got %d requests running, want none", len(l.running))
 	}
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -13,8 +13,8 @@
 type Fate int
 
 const (
-	// FateUnknown gives no evidence for or against the request.
-	FateUnknown Fate = iota
+	// OutcomeUnknown gives no evidence for or against the request.
+	OutcomeUnknown Fate = iota
 	// FateSurvived means that the server returned the complete response.
 	FateSurvived
 	// FateEnded means that the server broke off the response and no longer accepts connections.
