--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -59,10 +59,10 @@
 	fate := quarantine.OutcomeUnknown
 	switch {
 	case err == nil:
-		fate = quarantine.FateSurvived
+		fate = quarantine.OutcomeCompleted
 	case delivered || !isTyped:
 	case failure.Outcome == slipwick.OutcomeFailed:
-		fate = quarantine.FateSurvived
+		fate = quarantine.OutcomeCompleted
 	case failure.Outcome == slipwick.OutcomeUnknown && ctx.Err() == nil && d.IsGone(ctx, backend):
 		fate = quarantine.FateEnded
 	}
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -87,7 +87,7 @@
 	fate := quarantine.OutcomeUnknown
 	switch {
 	case outcome == resultDelivered || outcome == resultFailed:
-		fate = quarantine.FateSurvived
+		fate = quarantine.OutcomeCompleted
 	case outcome == resultBroken && w.mayHaveCrashed(err) && w.hasCrashed():
 		fate = quarantine.FateEnded
 	}
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -24,6 +24,6 @@
 			b.Fatal("refused")
 		}
 		run, _ := l.Begin(key, backend, false, func() {})
-		run.End(FateSurvived)
+		run.End(OutcomeCompleted)
 	}
 }
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -102,7 +102,7 @@
 			return
 		}
 		delete(s.running, &e)
-		e.run.End(FateSurvived)
+		e.run.End(OutcomeCompleted)
 		s.completed++
 	})
 }
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -90,7 +90,7 @@
 	runAttempt(t, l, 7, "a", 1_000, FateEnded)
 	runAttempt(t, l, 7, "b", 1_000, FateEnded)
 	early := l.TakePending()
-	runAttempt(t, l, 7, "c", 1_000, FateSurvived)
+	runAttempt(t, l, 7, "c", 1_000, OutcomeCompleted)
 	l.Merge(early)
 	runAttempt(t, l, 7, "d", 1_000, FateEnded)
 	if l.IsQuarantined(7) {
@@ -168,7 +168,7 @@
 							if !ok {
 								t.Fatal("got no trial sent")
 							}
-							run.End([]Fate{FateEnded, FateEnded, FateSurvived}[i])
+							run.End([]Fate{FateEnded, FateEnded, OutcomeCompleted}[i])
 						}
 					}
 				}
@@ -253,7 +253,7 @@
 		for i := range 100 {
 			run := begin(fmt.Sprint("s", i%4))
 			time.Sleep(20 * time.Millisecond)
-			run.End(FateSurvived)
+			run.End(OutcomeCompleted)
 		}
 		running := []*Run{begin("s0"), begin("s1"), begin("s2")}
 		for _, run := range running {
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -15,8 +15,8 @@
 const (
 	// OutcomeUnknown gives no evidence for or against the request.
 	OutcomeUnknown Fate = iota
-	// FateSurvived means that the server returned the complete response.
-	FateSurvived
+	// OutcomeCompleted means that the server returned the complete response.
+	OutcomeCompleted
 	// FateEnded means that the server broke off the response and no longer accepts connections.
 	FateEnded
 )
@@ -27,7 +27,7 @@
 	l.mu.Lock()
 	l.removeAttemptLocked(r)
 	switch {
-	case fate == FateSurvived:
+	case fate == OutcomeCompleted:
 		l.recordCompletionLocked(r.crash.Key)
 	case fate == FateEnded && !l.completedRecentlyLocked(r.crash.Key):
 		if r.crash.Incarnation == 0 {
