--- a/cmd/internal/daemon/quarantine_test.go
+++ b/cmd/internal/daemon/quarantine_test.go
@@ -28,7 +28,7 @@
 		if !ok {
 			t.Fatalf("got quarantined after %d ends", i)
 		}
-		run.End(quarantine.FateEnded)
+		run.End(quarantine.OutcomeCrashed)
 	}
 	waitUntil(t, "the news", func() bool { return second.ledger.IsQuarantined(7) })
 }
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -64,7 +64,7 @@
 	case failure.Outcome == slipwick.OutcomeFailed:
 		fate = quarantine.OutcomeCompleted
 	case failure.Outcome == slipwick.OutcomeUnknown && ctx.Err() == nil && d.IsGone(ctx, backend):
-		fate = quarantine.FateEnded
+		fate = quarantine.OutcomeCrashed
 	}
 	run.End(fate)
 }
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -119,7 +119,7 @@
 		ID: server,
 	}, false, func() {})
 	if ok {
-		run.End(quarantine.FateEnded)
+		run.End(quarantine.OutcomeCrashed)
 	}
 }
 
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -89,7 +89,7 @@
 	case outcome == resultDelivered || outcome == resultFailed:
 		fate = quarantine.OutcomeCompleted
 	case outcome == resultBroken && w.mayHaveCrashed(err) && w.hasCrashed():
-		fate = quarantine.FateEnded
+		fate = quarantine.OutcomeCrashed
 	}
 	w.run.End(fate)
 }
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -127,7 +127,7 @@
 	})
 	for _, e := range executions {
 		delete(s.running, e)
-		fate := FateEnded
+		fate := OutcomeCrashed
 		if e.key != badKey && s.now-e.began > firstEventDelay+suspicionPeriod && !s.suspectAll {
 			fate = OutcomeUnknown
 		}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -34,7 +34,7 @@
 		if l.IsQuarantined(7) {
 			t.Errorf("got quarantined after %d crashes", i)
 		}
-		runAttempt(t, l, 7, id, 0, FateEnded)
+		runAttempt(t, l, 7, id, 0, OutcomeCrashed)
 	}
 	if got := l.Admit(7); !got.Refused || got.RetryAfter < initialBackoff/2 {
 		t.Errorf("got %+v after three crashes, want it refused with a time to wait", got)
@@ -52,13 +52,13 @@
 func TestCrashesAreCountedPerIncarnation(t *testing.T) {
 	l := NewTracker("r")
 	for range 4 {
-		runAttempt(t, l, 7, "a", 1_000, FateEnded)
+		runAttempt(t, l, 7, "a", 1_000, OutcomeCrashed)
 	}
 	l.Merge([]Crash{{Key: 7, Server: 5, Incarnation: 2_000}, {Key: 7, Server: 5, Incarnation: 2_400}})
 	if l.IsQuarantined(7) {
 		t.Error("got quarantined after the crashes of two incarnations, want three")
 	}
-	runAttempt(t, l, 7, "a", 9_000, FateEnded)
+	runAttempt(t, l, 7, "a", 9_000, OutcomeCrashed)
 	if !l.IsQuarantined(7) {
 		t.Error("got not quarantined after a second incarnation with the same ID crashed, want three crashes")
 	}
@@ -73,8 +73,8 @@
 			second, _ := l.Begin(7, &slipwick.Backend{
 				ID: "a",
 			}, false, func() {})
-			runAttempt(t, l, 7, "a", 0, FateEnded)
-			second.End(FateEnded)
+			runAttempt(t, l, 7, "a", 0, OutcomeCrashed)
+			second.End(OutcomeCrashed)
 			if got, want := l.IsQuarantined(7), i == 2; got != want {
 				t.Errorf("got quarantined %t after %d crashes of one server, want %t", got, i+1, want)
 			}
@@ -87,12 +87,12 @@
 // earlier crashes must change nothing.
 func TestCompletedRequestIsExcused(t *testing.T) {
 	l := NewTracker("r")
-	runAttempt(t, l, 7, "a", 1_000, FateEnded)
-	runAttempt(t, l, 7, "b", 1_000, FateEnded)
+	runAttempt(t, l, 7, "a", 1_000, OutcomeCrashed)
+	runAttempt(t, l, 7, "b", 1_000, OutcomeCrashed)
 	early := l.TakePending()
 	runAttempt(t, l, 7, "c", 1_000, OutcomeCompleted)
 	l.Merge(early)
-	runAttempt(t, l, 7, "d", 1_000, FateEnded)
+	runAttempt(t, l, 7, "d", 1_000, OutcomeCrashed)
 	if l.IsQuarantined(7) {
 		t.Error("got quarantined by excused crashes")
 	}
@@ -119,7 +119,7 @@
 		ID: "d",
 	}, false, func() { stopped++ })
 	for _, id := range []string{"a", "b", "c"} {
-		runAttempt(t, l, 7, id, 0, FateEnded)
+		runAttempt(t, l, 7, id, 0, OutcomeCrashed)
 	}
 	if stopped != 1 {
 		t.Errorf("got %d stops, want one", stopped)
@@ -152,7 +152,7 @@
 			}
 		}
 		for _, id := range []string{"a", "b", "c"} {
-			runAttempt(t, ledgers[0], 7, id, 0, FateEnded)
+			runAttempt(t, ledgers[0], 7, id, 0, OutcomeCrashed)
 		}
 		exchange()
 		started := time.Now()
@@ -168,7 +168,7 @@
 							if !ok {
 								t.Fatal("got no trial sent")
 							}
-							run.End([]Fate{FateEnded, FateEnded, OutcomeCompleted}[i])
+							run.End([]Fate{OutcomeCrashed, OutcomeCrashed, OutcomeCompleted}[i])
 						}
 					}
 				}
@@ -216,11 +216,11 @@
 func TestNumberOfRecordsIsBounded(t *testing.T) {
 	l := NewTracker("r")
 	for _, id := range []string{"a", "b", "c"} {
-		runAttempt(t, l, 1, id, 0, FateEnded)
+		runAttempt(t, l, 1, id, 0, OutcomeCrashed)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	for i := range 5 * maxRecords {
-		runAttempt(t, l, Key(random.Uint64()), "d", 0, FateEnded)
+		runAttempt(t, l, Key(random.Uint64()), "d", 0, OutcomeCrashed)
 		if i%1000 == 0 && !l.Admit(1).Refused {
 			t.Fatalf("got the quarantined request forgotten after %d others", i)
 		}
@@ -257,7 +257,7 @@
 		}
 		running := []*Run{begin("s0"), begin("s1"), begin("s2")}
 		for _, run := range running {
-			run.End(FateEnded)
+			run.End(OutcomeCrashed)
 		}
 		if l.IsQuarantined(7) {
 			t.Error("got a request quarantined that completed a moment before")
@@ -265,7 +265,7 @@
 		// A request that crashes servers from now on must still be detected.
 		time.Sleep(recentCompletionPeriod)
 		for _, server := range []string{"s3", "s4", "s5"} {
-			begin(server).End(FateEnded)
+			begin(server).End(OutcomeCrashed)
 			time.Sleep(time.Second)
 		}
 		if !l.IsQuarantined(7) {
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -17,8 +17,8 @@
 	OutcomeUnknown Fate = iota
 	// OutcomeCompleted means that the server returned the complete response.
 	OutcomeCompleted
-	// FateEnded means that the server broke off the response and no longer accepts connections.
-	FateEnded
+	// OutcomeCrashed means that the server broke off the response and no longer accepts connections.
+	OutcomeCrashed
 )
 
 // End records the outcome of the attempt.
@@ -29,7 +29,7 @@
 	switch {
 	case fate == OutcomeCompleted:
 		l.recordCompletionLocked(r.crash.Key)
-	case fate == FateEnded && !l.completedRecentlyLocked(r.crash.Key):
+	case fate == OutcomeCrashed && !l.completedRecentlyLocked(r.crash.Key):
 		if r.crash.Incarnation == 0 {
 			r.crash.Incarnation = time.Now().UnixMilli()
 		}
