--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -14,7 +14,7 @@
 )
 
 // runAttempt runs a request at an incarnation of a backend server, with the given outcome.
-func runAttempt(t *testing.T, l *Tracker, key Key, id string, born int64, fate Fate) {
+func runAttempt(t *testing.T, l *Tracker, key Key, id string, born int64, fate Outcome) {
 	t.Helper()
 	run, ok := l.Begin(key, &slipwick.Backend{
 		ID:   id,
@@ -168,7 +168,7 @@
 							if !ok {
 								t.Fatal("got no trial sent")
 							}
-							run.End([]Fate{OutcomeCrashed, OutcomeCrashed, OutcomeCompleted}[i])
+							run.End([]Outcome{OutcomeCrashed, OutcomeCrashed, OutcomeCompleted}[i])
 						}
 					}
 				}
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -9,12 +9,12 @@
 	stop   func()
 }
 
-// Fate is the outcome of an attempt for the backend server.
-type Fate int
+// Outcome is the outcome of an attempt for the backend server.
+type Outcome int
 
 const (
 	// OutcomeUnknown gives no evidence for or against the request.
-	OutcomeUnknown Fate = iota
+	OutcomeUnknown Outcome = iota
 	// OutcomeCompleted means that the server returned the complete response.
 	OutcomeCompleted
 	// OutcomeCrashed means that the server broke off the response and no longer accepts connections.
@@ -22,7 +22,7 @@
 )
 
 // End records the outcome of the attempt.
-func (r *Run) End(fate Fate) {
+func (r *Run) End(fate Outcome) {
 	l := r.ledger
 	l.mu.Lock()
 	l.removeAttemptLocked(r)
