--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -34,7 +34,7 @@
 
 // beginRun records that the request is about to be sent. If the request was quarantined while it
 // waited, beginRun releases the slot and returns an error.
-func (d *Dispatcher) beginRun(key quarantine.Key, grant slipwick.Grant, isTrial bool) (*quarantine.Run, error) {
+func (d *Dispatcher) beginRun(key quarantine.Key, grant slipwick.Grant, isTrial bool) (*quarantine.Attempt, error) {
 	if d.Quarantine == nil {
 		return nil, nil
 	}
@@ -50,7 +50,7 @@
 // begun to respond did not crash because of the request: a request that crashes a backend server
 // does so when it begins to run.
 func (d *Dispatcher) endRun(
-	ctx context.Context, run *quarantine.Run, backend slipwick.Backend, delivered bool, err error,
+	ctx context.Context, run *quarantine.Attempt, backend slipwick.Backend, delivered bool, err error,
 ) {
 	if run == nil {
 		return
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -28,7 +28,7 @@
 type crashWatch struct {
 	call  *call
 	lease *balance.Lease
-	run   *quarantine.Run
+	run   *quarantine.Attempt
 	// ctx is the context of the send; stop cancels it.
 	ctx  context.Context
 	stop context.CancelCauseFunc
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -58,7 +58,7 @@
 	began    time.Duration
 	attempts int
 	tries    int
-	run      *Run
+	run      *Attempt
 	// number is the position of this execution in the order in which they began.
 	number int
 }
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -47,7 +47,7 @@
 	records *lru.LRU[Key, *record]
 	// completedAt is when each request last completed at this router.
 	completedAt *lru.LRU[Key, time.Time]
-	running     map[Key][]*Run
+	running     map[Key][]*Attempt
 	pending     []Crash
 	// changes are the requests whose status changed and whose callbacks were not called yet.
 	changes []statusChange
@@ -73,7 +73,7 @@
 		OnReleased:    func(Key) {},
 		records:       records,
 		completedAt:   completedAt,
-		running:       make(map[Key][]*Run),
+		running:       make(map[Key][]*Attempt),
 	}
 }
 
@@ -133,13 +133,13 @@
 // Begin records that the request is sent to a backend server. It returns false if the request is
 // quarantined and this is no trial. If the request becomes quarantined before the attempt ends,
 // stop is called, so that the attempt can be aborted before the server begins to run the request.
-func (l *Tracker) Begin(key Key, backend *slipwick.Backend, isTrial bool, stop func()) (*Run, bool) {
+func (l *Tracker) Begin(key Key, backend *slipwick.Backend, isTrial bool, stop func()) (*Attempt, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if r, isKnown := l.records.Peek(key); isKnown && r.quarantined && !isTrial {
 		return nil, false
 	}
-	run := &Run{
+	run := &Attempt{
 		ledger: l,
 		crash: Crash{
 			Key:    key,
@@ -152,9 +152,9 @@
 	return run, true
 }
 
-func (l *Tracker) removeAttemptLocked(run *Run) {
+func (l *Tracker) removeAttemptLocked(run *Attempt) {
 	key := run.crash.Key
-	remaining := slices.DeleteFunc(l.running[key], func(other *Run) bool { return other == run })
+	remaining := slices.DeleteFunc(l.running[key], func(other *Attempt) bool { return other == run })
 	if len(remaining) == 0 {
 		delete(l.running, key)
 		return
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -243,7 +243,7 @@
 func TestPopularRequestSurvivesSimultaneousCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := NewTracker("r")
-		begin := func(server string) *Run {
+		begin := func(server string) *Attempt {
 			run, ok := l.Begin(7, &slipwick.Backend{ID: server}, false, func() {})
 			if !ok {
 				t.Fatal("got the request quarantined")
@@ -255,7 +255,7 @@
 			time.Sleep(20 * time.Millisecond)
 			run.End(OutcomeCompleted)
 		}
-		running := []*Run{begin("s0"), begin("s1"), begin("s2")}
+		running := []*Attempt{begin("s0"), begin("s1"), begin("s2")}
 		for _, run := range running {
 			run.End(OutcomeCrashed)
 		}
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Run is one attempt to run a request at a backend server. The caller has to call End exactly once.
-type Run struct {
+// Attempt is one attempt to run a request at a backend server. The caller has to call End exactly once.
+type Attempt struct {
 	ledger *Tracker
 	crash  Crash
 	stop   func()
@@ -22,7 +22,7 @@
 )
 
 // End records the outcome of the attempt.
-func (r *Run) End(fate Outcome) {
+func (r *Attempt) End(fate Outcome) {
 	l := r.ledger
 	l.mu.Lock()
 	l.removeAttemptLocked(r)
