--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -28,7 +28,7 @@
 
 // serve sends the request until it has a response or must not be sent again.
 func (c *call) serve() {
-	c.gateway.Budget.Requested(c.pool)
+	c.gateway.Budget.CountRequest(c.pool)
 	defer c.abandonNextLease()
 	var outcome result
 	reason, retryAfter := "", retrySoon
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -60,8 +60,8 @@
 	b.Ratio, b.Extra = ratio, extra
 }
 
-// Requested counts a request of a caller to the pool.
-func (b *Budget) Requested(pool string) {
+// CountRequest counts a request of a caller to the pool.
+func (b *Budget) CountRequest(pool string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.windowLocked(pool).requests.add(1)
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -27,7 +27,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBudget()
 		for range 100 {
-			b.Requested("p")
+			b.CountRequest("p")
 		}
 		// 0.85 of 0.2 * 100, and 0.6 of 40 / 4.
 		if got, want := takeAll(b, "p"), 23; got != want {
@@ -46,7 +46,7 @@
 		b := newTestBudget()
 		var taken []time.Time
 		for range 300 {
-			b.Requested("p")
+			b.CountRequest("p")
 			for b.Take("p") {
 				taken = append(taken, time.Now())
 			}
@@ -108,7 +108,7 @@
 						fleet = make4(true)
 					}
 					for _, b := range fleet[:test.live(time.Since(started))] {
-						b.Requested("p")
+						b.CountRequest("p")
 						requests++
 						for b.Take("p") {
 							taken = append(taken, time.Now())
--- a/retry/sleep_test.go
+++ b/retry/sleep_test.go
@@ -21,7 +21,7 @@
 				Routers: func() int { return 1 },
 			}
 			for range 100 {
-				b.Requested("p")
+				b.CountRequest("p")
 			}
 			ahead += sleep
 			clock.Notice()
