--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -259,7 +259,7 @@
 	p.balancer.SetLoadBound(bounds.LoadFactor, bounds.LoadSlack)
 	p.bounds.Store(&bounds)
 	p.limitCold()
-	p.gateway.Budget.SetBound(settings.Retries.Ratio, settings.Retries.Extra)
+	p.gateway.Budget.SetLimit(settings.Retries.Ratio, settings.Retries.Extra)
 	events.SettingsReloaded.On(&p.Log).Int("seeds", len(settings.Seeds)).Dur("grace_ms", settings.Grace).
 		Float64("load_factor", bounds.LoadFactor).Float64("retry_ratio", settings.Retries.Ratio).
 		Float64("retry_extra", settings.Retries.Extra).Send()
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -53,8 +53,8 @@
 	fleetSlot int64
 }
 
-// SetBound changes the limit. The requests and retries counted so far stay counted.
-func (b *Budget) SetBound(ratio, extra float64) {
+// SetLimit changes the limit. The requests and retries counted so far stay counted.
+func (b *Budget) SetLimit(ratio, extra float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.Ratio, b.Extra = ratio, extra
