--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -20,7 +20,7 @@
 	teller.Wire = p.tellings
 	teller.Routers = p.node.Routers
 	teller.Address = tellingsAddress
-	p.teller.OnMarks = ledger.Merge
+	p.teller.OnCrashes = ledger.Merge
 	return ledger, teller
 }
 
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -35,7 +35,7 @@
 	f.Fuzz(func(t *testing.T, packet []byte) {
 		tellers, _ := newTellers(2)
 		ledger := quarantine.NewTracker("0")
-		tellers[0].OnMarks = ledger.Merge
+		tellers[0].OnCrashes = ledger.Merge
 		tellers[0].Receive("", packet)
 		if got := tellers[0].Balancer.InFlight("p"); got < 0 {
 			t.Errorf("got %v requests in flight", got)
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -55,7 +55,7 @@
 	}
 	time.AfterFunc(2*time.Millisecond, func() {
 		t := NewTeller(address)
-		t.OnMarks = ledger.Merge
+		t.OnCrashes = ledger.Merge
 		t.Receive("", packet)
 	})
 }
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -49,8 +49,8 @@
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
 	Address func(slipwick.Router) string
-	// OnMarks is called with the crashes that arrive among the other datagrams.
-	OnMarks func([]quarantine.Crash)
+	// OnCrashes is called with the crashes that arrive among the other datagrams.
+	OnCrashes func([]quarantine.Crash)
 
 	sequence atomic.Uint64
 	sendSoon chan struct{}
@@ -81,7 +81,7 @@
 func NewTeller(self string) *Teller {
 	t := &Teller{
 		Self:    self,
-		OnMarks: func([]quarantine.Crash) {},
+		OnCrashes: func([]quarantine.Crash) {},
 
 		received: make(map[string]*counts),
 		own:      newCounts(nil),
@@ -245,7 +245,7 @@
 		return
 	}
 	if crashes := decodeCrashes(message); len(crashes) > 0 {
-		t.OnMarks(crashes)
+		t.OnCrashes(crashes)
 		return
 	}
 	update := decode(message)
