--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -83,7 +83,7 @@
 	t.Wire = p.tellings
 	t.Routers = p.node.Routers
 	t.Address = tellingsAddress
-	p.balancer.OnLongPrefill = t.Soon
+	p.balancer.OnLongPrefill = t.TriggerUpdate
 	p.tellings.OnReceive = t.Receive
 	return t
 }
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -103,8 +103,8 @@
 	return t.done
 }
 
-// Soon makes Run send the next update after urgentDelay. It doesn't block.
-func (t *Teller) Soon() {
+// TriggerUpdate makes Run send the next update after urgentDelay. It doesn't block.
+func (t *Teller) TriggerUpdate() {
 	signal(t.sendSoon)
 }
 
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -76,7 +76,7 @@
 	for i := range n {
 		t := NewTeller(fmt.Sprint(i))
 		t.Balancer = balance.New(routers[i].DataCentre)
-		t.Balancer.OnLongPrefill = t.Soon
+		t.Balancer.OnLongPrefill = t.TriggerUpdate
 		t.Balancer.SetBackends(backends)
 		t.Routers = func() []slipwick.Router { return routers }
 		t.Address = func(r slipwick.Router) string { return r.ID }
