--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -80,7 +80,7 @@
 func (p *Process) newTeller() *exchange.Teller {
 	t := exchange.NewTeller(p.Settings.ID)
 	t.Balancer = p.balancer
-	t.Wire = p.tellings
+	t.Transport = p.tellings
 	t.Routers = p.node.Routers
 	t.Address = tellingsAddress
 	p.balancer.OnLongPrefill = t.TriggerUpdate
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -44,7 +44,7 @@
 type Teller struct {
 	Self     string
 	Balancer *balance.Balancer
-	Wire     Wire
+	Transport     Wire
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
@@ -233,7 +233,7 @@
 	for _, r := range routers {
 		address := t.Address(r)
 		for _, packet := range packets {
-			t.Wire.Send(address, packet)
+			t.Transport.Send(address, packet)
 		}
 	}
 }
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -80,7 +80,7 @@
 		t.Balancer.SetBackends(backends)
 		t.Routers = func() []slipwick.Router { return routers }
 		t.Address = func(r slipwick.Router) string { return r.ID }
-		t.Wire = &testTransport{
+		t.Transport = &testTransport{
 			network: network,
 			from:    t.Self,
 		}
--- a/exchange/telling_bench_test.go
+++ b/exchange/telling_bench_test.go
@@ -35,7 +35,7 @@
 				})
 			}
 			t.Balancer.SetBackends(list)
-			t.Wire = discardTransport{}
+			t.Transport = discardTransport{}
 			t.Routers = func() []slipwick.Router { return routers }
 			t.Address = func(r slipwick.Router) string { return r.ID }
 			if _, err := t.Balancer.Acquire(&balance.Request{
