--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -26,7 +26,7 @@
 		events.RequestReleased.On(&r.Log).Stringer("key", key).Send()
 	}
 	teller.Ledger = ledger
-	teller.Wire = marksWire{r}
+	teller.Transport = marksWire{r}
 	teller.Routers = r.node.Routers
 	teller.Address = func(router slipwick.Router) string { return router.ID }
 	return ledger, teller
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -17,7 +17,7 @@
 	ledger.OnQuarantined = p.onQuarantined
 	ledger.OnReleased = p.onReleased
 	teller.Ledger = ledger
-	teller.Wire = p.tellings
+	teller.Transport = p.tellings
 	teller.Routers = p.node.Routers
 	teller.Address = tellingsAddress
 	p.teller.OnCrashes = ledger.Merge
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -36,7 +36,7 @@
 type MarkTeller struct {
 	Self   string
 	Ledger *quarantine.Tracker
-	Wire   Wire
+	Transport   Wire
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
@@ -103,7 +103,7 @@
 		n := min(len(crashes), maxCrashes)
 		packet := marshal(t.encode(crashes[:n]))
 		for _, r := range others {
-			t.Wire.Send(t.Address(r), packet)
+			t.Transport.Send(t.Address(r), packet)
 		}
 		crashes = crashes[n:]
 	}
