--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -36,7 +36,7 @@
 type MarkTeller struct {
 	Self   string
 	Ledger *quarantine.Tracker
-	Transport   Wire
+	Transport   Transport
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -34,8 +34,8 @@
 	maxQueued = 4096
 )
 
-// Wire sends datagrams to other routers.
-type Wire interface {
+// Transport sends datagrams to other routers.
+type Transport interface {
 	Send(address string, packet []byte)
 }
 
@@ -44,7 +44,7 @@
 type Teller struct {
 	Self     string
 	Balancer *balance.Balancer
-	Transport     Wire
+	Transport     Transport
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
