--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -78,7 +78,7 @@
 
 // newTeller makes the part that tells the other routers what the balancer knows.
 func (p *Process) newTeller() *exchange.Teller {
-	t := exchange.NewTeller(p.Settings.ID)
+	t := exchange.NewSyncer(p.Settings.ID)
 	t.Balancer = p.balancer
 	t.Transport = p.tellings
 	t.Routers = p.node.Routers
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -54,7 +54,7 @@
 		return
 	}
 	time.AfterFunc(2*time.Millisecond, func() {
-		t := NewTeller(address)
+		t := NewSyncer(address)
 		t.OnCrashes = ledger.Merge
 		t.Receive("", packet)
 	})
--- a/exchange/receive_bench_test.go
+++ b/exchange/receive_bench_test.go
@@ -13,12 +13,12 @@
 func BenchmarkReceive(b *testing.B) {
 	for _, inFlight := range []int{125, 250, 500, 1000} {
 		b.Run(fmt.Sprint(inFlight), func(b *testing.B) {
-			t := NewTeller("r")
+			t := NewSyncer("r")
 			t.Balancer = balance.New("d")
 			backends := testBackends(10 * inFlight)
 			t.Balancer.SetBackends(backends)
 			t.Balancer.SetPeers([]string{fleetSource}, 900)
-			hub := NewTeller("hub")
+			hub := NewSyncer("hub")
 			update := balance.Update{}
 			for i := range inFlight {
 				update.InFlight = append(update.InFlight, balance.InFlight{
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -77,8 +77,8 @@
 	done chan struct{}
 }
 
-// NewTeller returns a teller for the router with this ID. Set the other exported fields before Run.
-func NewTeller(self string) *Teller {
+// NewSyncer returns a teller for the router with this ID. Set the other exported fields before Run.
+func NewSyncer(self string) *Teller {
 	t := &Teller{
 		Self:    self,
 		OnCrashes: func([]quarantine.Crash) {},
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -74,7 +74,7 @@
 	}
 	var tellers []*Teller
 	for i := range n {
-		t := NewTeller(fmt.Sprint(i))
+		t := NewSyncer(fmt.Sprint(i))
 		t.Balancer = balance.New(routers[i].DataCentre)
 		t.Balancer.OnLongPrefill = t.TriggerUpdate
 		t.Balancer.SetBackends(backends)
@@ -355,7 +355,7 @@
 // of its datagrams.
 func TestRoundsOfManyDatagramsAddUp(t *testing.T) {
 	for _, inFlight := range []int{60, 120, 240} {
-		hub, router := NewTeller("hub"), NewTeller("r")
+		hub, router := NewSyncer("hub"), NewSyncer("r")
 		router.Balancer = balance.New("d")
 		router.Balancer.SetBackends(testBackends(inFlight))
 		router.Balancer.SetPeers([]string{fleetSource}, 30)
--- a/exchange/telling_bench_test.go
+++ b/exchange/telling_bench_test.go
@@ -23,7 +23,7 @@
 					DataCentre: fmt.Sprint("dc-", i%6),
 				})
 			}
-			t := NewTeller("r-0000")
+			t := NewSyncer("r-0000")
 			t.Balancer = balance.New("dc-0")
 			var list []balance.Entry
 			for i := range 10 * size {
