--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -77,7 +77,7 @@
 }
 
 // newTeller makes the part that tells the other routers what the balancer knows.
-func (p *Process) newTeller() *exchange.Teller {
+func (p *Process) newTeller() *exchange.Syncer {
 	t := exchange.NewSyncer(p.Settings.ID)
 	t.Balancer = p.balancer
 	t.Transport = p.tellings
--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -59,7 +59,7 @@
 	client   *upstream.Client
 	node     *membership.Node
 	udp      *membership.UDP
-	teller   *exchange.Teller
+	teller   *exchange.Syncer
 	recovery *exchange.Recovery
 	// ledger keeps requests from backend servers that end under them, marks tells the
 	// other routers.
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -18,7 +18,7 @@
 )
 
 // encode splits an update into datagrams, which all carry the same round number.
-func (t *Teller) encode(scope exchangepb.Scope, urgent bool, update balance.Update) [][]byte {
+func (t *Syncer) encode(scope exchangepb.Scope, urgent bool, update balance.Update) [][]byte {
 	round := t.sequence.Add(1)
 	var packets [][]byte
 	for first := true; first || len(update.InFlight)+countEvents(&update) > 0; first = false {
@@ -51,7 +51,7 @@
 	return len(update.CachedParts) + len(update.Outcomes) + len(update.Leaving)
 }
 
-func (t *Teller) message(scope exchangepb.Scope) *exchangepb.Told {
+func (t *Syncer) message(scope exchangepb.Scope) *exchangepb.Told {
 	return &exchangepb.Told{
 		From:     t.Self,
 		Sequence: t.sequence.Add(1),
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -39,9 +39,9 @@
 	Send(address string, packet []byte)
 }
 
-// Teller sends the state of the balancer to the other routers, and passes what they send to the
+// Syncer sends the state of the balancer to the other routers, and passes what they send to the
 // balancer. Set the exported fields before Run.
-type Teller struct {
+type Syncer struct {
 	Self     string
 	Balancer *balance.Balancer
 	Transport     Transport
@@ -78,8 +78,8 @@
 }
 
 // NewSyncer returns a teller for the router with this ID. Set the other exported fields before Run.
-func NewSyncer(self string) *Teller {
-	t := &Teller{
+func NewSyncer(self string) *Syncer {
+	t := &Syncer{
 		Self:    self,
 		OnCrashes: func([]quarantine.Crash) {},
 
@@ -99,12 +99,12 @@
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (t *Teller) Done() <-chan struct{} {
+func (t *Syncer) Done() <-chan struct{} {
 	return t.done
 }
 
 // TriggerUpdate makes Run send the next update after urgentDelay. It doesn't block.
-func (t *Teller) TriggerUpdate() {
+func (t *Syncer) TriggerUpdate() {
 	signal(t.sendSoon)
 }
 
@@ -118,7 +118,7 @@
 }
 
 // Run sends updates until ctx ends.
-func (t *Teller) Run(ctx context.Context) {
+func (t *Syncer) Run(ctx context.Context) {
 	defer close(t.done)
 	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
@@ -141,7 +141,7 @@
 
 // sendUpdate sends an update to the routers that this router's role requires: to all others in a
 // full mesh, to its hub, or as a hub to the other hubs and to its group.
-func (t *Teller) sendUpdate(urgent bool) {
+func (t *Syncer) sendUpdate(urgent bool) {
 	if routers := t.Routers(); !slices.Equal(routers, t.hubs.routers) {
 		t.hubs = chooseHubs(routers)
 	}
@@ -172,7 +172,7 @@
 
 // sendHubUpdates sends the counts of the group to the other hubs, and the counts of the fleet to
 // the group.
-func (t *Teller) sendHubUpdates(hubs *hubs, own balance.Update, fleet int) {
+func (t *Syncer) sendHubUpdates(hubs *hubs, own balance.Update, fleet int) {
 	group, others := hubs.groupOf(t.Self), excluding(hubs.chosen, t.Self)
 	t.Balancer.SetPeers(slices.Concat(idsOf(group), idsOf(others)), fleet)
 	groupSum, hubSum := t.sumCounts(idsOf(group), idsOf(others))
@@ -204,7 +204,7 @@
 
 // sumCounts returns the counts of the group including this router, and those of the other hubs. It
 // forgets the counts of all other routers.
-func (t *Teller) sumCounts(group, hubs []string) (groupSum, hubSum *counts) {
+func (t *Syncer) sumCounts(group, hubs []string) (groupSum, hubSum *counts) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	groupCounts, hubCounts := make(map[string]*counts), make(map[string]*counts)
@@ -229,7 +229,7 @@
 	return groupSum, hubSum
 }
 
-func (t *Teller) send(routers []slipwick.Router, packets [][]byte) {
+func (t *Syncer) send(routers []slipwick.Router, packets [][]byte) {
 	for _, r := range routers {
 		address := t.Address(r)
 		for _, packet := range packets {
@@ -239,7 +239,7 @@
 }
 
 // Receive handles a datagram of another router. It drops one that can't be decoded.
-func (t *Teller) Receive(_ string, packet []byte) {
+func (t *Syncer) Receive(_ string, packet []byte) {
 	message := &exchangepb.Told{}
 	if proto.Unmarshal(packet, message) != nil || message.GetFrom() == t.Self {
 		return
@@ -265,7 +265,7 @@
 
 // queueForRelay queues the events of an update for relay, unless the fleet is known to be too small
 // for hubs. If this router is no hub, its next update clears the queue.
-func (t *Teller) queueForRelay(scope exchangepb.Scope, urgent bool, events balance.Update) {
+func (t *Syncer) queueForRelay(scope exchangepb.Scope, urgent bool, events balance.Update) {
 	size := t.fleetSize.Load()
 	if countEvents(&events) == 0 || size > 0 && size <= maxMeshSize {
 		return
@@ -286,7 +286,7 @@
 
 // receiveCounts passes the counts of a datagram to the balancer. The first datagram of a round
 // replaces the counts of the round before, the others of the round add to it.
-func (t *Teller) receiveCounts(message *exchangepb.Told, list []balance.InFlight) {
+func (t *Syncer) receiveCounts(message *exchangepb.Told, list []balance.InFlight) {
 	isMore, isOld := t.storeCounts(message, list)
 	if isOld {
 		return
@@ -305,7 +305,7 @@
 // storeCounts stores the counts of a datagram, for a hub to add up. isMore says that the datagram
 // adds to a known round, isOld that its round is over. Counts of the whole fleet are not stored,
 // since no hub adds them up again.
-func (t *Teller) storeCounts(message *exchangepb.Told, list []balance.InFlight) (isMore, isOld bool) {
+func (t *Syncer) storeCounts(message *exchangepb.Told, list []balance.InFlight) (isMore, isOld bool) {
 	if message.GetScope() == exchangepb.Scope_SCOPE_FLEET {
 		list = nil
 	}
@@ -327,7 +327,7 @@
 }
 
 // subtractOwn returns the fleet's counts less those that this router sent last. It reuses the list.
-func (t *Teller) subtractOwn(list []balance.InFlight) []balance.InFlight {
+func (t *Syncer) subtractOwn(list []balance.InFlight) []balance.InFlight {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	others := list[:0]
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -17,7 +17,7 @@
 
 // testNetwork delivers datagrams between tellers by address.
 type testNetwork struct {
-	tellers map[string]*Teller
+	tellers map[string]*Syncer
 
 	mu        sync.Mutex
 	maxPacket int
@@ -46,14 +46,14 @@
 	}
 }
 
-func newTellers(n int) ([]*Teller, *testNetwork) {
+func newTellers(n int) ([]*Syncer, *testNetwork) {
 	return newTellersIn(1, n)
 }
 
 // newTellersIn returns routers spread over several data centres, and their network.
-func newTellersIn(dataCentres, n int) ([]*Teller, *testNetwork) {
+func newTellersIn(dataCentres, n int) ([]*Syncer, *testNetwork) {
 	network := &testNetwork{
-		tellers: make(map[string]*Teller),
+		tellers: make(map[string]*Syncer),
 	}
 	var routers []slipwick.Router
 	for i := range n {
@@ -72,7 +72,7 @@
 			Pool: "p",
 		})
 	}
-	var tellers []*Teller
+	var tellers []*Syncer
 	for i := range n {
 		t := NewSyncer(fmt.Sprint(i))
 		t.Balancer = balance.New(routers[i].DataCentre)
--- a/exchange/urgent.go
+++ b/exchange/urgent.go
@@ -9,7 +9,7 @@
 
 // sendUrgent sends the prefills that have just begun for this router's requests. A hub sends them
 // without its counts, which are many.
-func (t *Teller) sendUrgent() {
+func (t *Syncer) sendUrgent() {
 	if !t.hubs.isHub(t.Self) {
 		t.sendUpdate(true)
 		return
@@ -26,7 +26,7 @@
 
 // relayUrgent relays urgent reads if this router is a hub: those of its own group to the other
 // hubs, and all of them to its group.
-func (t *Teller) relayUrgent() {
+func (t *Syncer) relayUrgent() {
 	t.mu.Lock()
 	groupReads, hubReads := t.urgentGroupReads, t.urgentHubReads
 	t.urgentGroupReads, t.urgentHubReads = nil, nil
@@ -46,7 +46,7 @@
 
 // queueUrgentLocked queues reads that have to be relayed at once. Reads are dropped while the queue
 // is full.
-func (t *Teller) queueUrgentLocked(queue *[]balance.CachedPart, urgent bool, reads []balance.CachedPart) {
+func (t *Syncer) queueUrgentLocked(queue *[]balance.CachedPart, urgent bool, reads []balance.CachedPart) {
 	if !urgent || len(reads) == 0 || len(*queue) >= maxQueued {
 		return
 	}
