--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -18,7 +18,7 @@
 	ledger := quarantine.NewTracker(r.Settings.ID)
 	teller := exchange.NewMarkTeller(r.Settings.ID)
 	ledger.Routers = r.node.Routers
-	ledger.OnPending = teller.Soon
+	ledger.OnPending = teller.Trigger
 	ledger.OnQuarantined = func(key quarantine.Key, ends int) {
 		events.RequestQuarantined.On(&r.Log).Stringer("key", key).Int("ends", ends).Send()
 	}
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -13,7 +13,7 @@
 	ledger := quarantine.NewTracker(p.Settings.ID)
 	teller := exchange.NewMarkTeller(p.Settings.ID)
 	ledger.Routers = p.node.Routers
-	ledger.OnPending = teller.Soon
+	ledger.OnPending = teller.Trigger
 	ledger.OnQuarantined = p.onQuarantined
 	ledger.OnReleased = p.onReleased
 	teller.Ledger = ledger
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -66,8 +66,8 @@
 	return t.done
 }
 
-// Soon makes Run send the new crashes after a short delay. It doesn't block.
-func (t *MarkTeller) Soon() {
+// Trigger makes Run send the new crashes after a short delay. It doesn't block.
+func (t *MarkTeller) Trigger() {
 	signal(t.trigger)
 }
 
