--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -25,7 +25,7 @@
 	ledger.OnReleased = func(key quarantine.Key) {
 		events.RequestReleased.On(&r.Log).Stringer("key", key).Send()
 	}
-	teller.Ledger = ledger
+	teller.Tracker = ledger
 	teller.Transport = marksWire{r}
 	teller.Routers = r.node.Routers
 	teller.Address = func(router slipwick.Router) string { return router.ID }
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -16,7 +16,7 @@
 	ledger.OnPending = teller.Trigger
 	ledger.OnQuarantined = p.onQuarantined
 	ledger.OnReleased = p.onReleased
-	teller.Ledger = ledger
+	teller.Tracker = ledger
 	teller.Transport = p.tellings
 	teller.Routers = p.node.Routers
 	teller.Address = tellingsAddress
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -35,7 +35,7 @@
 // a second. Set the exported fields before Run.
 type MarkTeller struct {
 	Self   string
-	Ledger *quarantine.Tracker
+	Tracker *quarantine.Tracker
 	Transport   Transport
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
@@ -81,12 +81,12 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			t.gossip(t.Ledger.RecentCrashes(maxResent), resendFanOut)
+			t.gossip(t.Tracker.RecentCrashes(maxResent), resendFanOut)
 		case <-t.trigger:
 			// Crashes of several requests at one server arrive together and are sent in one
 			// datagram.
 			time.Sleep(urgentDelay)
-			t.gossip(t.Ledger.TakePending(), gossipFanOut)
+			t.gossip(t.Tracker.TakePending(), gossipFanOut)
 		}
 	}
 }
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -71,7 +71,7 @@
 	ledger, teller := quarantine.NewTracker(id), NewMarkTeller(id)
 	ledger.Routers, teller.Routers = f.liveRouters, f.liveRouters
 	ledger.OnPending = teller.Trigger
-	teller.Ledger, teller.Transport = ledger, gossipTransport{f, id}
+	teller.Tracker, teller.Transport = ledger, gossipTransport{f, id}
 	teller.Shuffle = rand.New(rand.NewPCG(f.seed, placement.IDHash(id))).Shuffle
 	teller.Address = func(r slipwick.Router) string { return r.ID }
 	f.mu.Lock()
