--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -47,7 +47,7 @@
 // hearMarks takes what another router told.
 func (r *Router) hearMarks(envelope *peerpb.Envelope) {
 	for _, packet := range envelope.GetMarks() {
-		r.ledger.Merge(exchange.DecodeMarks(packet))
+		r.ledger.Merge(exchange.DecodeCrashes(packet))
 	}
 }
 
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -124,8 +124,8 @@
 	return message
 }
 
-// DecodeMarks returns the crashes in a datagram. It returns nil if the datagram can't be decoded.
-func DecodeMarks(packet []byte) []quarantine.Crash {
+// DecodeCrashes returns the crashes in a datagram. It returns nil if the datagram can't be decoded.
+func DecodeCrashes(packet []byte) []quarantine.Crash {
 	message := &exchangepb.Told{}
 	if proto.Unmarshal(packet, message) != nil {
 		return nil
