--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -16,7 +16,7 @@
 // that tells the other routers, over the streams between them.
 func (r *Router) newLedger() (*quarantine.Tracker, *exchange.MarkTeller) {
 	ledger := quarantine.NewTracker(r.Settings.ID)
-	teller := exchange.NewMarkTeller(r.Settings.ID)
+	teller := exchange.NewCrashGossiper(r.Settings.ID)
 	ledger.Routers = r.node.Routers
 	ledger.OnPending = teller.Trigger
 	ledger.OnQuarantined = func(key quarantine.Key, ends int) {
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -11,7 +11,7 @@
 // that tells the other routers.
 func (p *Process) newLedger() (*quarantine.Tracker, *exchange.MarkTeller) {
 	ledger := quarantine.NewTracker(p.Settings.ID)
-	teller := exchange.NewMarkTeller(p.Settings.ID)
+	teller := exchange.NewCrashGossiper(p.Settings.ID)
 	ledger.Routers = p.node.Routers
 	ledger.OnPending = teller.Trigger
 	ledger.OnQuarantined = p.onQuarantined
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -28,7 +28,7 @@
 			Failed:   []uint32{1 << 31},
 			Leaving:  []uint32{1, 9},
 		},
-		NewMarkTeller("1").encode([]quarantine.Crash{{Key: 1, Server: 2, Incarnation: -1 << 62}, {Key: 1, Server: 2, Incarnation: 1 << 62}}),
+		NewCrashGossiper("1").encode([]quarantine.Crash{{Key: 1, Server: 2, Incarnation: -1 << 62}, {Key: 1, Server: 2, Incarnation: 1 << 62}}),
 	} {
 		f.Add(marshal(message))
 	}
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -41,7 +41,7 @@
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
 	Address func(slipwick.Router) string
-	// Shuffle puts the routers in random order; NewMarkTeller sets it to rand.Shuffle.
+	// Shuffle puts the routers in random order; NewCrashGossiper sets it to rand.Shuffle.
 	Shuffle func(n int, swap func(i, j int))
 
 	sequence atomic.Uint64
@@ -49,9 +49,9 @@
 	done     chan struct{}
 }
 
-// NewMarkTeller returns a gossiper for the router with this ID. Set the other exported fields
+// NewCrashGossiper returns a gossiper for the router with this ID. Set the other exported fields
 // before Run.
-func NewMarkTeller(self string) *MarkTeller {
+func NewCrashGossiper(self string) *MarkTeller {
 	return &MarkTeller{
 		Self:    self,
 		Shuffle: rand.Shuffle,
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -68,7 +68,7 @@
 
 // start adds a router to the fleet and runs it.
 func (f *gossipFleet) start(ctx context.Context, id string) {
-	ledger, teller := quarantine.NewTracker(id), NewMarkTeller(id)
+	ledger, teller := quarantine.NewTracker(id), NewCrashGossiper(id)
 	ledger.Routers, teller.Routers = f.liveRouters, f.liveRouters
 	ledger.OnPending = teller.Trigger
 	teller.Tracker, teller.Transport = ledger, gossipTransport{f, id}
@@ -204,7 +204,7 @@
 // TestIncompleteCrashesAreLeftOut decodes a message as it was encoded, and with one list shortened.
 func TestIncompleteCrashesAreLeftOut(t *testing.T) {
 	crashes := []quarantine.Crash{{Key: 1, Server: 2, Incarnation: 3}, {Key: 4, Server: 5, Incarnation: -6, Excused: true}}
-	message := NewMarkTeller("r").encode(crashes)
+	message := NewCrashGossiper("r").encode(crashes)
 	if got := decodeCrashes(message); !slices.Equal(got, crashes) {
 		t.Errorf("got %v, want %v", got, crashes)
 	}
