--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -14,7 +14,7 @@
 
 // newLedger makes the ledger of requests under which backend servers end, and the part
 // that tells the other routers, over the streams between them.
-func (r *Router) newLedger() (*quarantine.Tracker, *exchange.MarkTeller) {
+func (r *Router) newLedger() (*quarantine.Tracker, *exchange.CrashGossiper) {
 	ledger := quarantine.NewTracker(r.Settings.ID)
 	teller := exchange.NewCrashGossiper(r.Settings.ID)
 	ledger.Routers = r.node.Routers
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -45,7 +45,7 @@
 	// ledger keeps requests from backend servers that end under them, marks tells the
 	// others.
 	ledger   *quarantine.Tracker
-	marks    *exchange.MarkTeller
+	marks    *exchange.CrashGossiper
 	health   chan healthNews
 	eligible atomic.Pointer[[]slipwick.Router]
 
--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -64,7 +64,7 @@
 	// ledger keeps requests from backend servers that end under them, marks tells the
 	// other routers.
 	ledger   *quarantine.Tracker
-	marks    *exchange.MarkTeller
+	marks    *exchange.CrashGossiper
 	peers    *peers
 	mirrors  map[string]*directory.Mirror
 	tellings *membership.UDP
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -9,7 +9,7 @@
 
 // newLedger makes the ledger of requests under which backend servers end, and the part
 // that tells the other routers.
-func (p *Process) newLedger() (*quarantine.Tracker, *exchange.MarkTeller) {
+func (p *Process) newLedger() (*quarantine.Tracker, *exchange.CrashGossiper) {
 	ledger := quarantine.NewTracker(p.Settings.ID)
 	teller := exchange.NewCrashGossiper(p.Settings.ID)
 	ledger.Routers = p.node.Routers
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -30,10 +30,10 @@
 	maxResent = 2 * maxCrashes
 )
 
-// MarkTeller spreads by gossip which requests were running when backend servers crashed. New
+// CrashGossiper spreads by gossip which requests were running when backend servers crashed. New
 // crashes are sent at once, since a request that is not yet quarantined may crash some ten servers
 // a second. Set the exported fields before Run.
-type MarkTeller struct {
+type CrashGossiper struct {
 	Self   string
 	Tracker *quarantine.Tracker
 	Transport   Transport
@@ -51,8 +51,8 @@
 
 // NewCrashGossiper returns a gossiper for the router with this ID. Set the other exported fields
 // before Run.
-func NewCrashGossiper(self string) *MarkTeller {
-	return &MarkTeller{
+func NewCrashGossiper(self string) *CrashGossiper {
+	return &CrashGossiper{
 		Self:    self,
 		Shuffle: rand.Shuffle,
 
@@ -62,17 +62,17 @@
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (t *MarkTeller) Done() <-chan struct{} {
+func (t *CrashGossiper) Done() <-chan struct{} {
 	return t.done
 }
 
 // Trigger makes Run send the new crashes after a short delay. It doesn't block.
-func (t *MarkTeller) Trigger() {
+func (t *CrashGossiper) Trigger() {
 	signal(t.trigger)
 }
 
 // Run sends crashes until ctx ends.
-func (t *MarkTeller) Run(ctx context.Context) {
+func (t *CrashGossiper) Run(ctx context.Context) {
 	defer close(t.done)
 	ticker := time.NewTicker(resendInterval)
 	defer ticker.Stop()
@@ -92,7 +92,7 @@
 }
 
 // gossip sends crashes to a number of routers chosen at random.
-func (t *MarkTeller) gossip(crashes []quarantine.Crash, fanOut int) {
+func (t *CrashGossiper) gossip(crashes []quarantine.Crash, fanOut int) {
 	if len(crashes) == 0 {
 		return
 	}
@@ -109,7 +109,7 @@
 	}
 }
 
-func (t *MarkTeller) encode(crashes []quarantine.Crash) *exchangepb.Told {
+func (t *CrashGossiper) encode(crashes []quarantine.Crash) *exchangepb.Told {
 	message := &exchangepb.Told{
 		From:     t.Self,
 		Sequence: t.sequence.Add(1),
