--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -13,10 +13,10 @@
 	"github.com/slipwick/slipwick/httpclient"
 )
 
-// KnowledgePath is the path at which a router answers queries for its cache index, the parts of
+// CacheSnapshotPath is the path at which a router answers queries for its cache index, the parts of
 // prompts that it knows engines to have cached. The answer is sent over TCP: after a lost datagram,
 // the cached parts would stay unknown until an engine prefills them again.
-const KnowledgePath = "/homes"
+const CacheSnapshotPath = "/homes"
 
 // maxKnowledge bounds the size of an accepted query or answer, at a few times the size of a full
 // cache index.
@@ -53,7 +53,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, "query a router for its cache index")
 	}
-	request, err := httpclient.Request(ctx, http.MethodPost, "http://"+address+KnowledgePath, query)
+	request, err := httpclient.Request(ctx, http.MethodPost, "http://"+address+CacheSnapshotPath, query)
 	if err != nil {
 		return nil, err
 	}
