--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -249,7 +249,7 @@
 	mux.Handle(directory.RelayPath, &directory.RelayServer{
 		Mirrors: p.mirrors,
 	})
-	mux.Handle(exchange.CacheSnapshotPath, &exchange.KnowledgeServer{
+	mux.Handle(exchange.CacheSnapshotPath, &exchange.CacheSnapshotServer{
 		Balancer: p.balancer,
 	})
 	return mux
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -22,13 +22,13 @@
 // cache index.
 const maxKnowledge = 4 << 20
 
-// KnowledgeServer answers queries of other routers. Set Balancer before use.
-type KnowledgeServer struct {
+// CacheSnapshotServer answers queries of other routers. Set Balancer before use.
+type CacheSnapshotServer struct {
 	Balancer *balance.Balancer
 }
 
 // ServeHTTP answers a query with an encoded exchangepb.Knowledge.
-func (s *KnowledgeServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *CacheSnapshotServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	message, err := readMessage(r.Body)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -230,7 +230,7 @@
 		lease := acquire(t, tellers[0].Balancer, key)
 		tellers[0].Balancer.Release(lease, slipwick.EvidenceGood)
 	}
-	server := httptest.NewServer(&KnowledgeServer{
+	server := httptest.NewServer(&CacheSnapshotServer{
 		Balancer: tellers[0].Balancer,
 	})
 	defer server.Close()
