--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -53,7 +53,7 @@
 	r.DataCentre = p.Settings.DataCentre
 	r.Settled = p.node.Settled()
 	r.Ask = func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
-		return exchange.FetchKnowledge(ctx, p.peers.http, router.Address, q)
+		return exchange.FetchCacheSnapshot(ctx, p.peers.http, router.Address, q)
 	}
 	if p.Feeds.Caches != nil {
 		r.List = p.listCache
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -44,9 +44,9 @@
 	_, _ = w.Write(body)
 }
 
-// FetchKnowledge queries the router at host:port for what it knows of the caches of engines. It
+// FetchCacheSnapshot queries the router at host:port for what it knows of the caches of engines. It
 // blocks until the answer arrives or ctx ends.
-func FetchKnowledge(
+func FetchCacheSnapshot(
 	ctx context.Context, client *http.Client, address string, q *balance.CacheQuery,
 ) (*balance.CacheSnapshot, error) {
 	query, err := proto.Marshal(encodeQuestion(q))
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -235,7 +235,7 @@
 	})
 	defer server.Close()
 	learn := func() {
-		k, err := FetchKnowledge(t.Context(), server.Client(), server.Listener.Addr().String(), &balance.CacheQuery{})
+		k, err := FetchCacheSnapshot(t.Context(), server.Client(), server.Listener.Addr().String(), &balance.CacheQuery{})
 		if err != nil {
 			t.Fatal(err)
 		}
