--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -52,7 +52,7 @@
 	r.Pools = p.enginePools
 	r.DataCentre = p.Settings.DataCentre
 	r.Settled = p.node.Settled()
-	r.Ask = func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
+	r.QueryRouter = func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
 		return exchange.FetchCacheSnapshot(ctx, p.peers.http, router.Address, q)
 	}
 	if p.Feeds.Caches != nil {
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -63,8 +63,8 @@
 	Pools func() []string
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
-	// Ask queries another router for what it knows.
-	Ask func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error)
+	// QueryRouter queries another router for what it knows.
+	QueryRouter func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error)
 	// List asks an engine for the parts in its cache. If it is nil, no engine is asked.
 	List func(context.Context, slipwick.Backend) ([]uint64, error)
 	// Settled is closed once this router knows the others, since only then does it know which
@@ -190,7 +190,7 @@
 			return
 		}
 		limited, cancel := context.WithTimeout(ctx, queryTimeout)
-		k, err := r.Ask(limited, other, &query)
+		k, err := r.QueryRouter(limited, other, &query)
 		cancel()
 		// A router that doesn't answer is skipped; the next round queries another one.
 		if err == nil {
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -193,8 +193,8 @@
 			var routers []*Recovery
 			for i := range size {
 				r := f.add(fmt.Sprint("r", i))
-				ask := r.Ask
-				r.Ask = func(ctx context.Context, other slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
+				ask := r.QueryRouter
+				r.QueryRouter = func(ctx context.Context, other slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
 					mu.Lock()
 					asked[r.Self]++
 					mu.Unlock()
