--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -56,7 +56,7 @@
 		return exchange.FetchCacheSnapshot(ctx, p.peers.http, router.Address, q)
 	}
 	if p.Feeds.Caches != nil {
-		r.List = p.listCache
+		r.ListCache = p.listCache
 	}
 	return r
 }
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -158,7 +158,7 @@
 		f.mu.Unlock()
 		return &k, nil
 	}
-	r.List = func(ctx context.Context, engine slipwick.Backend) ([]uint64, error) {
+	r.ListCache = func(ctx context.Context, engine slipwick.Backend) ([]uint64, error) {
 		f.mu.Lock()
 		f.lists[engine.ID]++
 		isUnresponsive := f.unresponsive[engine.ID]
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -65,8 +65,8 @@
 	Routers func() []slipwick.Router
 	// QueryRouter queries another router for what it knows.
 	QueryRouter func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error)
-	// List asks an engine for the parts in its cache. If it is nil, no engine is asked.
-	List func(context.Context, slipwick.Backend) ([]uint64, error)
+	// ListCache asks an engine for the parts in its cache. If it is nil, no engine is asked.
+	ListCache func(context.Context, slipwick.Backend) ([]uint64, error)
 	// Settled is closed once this router knows the others, since only then does it know which
 	// engines it has to ask. If it is nil, it is enough to know one other router.
 	Settled <-chan struct{}
@@ -228,7 +228,7 @@
 // listEngines asks some of the engines that are this router's to ask by this turn, in parallel, and
 // waits for their answers.
 func (r *Recovery) listEngines(ctx context.Context, engines []slipwick.Backend, turn int) {
-	if r.List == nil {
+	if r.ListCache == nil {
 		return
 	}
 	self := slipwick.Router{
@@ -252,7 +252,7 @@
 			limited, cancel := context.WithTimeout(ctx, listTimeout)
 			defer cancel()
 			// The cache of an engine that doesn't answer stays unknown. List logs the reason.
-			if parts, err := r.List(limited, engine); err == nil {
+			if parts, err := r.ListCache(limited, engine); err == nil {
 				r.Balancer.RecordCachedParts(engine.ID, parts)
 			}
 		})
