--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -51,7 +51,7 @@
 	r.Routers = p.node.Routers
 	r.Pools = p.enginePools
 	r.DataCentre = p.Settings.DataCentre
-	r.Settled = p.node.Settled()
+	r.FleetKnown = p.node.Settled()
 	r.QueryRouter = func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
 		return exchange.FetchCacheSnapshot(ctx, p.peers.http, router.Address, q)
 	}
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -134,7 +134,7 @@
 	if f.settleAfter > 0 {
 		settled := make(chan struct{})
 		time.AfterFunc(f.settleAfter, func() { close(settled) })
-		r.Settled = settled
+		r.FleetKnown = settled
 	}
 	r.Pools = func() []string { return []string{"p"} }
 	r.Routers = func() []slipwick.Router {
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -67,9 +67,9 @@
 	QueryRouter func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error)
 	// ListCache asks an engine for the parts in its cache. If it is nil, no engine is asked.
 	ListCache func(context.Context, slipwick.Backend) ([]uint64, error)
-	// Settled is closed once this router knows the others, since only then does it know which
+	// FleetKnown is closed once this router knows the others, since only then does it know which
 	// engines it has to ask. If it is nil, it is enough to know one other router.
-	Settled <-chan struct{}
+	FleetKnown <-chan struct{}
 
 	// askedEngines are the engines that were asked so far, abandoned those whose caches were still
 	// unknown when the last run of learnMissing gave up, and queries counts the queries to routers.
@@ -154,9 +154,9 @@
 // isFleetKnown reports whether this router knows enough of the fleet to tell which engines it has
 // to ask.
 func (r *Recovery) isFleetKnown(round int) bool {
-	if r.Settled != nil {
+	if r.FleetKnown != nil {
 		select {
-		case <-r.Settled:
+		case <-r.FleetKnown:
 			return true
 		default:
 			return round >= roundsPerTurn
