--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -21,7 +21,7 @@
 	p.learnHomes(ctx)
 	close(p.learnt)
 	if !p.Settings.FirstStart {
-		p.recovery.Follow(ctx)
+		p.recovery.LearnLateListings(ctx)
 	}
 }
 
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -108,7 +108,7 @@
 		for _, r := range started {
 			go func() {
 				r.Run(t.Context())
-				r.Follow(t.Context())
+				r.LearnLateListings(t.Context())
 			}()
 		}
 		time.Sleep(time.Second)
@@ -207,7 +207,7 @@
 			for _, r := range routers {
 				go func() {
 					r.Run(ctx)
-					r.Follow(ctx)
+					r.LearnLateListings(ctx)
 				}()
 			}
 			<-ctx.Done()
