--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -40,7 +40,7 @@
 	}
 	started := time.Now()
 	p.recovery.Run(ctx)
-	events.HomesLearnt.On(&p.Log).Int("known", p.balancer.CachedPartCount()).Int("missing", p.recovery.Missing()).
+	events.HomesLearnt.On(&p.Log).Int("known", p.balancer.CachedPartCount()).Int("missing", p.recovery.MissingCount()).
 		Int("routers", len(p.node.Routers())).Dur("took_ms", time.Since(started)).Send()
 }
 
--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -50,7 +50,7 @@
 		InFlight:      p.gateway.InFlight(),
 		Evacuated:     p.evacuatedNow(),
 		KnownParts:    p.balancer.CachedPartCount(),
-		MissingCaches: p.recovery.Missing(),
+		MissingCaches: p.recovery.MissingCount(),
 		Quarantined:   p.ledger.QuarantinedCount(),
 		Backends:      p.balancer.States(),
 	}
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -165,8 +165,8 @@
 	return round >= peerWaitRounds || len(excluding(r.Routers(), r.Self)) > 0
 }
 
-// Missing returns the number of engines whose caches are not known.
-func (r *Recovery) Missing() int {
+// MissingCount returns the number of engines whose caches are not known.
+func (r *Recovery) MissingCount() int {
 	return len(r.missing())
 }
 
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -27,8 +27,8 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := newRecoveringFleet()
 				for _, r := range f.startAll(t, test.size, test.pause) {
-					if got, want := r.Balancer.CachedPartCount(), testEngines*testParts; got != want || r.Missing() > 0 {
-						t.Errorf("router %s: got %d parts and %d engines missing, want %d and none", r.Self, got, r.Missing(), want)
+					if got, want := r.Balancer.CachedPartCount(), testEngines*testParts; got != want || r.MissingCount() > 0 {
+						t.Errorf("router %s: got %d parts and %d engines missing, want %d and none", r.Self, got, r.MissingCount(), want)
 					}
 				}
 				sum := 0
@@ -62,8 +62,8 @@
 			f.engines, f.parts, f.settleAfter = test.engines, test.parts, 200*time.Millisecond
 			started := time.Now()
 			for _, r := range f.startAll(t, test.routers, time.Millisecond) {
-				if got, want := r.Balancer.CachedPartCount(), test.engines*test.parts; got != want || r.Missing() > 0 {
-					t.Errorf("router %s: got %d parts and %d engines missing, want %d and none", r.Self, got, r.Missing(), want)
+				if got, want := r.Balancer.CachedPartCount(), test.engines*test.parts; got != want || r.MissingCount() > 0 {
+					t.Errorf("router %s: got %d parts and %d engines missing, want %d and none", r.Self, got, r.MissingCount(), want)
 				}
 			}
 			if took := time.Since(started); took > 1500*time.Millisecond {
@@ -119,8 +119,8 @@
 		for _, r := range started {
 			// While few engines were listed, an engine ranked high enough for ends of prompts too,
 			// so that more than the shared parts may be known.
-			if got := f.unknownParts(r); got > 0 || r.Missing() > 0 {
-				t.Errorf("router %s: got %d shared parts unknown and %d engines missing, want none", r.Self, got, r.Missing())
+			if got := f.unknownParts(r); got > 0 || r.MissingCount() > 0 {
+				t.Errorf("router %s: got %d shared parts unknown and %d engines missing, want none", r.Self, got, r.MissingCount())
 			}
 		}
 		time.Sleep(balance.RelistWindow)
@@ -147,8 +147,8 @@
 		for _, r := range f.startAll(t, 4, 0) {
 			// Its cache holds shared parts, and as many ends of prompts as the mean of the engines.
 			lost := len(f.partsOf("engine-3")) - testParts
-			if got, want := r.Balancer.CachedPartCount(), testEngines*testParts-lost; got != want || r.Missing() != 1 {
-				t.Errorf("router %s: got %d parts and %d engines missing, want %d and 1", r.Self, got, r.Missing(), want)
+			if got, want := r.Balancer.CachedPartCount(), testEngines*testParts-lost; got != want || r.MissingCount() != 1 {
+				t.Errorf("router %s: got %d parts and %d engines missing, want %d and 1", r.Self, got, r.MissingCount(), want)
 			}
 		}
 		if took := time.Since(started); took > 2*time.Second {
