--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -11,9 +11,9 @@
 	"github.com/slipwick/slipwick/quarantine"
 )
 
-// FuzzTellerReceive checks that no datagram makes a router panic, count a negative number of
+// FuzzSyncerReceive checks that no datagram makes a router panic, count a negative number of
 // requests, or store more crashes than the datagram can hold.
-func FuzzTellerReceive(f *testing.F) {
+func FuzzSyncerReceive(f *testing.F) {
 	for _, message := range []*exchangepb.Told{
 		{
 			From:     "1",
@@ -28,28 +28,31 @@
 			Failed:   []uint32{1 << 31},
 			Leaving:  []uint32{1, 9},
 		},
-		NewCrashGossiper("1").encode([]quarantine.Crash{{Key: 1, Server: 2, Incarnation: -1 << 62}, {Key: 1, Server: 2, Incarnation: 1 << 62}}),
+		NewCrashGossiper("1").encode([]quarantine.Crash{
+			{Key: 1, Server: 2, Incarnation: -1 << 62},
+			{Key: 1, Server: 2, Incarnation: 1 << 62},
+		}),
 	} {
 		f.Add(marshal(message))
 	}
 	f.Fuzz(func(t *testing.T, packet []byte) {
-		tellers, _ := newTellers(2)
-		ledger := quarantine.NewTracker("0")
-		tellers[0].OnCrashes = ledger.Merge
-		tellers[0].Receive("", packet)
-		if got := tellers[0].Balancer.InFlight("p"); got < 0 {
+		syncers, _ := newSyncers(2)
+		tracker := quarantine.NewTracker("0")
+		syncers[0].OnCrashes = tracker.Merge
+		syncers[0].Receive("", packet)
+		if got := syncers[0].Balancer.InFlight("p"); got < 0 {
 			t.Errorf("got %v requests in flight", got)
 		}
-		if got := len(ledger.TakePending()); got > len(packet) {
+		if got := len(tracker.TakePending()); got > len(packet) {
 			t.Errorf("got %d crashes from %d bytes", got, len(packet))
 		}
 	})
 }
 
-// FuzzKnowledge checks that no answer to a cache query makes its reader panic, or return more than
+// FuzzCacheSnapshot checks that no answer to a cache query makes its reader panic, or return more than
 // the answer can hold.
-func FuzzKnowledge(f *testing.F) {
-	seed, _ := proto.Marshal(encodeKnowledge(&balance.CacheSnapshot{
+func FuzzCacheSnapshot(f *testing.F) {
+	seed, _ := proto.Marshal(encodeSnapshot(&balance.CacheSnapshot{
 		Engines: []uint64{7},
 		CachedParts: []balance.CachedPart{
 			{
@@ -60,7 +63,7 @@
 	}))
 	f.Add(seed)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		known, err := readKnowledge(bytes.NewReader(body))
+		known, err := readSnapshot(bytes.NewReader(body))
 		if err != nil {
 			return
 		}
--- a/exchange/knowledge.go
+++ b/exchange/knowledge.go
@@ -13,16 +13,16 @@
 	"github.com/slipwick/slipwick/httpclient"
 )
 
-// CacheSnapshotPath is the path at which a router answers queries for its cache index, the parts of
-// prompts that it knows engines to have cached. The answer is sent over TCP: after a lost datagram,
-// the cached parts would stay unknown until an engine prefills them again.
+// CacheSnapshotPath is the path at which a router answers cache queries with a snapshot of its
+// cache index, the parts of prompts that it knows engines to have cached. The answer is sent over
+// TCP: after a lost datagram, cached parts would stay unknown until an engine prefills them again.
 const CacheSnapshotPath = "/homes"
 
-// maxKnowledge bounds the size of an accepted query or answer, at a few times the size of a full
-// cache index.
-const maxKnowledge = 4 << 20
+// maxSnapshotSize bounds the bytes of an accepted query or answer, at a few times the size of the
+// snapshot of a full cache index.
+const maxSnapshotSize = 4 << 20
 
-// CacheSnapshotServer answers queries of other routers. Set Balancer before use.
+// CacheSnapshotServer answers cache queries of other routers. Set Balancer before use.
 type CacheSnapshotServer struct {
 	Balancer *balance.Balancer
 }
@@ -34,8 +34,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	k := s.Balancer.CacheSnapshot(decodeQuestion(message))
-	body, err := proto.Marshal(encodeKnowledge(&k))
+	k := s.Balancer.CacheSnapshot(decodeQuery(message))
+	body, err := proto.Marshal(encodeSnapshot(&k))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -49,9 +49,9 @@
 func FetchCacheSnapshot(
 	ctx context.Context, client *http.Client, address string, q *balance.CacheQuery,
 ) (*balance.CacheSnapshot, error) {
-	query, err := proto.Marshal(encodeQuestion(q))
+	query, err := proto.Marshal(encodeQuery(q))
 	if err != nil {
-		return nil, errors.Wrap(err, "query a router for its cache index")
+		return nil, errors.Wrap(err, "fetch the cache snapshot of a router")
 	}
 	request, err := httpclient.Request(ctx, http.MethodPost, "http://"+address+CacheSnapshotPath, query)
 	if err != nil {
@@ -59,39 +59,39 @@
 	}
 	response, err := client.Do(request)
 	if err != nil {
-		return nil, errors.Wrap(err, "query a router for its cache index")
+		return nil, errors.Wrap(err, "fetch the cache snapshot of a router")
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return nil, errors.Errorf("query router %s for its cache index: unexpected status %d", address, response.StatusCode)
+		return nil, errors.Errorf("fetch the cache snapshot of router %s: unexpected status %d", address, response.StatusCode)
 	}
-	return readKnowledge(response.Body)
+	return readSnapshot(response.Body)
 }
 
-func readKnowledge(from io.Reader) (*balance.CacheSnapshot, error) {
+func readSnapshot(from io.Reader) (*balance.CacheSnapshot, error) {
 	message, err := readMessage(from)
 	if err != nil {
 		return nil, err
 	}
-	return decodeKnowledge(message), nil
+	return decodeSnapshot(message), nil
 }
 
 func readMessage(from io.Reader) (*exchangepb.Knowledge, error) {
-	body, err := io.ReadAll(io.LimitReader(from, maxKnowledge))
+	body, err := io.ReadAll(io.LimitReader(from, maxSnapshotSize))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the cache index of a router")
+		return nil, errors.Wrap(err, "read a cache query or snapshot")
 	}
 	message := &exchangepb.Knowledge{}
 	if err := proto.Unmarshal(body, message); err != nil {
-		return nil, errors.Wrap(err, "read the cache index of a router")
+		return nil, errors.Wrap(err, "read a cache query or snapshot")
 	}
 	return message, nil
 }
 
-// encodeQuestion sends the engines that are known as covered, or those that are wanted as not
+// encodeQuery sends the engines that are known as covered, or those that are wanted as not
 // covered. Older routers read only the known ones, and answer a query for wanted engines with all
 // that they know.
-func encodeQuestion(q *balance.CacheQuery) *exchangepb.Knowledge {
+func encodeQuery(q *balance.CacheQuery) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
 	for _, engine := range q.Known {
 		message.Servers, message.Covered = append(message.Servers, engine), append(message.Covered, true)
@@ -102,8 +102,8 @@
 	return message
 }
 
-// decodeQuestion stops at the first entry without a server.
-func decodeQuestion(message *exchangepb.Knowledge) *balance.CacheQuery {
+// decodeQuery stops at the first entry without a server.
+func decodeQuery(message *exchangepb.Knowledge) *balance.CacheQuery {
 	q := &balance.CacheQuery{}
 	for i, covered := range message.GetCovered() {
 		switch {
@@ -118,7 +118,7 @@
 	return q
 }
 
-func encodeKnowledge(k *balance.CacheSnapshot) *exchangepb.Knowledge {
+func encodeSnapshot(k *balance.CacheSnapshot) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
 	indexes := make(map[uint64]uint32)
 	indexOf := func(engine uint64) uint32 {
@@ -141,8 +141,8 @@
 	return message
 }
 
-// decodeKnowledge leaves out entries whose lists are too short or whose index is out of range.
-func decodeKnowledge(message *exchangepb.Knowledge) *balance.CacheSnapshot {
+// decodeSnapshot leaves out entries whose lists are too short or whose index is out of range.
+func decodeSnapshot(message *exchangepb.Knowledge) *balance.CacheSnapshot {
 	k := &balance.CacheSnapshot{}
 	servers := message.GetServers()
 	for i, covered := range message.GetCovered() {
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -19,22 +19,22 @@
 func TestLeaveReachesAllRouters(t *testing.T) {
 	for _, size := range []int{3, 50, 330} {
 		synctest.Test(t, func(t *testing.T) {
-			tellers, _ := newTellersIn(5, size)
+			syncers, _ := newSyncersIn(5, size)
 			var mu sync.Mutex
 			leaving := make(map[string]string)
-			for _, teller := range tellers {
-				teller.Balancer.OnNotice = func(backend slipwick.Backend, _ slipwick.Notice) {
+			for _, syncer := range syncers {
+				syncer.Balancer.OnNotice = func(backend slipwick.Backend, _ slipwick.Notice) {
 					mu.Lock()
 					defer mu.Unlock()
-					leaving[teller.Self] += backend.ID
+					leaving[syncer.Self] += backend.ID
 				}
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			for _, teller := range tellers {
-				go teller.Run(ctx)
+			for _, syncer := range syncers {
+				go syncer.Run(ctx)
 			}
 			time.Sleep(3 * updateInterval)
-			b := tellers[size-1].Balancer
+			b := syncers[size-1].Balancer
 			lease := acquire(t, b, 7)
 			b.RecordNotice(lease, slipwick.Notice{
 				Leaving: true,
@@ -42,12 +42,12 @@
 			time.Sleep(4 * updateInterval)
 			synctest.Wait()
 			cancel()
-			for _, teller := range tellers {
-				<-teller.Done()
+			for _, syncer := range syncers {
+				<-syncer.Done()
 			}
-			for _, teller := range tellers {
-				if got, want := leaving[teller.Self], lease.Backend.ID; got != want {
-					t.Errorf("%d routers: router %s got %q leaving, want %q", size, teller.Self, got, want)
+			for _, syncer := range syncers {
+				if got, want := leaving[syncer.Self], lease.Backend.ID; got != want {
+					t.Errorf("%d routers: router %s got %q leaving, want %q", size, syncer.Self, got, want)
 				}
 			}
 		})
@@ -70,9 +70,9 @@
 		})
 		update.Leaving = append(update.Leaving, i<<42)
 	}
-	tellers, _ := newTellers(1)
+	syncers, _ := newSyncers(1)
 	leaving := 0
-	for _, packet := range tellers[0].encode(exchangepb.Scope_SCOPE_OWN, false, update) {
+	for _, packet := range syncers[0].encode(exchangepb.Scope_SCOPE_OWN, false, update) {
 		if got := len(packet); got > maxBytes {
 			t.Errorf("got a datagram of %d bytes, want at most %d", got, maxBytes)
 		}
--- a/exchange/marks.go
+++ b/exchange/marks.go
@@ -34,9 +34,9 @@
 // crashes are sent at once, since a request that is not yet quarantined may crash some ten servers
 // a second. Set the exported fields before Run.
 type CrashGossiper struct {
-	Self   string
-	Tracker *quarantine.Tracker
-	Transport   Transport
+	Self      string
+	Tracker   *quarantine.Tracker
+	Transport Transport
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
@@ -66,7 +66,7 @@
 	return t.done
 }
 
-// Trigger makes Run send the new crashes after a short delay. It doesn't block.
+// Trigger makes Run send the pending crashes after a short delay. It doesn't block.
 func (t *CrashGossiper) Trigger() {
 	signal(t.trigger)
 }
@@ -140,10 +140,10 @@
 	crashes := make([]quarantine.Crash, 0, n)
 	for i := range n {
 		crashes = append(crashes, quarantine.Crash{
-			Key:     quarantine.Key(message.GetEndedKeys()[i]),
-			Server:  message.GetEndedServers()[i],
-			Incarnation:    message.GetEndedLives()[i],
-			Excused: message.GetEndedExcused()[i],
+			Key:         quarantine.Key(message.GetEndedKeys()[i]),
+			Server:      message.GetEndedServers()[i],
+			Incarnation: message.GetEndedLives()[i],
+			Excused:     message.GetEndedExcused()[i],
 		})
 	}
 	return crashes
--- a/exchange/marks_test.go
+++ b/exchange/marks_test.go
@@ -17,9 +17,9 @@
 
 // gossipFleet is a fleet of routers that send each other crashes over a network with packet loss.
 type gossipFleet struct {
-	mu      sync.Mutex
-	routers []slipwick.Router
-	ledgers map[string]*quarantine.Tracker
+	mu       sync.Mutex
+	routers  []slipwick.Router
+	trackers map[string]*quarantine.Tracker
 	// lossRate is the share of datagrams that are lost, maxPacket the size of the largest one, sent
 	// the number of all. Routers in partitioned receive nothing.
 	lossRate  float64
@@ -48,14 +48,14 @@
 	f.sentOnLink[link]++
 	draw := rand.New(rand.NewPCG(f.seed+f.sentOnLink[link], placement.IDHash(t.from+">"+address)))
 	isLost := draw.Float64() < f.lossRate || f.partitioned[address]
-	ledger := f.ledgers[address]
+	tracker := f.trackers[address]
 	f.mu.Unlock()
-	if isLost || ledger == nil {
+	if isLost || tracker == nil {
 		return
 	}
 	time.AfterFunc(2*time.Millisecond, func() {
 		t := NewSyncer(address)
-		t.OnCrashes = ledger.Merge
+		t.OnCrashes = tracker.Merge
 		t.Receive("", packet)
 	})
 }
@@ -68,25 +68,25 @@
 
 // start adds a router to the fleet and runs it.
 func (f *gossipFleet) start(ctx context.Context, id string) {
-	ledger, teller := quarantine.NewTracker(id), NewCrashGossiper(id)
-	ledger.Routers, teller.Routers = f.liveRouters, f.liveRouters
-	ledger.OnPending = teller.Trigger
-	teller.Tracker, teller.Transport = ledger, gossipTransport{f, id}
-	teller.Shuffle = rand.New(rand.NewPCG(f.seed, placement.IDHash(id))).Shuffle
-	teller.Address = func(r slipwick.Router) string { return r.ID }
+	tracker, gossiper := quarantine.NewTracker(id), NewCrashGossiper(id)
+	tracker.Routers, gossiper.Routers = f.liveRouters, f.liveRouters
+	tracker.OnPending = gossiper.Trigger
+	gossiper.Tracker, gossiper.Transport = tracker, gossipTransport{f, id}
+	gossiper.Shuffle = rand.New(rand.NewPCG(f.seed, placement.IDHash(id))).Shuffle
+	gossiper.Address = func(r slipwick.Router) string { return r.ID }
 	f.mu.Lock()
 	f.routers = append(f.routers, slipwick.Router{
 		ID: id,
 	})
-	f.ledgers[id] = ledger
+	f.trackers[id] = tracker
 	f.mu.Unlock()
-	go teller.Run(ctx)
+	go gossiper.Run(ctx)
 }
 
 func (f *gossipFleet) countQuarantining(key quarantine.Key) int {
 	n := 0
-	for _, ledger := range f.ledgers {
-		if ledger.IsQuarantined(key) {
+	for _, tracker := range f.trackers {
+		if tracker.IsQuarantined(key) {
 			n++
 		}
 	}
@@ -101,7 +101,7 @@
 
 func newGossipFleet(ctx context.Context, n int, lossRate float64, seed uint64) *gossipFleet {
 	f := &gossipFleet{
-		ledgers:     make(map[string]*quarantine.Tracker),
+		trackers:    make(map[string]*quarantine.Tracker),
 		lossRate:    lossRate,
 		seed:        seed,
 		sentOnLink:  make(map[[2]string]uint64),
@@ -115,7 +115,7 @@
 
 // crashUnder crashes a server while it runs a request for a router.
 func (f *gossipFleet) crashUnder(key quarantine.Key, router int, server string) {
-	run, ok := f.ledgers[fmt.Sprint("router-", router)].Begin(key, &slipwick.Backend{
+	run, ok := f.trackers[fmt.Sprint("router-", router)].Begin(key, &slipwick.Backend{
 		ID: server,
 	}, false, func() {})
 	if ok {
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -150,7 +150,7 @@
 		if other == nil {
 			return nil, errUnresponsive
 		}
-		q = decodeQuestion(encodeQuestion(q))
+		q = decodeQuery(encodeQuery(q))
 		k := other.Balancer.CacheSnapshot(q)
 		f.mu.Lock()
 		f.enginesNamed += len(q.Known) + len(q.Wanted)
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestKnowledgeIsDecodedAsEncoded(t *testing.T) {
+func TestSnapshotIsDecodedAsEncoded(t *testing.T) {
 	want := &balance.CacheSnapshot{
 		Engines: []uint64{7, 9},
 		CachedParts: []balance.CachedPart{
@@ -166,13 +166,13 @@
 			{Part: 2, Server: 7},
 		},
 	}
-	got := decodeKnowledge(encodeKnowledge(want))
+	got := decodeSnapshot(encodeSnapshot(want))
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		t.Errorf("got %+v, want %+v", got, want)
 	}
-	invalid := encodeKnowledge(want)
+	invalid := encodeSnapshot(want)
 	invalid.Keepers[1], invalid.Servers = 17, invalid.Servers[:1]
-	if got := decodeKnowledge(invalid); len(got.CachedParts) != 0 || len(got.Engines) != 1 {
+	if got := decodeSnapshot(invalid); len(got.CachedParts) != 0 || len(got.Engines) != 1 {
 		t.Errorf("invalid: got %+v, want only the valid entries", got)
 	}
 }
--- a/exchange/teller.go
+++ b/exchange/teller.go
@@ -42,9 +42,9 @@
 // Syncer sends the state of the balancer to the other routers, and passes what they send to the
 // balancer. Set the exported fields before Run.
 type Syncer struct {
-	Self     string
-	Balancer *balance.Balancer
-	Transport     Transport
+	Self      string
+	Balancer  *balance.Balancer
+	Transport Transport
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
@@ -77,10 +77,10 @@
 	done chan struct{}
 }
 
-// NewSyncer returns a teller for the router with this ID. Set the other exported fields before Run.
+// NewSyncer returns a syncer for the router with this ID. Set the other exported fields before Run.
 func NewSyncer(self string) *Syncer {
 	t := &Syncer{
-		Self:    self,
+		Self:      self,
 		OnCrashes: func([]quarantine.Crash) {},
 
 		received: make(map[string]*counts),
--- a/exchange/teller_test.go
+++ b/exchange/teller_test.go
@@ -15,9 +15,9 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// testNetwork delivers datagrams between tellers by address.
+// testNetwork delivers datagrams between syncers by address.
 type testNetwork struct {
-	tellers map[string]*Syncer
+	syncers map[string]*Syncer
 
 	mu        sync.Mutex
 	maxPacket int
@@ -34,8 +34,8 @@
 func (t *testTransport) Send(address string, packet []byte) {
 	t.network.mu.Lock()
 	t.network.maxPacket = max(t.network.maxPacket, len(packet))
-	to := t.network.tellers[address]
-	if to != nil && to.Balancer.DataCentre == t.network.tellers[t.from].Balancer.DataCentre {
+	to := t.network.syncers[address]
+	if to != nil && to.Balancer.DataCentre == t.network.syncers[t.from].Balancer.DataCentre {
 		t.network.withinDataCentre += len(packet)
 	} else {
 		t.network.crossDataCentre += len(packet)
@@ -46,14 +46,14 @@
 	}
 }
 
-func newTellers(n int) ([]*Syncer, *testNetwork) {
-	return newTellersIn(1, n)
+func newSyncers(n int) ([]*Syncer, *testNetwork) {
+	return newSyncersIn(1, n)
 }
 
-// newTellersIn returns routers spread over several data centres, and their network.
-func newTellersIn(dataCentres, n int) ([]*Syncer, *testNetwork) {
+// newSyncersIn returns routers spread over several data centres, and their network.
+func newSyncersIn(dataCentres, n int) ([]*Syncer, *testNetwork) {
 	network := &testNetwork{
-		tellers: make(map[string]*Syncer),
+		syncers: make(map[string]*Syncer),
 	}
 	var routers []slipwick.Router
 	for i := range n {
@@ -72,7 +72,7 @@
 			Pool: "p",
 		})
 	}
-	var tellers []*Syncer
+	var syncers []*Syncer
 	for i := range n {
 		t := NewSyncer(fmt.Sprint(i))
 		t.Balancer = balance.New(routers[i].DataCentre)
@@ -84,10 +84,10 @@
 			network: network,
 			from:    t.Self,
 		}
-		network.tellers[t.Self] = t
-		tellers = append(tellers, t)
+		network.syncers[t.Self] = t
+		syncers = append(syncers, t)
 	}
-	return tellers, network
+	return syncers, network
 }
 
 func acquire(t *testing.T, b *balance.Balancer, key uint64) *balance.Lease {
@@ -110,20 +110,20 @@
 // to stay below the load bound that a single router would keep.
 func TestRoutersShareOneBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tellers, network := newTellers(3)
+		syncers, network := newSyncers(3)
 		ctx, cancel := context.WithCancel(t.Context())
-		for _, teller := range tellers {
-			go teller.Run(ctx)
+		for _, syncer := range syncers {
+			go syncer.Run(ctx)
 		}
 		counts := make(map[string]int)
 		for i := range 90 {
 			time.Sleep(updateInterval)
 			synctest.Wait()
-			counts[acquire(t, tellers[i%3].Balancer, 7).Backend.ID]++
+			counts[acquire(t, syncers[i%3].Balancer, 7).Backend.ID]++
 		}
 		cancel()
-		for _, teller := range tellers {
-			<-teller.Done()
+		for _, syncer := range syncers {
+			<-syncer.Done()
 		}
 		// 1.6 * 90 / 20 + 2, and one that was chosen below the bound.
 		for id, got := range counts {
@@ -142,25 +142,25 @@
 func TestHubsCountEveryRequestOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 50
-		tellers, _ := newTellers(size)
+		syncers, _ := newSyncers(size)
 		ctx, cancel := context.WithCancel(t.Context())
-		for i, teller := range tellers {
-			acquire(t, teller.Balancer, uint64(i))
-			go teller.Run(ctx)
+		for i, syncer := range syncers {
+			acquire(t, syncer.Balancer, uint64(i))
+			go syncer.Run(ctx)
 		}
 		time.Sleep(6 * updateInterval)
 		synctest.Wait()
-		for _, teller := range tellers {
-			if got := teller.Balancer.InFlight("p"); got != size {
-				t.Errorf("router %s: got %v requests in the fleet, want %d", teller.Self, got, size)
+		for _, syncer := range syncers {
+			if got := syncer.Balancer.InFlight("p"); got != size {
+				t.Errorf("router %s: got %v requests in the fleet, want %d", syncer.Self, got, size)
 			}
-			if got := teller.Balancer.CachedPartCount(); got != size {
-				t.Errorf("router %s: got %d parts, want %d", teller.Self, got, size)
+			if got := syncer.Balancer.CachedPartCount(); got != size {
+				t.Errorf("router %s: got %d parts, want %d", syncer.Self, got, size)
 			}
 		}
 		cancel()
-		for _, teller := range tellers {
-			<-teller.Done()
+		for _, syncer := range syncers {
+			<-syncer.Done()
 		}
 	})
 }
@@ -170,29 +170,29 @@
 func TestFailuresReachAllRouters(t *testing.T) {
 	for _, size := range []int{3, 50} {
 		synctest.Test(t, func(t *testing.T) {
-			tellers, _ := newTellers(size)
+			syncers, _ := newSyncers(size)
 			var mu sync.Mutex
 			ejected := make(map[string]int)
-			for _, teller := range tellers {
-				teller.Balancer.OnEjected = func(backend slipwick.Backend, _ time.Duration) {
+			for _, syncer := range syncers {
+				syncer.Balancer.OnEjected = func(backend slipwick.Backend, _ time.Duration) {
 					mu.Lock()
 					defer mu.Unlock()
-					ejected[teller.Self+" "+backend.ID]++
+					ejected[syncer.Self+" "+backend.ID]++
 				}
 			}
 			for range 4 {
-				b := tellers[size-1].Balancer
+				b := syncers[size-1].Balancer
 				b.Release(acquire(t, b, 7), slipwick.EvidenceError)
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			for _, teller := range tellers {
-				go teller.Run(ctx)
+			for _, syncer := range syncers {
+				go syncer.Run(ctx)
 			}
 			time.Sleep(6 * updateInterval)
 			synctest.Wait()
 			cancel()
-			for _, teller := range tellers {
-				<-teller.Done()
+			for _, syncer := range syncers {
+				<-syncer.Done()
 			}
 			if len(ejected) != size {
 				t.Errorf("%d routers: got %d that ejected the engine, want all: %v", size, len(ejected), ejected)
@@ -225,13 +225,13 @@
 }
 
 func TestRestartedRouterLearnsKnownCaches(t *testing.T) {
-	tellers, network := newTellers(2)
+	syncers, network := newSyncers(2)
 	for key := range uint64(500) {
-		lease := acquire(t, tellers[0].Balancer, key)
-		tellers[0].Balancer.Release(lease, slipwick.EvidenceGood)
+		lease := acquire(t, syncers[0].Balancer, key)
+		syncers[0].Balancer.Release(lease, slipwick.EvidenceGood)
 	}
 	server := httptest.NewServer(&CacheSnapshotServer{
-		Balancer: tellers[0].Balancer,
+		Balancer: syncers[0].Balancer,
 	})
 	defer server.Close()
 	learn := func() {
@@ -239,30 +239,30 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		tellers[1].Balancer.MergeCacheSnapshot(k)
+		syncers[1].Balancer.MergeCacheSnapshot(k)
 	}
 	learn()
-	if got := len(tellers[1].Balancer.EnginesWithUnknownCaches("p")); got != 20 {
+	if got := len(syncers[1].Balancer.EnginesWithUnknownCaches("p")); got != 20 {
 		t.Errorf("the other router does not know all caches: got %d of 20 engines missing, want all", got)
 	}
-	tellers[0].Balancer.MarkCachesKnown()
+	syncers[0].Balancer.MarkCachesKnown()
 	learn()
-	got, missing := tellers[1].Balancer.CachedPartCount(), len(tellers[1].Balancer.EnginesWithUnknownCaches("p"))
+	got, missing := syncers[1].Balancer.CachedPartCount(), len(syncers[1].Balancer.EnginesWithUnknownCaches("p"))
 	if got != 500 || missing > 0 {
 		t.Errorf("got %d parts and %d engines missing, want 500 and none", got, missing)
 	}
-	tellers[0].sendUpdate(false)
+	syncers[0].sendUpdate(false)
 	if network.maxPacket > 1400 {
 		t.Errorf("got a datagram of %d bytes, want all within one packet", network.maxPacket)
 	}
 }
 
 func TestInvalidDatagramsAreDropped(t *testing.T) {
-	tellers, _ := newTellers(2)
+	syncers, _ := newSyncers(2)
 	for _, packet := range []string{"", "garbage", "\x2a\x08\x01\x02\x03\x04\x05\x06\x07\x08\x32\x01\x09"} {
-		tellers[0].Receive("x", []byte(packet))
+		syncers[0].Receive("x", []byte(packet))
 	}
-	if got := tellers[0].Balancer.CachedPartCount(); got != 0 {
+	if got := syncers[0].Balancer.CachedPartCount(); got != 0 {
 		t.Errorf("got %d parts from invalid datagrams, want 0", got)
 	}
 }
@@ -293,28 +293,28 @@
 	for _, dataCentres := range []int{1, 4} {
 		for sender := range size {
 			synctest.Test(t, func(t *testing.T) {
-				tellers, _ := newTellersIn(dataCentres, size)
+				syncers, _ := newSyncersIn(dataCentres, size)
 				ctx, cancel := context.WithCancel(t.Context())
-				for _, teller := range tellers {
-					go teller.Run(ctx)
+				for _, syncer := range syncers {
+					go syncer.Run(ctx)
 				}
 				time.Sleep(6*updateInterval + updateInterval/10)
-				first := acquireLongPrompt(t, tellers[sender].Balancer)
+				first := acquireLongPrompt(t, syncers[sender].Balancer)
 				time.Sleep(60 * time.Millisecond)
 				synctest.Wait()
-				for _, teller := range tellers {
-					if teller == tellers[sender] {
+				for _, syncer := range syncers {
+					if syncer == syncers[sender] {
 						continue
 					}
-					lease := acquireLongPrompt(t, teller.Balancer)
+					lease := acquireLongPrompt(t, syncer.Balancer)
 					if lease.Wait <= 0 || lease.Backend.ID != first.Backend.ID && lease.FetchFrom != first.Backend.Address {
 						t.Errorf("%d data centres, prefill for %d: router %s got %+v, want it to wait for the prefill at %s",
-							dataCentres, sender, teller.Self, lease, first.Backend.ID)
+							dataCentres, sender, syncer.Self, lease, first.Backend.ID)
 					}
 				}
 				cancel()
-				for _, teller := range tellers {
-					<-teller.Done()
+				for _, syncer := range syncers {
+					<-syncer.Done()
 				}
 			})
 		}
@@ -326,20 +326,20 @@
 func TestHubsAreInTheSameDataCentre(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const size = 120
-		tellers, network := newTellersIn(6, size)
+		syncers, network := newSyncersIn(6, size)
 		ctx, cancel := context.WithCancel(t.Context())
-		for i, teller := range tellers {
+		for i, syncer := range syncers {
 			for key := range uint64(10) {
-				acquire(t, teller.Balancer, uint64(i)*10+key)
+				acquire(t, syncer.Balancer, uint64(i)*10+key)
 			}
-			go teller.Run(ctx)
+			go syncer.Run(ctx)
 		}
 		time.Sleep(20 * updateInterval)
 		cancel()
-		for _, teller := range tellers {
-			<-teller.Done()
-			if got := teller.Balancer.InFlight("p"); got != 10*size {
-				t.Errorf("router %s: got %v requests in the fleet, want %d", teller.Self, got, 10*size)
+		for _, syncer := range syncers {
+			<-syncer.Done()
+			if got := syncer.Balancer.InFlight("p"); got != 10*size {
+				t.Errorf("router %s: got %v requests in the fleet, want %d", syncer.Self, got, 10*size)
 			}
 		}
 		if network.crossDataCentre > network.withinDataCentre {
--- a/quarantine/bystanders_test.go
+++ b/quarantine/bystanders_test.go
@@ -35,10 +35,10 @@
 
 // simulation runs requests at engines, on a simulated clock.
 type simulation struct {
-	random *rand.Rand
-	ledger *Tracker
-	now    time.Duration
-	events eventQueue
+	random  *rand.Rand
+	tracker *Tracker
+	now     time.Duration
+	events  eventQueue
 	// engines are the incarnations of the engines; 0 is an engine that is restarting.
 	engines    [simulatedEngines]int64
 	started    int64
@@ -58,7 +58,7 @@
 	began    time.Duration
 	attempts int
 	tries    int
-	run      *Attempt
+	attempt  *Attempt
 	// number is the position of this execution in the order in which they began.
 	number int
 }
@@ -80,14 +80,14 @@
 	}
 	s.executions++
 	e.engine, e.began, e.number = engine, s.now, s.executions
-	run, ok := s.ledger.Begin(e.key, &slipwick.Backend{
+	attempt, ok := s.tracker.Begin(e.key, &slipwick.Backend{
 		ID:   fmt.Sprint(engine),
 		Born: s.engines[engine],
 	}, false, func() { delete(s.running, &e) })
 	if !ok {
 		return
 	}
-	e.run = run
+	e.attempt = attempt
 	s.running[&e] = true
 	after := time.Duration(s.random.ExpFloat64() * float64(meanRunTime))
 	if e.key == badKey {
@@ -102,7 +102,7 @@
 			return
 		}
 		delete(s.running, &e)
-		e.run.End(OutcomeCompleted)
+		e.attempt.End(OutcomeCompleted)
 		s.completed++
 	})
 }
@@ -127,11 +127,11 @@
 	})
 	for _, e := range executions {
 		delete(s.running, e)
-		fate := OutcomeCrashed
+		outcome := OutcomeCrashed
 		if e.key != badKey && s.now-e.began > firstEventDelay+suspicionPeriod && !s.suspectAll {
-			fate = OutcomeUnknown
+			outcome = OutcomeUnknown
 		}
-		s.schedule(crashDetectionDelay, func() { e.run.End(fate) })
+		s.schedule(crashDetectionDelay, func() { e.attempt.End(outcome) })
 		retry := *e
 		retry.attempts++
 		if retry.attempts >= maxAttempts {
@@ -171,8 +171,8 @@
 		s.now = next.at
 		next.do()
 	}
-	for _, key := range s.ledger.records.Keys() {
-		r, _ := s.ledger.records.Peek(key)
+	for _, key := range s.tracker.records.Keys() {
+		r, _ := s.tracker.records.Peek(key)
 		switch {
 		case key == badKey:
 		case r.quarantined:
@@ -187,7 +187,7 @@
 func newSimulation(seed uint64) *simulation {
 	return &simulation{
 		random:  rand.New(rand.NewPCG(seed, seed)),
-		ledger:  NewTracker("r"),
+		tracker: NewTracker("r"),
 		running: make(map[*execution]bool),
 	}
 }
@@ -202,7 +202,7 @@
 		s := newSimulation(seed)
 		q, w, o := s.run()
 		crashes, quarantined, twice, others = crashes+s.crashes, quarantined+q, twice+w, others+o
-		if !s.ledger.IsQuarantined(badKey) {
+		if !s.tracker.IsQuarantined(badKey) {
 			t.Errorf("seed %d: got the request that crashes engines not quarantined", seed)
 		}
 		if s.crashes > 2*quarantineThreshold {
--- a/quarantine/ledger.go
+++ b/quarantine/ledger.go
@@ -60,7 +60,7 @@
 	crashes     int
 }
 
-// NewTracker returns an empty ledger for the router with this ID.
+// NewTracker returns an empty tracker for the router with this ID.
 func NewTracker(self string) *Tracker {
 	// NewLRU fails only for sizes that are not positive.
 	records, _ := lru.NewLRU[Key, *record](maxRecords, nil)
@@ -68,7 +68,7 @@
 	return &Tracker{
 		Self:          self,
 		Routers:       func() []slipwick.Router { return nil },
-		OnPending:        func() {},
+		OnPending:     func() {},
 		OnQuarantined: func(Key, int) {},
 		OnReleased:    func(Key) {},
 		records:       records,
@@ -78,10 +78,10 @@
 }
 
 // IsQuarantined reports whether the request is quarantined.
-func (l *Tracker) IsQuarantined(key Key) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r, isKnown := l.records.Get(key)
+func (t *Tracker) IsQuarantined(key Key) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r, isKnown := t.records.Get(key)
 	return isKnown && r.quarantined
 }
 
@@ -101,16 +101,16 @@
 const minRetryAfter = time.Second
 
 // Admit decides whether a new request may be sent.
-func (l *Tracker) Admit(key Key) Admission {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	r, isKnown := l.records.Get(key)
+func (t *Tracker) Admit(key Key) Admission {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	r, isKnown := t.records.Get(key)
 	if !isKnown || !r.quarantined {
 		return Admission{}
 	}
 	now := clock.Now()
 	wait := r.untilNextTrial(now)
-	if wait > 0 || !l.ownsTrial(key) {
+	if wait > 0 || !t.ownsTrial(key) {
 		return Admission{
 			Refused:    true,
 			RetryAfter: max(wait, minRetryAfter),
@@ -124,56 +124,56 @@
 
 // ownsTrial reports whether this router is the one that runs the trials of the request: a trial at
 // each router would crash many servers at once.
-func (l *Tracker) ownsTrial(key Key) bool {
-	routers := l.Routers()
+func (t *Tracker) ownsTrial(key Key) bool {
+	routers := t.Routers()
 	chosen := placement.Choose(uint64(key), routers)
-	return chosen < 0 || routers[chosen].ID == l.Self
+	return chosen < 0 || routers[chosen].ID == t.Self
 }
 
 // Begin records that the request is sent to a backend server. It returns false if the request is
 // quarantined and this is no trial. If the request becomes quarantined before the attempt ends,
 // stop is called, so that the attempt can be aborted before the server begins to run the request.
-func (l *Tracker) Begin(key Key, backend *slipwick.Backend, isTrial bool, stop func()) (*Attempt, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if r, isKnown := l.records.Peek(key); isKnown && r.quarantined && !isTrial {
+func (t *Tracker) Begin(key Key, backend *slipwick.Backend, isTrial bool, stop func()) (*Attempt, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if r, isKnown := t.records.Peek(key); isKnown && r.quarantined && !isTrial {
 		return nil, false
 	}
-	run := &Attempt{
-		ledger: l,
+	attempt := &Attempt{
+		tracker: t,
 		crash: Crash{
-			Key:    key,
-			Server: placement.IDHash(backend.ID),
-			Incarnation:   backend.Born,
+			Key:         key,
+			Server:      placement.IDHash(backend.ID),
+			Incarnation: backend.Born,
 		},
 		stop: stop,
 	}
-	l.running[key] = append(l.running[key], run)
-	return run, true
+	t.running[key] = append(t.running[key], attempt)
+	return attempt, true
 }
 
-func (l *Tracker) removeAttemptLocked(run *Attempt) {
-	key := run.crash.Key
-	remaining := slices.DeleteFunc(l.running[key], func(other *Attempt) bool { return other == run })
+func (t *Tracker) removeAttemptLocked(attempt *Attempt) {
+	key := attempt.crash.Key
+	remaining := slices.DeleteFunc(t.running[key], func(other *Attempt) bool { return other == attempt })
 	if len(remaining) == 0 {
-		delete(l.running, key)
+		delete(t.running, key)
 		return
 	}
-	l.running[key] = remaining
+	t.running[key] = remaining
 }
 
 // addCrashLocked adds a crash, and updates the request's status if the crash is new.
-func (l *Tracker) addCrashLocked(crash Crash) {
-	r, isKnown := l.records.Get(crash.Key)
+func (t *Tracker) addCrashLocked(crash Crash) {
+	r, isKnown := t.records.Get(crash.Key)
 	if !isKnown {
 		r = &record{}
-		l.records.Add(crash.Key, r)
+		t.records.Add(crash.Key, r)
 	}
 	if !r.add(crash, clock.Now()) {
 		return
 	}
-	if len(l.pending) < maxPending {
-		l.pending = append(l.pending, crash)
+	if len(t.pending) < maxPending {
+		t.pending = append(t.pending, crash)
 	}
 	crashes := r.countCrashes()
 	quarantined := crashes >= quarantineThreshold
@@ -181,83 +181,83 @@
 		return
 	}
 	r.quarantined = quarantined
-	l.changes = append(l.changes, statusChange{
+	t.changes = append(t.changes, statusChange{
 		key:         crash.Key,
 		quarantined: quarantined,
 		crashes:     crashes,
 	})
 	if quarantined {
-		for _, run := range l.running[crash.Key] {
-			run.stop()
+		for _, attempt := range t.running[crash.Key] {
+			attempt.stop()
 		}
 	}
 }
 
 // completedRecentlyLocked reports whether the request completed at this router within
 // recentCompletionPeriod.
-func (l *Tracker) completedRecentlyLocked(key Key) bool {
-	at, isKnown := l.completedAt.Get(key)
+func (t *Tracker) completedRecentlyLocked(key Key) bool {
+	at, isKnown := t.completedAt.Get(key)
 	return isKnown && clock.Since(at) < recentCompletionPeriod
 }
 
 // recordCompletionLocked records that a server completed the request, which excuses it from its
 // crashes.
-func (l *Tracker) recordCompletionLocked(key Key) {
-	l.completedAt.Add(key, clock.Now())
-	r, isKnown := l.records.Peek(key)
+func (t *Tracker) recordCompletionLocked(key Key) {
+	t.completedAt.Add(key, clock.Now())
+	r, isKnown := t.records.Peek(key)
 	if !isKnown {
 		return
 	}
 	for _, crash := range slices.Clone(r.crashes) {
 		crash.Excused = true
-		l.addCrashLocked(crash)
+		t.addCrashLocked(crash)
 	}
 }
 
 // Merge adds crashes that another router reported.
-func (l *Tracker) Merge(crashes []Crash) {
-	l.mu.Lock()
+func (t *Tracker) Merge(crashes []Crash) {
+	t.mu.Lock()
 	for _, crash := range crashes {
-		l.addCrashLocked(crash)
+		t.addCrashLocked(crash)
 	}
-	l.unlockAndNotify()
+	t.unlockAndNotify()
 }
 
 // unlockAndNotify releases the lock and calls the callbacks for what changed while it was held.
-func (l *Tracker) unlockAndNotify() {
-	changes, hasPending := l.changes, len(l.pending) > 0
-	l.changes = nil
-	l.mu.Unlock()
+func (t *Tracker) unlockAndNotify() {
+	changes, hasPending := t.changes, len(t.pending) > 0
+	t.changes = nil
+	t.mu.Unlock()
 	for _, c := range changes {
 		if c.quarantined {
-			l.OnQuarantined(c.key, c.crashes)
+			t.OnQuarantined(c.key, c.crashes)
 		} else {
-			l.OnReleased(c.key)
+			t.OnReleased(c.key)
 		}
 	}
 	if hasPending {
-		l.OnPending()
+		t.OnPending()
 	}
 }
 
 // TakePending removes and returns the crashes that were not yet sent to the other routers.
-func (l *Tracker) TakePending() []Crash {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	crashes := l.pending
-	l.pending = nil
+func (t *Tracker) TakePending() []Crash {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	crashes := t.pending
+	t.pending = nil
 	return crashes
 }
 
 // RecentCrashes returns up to limit crashes: first those of quarantined requests, then those of requests
 // with several crashes whose record changed recently. They are for routers that started
 // since, or that missed an update.
-func (l *Tracker) RecentCrashes(limit int) []Crash {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *Tracker) RecentCrashes(limit int) []Crash {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	var quarantined, changed []Crash
 	now := clock.Now()
-	for _, r := range l.records.Values() {
+	for _, r := range t.records.Values() {
 		switch {
 		case r.quarantined:
 			quarantined = append(quarantined, r.crashes...)
@@ -270,11 +270,11 @@
 }
 
 // QuarantinedCount returns the number of quarantined requests.
-func (l *Tracker) QuarantinedCount() int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (t *Tracker) QuarantinedCount() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
 	quarantined := 0
-	for _, r := range l.records.Values() {
+	for _, r := range t.records.Values() {
 		if r.quarantined {
 			quarantined++
 		}
--- a/quarantine/ledger_test.go
+++ b/quarantine/ledger_test.go
@@ -14,52 +14,52 @@
 )
 
 // runAttempt runs a request at an incarnation of a backend server, with the given outcome.
-func runAttempt(t *testing.T, l *Tracker, key Key, id string, born int64, fate Outcome) {
+func runAttempt(t *testing.T, tracker *Tracker, key Key, id string, born int64, outcome Outcome) {
 	t.Helper()
-	run, ok := l.Begin(key, &slipwick.Backend{
+	attempt, ok := tracker.Begin(key, &slipwick.Backend{
 		ID:   id,
 		Born: born,
 	}, false, func() {})
 	if !ok {
 		t.Fatalf("request %v at %s: got it quarantined, want it sent", key, id)
 	}
-	run.End(fate)
+	attempt.End(outcome)
 }
 
 func TestThirdCrashQuarantinesRequest(t *testing.T) {
-	l := NewTracker("r")
+	tracker := NewTracker("r")
 	var quarantined []int
-	l.OnQuarantined = func(_ Key, crashes int) { quarantined = append(quarantined, crashes) }
+	tracker.OnQuarantined = func(_ Key, crashes int) { quarantined = append(quarantined, crashes) }
 	for i, id := range []string{"a", "b", "c"} {
-		if l.IsQuarantined(7) {
+		if tracker.IsQuarantined(7) {
 			t.Errorf("got quarantined after %d crashes", i)
 		}
-		runAttempt(t, l, 7, id, 0, OutcomeCrashed)
+		runAttempt(t, tracker, 7, id, 0, OutcomeCrashed)
 	}
-	if got := l.Admit(7); !got.Refused || got.RetryAfter < initialBackoff/2 {
+	if got := tracker.Admit(7); !got.Refused || got.RetryAfter < initialBackoff/2 {
 		t.Errorf("got %+v after three crashes, want it refused with a time to wait", got)
 	}
-	if _, ok := l.Begin(7, &slipwick.Backend{}, false, func() {}); ok {
+	if _, ok := tracker.Begin(7, &slipwick.Backend{}, false, func() {}); ok {
 		t.Error("got a quarantined request sent")
 	}
-	if l.Admit(8).Refused || l.QuarantinedCount() != 1 || !slices.Equal(quarantined, []int{3}) {
-		t.Errorf("got %d quarantined, callbacks %v, want one with three crashes", l.QuarantinedCount(), quarantined)
+	if tracker.Admit(8).Refused || tracker.QuarantinedCount() != 1 || !slices.Equal(quarantined, []int{3}) {
+		t.Errorf("got %d quarantined, callbacks %v, want one with three crashes", tracker.QuarantinedCount(), quarantined)
 	}
 }
 
 // TestCrashesAreCountedPerIncarnation reports one crash several times, as two routers that see it
 // do, and has one server crash in two incarnations.
 func TestCrashesAreCountedPerIncarnation(t *testing.T) {
-	l := NewTracker("r")
+	tracker := NewTracker("r")
 	for range 4 {
-		runAttempt(t, l, 7, "a", 1_000, OutcomeCrashed)
+		runAttempt(t, tracker, 7, "a", 1_000, OutcomeCrashed)
 	}
-	l.Merge([]Crash{{Key: 7, Server: 5, Incarnation: 2_000}, {Key: 7, Server: 5, Incarnation: 2_400}})
-	if l.IsQuarantined(7) {
+	tracker.Merge([]Crash{{Key: 7, Server: 5, Incarnation: 2_000}, {Key: 7, Server: 5, Incarnation: 2_400}})
+	if tracker.IsQuarantined(7) {
 		t.Error("got quarantined after the crashes of two incarnations, want three")
 	}
-	runAttempt(t, l, 7, "a", 9_000, OutcomeCrashed)
-	if !l.IsQuarantined(7) {
+	runAttempt(t, tracker, 7, "a", 9_000, OutcomeCrashed)
+	if !tracker.IsQuarantined(7) {
 		t.Error("got not quarantined after a second incarnation with the same ID crashed, want three crashes")
 	}
 }
@@ -68,14 +68,14 @@
 // when it started.
 func TestIncarnationsWithoutStartTimeAreDistinguishedByCrashTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewTracker("r")
+		tracker := NewTracker("r")
 		for i := range 3 {
-			second, _ := l.Begin(7, &slipwick.Backend{
+			second, _ := tracker.Begin(7, &slipwick.Backend{
 				ID: "a",
 			}, false, func() {})
-			runAttempt(t, l, 7, "a", 0, OutcomeCrashed)
+			runAttempt(t, tracker, 7, "a", 0, OutcomeCrashed)
 			second.End(OutcomeCrashed)
-			if got, want := l.IsQuarantined(7), i == 2; got != want {
+			if got, want := tracker.IsQuarantined(7), i == 2; got != want {
 				t.Errorf("got quarantined %t after %d crashes of one server, want %t", got, i+1, want)
 			}
 			time.Sleep(2 * time.Second)
@@ -86,14 +86,14 @@
 // TestCompletedRequestIsExcused lets a request complete after two crashes. Late reports of the
 // earlier crashes must change nothing.
 func TestCompletedRequestIsExcused(t *testing.T) {
-	l := NewTracker("r")
-	runAttempt(t, l, 7, "a", 1_000, OutcomeCrashed)
-	runAttempt(t, l, 7, "b", 1_000, OutcomeCrashed)
-	early := l.TakePending()
-	runAttempt(t, l, 7, "c", 1_000, OutcomeCompleted)
-	l.Merge(early)
-	runAttempt(t, l, 7, "d", 1_000, OutcomeCrashed)
-	if l.IsQuarantined(7) {
+	tracker := NewTracker("r")
+	runAttempt(t, tracker, 7, "a", 1_000, OutcomeCrashed)
+	runAttempt(t, tracker, 7, "b", 1_000, OutcomeCrashed)
+	early := tracker.TakePending()
+	runAttempt(t, tracker, 7, "c", 1_000, OutcomeCompleted)
+	tracker.Merge(early)
+	runAttempt(t, tracker, 7, "d", 1_000, OutcomeCrashed)
+	if tracker.IsQuarantined(7) {
 		t.Error("got quarantined by excused crashes")
 	}
 	other := NewTracker("s")
@@ -103,7 +103,7 @@
 	}
 	released := 0
 	other.OnReleased = func(Key) { released++ }
-	other.Merge(l.TakePending())
+	other.Merge(tracker.TakePending())
 	if other.IsQuarantined(7) || released != 1 {
 		t.Errorf("another router: got quarantined %t, released %d times, want it released once",
 			other.IsQuarantined(7), released)
@@ -113,20 +113,20 @@
 // TestAttemptsStopWhenRequestIsQuarantined has one attempt wait at a server while three others end
 // with crashes.
 func TestAttemptsStopWhenRequestIsQuarantined(t *testing.T) {
-	l := NewTracker("r")
+	tracker := NewTracker("r")
 	stopped := 0
-	run, _ := l.Begin(7, &slipwick.Backend{
+	attempt, _ := tracker.Begin(7, &slipwick.Backend{
 		ID: "d",
 	}, false, func() { stopped++ })
 	for _, id := range []string{"a", "b", "c"} {
-		runAttempt(t, l, 7, id, 0, OutcomeCrashed)
+		runAttempt(t, tracker, 7, id, 0, OutcomeCrashed)
 	}
 	if stopped != 1 {
 		t.Errorf("got %d stops, want one", stopped)
 	}
-	run.End(OutcomeUnknown)
-	if len(l.running) != 0 {
-		t.Errorf("got %d requests running, want none", len(l.running))
+	attempt.End(OutcomeUnknown)
+	if len(tracker.running) != 0 {
+		t.Errorf("got %d requests running, want none", len(tracker.running))
 	}
 }
 
@@ -135,24 +135,24 @@
 func TestOneRouterRunsTrials(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		routers := []slipwick.Router{{ID: "r1"}, {ID: "r2"}, {ID: "r3"}}
-		var ledgers []*Tracker
+		var trackers []*Tracker
 		for _, r := range routers {
-			l := NewTracker(r.ID)
-			l.Routers = func() []slipwick.Router { return routers }
-			ledgers = append(ledgers, l)
+			tracker := NewTracker(r.ID)
+			tracker.Routers = func() []slipwick.Router { return routers }
+			trackers = append(trackers, tracker)
 		}
 		exchange := func() {
-			var news []Crash
-			for _, l := range ledgers {
-				news = append(news, l.TakePending()...)
+			var crashes []Crash
+			for _, tracker := range trackers {
+				crashes = append(crashes, tracker.TakePending()...)
 			}
-			for _, l := range ledgers {
-				l.Merge(news)
-				l.TakePending()
+			for _, tracker := range trackers {
+				tracker.Merge(crashes)
+				tracker.TakePending()
 			}
 		}
 		for _, id := range []string{"a", "b", "c"} {
-			runAttempt(t, ledgers[0], 7, id, 0, OutcomeCrashed)
+			runAttempt(t, trackers[0], 7, id, 0, OutcomeCrashed)
 		}
 		exchange()
 		started := time.Now()
@@ -160,15 +160,15 @@
 			var trials int
 			for trials == 0 {
 				time.Sleep(time.Second)
-				for _, l := range ledgers {
+				for _, tracker := range trackers {
 					for range 2 {
-						if l.Admit(7).Trial {
+						if tracker.Admit(7).Trial {
 							trials++
-							run, ok := l.Begin(7, &slipwick.Backend{ID: fmt.Sprint("later", i)}, true, func() {})
+							attempt, ok := tracker.Begin(7, &slipwick.Backend{ID: fmt.Sprint("later", i)}, true, func() {})
 							if !ok {
 								t.Fatal("got no trial sent")
 							}
-							run.End([]Outcome{OutcomeCrashed, OutcomeCrashed, OutcomeCompleted}[i])
+							attempt.End([]Outcome{OutcomeCrashed, OutcomeCrashed, OutcomeCompleted}[i])
 						}
 					}
 				}
@@ -178,9 +178,9 @@
 				t.Errorf("trial %d: got %d tries after %v, want one after %v", i, trials, got, want)
 			}
 		}
-		for _, l := range ledgers {
-			if l.QuarantinedCount() != 0 {
-				t.Errorf("router %s: got quarantined after it completed, want it released", l.Self)
+		for _, tracker := range trackers {
+			if tracker.QuarantinedCount() != 0 {
+				t.Errorf("router %s: got quarantined after it completed, want it released", tracker.Self)
 			}
 		}
 	})
@@ -192,10 +192,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
 			return Crash{
-				Key:     Key(rapid.IntRange(1, 4).Draw(t, "key")),
-				Server:  uint64(rapid.IntRange(1, 3).Draw(t, "server")),
-				Incarnation:    int64(rapid.IntRange(1, 3).Draw(t, "life")) * 5_000,
-				Excused: rapid.IntRange(0, 3).Draw(t, "excused") == 0,
+				Key:         Key(rapid.IntRange(1, 4).Draw(t, "key")),
+				Server:      uint64(rapid.IntRange(1, 3).Draw(t, "server")),
+				Incarnation: int64(rapid.IntRange(1, 3).Draw(t, "life")) * 5_000,
+				Excused:     rapid.IntRange(0, 3).Draw(t, "excused") == 0,
 			}
 		}), 0, 40).Draw(t, "crashes")
 		a, b := NewTracker("a"), NewTracker("b")
@@ -214,24 +214,24 @@
 // TestNumberOfRecordsIsBounded adds far more requests than are kept. One of them is quarantined and
 // asked for now and then, and must not be evicted.
 func TestNumberOfRecordsIsBounded(t *testing.T) {
-	l := NewTracker("r")
+	tracker := NewTracker("r")
 	for _, id := range []string{"a", "b", "c"} {
-		runAttempt(t, l, 1, id, 0, OutcomeCrashed)
+		runAttempt(t, tracker, 1, id, 0, OutcomeCrashed)
 	}
 	random := rand.New(rand.NewPCG(1, 1))
 	for i := range 5 * maxRecords {
-		runAttempt(t, l, Key(random.Uint64()), "d", 0, OutcomeCrashed)
-		if i%1000 == 0 && !l.Admit(1).Refused {
+		runAttempt(t, tracker, Key(random.Uint64()), "d", 0, OutcomeCrashed)
+		if i%1000 == 0 && !tracker.Admit(1).Refused {
 			t.Fatalf("got the quarantined request forgotten after %d others", i)
 		}
 	}
-	if got := l.records.Len(); got > maxRecords {
+	if got := tracker.records.Len(); got > maxRecords {
 		t.Errorf("got %d records, want at most %d", got, maxRecords)
 	}
-	if got := len(l.TakePending()); got > maxPending {
+	if got := len(tracker.TakePending()); got > maxPending {
 		t.Errorf("got %d crashes to send, want at most %d", got, maxPending)
 	}
-	recent := l.RecentCrashes(10)
+	recent := tracker.RecentCrashes(10)
 	if len(recent) > 10 || recent[0].Key != 1 {
 		t.Errorf("got %v from Recent, want those of the quarantined request first and at most ten", recent)
 	}
@@ -242,24 +242,24 @@
 // then, though it is not the cause.
 func TestPopularRequestSurvivesSimultaneousCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		l := NewTracker("r")
+		tracker := NewTracker("r")
 		begin := func(server string) *Attempt {
-			run, ok := l.Begin(7, &slipwick.Backend{ID: server}, false, func() {})
+			attempt, ok := tracker.Begin(7, &slipwick.Backend{ID: server}, false, func() {})
 			if !ok {
 				t.Fatal("got the request quarantined")
 			}
-			return run
+			return attempt
 		}
 		for i := range 100 {
-			run := begin(fmt.Sprint("s", i%4))
+			attempt := begin(fmt.Sprint("s", i%4))
 			time.Sleep(20 * time.Millisecond)
-			run.End(OutcomeCompleted)
+			attempt.End(OutcomeCompleted)
 		}
 		running := []*Attempt{begin("s0"), begin("s1"), begin("s2")}
-		for _, run := range running {
-			run.End(OutcomeCrashed)
+		for _, attempt := range running {
+			attempt.End(OutcomeCrashed)
 		}
-		if l.IsQuarantined(7) {
+		if tracker.IsQuarantined(7) {
 			t.Error("got a request quarantined that completed a moment before")
 		}
 		// A request that crashes servers from now on must still be detected.
@@ -268,7 +268,7 @@
 			begin(server).End(OutcomeCrashed)
 			time.Sleep(time.Second)
 		}
-		if !l.IsQuarantined(7) {
+		if !tracker.IsQuarantined(7) {
 			t.Error("got a request not quarantined that three servers crashed under since it last completed")
 		}
 	})
--- a/quarantine/run.go
+++ b/quarantine/run.go
@@ -4,9 +4,9 @@
 
 // Attempt is one attempt to run a request at a backend server. The caller has to call End exactly once.
 type Attempt struct {
-	ledger *Tracker
-	crash  Crash
-	stop   func()
+	tracker *Tracker
+	crash   Crash
+	stop    func()
 }
 
 // Outcome is the outcome of an attempt for the backend server.
@@ -22,18 +22,18 @@
 )
 
 // End records the outcome of the attempt.
-func (r *Attempt) End(fate Outcome) {
-	l := r.ledger
-	l.mu.Lock()
-	l.removeAttemptLocked(r)
+func (a *Attempt) End(outcome Outcome) {
+	t := a.tracker
+	t.mu.Lock()
+	t.removeAttemptLocked(a)
 	switch {
-	case fate == OutcomeCompleted:
-		l.recordCompletionLocked(r.crash.Key)
-	case fate == OutcomeCrashed && !l.completedRecentlyLocked(r.crash.Key):
-		if r.crash.Incarnation == 0 {
-			r.crash.Incarnation = time.Now().UnixMilli()
+	case outcome == OutcomeCompleted:
+		t.recordCompletionLocked(a.crash.Key)
+	case outcome == OutcomeCrashed && !t.completedRecentlyLocked(a.crash.Key):
+		if a.crash.Incarnation == 0 {
+			a.crash.Incarnation = time.Now().UnixMilli()
 		}
-		l.addCrashLocked(r.crash)
+		t.addCrashLocked(a.crash)
 	}
-	l.unlockAndNotify()
+	t.unlockAndNotify()
 }
