--- a/gateway/buffered.go
+++ b/gateway/buffered.go
@@ -25,7 +25,7 @@
 
 // bufferResponse reads a response to its end; tooLong means that it is larger than maxBufferedBytes
 // and the rest is still to be read.
-func bufferResponse(response *upstream.Answer) (buffered *bufferedResponse, tooLong bool, err error) {
+func bufferResponse(response *upstream.Response) (buffered *bufferedResponse, tooLong bool, err error) {
 	var body bytes.Buffer
 	if response.Length > 0 {
 		body.Grow(int(min(response.Length, maxBufferedBytes)) + bytes.MinRead)
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -20,7 +20,7 @@
 
 // noticeOf returns what the backend server announces about itself in the response. A 421 comes from
 // a backend server other than the intended one, so that it announces nothing about that one.
-func (c *call) noticeOf(response *upstream.Answer) slipwick.Notice {
+func (c *call) noticeOf(response *upstream.Response) slipwick.Notice {
 	if response.Status == http.StatusMisdirectedRequest {
 		return slipwick.Notice{}
 	}
@@ -30,7 +30,7 @@
 // handleResponse classifies a response, reports it to the balancer, and forwards it to the caller
 // if it is final.
 func (c *call) handleResponse(
-	lease *balance.Lease, response *upstream.Answer, notice slipwick.Notice,
+	lease *balance.Lease, response *upstream.Response, notice slipwick.Notice,
 ) (result, slipwick.Evidence, error) {
 	names := &c.gateway.Headers
 	c.gateway.Balancer.RecordNotice(lease, notice)
@@ -75,7 +75,7 @@
 
 // isGenuine reports whether a successful response was made by the backend server for this request:
 // it carries the stamp and the request ID, and no content encoding.
-func (c *call) isGenuine(response *upstream.Answer) bool {
+func (c *call) isGenuine(response *upstream.Response) bool {
 	names := &c.gateway.Headers
 	if response.Header.Get(names.Stamp) == "" || response.Header.Get("Content-Encoding") != "" {
 		return false
@@ -86,7 +86,7 @@
 // forwardBuffered reads a response to its end and forwards it. A failure is kept instead, and
 // forwarded only if no other response follows. Once a part of a stream was forwarded, any other
 // response counts as a failure.
-func (c *call) forwardBuffered(response *upstream.Answer) (result, slipwick.Evidence, error) {
+func (c *call) forwardBuffered(response *upstream.Response) (result, slipwick.Evidence, error) {
 	buffered, tooLong, err := bufferResponse(response)
 	switch {
 	case err != nil && c.request.Context().Err() != nil:
@@ -124,7 +124,7 @@
 
 // forwardLarge forwards a response that is too large to buffer.
 func (c *call) forwardLarge(
-	buffered *bufferedResponse, response *upstream.Answer,
+	buffered *bufferedResponse, response *upstream.Response,
 ) (result, slipwick.Evidence, error) {
 	copyHeader(c.writer.Header(), buffered.header)
 	if response.Length >= 0 {
@@ -148,7 +148,7 @@
 const maxEventBytes = 256 << 10
 
 // forwardEvents forwards complete events as they arrive.
-func (c *call) forwardEvents(lease *balance.Lease, response *upstream.Answer) (result, slipwick.Evidence, error) {
+func (c *call) forwardEvents(lease *balance.Lease, response *upstream.Response) (result, slipwick.Evidence, error) {
 	buffered := make([]byte, 0, eventBufferSize)
 	for {
 		if len(buffered) == cap(buffered) {
@@ -199,7 +199,7 @@
 
 // writeEvents writes those events that the caller does not have yet, after the response header if
 // they are the first.
-func (c *call) writeEvents(response *upstream.Answer, events []byte) error {
+func (c *call) writeEvents(response *upstream.Response, events []byte) error {
 	if len(events) == 0 {
 		return nil
 	}
@@ -217,7 +217,7 @@
 }
 
 // writeHead writes the status and header of a stream's response, once.
-func (c *call) writeHead(response *upstream.Answer) error {
+func (c *call) writeHead(response *upstream.Response) error {
 	if c.progress.headWritten {
 		return nil
 	}
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -71,7 +71,7 @@
 // Do sends the request to a backend server and reads the header of the response. Idle connections
 // are pooled by key. If ctx ends, the exchange is interrupted, also while the body is read. Errors
 // are of type *slipwick.Error; OutcomeNotRun means that nothing was sent.
-func (c *Client) Do(ctx context.Context, key, address string, request *Request) (*Answer, error) {
+func (c *Client) Do(ctx context.Context, key, address string, request *Request) (*Response, error) {
 	conn, err := c.connection(ctx, key, address, request.MaxRest)
 	if err != nil {
 		return nil, err
@@ -89,7 +89,7 @@
 		return nil, exchangeError(ctx, address, err)
 	}
 	delimited := response.ContentLength >= 0 || len(response.TransferEncoding) > 0
-	return &Answer{
+	return &Response{
 		Status:   response.StatusCode,
 		Header:   response.Header,
 		Length:   response.ContentLength,
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// Answer is a response whose header has been read and whose body is read with Read. It must be used
+// Response is a response whose header has been read and whose body is read with Read. It must be used
 // by one goroutine only, and must be closed.
-type Answer struct {
+type Response struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body in bytes, or -1 if it is unknown.
@@ -34,7 +34,7 @@
 
 // Read reads the body. It returns io.EOF at the end of a complete body, and an *slipwick.Error if
 // the body is cut short or Patience ends the exchange.
-func (a *Answer) Read(into []byte) (int, error) {
+func (a *Response) Read(into []byte) (int, error) {
 	if a.Length < 0 {
 		if err := a.conn.awaitData(a.ctx, a.timeouts.Pause, a.timeouts.Overdue); err != nil {
 			return 0, exchangeError(a.ctx, a.address, err)
@@ -54,7 +54,7 @@
 
 // Close returns the connection to the pool if the body was read to its end and the connection is
 // still usable. Otherwise it closes the connection, which tells the backend server to stop.
-func (a *Answer) Close() {
+func (a *Response) Close() {
 	if a.closed {
 		return
 	}
