--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -52,15 +52,15 @@
 		mayRetry: c.route.MayRepeat() && c.possibleRuns+1 < c.route.MaxAttempts && c.sends < c.maxSends(),
 	}
 	timeouts := upstream.Patience{
-		First:   c.gateway.Balancer.FirstByteTimeout(lease),
+		FirstByte:   c.gateway.Balancer.FirstByteTimeout(lease),
 		Overdue: h.onTimeout,
 	}
-	if timeouts.First == 0 {
-		timeouts.First = max(objectiveFactor*c.route.Objective, defaultFirstByteTimeout)
+	if timeouts.FirstByte == 0 {
+		timeouts.FirstByte = max(objectiveFactor*c.route.Objective, defaultFirstByteTimeout)
 	}
 	if h.mayRetry {
 		left := time.Duration((1 - retryTimeShare) * float64(clock.Until(c.deadline)))
-		timeouts.First = max(min(timeouts.First, left), time.Millisecond)
+		timeouts.FirstByte = max(min(timeouts.FirstByte, left), time.Millisecond)
 		timeouts.Pause = c.idleTimeout(lease)
 	}
 	return timeouts
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -33,7 +33,7 @@
 	r := request("1")
 	asked := 0
 	r.Patience = Patience{
-		First: 20 * time.Millisecond,
+		FirstByte: 20 * time.Millisecond,
 		Overdue: func() time.Duration {
 			asked++
 			if asked < 3 {
@@ -59,7 +59,7 @@
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	r.Patience = Patience{
-		First: 20 * time.Millisecond,
+		FirstByte: 20 * time.Millisecond,
 		Overdue: func() time.Duration {
 			writes <- responseText("1", "late")
 			time.Sleep(50 * time.Millisecond)
@@ -94,7 +94,7 @@
 	client := &Client{}
 	r := request("1")
 	r.Patience = Patience{
-		First:   time.Second,
+		FirstByte:   time.Second,
 		Pause:   time.Second,
 		Overdue: func() time.Duration { return 0 },
 	}
@@ -111,7 +111,7 @@
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	r.Patience = Patience{
-		First:   time.Minute,
+		FirstByte:   time.Minute,
 		Overdue: func() time.Duration { return Forever },
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -139,7 +139,7 @@
 	})
 	r := request("1")
 	r.Patience = Patience{
-		First:   time.Second,
+		FirstByte:   time.Second,
 		Pause:   time.Second,
 		Overdue: func() time.Duration { return 0 },
 	}
