--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -61,7 +61,7 @@
 	if h.mayRetry {
 		left := time.Duration((1 - retryTimeShare) * float64(clock.Until(c.deadline)))
 		timeouts.FirstByte = max(min(timeouts.FirstByte, left), time.Millisecond)
-		timeouts.Pause = c.idleTimeout(lease)
+		timeouts.Idle = c.idleTimeout(lease)
 	}
 	return timeouts
 }
--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -12,9 +12,9 @@
 
 // Patience bounds the time in which a backend server sends nothing.
 type Patience struct {
-	// FirstByte is how long the first byte of the response may take. Pause is how long the next bytes
+	// FirstByte is how long the first byte of the response may take. Idle is how long the next bytes
 	// of a body of unknown length may take; 0 sets no bound.
-	FirstByte, Pause time.Duration
+	FirstByte, Idle time.Duration
 	// Overdue is called when one of these times has passed, by the goroutine that reads the
 	// response. It returns how long to wait for longer: 0 ends the exchange, Forever waits until
 	// data arrives.
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -75,7 +75,7 @@
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	r.Patience = Patience{
-		Pause:   30 * time.Millisecond,
+		Idle:   30 * time.Millisecond,
 		Overdue: func() time.Duration { return 0 },
 	}
 	writes <- "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -95,7 +95,7 @@
 	r := request("1")
 	r.Patience = Patience{
 		FirstByte:   time.Second,
-		Pause:   time.Second,
+		Idle:   time.Second,
 		Overdue: func() time.Duration { return 0 },
 	}
 	mustExchange(t, client, server.address, r, "abc")
@@ -140,7 +140,7 @@
 	r := request("1")
 	r.Patience = Patience{
 		FirstByte:   time.Second,
-		Pause:   time.Second,
+		Idle:   time.Second,
 		Overdue: func() time.Duration { return 0 },
 	}
 	got, err := exchange(t, &Client{}, server.address, r)
