--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -53,7 +53,7 @@
 	}
 	timeouts := upstream.Patience{
 		FirstByte:   c.gateway.Balancer.FirstByteTimeout(lease),
-		Overdue: h.onTimeout,
+		OnTimeout: h.onTimeout,
 	}
 	if timeouts.FirstByte == 0 {
 		timeouts.FirstByte = max(objectiveFactor*c.route.Objective, defaultFirstByteTimeout)
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -79,7 +79,7 @@
 	stop := conn.interruptOnDone(ctx)
 	written := conn.write(request)
 	var response *http.Response
-	err = conn.awaitData(ctx, request.Patience.FirstByte, request.Patience.Overdue)
+	err = conn.awaitData(ctx, request.Patience.FirstByte, request.Patience.OnTimeout)
 	if err == nil {
 		response, err = conn.readHead(request, &c.Strays)
 	}
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -36,7 +36,7 @@
 // the body is cut short or Patience ends the exchange.
 func (a *Response) Read(into []byte) (int, error) {
 	if a.Length < 0 {
-		if err := a.conn.awaitData(a.ctx, a.timeouts.Idle, a.timeouts.Overdue); err != nil {
+		if err := a.conn.awaitData(a.ctx, a.timeouts.Idle, a.timeouts.OnTimeout); err != nil {
 			return 0, exchangeError(a.ctx, a.address, err)
 		}
 	}
--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -15,10 +15,10 @@
 	// FirstByte is how long the first byte of the response may take. Idle is how long the next bytes
 	// of a body of unknown length may take; 0 sets no bound.
 	FirstByte, Idle time.Duration
-	// Overdue is called when one of these times has passed, by the goroutine that reads the
+	// OnTimeout is called when one of these times has passed, by the goroutine that reads the
 	// response. It returns how long to wait for longer: 0 ends the exchange, Forever waits until
 	// data arrives.
-	Overdue func() time.Duration
+	OnTimeout func() time.Duration
 }
 
 // Forever lets a read wait for as long as the exchange may last.
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -34,7 +34,7 @@
 	asked := 0
 	r.Patience = Patience{
 		FirstByte: 20 * time.Millisecond,
-		Overdue: func() time.Duration {
+		OnTimeout: func() time.Duration {
 			asked++
 			if asked < 3 {
 				return 10 * time.Millisecond
@@ -60,7 +60,7 @@
 	r := request("1")
 	r.Patience = Patience{
 		FirstByte: 20 * time.Millisecond,
-		Overdue: func() time.Duration {
+		OnTimeout: func() time.Duration {
 			writes <- responseText("1", "late")
 			time.Sleep(50 * time.Millisecond)
 			return 0
@@ -76,7 +76,7 @@
 	r := request("1")
 	r.Patience = Patience{
 		Idle:   30 * time.Millisecond,
-		Overdue: func() time.Duration { return 0 },
+		OnTimeout: func() time.Duration { return 0 },
 	}
 	writes <- "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	writes <- "3\r\nabc\r\n"
@@ -96,7 +96,7 @@
 	r.Patience = Patience{
 		FirstByte:   time.Second,
 		Idle:   time.Second,
-		Overdue: func() time.Duration { return 0 },
+		OnTimeout: func() time.Duration { return 0 },
 	}
 	mustExchange(t, client, server.address, r, "abc")
 	mustExchange(t, client, server.address, request("2"), "second")
@@ -112,7 +112,7 @@
 	r := request("1")
 	r.Patience = Patience{
 		FirstByte:   time.Minute,
-		Overdue: func() time.Duration { return Forever },
+		OnTimeout: func() time.Duration { return Forever },
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -141,7 +141,7 @@
 	r.Patience = Patience{
 		FirstByte:   time.Second,
 		Idle:   time.Second,
-		Overdue: func() time.Duration { return 0 },
+		OnTimeout: func() time.Duration { return 0 },
 	}
 	got, err := exchange(t, &Client{}, server.address, r)
 	if err == nil || got != "abc" {
