--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -45,13 +45,13 @@
 }
 
 // timeoutsFor returns the timeouts of the send that is about to be made.
-func (c *call) timeoutsFor(lease *balance.Lease) upstream.Patience {
+func (c *call) timeoutsFor(lease *balance.Lease) upstream.Timeouts {
 	h := &timeoutHandler{
 		call:     c,
 		lease:    lease,
 		mayRetry: c.route.MayRepeat() && c.possibleRuns+1 < c.route.MaxAttempts && c.sends < c.maxSends(),
 	}
-	timeouts := upstream.Patience{
+	timeouts := upstream.Timeouts{
 		FirstByte:   c.gateway.Balancer.FirstByteTimeout(lease),
 		OnTimeout: h.onTimeout,
 	}
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -23,7 +23,7 @@
 	MaxRest time.Duration
 	// Patience ends the exchange if the backend server sends nothing for too long. The zero value
 	// never does.
-	Patience Patience
+	Patience Timeouts
 }
 
 // head returns the request line and the header as sent.
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -29,7 +29,7 @@
 	reusable bool
 	complete bool
 	closed   bool
-	timeouts Patience
+	timeouts Timeouts
 }
 
 // Read reads the body. It returns io.EOF at the end of a complete body, and an *slipwick.Error if
--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -10,8 +10,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Patience bounds the time in which a backend server sends nothing.
-type Patience struct {
+// Timeouts bounds the time in which a backend server sends nothing.
+type Timeouts struct {
 	// FirstByte is how long the first byte of the response may take. Idle is how long the next bytes
 	// of a body of unknown length may take; 0 sets no bound.
 	FirstByte, Idle time.Duration
