--- a/gateway/call.go
+++ b/gateway/call.go
@@ -98,7 +98,7 @@
 		ID:       c.id,
 		IDHeader: names.RequestID,
 	}
-	request.Patience = c.timeoutsFor(lease)
+	request.Timeouts = c.timeoutsFor(lease)
 	if !c.route.MayRepeat() {
 		request.MaxRest = nonRepeatableMaxIdle
 	}
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -79,7 +79,7 @@
 	stop := conn.interruptOnDone(ctx)
 	written := conn.write(request)
 	var response *http.Response
-	err = conn.awaitData(ctx, request.Patience.FirstByte, request.Patience.OnTimeout)
+	err = conn.awaitData(ctx, request.Timeouts.FirstByte, request.Timeouts.OnTimeout)
 	if err == nil {
 		response, err = conn.readHead(request, &c.Strays)
 	}
@@ -102,7 +102,7 @@
 		body:     response.Body,
 		stop:     stop,
 		reusable: delimited && !response.Close,
-		timeouts: request.Patience,
+		timeouts: request.Timeouts,
 	}, nil
 }
 
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -21,9 +21,9 @@
 	// MaxRest is the longest time for which a pooled connection may have been idle to be used; 0
 	// sets no bound. The shorter, the less likely the connection has been closed unnoticed.
 	MaxRest time.Duration
-	// Patience ends the exchange if the backend server sends nothing for too long. The zero value
+	// Timeouts ends the exchange if the backend server sends nothing for too long. The zero value
 	// never does.
-	Patience Timeouts
+	Timeouts Timeouts
 }
 
 // head returns the request line and the header as sent.
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -32,7 +32,7 @@
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	asked := 0
-	r.Patience = Timeouts{
+	r.Timeouts = Timeouts{
 		FirstByte: 20 * time.Millisecond,
 		OnTimeout: func() time.Duration {
 			asked++
@@ -58,7 +58,7 @@
 	defer close(writes)
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
-	r.Patience = Timeouts{
+	r.Timeouts = Timeouts{
 		FirstByte: 20 * time.Millisecond,
 		OnTimeout: func() time.Duration {
 			writes <- responseText("1", "late")
@@ -74,7 +74,7 @@
 	defer close(writes)
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
-	r.Patience = Timeouts{
+	r.Timeouts = Timeouts{
 		Idle:   30 * time.Millisecond,
 		OnTimeout: func() time.Duration { return 0 },
 	}
@@ -93,7 +93,7 @@
 	server := serve(t, script(chunked, responseText("2", "second")))
 	client := &Client{}
 	r := request("1")
-	r.Patience = Timeouts{
+	r.Timeouts = Timeouts{
 		FirstByte:   time.Second,
 		Idle:   time.Second,
 		OnTimeout: func() time.Duration { return 0 },
@@ -110,7 +110,7 @@
 	defer close(writes)
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
-	r.Patience = Timeouts{
+	r.Timeouts = Timeouts{
 		FirstByte:   time.Minute,
 		OnTimeout: func() time.Duration { return Forever },
 	}
@@ -138,7 +138,7 @@
 		_ = conn.(*net.TCPConn).SetLinger(0)
 	})
 	r := request("1")
-	r.Patience = Timeouts{
+	r.Timeouts = Timeouts{
 		FirstByte:   time.Second,
 		Idle:   time.Second,
 		OnTimeout: func() time.Duration { return 0 },
