--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -83,7 +83,7 @@
 		c.gateway.Balancer.RecordOverdue(h.lease)
 	}
 	if !h.mayRetry || clock.Until(c.deadline) < c.minRetryTime() {
-		return upstream.Forever
+		return upstream.NoTimeout
 	}
 	if c.nextLease = c.acquireNextLease(); c.nextLease == nil {
 		return retryPollInterval
--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -21,15 +21,15 @@
 	OnTimeout func() time.Duration
 }
 
-// Forever lets a read wait for as long as the exchange may last.
-const Forever = time.Duration(1<<63 - 1)
+// NoTimeout lets a read wait for as long as the exchange may last.
+const NoTimeout = time.Duration(1<<63 - 1)
 
 // errGivenUp is the cause of errors of exchanges that Patience ended.
 var errResponseTimeout = errors.New("no data within the response timeout")
 
 // awaitData blocks until a byte can be read, and calls onTimeout each time the wait has passed.
 func (c *connection) awaitData(ctx context.Context, wait time.Duration, onTimeout func() time.Duration) error {
-	if wait <= 0 || wait == Forever || c.reader.Buffered() > 0 {
+	if wait <= 0 || wait == NoTimeout || c.reader.Buffered() > 0 {
 		return nil
 	}
 	defer c.clearDeadline(ctx)
@@ -54,7 +54,7 @@
 			return ctx.Err()
 		}
 		wait = onTimeout()
-		if wait == Forever || wait <= 0 && c.hasBytes() {
+		if wait == NoTimeout || wait <= 0 && c.hasBytes() {
 			return nil
 		}
 		if wait <= 0 {
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -112,7 +112,7 @@
 	r := request("1")
 	r.Timeouts = Timeouts{
 		FirstByte:   time.Minute,
-		OnTimeout: func() time.Duration { return Forever },
+		OnTimeout: func() time.Duration { return NoTimeout },
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
