--- a/gateway/response.go
+++ b/gateway/response.go
@@ -190,7 +190,7 @@
 	switch {
 	case c.request.Context().Err() != nil:
 		return resultLeft, slipwick.EvidenceNone, err
-	case c.ctx.Err() != nil || upstream.IsGivenUp(err):
+	case c.ctx.Err() != nil || upstream.IsResponseTimeout(err):
 		return resultBroken, slipwick.EvidenceNone, err
 	default:
 		return resultBroken, slipwick.EvidenceError, err
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -236,7 +236,7 @@
 	}
 	c.gateway.Balancer.Release(lease, evidence)
 	watch.recordOutcome(outcome, attempt.Err)
-	if !upstream.IsGivenUp(attempt.Err) {
+	if !upstream.IsResponseTimeout(attempt.Err) {
 		c.abandonNextLease()
 	}
 	if outcome != resultDelivered {
@@ -265,7 +265,7 @@
 		return resultUnsent, slipwick.EvidenceUnreachable
 	}
 	c.possibleRuns++
-	if c.ctx.Err() == context.DeadlineExceeded || upstream.IsGivenUp(err) {
+	if c.ctx.Err() == context.DeadlineExceeded || upstream.IsResponseTimeout(err) {
 		// The slow response has already been reported to the balancer.
 		return resultBroken, slipwick.EvidenceNone
 	}
--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -83,8 +83,8 @@
 	}
 }
 
-// IsGivenUp reports whether err comes from an exchange that Patience ended, not from the end of the
+// IsResponseTimeout reports whether err comes from an exchange that Patience ended, not from the end of the
 // context.
-func IsGivenUp(err error) bool {
+func IsResponseTimeout(err error) bool {
 	return errors.Is(err, errResponseTimeout)
 }
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -43,7 +43,7 @@
 		},
 	}
 	_, err := exchange(t, &Client{}, server.address, r)
-	if !IsGivenUp(err) || errorOutcome(t, err) != slipwick.OutcomeUnknown {
+	if !IsResponseTimeout(err) || errorOutcome(t, err) != slipwick.OutcomeUnknown {
 		t.Errorf("got %v, want a response timeout with unknown outcome", err)
 	}
 	if asked != 3 {
@@ -81,7 +81,7 @@
 	writes <- "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	writes <- "3\r\nabc\r\n"
 	got, err := exchange(t, &Client{}, server.address, r)
-	if got != "abc" || !IsGivenUp(err) {
+	if got != "abc" || !IsResponseTimeout(err) {
 		t.Errorf("got %q and %v, want abc and a response timeout", got, err)
 	}
 }
@@ -121,7 +121,7 @@
 	if err == nil {
 		_, err = io.ReadAll(a)
 	}
-	if took := time.Since(started); !slipwick.IsKind(err, slipwick.KindTimeout) || IsGivenUp(err) || took > time.Second {
+	if took := time.Since(started); !slipwick.IsKind(err, slipwick.KindTimeout) || IsResponseTimeout(err) || took > time.Second {
 		t.Errorf("got %v after %v, want the timeout of the context", err, took)
 	}
 }
