--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -259,7 +259,7 @@
 			return resultNotRun, slipwick.EvidenceNone
 		}
 		c.unreached++
-		if upstream.IsRefused(err) {
+		if upstream.IsConnectionRefused(err) {
 			return resultUnsent, slipwick.EvidenceRefused
 		}
 		return resultUnsent, slipwick.EvidenceUnreachable
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -192,7 +192,7 @@
 	defer cancel()
 	conn, err := c.dial(ctx, key, address)
 	if err != nil {
-		return IsRefused(err)
+		return IsConnectionRefused(err)
 	}
 	c.putIdle(key, conn, defaultMaxIdle)
 	return false
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -41,8 +41,8 @@
 	return err
 }
 
-// IsRefused reports whether err comes from a connection that the backend server's box refused:
+// IsConnectionRefused reports whether err comes from a connection that the backend server's box refused:
 // nothing listens at the address.
-func IsRefused(err error) bool {
+func IsConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
