--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -55,5 +55,5 @@
 func isGone(ctx context.Context, backend slipwick.Backend) bool {
 	client := &upstream.Client{}
 	defer client.Close()
-	return client.IsGone(ctx, backend.ID, backend.Address)
+	return client.RefusesConnections(ctx, backend.ID, backend.Address)
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -183,11 +183,11 @@
 	}, nil
 }
 
-// IsGone reports whether the backend server's box refuses connections, so that nothing listens at
+// RefusesConnections reports whether the backend server's box refuses connections, so that nothing listens at
 // the address any more. It returns false if the dial times out, which does not prove that the
 // backend server has ended. A connection that it opens is kept for later exchanges. It blocks for
 // at most minDialTimeout.
-func (c *Client) IsGone(ctx context.Context, key, address string) bool {
+func (c *Client) RefusesConnections(ctx context.Context, key, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, minDialTimeout)
 	defer cancel()
 	conn, err := c.dial(ctx, key, address)
