--- a/upstream/client.go
+++ b/upstream/client.go
@@ -41,10 +41,10 @@
 // Client makes requests to backend servers and pools the connections. It is safe for concurrent
 // use. Set the exported fields before the first call.
 type Client struct {
-	// DialTimeout bounds connection setup. Silence is the TCP_USER_TIMEOUT: how long sent data may
+	// DialTimeout bounds connection setup. UserTimeout is the TCP_USER_TIMEOUT: how long sent data may
 	// stay unacknowledged. Zero selects the default of each.
 	DialTimeout time.Duration
-	Silence     time.Duration
+	UserTimeout time.Duration
 
 	// Opened counts connections opened, Strays the responses skipped because they belonged to an
 	// earlier request.
@@ -200,7 +200,7 @@
 
 // setUserTimeout makes the kernel close a connection whose data stays unacknowledged for too long.
 func (c *Client) setUserTimeout(_, _ string, raw syscall.RawConn) error {
-	timeout := int(orDefault(c.Silence, defaultUserTimeout).Milliseconds())
+	timeout := int(orDefault(c.UserTimeout, defaultUserTimeout).Milliseconds())
 	var sockoptErr error
 	err := raw.Control(func(fd uintptr) {
 		sockoptErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, timeout)
