--- a/cmd/internal/gatewayd/metrics.go
+++ b/cmd/internal/gatewayd/metrics.go
@@ -144,7 +144,7 @@
 		{
 			name: "slipwick_backend_connections_opened",
 			help: "Connections opened to backend servers.",
-			read: func() float64 { return float64(p.client.Opened.Load()) },
+			read: func() float64 { return float64(p.client.OpenedConnections.Load()) },
 		},
 		{
 			name: "slipwick_stray_answers",
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -46,10 +46,10 @@
 	DialTimeout time.Duration
 	UserTimeout time.Duration
 
-	// Opened counts connections opened, Strays the responses skipped because they belonged to an
+	// OpenedConnections counts connections opened, Strays the responses skipped because they belonged to an
 	// earlier request.
-	Opened atomic.Int64
-	Strays atomic.Int64
+	OpenedConnections atomic.Int64
+	Strays            atomic.Int64
 
 	mu   sync.Mutex
 	idle map[string][]*connection
@@ -175,7 +175,7 @@
 	if err != nil {
 		return nil, connectError(address, err)
 	}
-	c.Opened.Add(1)
+	c.OpenedConnections.Add(1)
 	c.recordDialTime(key, time.Since(started))
 	return &connection{
 		Conn:   conn,
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -88,7 +88,7 @@
 	defer client.Close()
 	mustExchange(t, client, server.address, request("1"), "one")
 	mustExchange(t, client, server.address, request("2"), "two")
-	if got := client.Opened.Load(); got != 1 {
+	if got := client.OpenedConnections.Load(); got != 1 {
 		t.Errorf("got %d connections, want 1", got)
 	}
 }
@@ -115,7 +115,7 @@
 	mustExchange(t, client, server.address, request("1"), "one")
 	second := serve(t, script(responseText("2", "two")))
 	mustExchange(t, client, second.address, request("2"), "two")
-	if got := client.Opened.Load(); got != 2 {
+	if got := client.OpenedConnections.Load(); got != 2 {
 		t.Errorf("got %d connections, want 2", got)
 	}
 }
@@ -210,7 +210,7 @@
 	r := request("1")
 	r.MaxRest = 10 * time.Millisecond
 	mustExchange(t, client, server.address, r, "one")
-	if got := client.Opened.Load(); got != 2 {
+	if got := client.OpenedConnections.Load(); got != 2 {
 		t.Errorf("got %d connections, want 2", got)
 	}
 }
@@ -222,12 +222,12 @@
 	mustExchange(t, client, server.address, request("1"), "one")
 	client.Retain(func(key string) bool { return key == "key" })
 	mustExchange(t, client, server.address, request("2"), "two")
-	if got := client.Opened.Load(); got != 1 {
+	if got := client.OpenedConnections.Load(); got != 1 {
 		t.Errorf("retained backend server: got %d connections, want 1", got)
 	}
 	client.Retain(func(string) bool { return false })
 	mustExchange(t, client, server.address, request("1"), "one")
-	if got := client.Opened.Load(); got != 2 {
+	if got := client.OpenedConnections.Load(); got != 2 {
 		t.Errorf("removed backend server: got %d connections, want a new one", got)
 	}
 }
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -100,7 +100,7 @@
 	}
 	mustExchange(t, client, server.address, r, "abc")
 	mustExchange(t, client, server.address, request("2"), "second")
-	if got := client.Opened.Load(); got != 1 {
+	if got := client.OpenedConnections.Load(); got != 1 {
 		t.Errorf("got %d connections, want 1", got)
 	}
 }
