--- a/cmd/internal/gatewayd/metrics.go
+++ b/cmd/internal/gatewayd/metrics.go
@@ -149,7 +149,7 @@
 		{
 			name: "slipwick_stray_answers",
 			help: "Answers to other requests that were skipped.",
-			read: func() float64 { return float64(p.client.Strays.Load()) },
+			read: func() float64 { return float64(p.client.StrayResponses.Load()) },
 		},
 	}
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -46,10 +46,10 @@
 	DialTimeout time.Duration
 	UserTimeout time.Duration
 
-	// OpenedConnections counts connections opened, Strays the responses skipped because they belonged to an
+	// OpenedConnections counts connections opened, StrayResponses the responses skipped because they belonged to an
 	// earlier request.
 	OpenedConnections atomic.Int64
-	Strays            atomic.Int64
+	StrayResponses    atomic.Int64
 
 	mu   sync.Mutex
 	idle map[string][]*connection
@@ -81,7 +81,7 @@
 	var response *http.Response
 	err = conn.awaitData(ctx, request.Timeouts.FirstByte, request.Timeouts.OnTimeout)
 	if err == nil {
-		response, err = conn.readHead(request, &c.Strays)
+		response, err = conn.readHead(request, &c.StrayResponses)
 	}
 	if err != nil {
 		stop()
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -101,7 +101,7 @@
 	defer client.Close()
 	mustExchange(t, client, server.address, request("1"), "one")
 	mustExchange(t, client, server.address, request("2"), "two")
-	if got := client.Strays.Load(); got != 1 {
+	if got := client.StrayResponses.Load(); got != 1 {
 		t.Errorf("got %d stray responses, want 1", got)
 	}
 }
