--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -171,7 +171,7 @@
 			least = min(least, pool.MaxConnections)
 		}
 	}
-	p.client.SetMaxResting(least / (2 * max(routers, 1)))
+	p.client.SetMaxIdle(least / (2 * max(routers, 1)))
 }
 
 // onOut notes a backend server that is left out for a while.
