--- a/gateway/call.go
+++ b/gateway/call.go
@@ -100,7 +100,7 @@
 	}
 	request.Timeouts = c.timeoutsFor(lease)
 	if !c.route.MayRepeat() {
-		request.MaxRest = nonRepeatableMaxIdle
+		request.MaxIdle = nonRepeatableMaxIdle
 	}
 	return request
 }
