--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -199,7 +199,7 @@
 	started := clock.Now()
 	events.DrainStarted.On(&p.Log).Int64("in_flight", p.gateway.InFlight()).Send()
 	p.draining.Store(true)
-	p.gateway.Leave()
+	p.gateway.Drain()
 	p.node.Leave()
 	end := started.Add(time.Duration(p.grace.Load()) - graceMargin)
 	time.Sleep(clock.Until(earlier(end, started.Add(p.Settings.Bounds.announceTime()))))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -68,9 +68,9 @@
 	return g.table.Load()
 }
 
-// Leave makes each response from now on close its connection, so that callers open one to another
+// Drain makes each response from now on close its connection, so that callers open one to another
 // router.
-func (g *Gateway) Leave() {
+func (g *Gateway) Drain() {
 	g.draining.Store(true)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -263,7 +263,7 @@
 func TestDrainingAndStoppingRouters(t *testing.T) {
 	b := newBackend(t, "b1", respondWith(http.StatusOK, "answer"))
 	f := newFixture(t, b)
-	f.gateway.Leave()
+	f.gateway.Drain()
 	got := f.post(t, "/single/x")
 	if got.status != http.StatusOK || !got.closesConnection {
 		t.Errorf("draining: got %d, closing %v; want 200, closing", got.status, got.closesConnection)
