--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -203,7 +203,7 @@
 	p.node.Leave()
 	end := started.Add(time.Duration(p.grace.Load()) - graceMargin)
 	time.Sleep(clock.Until(earlier(end, started.Add(p.Settings.Bounds.announceTime()))))
-	p.gateway.Close(earlier(end, clock.Now().Add(lateTime)))
+	p.gateway.StopAt(earlier(end, clock.Now().Add(lateTime)))
 	for closed := clock.Now(); clock.Now().Before(end); time.Sleep(drainCheck) {
 		if p.gateway.InFlight() == 0 && clock.Since(closed) > refuseTime {
 			break
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -44,7 +44,7 @@
 	// callers open one to another router.
 	draining atomic.Bool
 	// stopAt is when the router stops; requests that may last longer are refused. It is nil until
-	// Close is called.
+	// StopAt is called.
 	stopAt   atomic.Pointer[time.Time]
 	inFlight atomic.Int64
 }
@@ -74,8 +74,8 @@
 	g.draining.Store(true)
 }
 
-// Close refuses, from now on, all requests whose deadline is after end.
-func (g *Gateway) Close(end time.Time) {
+// StopAt refuses, from now on, all requests whose deadline is after end.
+func (g *Gateway) StopAt(end time.Time) {
 	g.stopAt.Store(&end)
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -268,7 +268,7 @@
 	if got.status != http.StatusOK || !got.closesConnection {
 		t.Errorf("draining: got %d, closing %v; want 200, closing", got.status, got.closesConnection)
 	}
-	f.gateway.Close(time.Now().Add(time.Second))
+	f.gateway.StopAt(time.Now().Add(time.Second))
 	if got := f.post(t, "/single/x"); got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("stopping: got %d, want 503 with Retry-After", got.status)
 	}
