--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -96,7 +96,7 @@
 		Client:   p.client,
 		Observer: p.observer,
 		Ready:    p.ready,
-		Homes:    p.learnt,
+		CachesKnown:    p.learnt,
 		Budget: &retry.Budget{
 			Ratio:   s.Retries.Ratio,
 			Extra:   s.Retries.Extra,
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -32,10 +32,10 @@
 	// it.
 	Quarantine *quarantine.Tracker
 	// Ready is closed once the router has a configuration, the list of backend servers and the list
-	// of evacuated data centres. Homes is closed once the router has learnt which engines have
+	// of evacuated data centres. CachesKnown is closed once the router has learnt which engines have
 	// which prompts cached. Requests that arrive earlier wait for a limited time. A nil channel
 	// disables the wait.
-	Ready, Homes <-chan struct{}
+	Ready, CachesKnown <-chan struct{}
 	// Observer is told how each request ended.
 	Observer Observer
 
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -65,7 +65,7 @@
 // knows that there is none: computing a long prompt again takes longer than the wait. Requests
 // without a prompt do not wait.
 func (c *call) awaitCacheHolder() {
-	cacheIndex := c.gateway.Homes
+	cacheIndex := c.gateway.CachesKnown
 	if len(c.selection.Prompt) == 0 || cacheIndex == nil || isClosed(cacheIndex) {
 		return
 	}
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -26,7 +26,7 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t, newBackend(t, "b1", respondWith(http.StatusOK, "answer")))
-			f.gateway.Homes = make(chan struct{})
+			f.gateway.CachesKnown = make(chan struct{})
 			f.gateway.Balancer.RecordCachedParts("b1", []uint64{PartKey("ab")})
 			request := f.request(t, test.path, "question")
 			if test.prompt != "" {
@@ -47,7 +47,7 @@
 func TestStartingRouterServesOnceCacheIndexIsReady(t *testing.T) {
 	f := newFixture(t, newBackend(t, "b1", respondWith(http.StatusOK, "answer")))
 	ready, cacheIndex := make(chan struct{}), make(chan struct{})
-	f.gateway.Ready, f.gateway.Homes = ready, cacheIndex
+	f.gateway.Ready, f.gateway.CachesKnown = ready, cacheIndex
 	request := f.request(t, "/affine/x", "question")
 	request.Header.Set("Slipwick-Prompt", "ef:90000,cd:10")
 	time.AfterFunc(startupWait/8, func() { close(ready) })
