--- a/gateway/call.go
+++ b/gateway/call.go
@@ -69,7 +69,7 @@
 	for _, name := range hopByHop {
 		header.Del(name)
 	}
-	for _, name := range names.Withheld {
+	for _, name := range names.RouterOnly {
 		header.Del(name)
 	}
 	header.Del("Authorization")
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -25,9 +25,9 @@
 	Priority string
 	// FetchFrom is the address of the engine from which to copy the cached prompt.
 	FetchFrom string
-	// Withheld lists further headers that only routers may set, and that are removed from callers'
+	// RouterOnly lists further headers that only routers may set, and that are removed from callers'
 	// requests.
-	Withheld []string
+	RouterOnly []string
 }
 
 // OwnHeaders returns slipwick's own header names.
