--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -133,7 +133,7 @@
 			Peers:     f.Listen.Peers,
 			Metrics:   f.Listen.Metrics,
 		},
-		Headers: gateway.OwnHeaders(),
+		Headers: gateway.DefaultHeaders(),
 		Retries: Retries{
 			Ratio:  f.Retries.Ratio,
 			Extra:  f.Retries.Extra,
--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -189,7 +189,7 @@
 	t.Helper()
 	settings := &Settings{
 		ID:      id,
-		Headers: gateway.OwnHeaders(),
+		Headers: gateway.DefaultHeaders(),
 		Seeds:   seeds,
 		Listen: Listen{
 			Callers:   freeAddress(t),
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -219,7 +219,7 @@
 		observer: &recordingObserver{},
 	}
 	f.gateway = &Gateway{
-		Headers:  OwnHeaders(),
+		Headers:  DefaultHeaders(),
 		Balancer: balancer,
 		Client:   &upstream.Client{},
 		Observer: f.observer,
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -30,8 +30,8 @@
 	RouterOnly []string
 }
 
-// OwnHeaders returns slipwick's own header names.
-func OwnHeaders() Headers {
+// DefaultHeaders returns slipwick's own header names.
+func DefaultHeaders() Headers {
 	return Headers{
 		RequestID: "Slipwick-Request",
 		Deadline:  "Slipwick-Deadline-Ms",
