--- a/cmd/internal/gatewayd/observer.go
+++ b/cmd/internal/gatewayd/observer.go
@@ -50,7 +50,7 @@
 // Attempted notes a send that did not bring the answer.
 func (o *observer) Attempted(attempt *gateway.Attempt) {
 	o.metrics.attempts.WithLabelValues(attempt.Result).Inc()
-	events.AttemptFailed.On(&o.log).Str("request", attempt.Request).Stringer("key", attempt.Key).
+	events.AttemptFailed.On(&o.log).Str("request", attempt.RequestID).Stringer("key", attempt.Key).
 		Str("route", attempt.Route).Str("backend", attempt.Backend).Str("address", attempt.Address).
 		Str("result", attempt.Result).Int("status", attempt.Status).Int("events", attempt.Events).
 		Dur("took_ms", attempt.Took).Bool("leaving", attempt.Notice.Leaving).Dur("rest_ms", attempt.Notice.Rest).
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -21,7 +21,7 @@
 
 // Attempt describes one send that did not deliver the response.
 type Attempt struct {
-	Request string
+	RequestID string
 	// Key is the same for requests with the same content.
 	Key     quarantine.Key
 	Route   string
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -213,12 +213,12 @@
 	c.gateway.Balancer.RecordSend(lease)
 	response, err := c.gateway.Client.Do(watch.ctx, lease.Backend.Life(), lease.Backend.Address, request)
 	attempt := &Attempt{
-		Request: c.id,
-		Key:     c.key,
-		Route:   c.route.Name,
-		Backend: lease.Backend.ID,
-		Address: lease.Backend.Address,
-		Err:     err,
+		RequestID: c.id,
+		Key:       c.key,
+		Route:     c.route.Name,
+		Backend:   lease.Backend.ID,
+		Address:   lease.Backend.Address,
+		Err:       err,
 	}
 	var outcome result
 	var evidence slipwick.Evidence
