--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -33,9 +33,9 @@
 	// Notice is what the backend server announced about itself.
 	Notice slipwick.Notice
 	// Events is the number of stream events that this send delivered.
-	Events int
-	Took   time.Duration
-	Err    error
+	Events   int
+	Duration time.Duration
+	Err      error
 }
 
 // Ending describes how an admitted request ended.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -240,7 +240,7 @@
 		c.abandonNextLease()
 	}
 	if outcome != resultDelivered {
-		attempt.Result, attempt.Took = outcome.String(), clock.Since(started)
+		attempt.Result, attempt.Duration = outcome.String(), clock.Since(started)
 		attempt.Events = c.progress.events - events
 		c.gateway.Observer.Attempted(attempt)
 	}
