--- a/cmd/internal/gatewayd/gateway_test.go
+++ b/cmd/internal/gatewayd/gateway_test.go
@@ -122,7 +122,7 @@
 		t.Fatalf("got %d %v, want 200", status, err)
 	}
 	// A send that fails, so that each vector has a member.
-	r.observer.Attempted(&gateway.Attempt{})
+	r.observer.Attempted(&gateway.FailedAttempt{})
 	page, err := os.ReadFile("../../../docs/METRICS-GATEWAY.md")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/internal/gatewayd/observer.go
+++ b/cmd/internal/gatewayd/observer.go
@@ -48,7 +48,7 @@
 }
 
 // Attempted notes a send that did not bring the answer.
-func (o *observer) Attempted(attempt *gateway.Attempt) {
+func (o *observer) Attempted(attempt *gateway.FailedAttempt) {
 	o.metrics.attempts.WithLabelValues(attempt.Result).Inc()
 	events.AttemptFailed.On(&o.log).Str("request", attempt.RequestID).Stringer("key", attempt.Key).
 		Str("route", attempt.Route).Str("backend", attempt.Backend).Str("address", attempt.Address).
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -77,7 +77,7 @@
 	mu       sync.Mutex
 	endings  []Ending
 	refusals []Refusal
-	attempts []Attempt
+	attempts []FailedAttempt
 }
 
 func (o *recordingObserver) Refused(_ *http.Request, refusal *Refusal) {
@@ -86,7 +86,7 @@
 	o.refusals = append(o.refusals, *refusal)
 }
 
-func (o *recordingObserver) Attempted(attempt *Attempt) {
+func (o *recordingObserver) Attempted(attempt *FailedAttempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts = append(o.attempts, *attempt)
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -14,13 +14,13 @@
 	// Refused is called for each request that was refused before it was sent to any backend server.
 	Refused(request *http.Request, refusal *Refusal)
 	// Attempted is called for each send that did not deliver the response.
-	Attempted(attempt *Attempt)
+	Attempted(attempt *FailedAttempt)
 	// Ended is called once for each request that was not refused at admission.
 	Ended(ending *Ending)
 }
 
-// Attempt describes one send that did not deliver the response.
-type Attempt struct {
+// FailedAttempt describes one send that did not deliver the response.
+type FailedAttempt struct {
 	RequestID string
 	// Key is the same for requests with the same content.
 	Key     quarantine.Key
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -212,7 +212,7 @@
 	request := c.upstreamRequest(lease)
 	c.gateway.Balancer.RecordSend(lease)
 	response, err := c.gateway.Client.Do(watch.ctx, lease.Backend.Life(), lease.Backend.Address, request)
-	attempt := &Attempt{
+	attempt := &FailedAttempt{
 		RequestID: c.id,
 		Key:       c.key,
 		Route:     c.route.Name,
