--- a/cmd/internal/gatewayd/observer.go
+++ b/cmd/internal/gatewayd/observer.go
@@ -64,7 +64,7 @@
 	if ending.Result == "delivered" {
 		return
 	}
-	events.RequestUnserved.On(&o.log).Str("request", ending.Request).Stringer("key", ending.Key).
+	events.RequestUnserved.On(&o.log).Str("request", ending.RequestID).Stringer("key", ending.Key).
 		Str("route", ending.Route.Name).Str("pool", ending.Pool).Uint64("version", ending.Version).
 		Str("result", ending.Result).Str("reason", ending.Reason).Int("status", ending.Status).Int("sends", ending.Sends).
 		Int("events", ending.Events).Dur("took_ms", ending.Took).Send()
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -40,10 +40,10 @@
 
 // Ending describes how an admitted request ended.
 type Ending struct {
-	Request string
-	Key     quarantine.Key
-	Route   *routing.Route
-	Pool    string
+	RequestID string
+	Key       quarantine.Key
+	Route     *routing.Route
+	Pool      string
 	// Version is the version of the routing table that was used.
 	Version uint64
 	// Result is delivered, failed, refused, cut or left.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -184,17 +184,17 @@
 
 func (c *call) notifyEnded(outcome, reason string, status int) {
 	c.gateway.Observer.Ended(&Ending{
-		Request: c.id,
-		Key:     c.key,
-		Route:   c.route,
-		Pool:    c.pool,
-		Version: c.table.Version,
-		Result:  outcome,
-		Reason:  reason,
-		Status:  status,
-		Sends:   c.sends,
-		Events:  c.progress.events,
-		Took:    clock.Since(c.arrived),
+		RequestID: c.id,
+		Key:       c.key,
+		Route:     c.route,
+		Pool:      c.pool,
+		Version:   c.table.Version,
+		Result:    outcome,
+		Reason:    reason,
+		Status:    status,
+		Sends:     c.sends,
+		Events:    c.progress.events,
+		Took:      clock.Since(c.arrived),
 	})
 }
 
