--- a/cmd/internal/gatewayd/observer.go
+++ b/cmd/internal/gatewayd/observer.go
@@ -60,12 +60,12 @@
 // Ended notes how a request ended; whole answers are only counted.
 func (o *observer) Ended(ending *gateway.Ending) {
 	o.metrics.requests.WithLabelValues(ending.Result, ending.Reason).Inc()
-	o.metrics.duration.WithLabelValues(string(ending.Route.Kind)).Observe(ending.Took.Seconds())
+	o.metrics.duration.WithLabelValues(string(ending.Route.Kind)).Observe(ending.Duration.Seconds())
 	if ending.Result == "delivered" {
 		return
 	}
 	events.RequestUnserved.On(&o.log).Str("request", ending.RequestID).Stringer("key", ending.Key).
 		Str("route", ending.Route.Name).Str("pool", ending.Pool).Uint64("version", ending.Version).
 		Str("result", ending.Result).Str("reason", ending.Reason).Int("status", ending.Status).Int("sends", ending.Sends).
-		Int("events", ending.Events).Dur("took_ms", ending.Took).Send()
+		Int("events", ending.Events).Dur("took_ms", ending.Duration).Send()
 }
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -49,9 +49,9 @@
 	// Result is delivered, failed, refused, cut or left.
 	Result string
 	// Reason is why the request was refused or given up; empty if the response was delivered.
-	Reason string
-	Status int
-	Sends  int
-	Events int
-	Took   time.Duration
+	Reason   string
+	Status   int
+	Sends    int
+	Events   int
+	Duration time.Duration
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -194,7 +194,7 @@
 		Status:    status,
 		Sends:     c.sends,
 		Events:    c.progress.events,
-		Took:      clock.Since(c.arrived),
+		Duration:  clock.Since(c.arrived),
 	})
 }
 
