--- a/cmd/internal/gatewayd/observer.go
+++ b/cmd/internal/gatewayd/observer.go
@@ -58,7 +58,7 @@
 }
 
 // Ended notes how a request ended; whole answers are only counted.
-func (o *observer) Ended(ending *gateway.Ending) {
+func (o *observer) Ended(ending *gateway.RequestSummary) {
 	o.metrics.requests.WithLabelValues(ending.Result, ending.Reason).Inc()
 	o.metrics.duration.WithLabelValues(string(ending.Route.Kind)).Observe(ending.Duration.Seconds())
 	if ending.Result == "delivered" {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -75,7 +75,7 @@
 // recordingObserver records all calls.
 type recordingObserver struct {
 	mu       sync.Mutex
-	endings  []Ending
+	endings  []RequestSummary
 	refusals []Refusal
 	attempts []FailedAttempt
 }
@@ -92,7 +92,7 @@
 	o.attempts = append(o.attempts, *attempt)
 }
 
-func (o *recordingObserver) Ended(ending *Ending) {
+func (o *recordingObserver) Ended(ending *RequestSummary) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.endings = append(o.endings, *ending)
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -16,7 +16,7 @@
 	// Attempted is called for each send that did not deliver the response.
 	Attempted(attempt *FailedAttempt)
 	// Ended is called once for each request that was not refused at admission.
-	Ended(ending *Ending)
+	Ended(ending *RequestSummary)
 }
 
 // FailedAttempt describes one send that did not deliver the response.
@@ -38,8 +38,8 @@
 	Err      error
 }
 
-// Ending describes how an admitted request ended.
-type Ending struct {
+// RequestSummary describes how an admitted request ended.
+type RequestSummary struct {
 	RequestID string
 	Key       quarantine.Key
 	Route     *routing.Route
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -183,7 +183,7 @@
 }
 
 func (c *call) notifyEnded(outcome, reason string, status int) {
-	c.gateway.Observer.Ended(&Ending{
+	c.gateway.Observer.Ended(&RequestSummary{
 		RequestID: c.id,
 		Key:       c.key,
 		Route:     c.route,
