--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -78,8 +78,8 @@
 	return errors.Is(context.Cause(w.ctx), errQuarantined)
 }
 
-// recordOutcome records whether the backend server crashed. To check costs a round trip, so that only
-// those backend servers are checked that broke off an exchange soon after it began.
+// recordOutcome records whether the backend server crashed. To check costs a round trip, so that
+// only those backend servers are checked that broke off an exchange soon after it began.
 func (w *crashWatch) recordOutcome(outcome result, err error) {
 	if w.run == nil {
 		return
--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -24,7 +24,7 @@
 // NoTimeout lets a read wait for as long as the exchange may last.
 const NoTimeout = time.Duration(1<<63 - 1)
 
-// errGivenUp is the cause of errors of exchanges that Patience ended.
+// errResponseTimeout is the cause of the errors of exchanges that Patience ended.
 var errResponseTimeout = errors.New("no data within the response timeout")
 
 // awaitData blocks until a byte can be read, and calls onTimeout each time the wait has passed.
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -121,7 +121,8 @@
 	if err == nil {
 		_, err = io.ReadAll(a)
 	}
-	if took := time.Since(started); !slipwick.IsKind(err, slipwick.KindTimeout) || IsResponseTimeout(err) || took > time.Second {
+	if took := time.Since(started); !slipwick.IsKind(err, slipwick.KindTimeout) ||
+		IsResponseTimeout(err) || took > time.Second {
 		t.Errorf("got %v after %v, want the timeout of the context", err, took)
 	}
 }
