--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -28,13 +28,12 @@
 	Balancer *balance.Balancer
 	Client   *upstream.Client
 	Budget   *retry.Budget
-	// Quarantine keeps requests away from backend servers that crash while they run; nil disables
-	// it.
+	// Quarantine refuses requests that have crashed several backend servers; nil disables it.
 	Quarantine *quarantine.Tracker
 	// Ready is closed once the router has a configuration, the list of backend servers and the list
-	// of evacuated data centres. CachesKnown is closed once the router has learnt which engines have
-	// which prompts cached. Requests that arrive earlier wait for a limited time. A nil channel
-	// disables the wait.
+	// of evacuated data centres. CachesKnown is closed once the router has learnt which engines
+	// have which prompts cached. Requests that arrive earlier wait for a limited time. A nil
+	// channel disables the wait.
 	Ready, CachesKnown <-chan struct{}
 	// Observer is told how each request ended.
 	Observer Observer
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -25,8 +25,8 @@
 	Priority string
 	// FetchFrom is the address of the engine from which to copy the cached prompt.
 	FetchFrom string
-	// RouterOnly lists further headers that only routers may set, and that are removed from callers'
-	// requests.
+	// RouterOnly lists further headers that only routers may set, and that are removed from
+	// callers' requests.
 	RouterOnly []string
 }
 
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -131,9 +131,9 @@
 		rejecting := newBackend(t, "a", withHeaders(respondWith(status, "refused"), "Slipwick-Not-Run", "1"))
 		f := newFixture(t, append([]*backend{rejecting}, newBackends(t, 3, respondWith(http.StatusOK, "x"))...)...)
 		// Requests are spread at random: the other servers get some before this one is ejected.
-		const most = 20
+		const maxRequests = 20
 		ejected := false
-		for i := 0; i < most && !ejected; i++ {
+		for i := 0; i < maxRequests && !ejected; i++ {
 			f.post(t, "/repeatable/x")
 			for _, state := range f.gateway.Balancer.States() {
 				ejected = ejected || state.ID == "a" && state.Out
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -15,10 +15,10 @@
 // and must not be sent the request if none is left.
 func TestSuspendCountsTowardsTheDeadline(t *testing.T) {
 	for sleep, want := range map[time.Duration]int64{time.Second: 2, 30 * time.Second: 1} {
-		var ahead atomic.Int64
-		restore := clock.SetSource(func() time.Duration { return time.Duration(ahead.Load()) })
+		var skipped atomic.Int64
+		restore := clock.SetSource(func() time.Duration { return time.Duration(skipped.Load()) })
 		first := newBackend(t, "b1", func(b *backend, w http.ResponseWriter, r *http.Request) {
-			ahead.Add(int64(sleep))
+			skipped.Add(int64(sleep))
 			respondWith(http.StatusInternalServerError, "failed")(b, w, r)
 		})
 		second := newBackend(t, "b2", respondWith(http.StatusOK, "answer"))
--- a/gateway/timeouts_test.go
+++ b/gateway/timeouts_test.go
@@ -176,10 +176,10 @@
 	second := newBackend(t, "b2", respondWith(http.StatusOK, "answer"))
 	f := newFixture(t, newBackend(t, "b1", func(*backend, http.ResponseWriter, *http.Request) { <-release }), second)
 	r := f.request(t, "/repeatable/x", "question")
-	ctx, leave := context.WithCancel(r.Context())
-	defer leave()
+	ctx, disconnect := context.WithCancel(r.Context())
+	defer disconnect()
 	f.gateway.Observer = &disconnectingObserver{
-		disconnect: leave,
+		disconnect: disconnect,
 	}
 	response, err := http.DefaultClient.Do(r.WithContext(ctx))
 	if err == nil {
@@ -212,3 +212,25 @@
 		t.Errorf("got %v, want the one engine that computed the prompt", got)
 	}
 }
+
+// TestHangingNonRepeatableRequestIsReportedAsFailure has requests that must not be repeated wait
+// beyond the first-byte timeout: the failures have to be reported before the requests end, so that
+// later requests avoid the backend server.
+func TestHangingNonRepeatableRequestIsReportedAsFailure(t *testing.T) {
+	release := make(chan struct{})
+	f := newFixture(t, newBackend(t, "b1", func(b *backend, w http.ResponseWriter, r *http.Request) {
+		<-release
+		respondWith(http.StatusOK, "answer")(b, w, r)
+	}))
+	var hanging sync.WaitGroup
+	for range 3 {
+		hanging.Go(func() { f.post(t, "/single/x") })
+	}
+	time.Sleep(defaultFirstByteTimeout + 200*time.Millisecond)
+	reported := f.gateway.Balancer.TakeUpdate().Outcomes
+	close(release)
+	hanging.Wait()
+	if len(reported) != 1 || reported[0].Failed != 3 {
+		t.Errorf("got %v, want three failures reported while the requests wait", reported)
+	}
+}
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -41,13 +41,13 @@
 // Client makes requests to backend servers and pools the connections. It is safe for concurrent
 // use. Set the exported fields before the first call.
 type Client struct {
-	// DialTimeout bounds connection setup. UserTimeout is the TCP_USER_TIMEOUT: how long sent data may
-	// stay unacknowledged. Zero selects the default of each.
+	// DialTimeout bounds connection setup. UserTimeout is the TCP_USER_TIMEOUT: how long sent data
+	// may stay unacknowledged. Zero selects the default of each.
 	DialTimeout time.Duration
 	UserTimeout time.Duration
 
-	// OpenedConnections counts connections opened, StrayResponses the responses skipped because they belonged to an
-	// earlier request.
+	// OpenedConnections counts connections opened, StrayResponses the responses skipped because
+	// they belonged to an earlier request.
 	OpenedConnections atomic.Int64
 	StrayResponses    atomic.Int64
 
@@ -183,10 +183,10 @@
 	}, nil
 }
 
-// RefusesConnections reports whether the backend server's box refuses connections, so that nothing listens at
-// the address any more. It returns false if the dial times out, which does not prove that the
-// backend server has ended. A connection that it opens is kept for later exchanges. It blocks for
-// at most minDialTimeout.
+// RefusesConnections reports whether the backend server's box refuses connections, so that nothing
+// listens at the address any more. It returns false if the dial times out, which does not prove
+// that the backend server has ended. A connection that it opens is kept for later exchanges. It
+// blocks for at most minDialTimeout.
 func (c *Client) RefusesConnections(ctx context.Context, key, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, minDialTimeout)
 	defer cancel()
--- a/upstream/errors.go
+++ b/upstream/errors.go
@@ -41,8 +41,8 @@
 	return err
 }
 
-// IsConnectionRefused reports whether err comes from a connection that the backend server's box refused:
-// nothing listens at the address.
+// IsConnectionRefused reports whether err comes from a connection that the backend server's box
+// refused: nothing listens at the address.
 func IsConnectionRefused(err error) bool {
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -21,8 +21,8 @@
 	// MaxIdle is the longest time for which a pooled connection may have been idle to be used; 0
 	// sets no bound. The shorter, the less likely the connection has been closed unnoticed.
 	MaxIdle time.Duration
-	// Timeouts ends the exchange if the backend server sends nothing for too long. The zero value
-	// never does.
+	// Timeouts end the exchange if the backend server sends nothing for too long. The zero value
+	// sets none.
 	Timeouts Timeouts
 }
 
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// Response is a response whose header has been read and whose body is read with Read. It must be used
-// by one goroutine only, and must be closed.
+// Response holds the status and header of a response, and reads its body from the connection. It
+// must be used by one goroutine only, and must be closed.
 type Response struct {
 	Status int
 	Header http.Header
@@ -33,7 +33,7 @@
 }
 
 // Read reads the body. It returns io.EOF at the end of a complete body, and an *slipwick.Error if
-// the body is cut short or Patience ends the exchange.
+// the body is cut short or a timeout ends the exchange.
 func (a *Response) Read(into []byte) (int, error) {
 	if a.Length < 0 {
 		if err := a.conn.awaitData(a.ctx, a.timeouts.Idle, a.timeouts.OnTimeout); err != nil {
--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -10,13 +10,13 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Timeouts bounds the time in which a backend server sends nothing.
+// Timeouts bounds how long a backend server may send nothing.
 type Timeouts struct {
-	// FirstByte is how long the first byte of the response may take. Idle is how long the next bytes
-	// of a body of unknown length may take; 0 sets no bound.
+	// FirstByte is how long the first byte of the response may take. Idle is how long the next
+	// bytes of a body of unknown length may take; 0 sets no bound.
 	FirstByte, Idle time.Duration
 	// OnTimeout is called when one of these times has passed, by the goroutine that reads the
-	// response. It returns how long to wait for longer: 0 ends the exchange, Forever waits until
+	// response. It returns how long to wait for longer: 0 ends the exchange, NoTimeout waits until
 	// data arrives.
 	OnTimeout func() time.Duration
 }
@@ -24,7 +24,7 @@
 // NoTimeout lets a read wait for as long as the exchange may last.
 const NoTimeout = time.Duration(1<<63 - 1)
 
-// errResponseTimeout is the cause of the errors of exchanges that Patience ended.
+// errResponseTimeout is the cause of the errors of exchanges that one of the Timeouts ended.
 var errResponseTimeout = errors.New("no data within the response timeout")
 
 // awaitData blocks until a byte can be read, and calls onTimeout each time the wait has passed.
@@ -72,7 +72,7 @@
 	}
 }
 
-// responseTimeoutError returns the error of an exchange that Patience ended.
+// responseTimeoutError returns the error of an exchange that one of the Timeouts ended.
 func responseTimeoutError(address string) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindTimeout,
@@ -83,8 +83,8 @@
 	}
 }
 
-// IsResponseTimeout reports whether err comes from an exchange that Patience ended, not from the end of the
-// context.
+// IsResponseTimeout reports whether err comes from an exchange that one of the Timeouts ended, not
+// from the end of the context.
 func IsResponseTimeout(err error) bool {
 	return errors.Is(err, errResponseTimeout)
 }
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestResponseDuringTimeoutCallbackIsRead has the response arrive while Overdue decides to end the
-// exchange.
+// TestResponseDuringTimeoutCallbackIsRead has the response arrive while Overdue decides to end
+// the exchange.
 func TestResponseDuringTimeoutCallbackIsRead(t *testing.T) {
 	writes := make(chan string)
 	defer close(writes)
@@ -75,7 +75,7 @@
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	r.Timeouts = Timeouts{
-		Idle:   30 * time.Millisecond,
+		Idle:      30 * time.Millisecond,
 		OnTimeout: func() time.Duration { return 0 },
 	}
 	writes <- "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -94,8 +94,8 @@
 	client := &Client{}
 	r := request("1")
 	r.Timeouts = Timeouts{
-		FirstByte:   time.Second,
-		Idle:   time.Second,
+		FirstByte: time.Second,
+		Idle:      time.Second,
 		OnTimeout: func() time.Duration { return 0 },
 	}
 	mustExchange(t, client, server.address, r, "abc")
@@ -111,7 +111,7 @@
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
 	r.Timeouts = Timeouts{
-		FirstByte:   time.Minute,
+		FirstByte: time.Minute,
 		OnTimeout: func() time.Duration { return NoTimeout },
 	}
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
@@ -140,8 +140,8 @@
 	})
 	r := request("1")
 	r.Timeouts = Timeouts{
-		FirstByte:   time.Second,
-		Idle:   time.Second,
+		FirstByte: time.Second,
+		Idle:      time.Second,
 		OnTimeout: func() time.Duration { return 0 },
 	}
 	got, err := exchange(t, &Client{}, server.address, r)
