--- a/admission/answers.go
+++ b/admission/answers.go
@@ -94,7 +94,7 @@
 // current view.
 func (c *Coordinator) isUsable(a *acquisition, position int) bool {
 	place, ok := c.view.Place(hashOf(&a.pool.Backends[a.ranking[position]]))
-	return ok && place.MayGetWork()
+	return ok && place.IsUsable()
 }
 
 // waitPosition returns the position at which the request waits: the first choice or, if that is not
--- a/admission/displaced.go
+++ b/admission/displaced.go
@@ -43,5 +43,5 @@
 		return 0, false
 	}
 	place, ok := c.view.Place(at)
-	return at, ok && place.MayGetWork()
+	return at, ok && place.IsUsable()
 }
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -81,7 +81,7 @@
 		return true
 	default:
 		place, ok := c.view.Place(o.engine)
-		return ok && place.MayGetWork() && len(place.Pool.Usable) == 1
+		return ok && place.IsUsable() && len(place.Pool.Usable) == 1
 	}
 }
 
--- a/admission/observe.go
+++ b/admission/observe.go
@@ -48,7 +48,7 @@
 		return false
 	}
 	others := len(place.Pool.Usable)
-	if place.MayGetWork() {
+	if place.IsUsable() {
 		others--
 	}
 	return others >= 1 && 2*others >= len(place.Pool.Backends)-1
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -72,7 +72,7 @@
 // not if the backend server gets no new requests.
 func (c *Coordinator) countsTowardLoad(engine uint64) bool {
 	place, ok := c.view.Place(engine)
-	return ok && place.MayGetWork()
+	return ok && place.IsUsable()
 }
 
 // hasQueuePressure reports whether so many requests are queued at this router's backend servers of
--- a/admission/viewchange.go
+++ b/admission/viewchange.go
@@ -89,7 +89,7 @@
 	for _, a := range open {
 		place, ok := c.view.Place(a.engine())
 		switch {
-		case !ok || !place.MayGetWork():
+		case !ok || !place.IsUsable():
 			c.releaseAttempt(a)
 			c.tryNext(a)
 		case c.view.Owner(a.engine()) != a.owner:
--- a/placement/place.go
+++ b/placement/place.go
@@ -17,7 +17,7 @@
 	return &p.Pool.Backends[p.Index]
 }
 
-// MayGetWork reports whether the backend server may get new requests according to the view.
-func (p Place) MayGetWork() bool {
+// IsUsable reports whether the backend server may get new requests according to the view.
+func (p Place) IsUsable() bool {
 	return slices.Contains(p.Pool.Usable, p.Index)
 }
