--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -149,7 +149,7 @@
 
 func grantFixture() (*ownedBackend, leaseKey) {
 	pool := newPool(93, 1.25, func(int) uint32 { return 1 })
-	o := newOwnedBackend(1, placement.Place{
+	o := newOwnedBackend(1, placement.Location{
 		Pool:  pool,
 		Index: 0,
 	})
--- a/admission/ownedbackend.go
+++ b/admission/ownedbackend.go
@@ -35,7 +35,7 @@
 }
 
 // newOwnedBackend returns the state of a backend server without leases.
-func newOwnedBackend(engine uint64, place placement.Place) *ownedBackend {
+func newOwnedBackend(engine uint64, place placement.Location) *ownedBackend {
 	return &ownedBackend{
 		engine:      engine,
 		backend:     *place.Backend(),
--- a/placement/view.go
+++ b/placement/view.go
@@ -9,7 +9,7 @@
 	Routers []slipwick.Router
 
 	// locations finds a backend server by the hash of its ID.
-	locations map[uint64]Place
+	locations map[uint64]Location
 }
 
 // NewView returns a View of the pools and routers. It prepares the ranking of each pool and assigns
@@ -18,7 +18,7 @@
 	view := &View{
 		Pools:     make(map[string]*Pool, len(pools)),
 		Routers:   routers,
-		locations: make(map[uint64]Place),
+		locations: make(map[uint64]Location),
 	}
 	chooser := newOwnerChooser(routers)
 	for _, pool := range pools {
@@ -26,7 +26,7 @@
 		pool.Owners = make([]int, len(pool.Backends))
 		for i := range pool.Backends {
 			pool.Owners[i] = chooser.owner(&pool.Backends[i])
-			view.locations[IDHash(pool.Backends[i].ID)] = Place{
+			view.locations[IDHash(pool.Backends[i].ID)] = Location{
 				Pool:  &pool,
 				Index: i,
 			}
@@ -38,7 +38,7 @@
 
 // Place returns the position of the backend server whose ID has the given hash. ok is false if the
 // view does not contain it.
-func (v *View) Place(backend uint64) (place Place, ok bool) {
+func (v *View) Place(backend uint64) (place Location, ok bool) {
 	place, ok = v.locations[backend]
 	return place, ok
 }
