--- a/admission/answers.go
+++ b/admission/answers.go
@@ -93,7 +93,7 @@
 // isUsable reports whether the backend server at the position may get new requests according to the
 // current view.
 func (c *Coordinator) isUsable(a *acquisition, position int) bool {
-	place, ok := c.view.Place(hashOf(&a.pool.Backends[a.ranking[position]]))
+	place, ok := c.view.Locate(hashOf(&a.pool.Backends[a.ranking[position]]))
 	return ok && place.IsUsable()
 }
 
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -80,7 +80,7 @@
 	case HealthGood:
 		return true
 	default:
-		place, ok := c.view.Place(o.engine)
+		place, ok := c.view.Locate(o.engine)
 		return ok && place.IsUsable() && len(place.Pool.Usable) == 1
 	}
 }
@@ -93,7 +93,7 @@
 // slotLimit returns the current limit on the slots of the backend server, before health and
 // takeover reduce it.
 func (c *Coordinator) slotLimit(o *ownedBackend) int {
-	place, ok := c.view.Place(o.engine)
+	place, ok := c.view.Locate(o.engine)
 	if !ok {
 		return 0
 	}
@@ -108,7 +108,7 @@
 	if share.MaxInFlight == 0 {
 		return false
 	}
-	place, ok := c.view.Place(o.engine)
+	place, ok := c.view.Locate(o.engine)
 	if !ok || place.Pool.Weight() == 0 {
 		return false
 	}
--- a/admission/observe.go
+++ b/admission/observe.go
@@ -43,7 +43,7 @@
 // canEject reports whether the pool can do without the backend server: at least one other must stay
 // usable, and no more than half of the pool may be out.
 func (c *Coordinator) canEject(o *ownedBackend) bool {
-	place, ok := c.view.Place(o.engine)
+	place, ok := c.view.Locate(o.engine)
 	if !ok {
 		return false
 	}
--- a/admission/viewchange.go
+++ b/admission/viewchange.go
@@ -36,7 +36,7 @@
 	for engine, o := range c.owned {
 		owner := c.view.Owner(engine)
 		if owner == c.Self {
-			place, _ := c.view.Place(engine)
+			place, _ := c.view.Locate(engine)
 			o.backend, o.pool = *place.Backend(), place.Pool.Name
 			continue
 		}
@@ -66,7 +66,7 @@
 // takeOver starts to own a backend server. If another router may have owned it before, a takeover
 // window begins; a handover ends it.
 func (c *Coordinator) takeOver(engine uint64, previous *placement.View) {
-	place, _ := c.view.Place(engine)
+	place, _ := c.view.Locate(engine)
 	o := newOwnedBackend(engine, place)
 	c.owned[engine] = o
 	if previous == nil || previous.Owner(engine) != "" {
@@ -87,7 +87,7 @@
 		open = append(open, a)
 	}
 	for _, a := range open {
-		place, ok := c.view.Place(a.engine())
+		place, ok := c.view.Locate(a.engine())
 		switch {
 		case !ok || !place.IsUsable():
 			c.releaseAttempt(a)
--- a/placement/view.go
+++ b/placement/view.go
@@ -36,9 +36,9 @@
 	return view
 }
 
-// Place returns the position of the backend server whose ID has the given hash. ok is false if the
+// Locate returns the position of the backend server whose ID has the given hash. ok is false if the
 // view does not contain it.
-func (v *View) Place(backend uint64) (place Location, ok bool) {
+func (v *View) Locate(backend uint64) (place Location, ok bool) {
 	place, ok = v.locations[backend]
 	return place, ok
 }
