--- a/placement/pool.go
+++ b/placement/pool.go
@@ -17,7 +17,7 @@
 	Owners []int
 
 	// ranker ranks the usable backend servers; its indexes are indexes of Usable.
-	ranker *Set
+	ranker *Ranker
 	// weight is the sum of the usable backend servers' weights.
 	weight float64
 }
--- a/placement/set.go
+++ b/placement/set.go
@@ -7,14 +7,14 @@
 	"github.com/slipwick/slipwick"
 )
 
-var _ slipwick.Placement = (*Set)(nil)
+var _ slipwick.Placement = (*Ranker)(nil)
 
 // maxBackends limits the number of ranked backend servers, so that Rank can hold their scores in a
 // buffer on the stack.
 const maxBackends = 1024
 
-// Set ranks the backend servers of one pool. It is immutable and safe for concurrent use.
-type Set struct {
+// Ranker ranks the backend servers of one pool. It is immutable and safe for concurrent use.
+type Ranker struct {
 	hashes  []uint64
 	weights []float64
 	// equalWeights is true if all weights are the same; scores then depend on the hash alone.
@@ -23,11 +23,11 @@
 
 // NewSet returns a Set of the backend servers. The indexes that Rank returns are indexes of
 // backends. Only the first 1024 backend servers are ranked.
-func NewSet(backends []slipwick.Backend) *Set {
+func NewSet(backends []slipwick.Backend) *Ranker {
 	if len(backends) > maxBackends {
 		backends = backends[:maxBackends]
 	}
-	set := &Set{
+	set := &Ranker{
 		hashes:       make([]uint64, len(backends)),
 		weights:      make([]float64, len(backends)),
 		equalWeights: true,
@@ -41,7 +41,7 @@
 }
 
 // Len returns the number of backend servers that are ranked.
-func (s *Set) Len() int {
+func (s *Ranker) Len() int {
 	return len(s.hashes)
 }
 
@@ -53,7 +53,7 @@
 
 // Rank appends the indexes of all ranked backend servers to dst, the best for the chat first, and
 // returns the extended slice. The chat is given by its ChatKey.
-func (s *Set) Rank(dst []int, chat uint64) []int {
+func (s *Ranker) Rank(dst []int, chat uint64) []int {
 	var buffer [maxBackends]backendScore
 	ranked := buffer[:0]
 	for i := range s.hashes {
@@ -72,7 +72,7 @@
 // score returns the score of a backend server for the chat; the highest score is the best. For a
 // weight w it corresponds to the largest of w independent draws, so that first choices are in
 // proportion to the weights.
-func (s *Set) score(chat uint64, index int) float64 {
+func (s *Ranker) score(chat uint64, index int) float64 {
 	const mantissa = 1 << 53
 	draw := (float64(mixHashes(chat, s.hashes[index])>>11) + 0.5) / mantissa
 	if s.equalWeights {
