--- a/placement/pool.go
+++ b/placement/pool.go
@@ -46,5 +46,5 @@
 		usable = append(usable, p.Backends[index])
 		p.weight += float64(p.Backends[index].EffectiveWeight())
 	}
-	p.ranker = NewSet(usable)
+	p.ranker = NewRanker(usable)
 }
--- a/placement/set.go
+++ b/placement/set.go
@@ -21,28 +21,28 @@
 	equalWeights bool
 }
 
-// NewSet returns a Set of the backend servers. The indexes that Rank returns are indexes of
+// NewRanker returns a Ranker of the backend servers. The indexes that Rank returns are indexes of
 // backends. Only the first 1024 backend servers are ranked.
-func NewSet(backends []slipwick.Backend) *Ranker {
+func NewRanker(backends []slipwick.Backend) *Ranker {
 	if len(backends) > maxBackends {
 		backends = backends[:maxBackends]
 	}
-	set := &Ranker{
+	ranker := &Ranker{
 		hashes:       make([]uint64, len(backends)),
 		weights:      make([]float64, len(backends)),
 		equalWeights: true,
 	}
 	for i, b := range backends {
-		set.hashes[i] = IDHash(b.ID)
-		set.weights[i] = float64(b.EffectiveWeight())
-		set.equalWeights = set.equalWeights && set.weights[i] == set.weights[0]
+		ranker.hashes[i] = IDHash(b.ID)
+		ranker.weights[i] = float64(b.EffectiveWeight())
+		ranker.equalWeights = ranker.equalWeights && ranker.weights[i] == ranker.weights[0]
 	}
-	return set
+	return ranker
 }
 
 // Len returns the number of backend servers that are ranked.
-func (s *Ranker) Len() int {
-	return len(s.hashes)
+func (r *Ranker) Len() int {
+	return len(r.hashes)
 }
 
 // backendScore holds the score of a backend server for one chat and the backend server's index.
@@ -53,12 +53,12 @@
 
 // Rank appends the indexes of all ranked backend servers to dst, the best for the chat first, and
 // returns the extended slice. The chat is given by its ChatKey.
-func (s *Ranker) Rank(dst []int, chat uint64) []int {
+func (r *Ranker) Rank(dst []int, chat uint64) []int {
 	var buffer [maxBackends]backendScore
 	ranked := buffer[:0]
-	for i := range s.hashes {
+	for i := range r.hashes {
 		ranked = append(ranked, backendScore{
-			score: s.score(chat, i),
+			score: r.score(chat, i),
 			index: i,
 		})
 	}
@@ -72,13 +72,13 @@
 // score returns the score of a backend server for the chat; the highest score is the best. For a
 // weight w it corresponds to the largest of w independent draws, so that first choices are in
 // proportion to the weights.
-func (s *Ranker) score(chat uint64, index int) float64 {
+func (r *Ranker) score(chat uint64, index int) float64 {
 	const mantissa = 1 << 53
-	draw := (float64(mixHashes(chat, s.hashes[index])>>11) + 0.5) / mantissa
-	if s.equalWeights {
+	draw := (float64(mixHashes(chat, r.hashes[index])>>11) + 0.5) / mantissa
+	if r.equalWeights {
 		return draw
 	}
-	return math.Log(draw) / s.weights[index]
+	return math.Log(draw) / r.weights[index]
 }
 
 // compareBackendScores orders by descending score, and equal scores by ascending index.
--- a/placement/set_test.go
+++ b/placement/set_test.go
@@ -26,7 +26,7 @@
 // thousand.
 func TestRankSpread(t *testing.T) {
 	const count, chats, bound = 93, 93_000, 150.0
-	set := NewSet(newBackends(count, unitWeight))
+	set := NewRanker(newBackends(count, unitWeight))
 	var firsts, seconds [count]int
 	var ranked []int
 	for i := range chats {
@@ -47,7 +47,7 @@
 
 func TestRankFollowsWeights(t *testing.T) {
 	const chats = 40_000
-	set := NewSet(newBackends(4, func(i int) uint32 { return uint32(i + 1) }))
+	set := NewRanker(newBackends(4, func(i int) uint32 { return uint32(i + 1) }))
 	var firsts [4]int
 	var ranked []int
 	for i := range chats {
@@ -66,7 +66,7 @@
 // that it was the first choice of, each to its second choice.
 func TestRankMovesOnlyChatsOfRemovedBackend(t *testing.T) {
 	all := newBackends(20, unitWeight)
-	before, after := NewSet(all), NewSet(all[:19])
+	before, after := NewRanker(all), NewRanker(all[:19])
 	for i := range 5_000 {
 		key := ChatKey("w", fmt.Sprint(i))
 		old := before.Rank(nil, key)
@@ -81,7 +81,7 @@
 }
 
 func TestRankDoesNotAllocate(t *testing.T) {
-	set := NewSet(newBackends(93, unitWeight))
+	set := NewRanker(newBackends(93, unitWeight))
 	dst := make([]int, 0, 93)
 	got := testing.AllocsPerRun(100, func() { dst = set.Rank(dst[:0], 42) })
 	if got != 0 {
@@ -90,7 +90,7 @@
 }
 
 func BenchmarkRank(b *testing.B) {
-	set := NewSet(newBackends(93, unitWeight))
+	set := NewRanker(newBackends(93, unitWeight))
 	dst := make([]int, 0, 93)
 	b.ReportAllocs()
 	key := uint64(0)
