--- a/claims/claims.go
+++ b/claims/claims.go
@@ -111,7 +111,7 @@
 
 // holder gives the router that a journal falls to; empty without any.
 func (c *Claims) holder(number int) string {
-	index := placement.Choose(placement.IDHash(fmt.Sprintf("journal/%d", number)), c.routers)
+	index := placement.BestRouter(placement.IDHash(fmt.Sprintf("journal/%d", number)), c.routers)
 	if index < 0 {
 		return ""
 	}
--- a/exchange/hubs.go
+++ b/exchange/hubs.go
@@ -63,7 +63,7 @@
 	if i := slices.IndexFunc(h.routers, func(r slipwick.Router) bool { return r.ID == id }); i >= 0 {
 		candidates = h.byDataCentre[h.routers[i].DataCentre]
 	}
-	return candidates[placement.Choose(placement.IDHash(id), candidates)], true
+	return candidates[placement.BestRouter(placement.IDHash(id), candidates)], true
 }
 
 func (h *hubs) isHub(id string) bool {
@@ -81,7 +81,7 @@
 			continue
 		}
 		candidates := h.byDataCentre[r.DataCentre]
-		if candidates[placement.Choose(placement.IDHash(r.ID), candidates)].ID == id {
+		if candidates[placement.BestRouter(placement.IDHash(r.ID), candidates)].ID == id {
 			group = append(group, r)
 		}
 	}
--- a/fleet/watchers.go
+++ b/fleet/watchers.go
@@ -19,7 +19,7 @@
 		}
 	}
 	for range watchersPerDataCentre {
-		chosen := placement.Choose(placement.IDHash("watch"), near)
+		chosen := placement.BestRouter(placement.IDHash("watch"), near)
 		if chosen < 0 || near[chosen].ID == self.ID {
 			return true
 		}
--- a/placement/owner.go
+++ b/placement/owner.go
@@ -57,9 +57,9 @@
 	}
 }
 
-// Choose returns the index of the router with the highest rendezvous score for the key, regardless
+// BestRouter returns the index of the router with the highest rendezvous score for the key, regardless
 // of data centre and region, or -1 if there are no routers.
-func Choose(key uint64, routers []slipwick.Router) int {
+func BestRouter(key uint64, routers []slipwick.Router) int {
 	best, bestScore := -1, uint64(0)
 	for i := range routers {
 		if score := mixHashes(IDHash(routers[i].ID), key); best < 0 || score > bestScore {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -126,7 +126,7 @@
 // each router would crash many servers at once.
 func (t *Tracker) ownsTrial(key Key) bool {
 	routers := t.Routers()
-	chosen := placement.Choose(uint64(key), routers)
+	chosen := placement.BestRouter(uint64(key), routers)
 	return chosen < 0 || routers[chosen].ID == t.Self
 }
 
