--- a/exchange/hubs.go
+++ b/exchange/hubs.go
@@ -44,7 +44,7 @@
 	size := math.Sqrt(float64(len(routers)))
 	for dataCentre, group := range groups {
 		count := int(math.Ceil(float64(len(group)) / size))
-		h.byDataCentre[dataCentre] = placement.First(key, group, count)
+		h.byDataCentre[dataCentre] = placement.TopRouters(key, group, count)
 		h.chosen = append(h.chosen, h.byDataCentre[dataCentre]...)
 	}
 	for _, r := range h.chosen {
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -57,7 +57,7 @@
 	watchers := (size + routersPerRelay - 1) / routersPerRelay
 	watchers = min(max(watchers, leastWatchers), mostWatchers, size)
 	first, end := levelAbove(rank, watchers, size)
-	ranked := placement.First(key, near, max(end, reserveFactor*watchers))
+	ranked := placement.TopRouters(key, near, max(end, reserveFactor*watchers))
 	if len(ranked) < size && len(ranked) == len(near) {
 		ranked = append(ranked, self)
 	}
@@ -76,7 +76,7 @@
 
 // byScore gives routers in the order in which one with the ID prefers them.
 func byScore(id string, routers []slipwick.Router) []slipwick.Router {
-	return placement.First(placement.IDHash(id), routers, len(routers))
+	return placement.TopRouters(placement.IDHash(id), routers, len(routers))
 }
 
 // levelAbove gives the ranks that a router may follow: the levels below the
--- a/placement/routers.go
+++ b/placement/routers.go
@@ -18,10 +18,10 @@
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.index, b.index))
 }
 
-// First returns the count routers with the highest rendezvous scores for the key, best first, or
+// TopRouters returns the count routers with the highest rendezvous scores for the key, best first, or
 // all of them if there are fewer. It takes a single pass instead of sorting all routers, since each
 // member of a large fleet calls it whenever any router changes.
-func First(key uint64, routers []slipwick.Router, count int) []slipwick.Router {
+func TopRouters(key uint64, routers []slipwick.Router, count int) []slipwick.Router {
 	best := make([]routerScore, 0, count+1)
 	for i := range routers {
 		s := routerScore{
--- a/placement/routers_test.go
+++ b/placement/routers_test.go
@@ -31,7 +31,7 @@
 		})
 		count := rapid.IntRange(0, 70).Draw(r, "count")
 		want := sorted[:min(count, len(sorted))]
-		if got := First(key, routers, count); !slices.Equal(got, want) {
+		if got := TopRouters(key, routers, count); !slices.Equal(got, want) {
 			r.Errorf("got %v, want %v", got, want)
 		}
 		for want, router := range sorted {
