--- a/fleet/place.go
+++ b/fleet/place.go
@@ -50,7 +50,7 @@
 	key, near := placement.IDHash("watch"), inRegion(self, routers)
 	size, rank := len(near), len(near)
 	if slices.ContainsFunc(near, func(r slipwick.Router) bool { return r.ID == self.ID }) {
-		rank = placement.Rank(key, near, self.ID)
+		rank = placement.RouterRank(key, near, self.ID)
 	} else {
 		size++
 	}
--- a/placement/routers.go
+++ b/placement/routers.go
@@ -42,9 +42,9 @@
 	return ranked
 }
 
-// Rank returns the number of routers whose rendezvous score for the key is higher than that of the
+// RouterRank returns the number of routers whose rendezvous score for the key is higher than that of the
 // router with the given ID.
-func Rank(key uint64, routers []slipwick.Router, id string) int {
+func RouterRank(key uint64, routers []slipwick.Router, id string) int {
 	own, rank := Score(key, IDHash(id)), 0
 	for i := range routers {
 		if Score(key, IDHash(routers[i].ID)) > own {
--- a/placement/routers_test.go
+++ b/placement/routers_test.go
@@ -35,7 +35,7 @@
 			r.Errorf("got %v, want %v", got, want)
 		}
 		for want, router := range sorted {
-			if got := Rank(key, routers, router.ID); got != want {
+			if got := RouterRank(key, routers, router.ID); got != want {
 				r.Errorf("rank of %s: got %d, want %d", router.ID, got, want)
 			}
 		}
