--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -271,7 +271,7 @@
 	var b Budget
 	retries := 0
 	for range 1000 {
-		b.Request()
+		b.RecordRequest()
 		if b.Retry() {
 			retries++
 		}
