--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -107,7 +107,7 @@
 		if err == nil {
 			return nil
 		}
-		if !retryable || attempts == maxAttempts || d.isQuarantined(call.Key) || !budget.Retry() {
+		if !retryable || attempts == maxAttempts || d.isQuarantined(call.Key) || !budget.TryRetry() {
 			return finalError(ambiguousErr, err)
 		}
 		ask.Avoid = append(ask.Avoid, backend)
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -272,7 +272,7 @@
 	retries := 0
 	for range 1000 {
 		b.RecordRequest()
-		if b.Retry() {
+		if b.TryRetry() {
 			retries++
 		}
 	}
