--- a/dispatch/budgets.go
+++ b/dispatch/budgets.go
@@ -8,8 +8,8 @@
 	pools sync.Map
 }
 
-// Of returns the budget of the pool and creates it on first use.
-func (b *Budgets) Of(pool string) *Budget {
+// ForPool returns the budget of the pool and creates it on first use.
+func (b *Budgets) ForPool(pool string) *Budget {
 	budget, _ := b.pools.LoadOrStore(pool, &Budget{})
 	return budget.(*Budget)
 }
