--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -132,7 +132,7 @@
 		Quarantine: r.ledger,
 		IsGone:     isGone,
 
-		Hold:   r.Settings.Limits.Hold.Or(defaultHold),
+		MaxSlotWait:   r.Settings.Limits.Hold.Or(defaultHold),
 		Limits: r.Settings.Limits.stream(),
 	}
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -24,8 +24,8 @@
 	Engine func(slipwick.Backend) slipwick.Engine
 	// Service returns the client of a plain service.
 	Service func(backend slipwick.Backend, repeatable bool) slipwick.Service
-	// Hold limits how long an attempt waits for a slot.
-	Hold   time.Duration
+	// MaxSlotWait limits how long an attempt waits for a slot.
+	MaxSlotWait   time.Duration
 	Limits stream.Limits
 	// Quarantine records the requests during which backend servers crashed and refuses those that
 	// crashed several; nil turns this off. IsGone reports whether a backend server whose connection
@@ -162,7 +162,7 @@
 
 // acquire waits for a slot in the first pool that has a usable backend server.
 func (d *Dispatcher) acquire(ctx context.Context, pools []string, ask slipwick.Ask) (slipwick.Grant, error) {
-	ctx, cancel := context.WithTimeout(ctx, d.Hold)
+	ctx, cancel := context.WithTimeout(ctx, d.MaxSlotWait)
 	defer cancel()
 	var grant slipwick.Grant
 	var err error
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -177,7 +177,7 @@
 			}
 			return second
 		},
-		Hold: time.Second,
+		MaxSlotWait: time.Second,
 		Limits: stream.Limits{
 			FirstToken:    time.Second,
 			BetweenTokens: time.Second,
@@ -232,7 +232,7 @@
 			d := &Dispatcher{
 				Admission: admission,
 				Service:   func(slipwick.Backend, bool) slipwick.Service { return hangingService{} },
-				Hold:      time.Second,
+				MaxSlotWait:      time.Second,
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
@@ -258,7 +258,7 @@
 	admission := &fakeAdmission{}
 	d := &Dispatcher{
 		Admission: admission,
-		Hold:      time.Second,
+		MaxSlotWait:      time.Second,
 	}
 	_, err := d.acquire(context.Background(), []string{"p", "fallback"}, slipwick.Ask{})
 	both := len(admission.asked) == 2 && admission.asked[1].Pool == "fallback"
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -42,7 +42,7 @@
 func (e *crashingEngines) dispatcher() *Dispatcher {
 	return &Dispatcher{
 		Admission: e,
-		Hold:      time.Second,
+		MaxSlotWait:      time.Second,
 		Engine: func(b slipwick.Backend) slipwick.Engine {
 			e.crashed[b.ID] = true
 			return &fakeEngine{
