--- a/admission/observe.go
+++ b/admission/observe.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// markLeaving stops grants at the backend server until Stays is called for it.
+// markLeaving stops grants at the backend server until ClearLeaving is called for it.
 func (c *Coordinator) markLeaving(o *ownedBackend) {
 	if o.health.state == HealthLeaving {
 		return
@@ -82,10 +82,10 @@
 // load reports: those are read every second and may be older than the response.
 const loadReportLag = 3 * time.Second
 
-// Stays is called when a load report of a backend server says that it is not, or no longer,
+// ClearLeaving is called when a load report of a backend server says that it is not, or no longer,
 // leaving. An owned one is restored, unless it announced in a response shortly before that it
 // leaves.
-func (c *Coordinator) Stays(backend string) {
+func (c *Coordinator) ClearLeaving(backend string) {
 	c.withLock(func() {
 		o := c.owned[placement.IDHash(backend)]
 		if o == nil || o.health.state != HealthLeaving || time.Since(o.lastLeavingAt) < loadReportLag {
--- a/cmd/internal/daemon/probe.go
+++ b/cmd/internal/daemon/probe.go
@@ -60,6 +60,6 @@
 	case report.Leaving:
 		r.coordinator.Observe(backend.ID, slipwick.EvidenceLeaving)
 	default:
-		r.coordinator.Stays(backend.ID)
+		r.coordinator.ClearLeaving(backend.ID)
 	}
 }
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -273,7 +273,7 @@
 	case leaving:
 		r.Coordinator.Observe(id, slipwick.EvidenceLeaving)
 	default:
-		r.Coordinator.Stays(id)
+		r.Coordinator.ClearLeaving(id)
 	}
 }
 
