--- a/admission/slot.go
+++ b/admission/slot.go
@@ -66,10 +66,10 @@
 	c.scheduleReport(o.pool)
 }
 
-// RouterGone handles the failure of a router. It drops the router's queued requests and shortens
+// HandleRouterFailure handles the failure of a router. It drops the router's queued requests and shortens
 // its leases to OrphanTime: the router's connections are broken, and backend servers cancel
 // requests whose response nobody reads.
-func (c *Coordinator) RouterGone(router string) {
+func (c *Coordinator) HandleRouterFailure(router string) {
 	c.withLock(func() {
 		expires := time.Now().Add(c.Policy.OrphanTime)
 		for _, o := range c.owned {
--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -79,7 +79,7 @@
 	r.watches.Store(fleet.Watches(r.self(), change.Routers))
 	for _, id := range change.Died {
 		events.RouterDied.On(&r.Log).Str("died", id).Send()
-		r.coordinator.RouterGone(id)
+		r.coordinator.HandleRouterFailure(id)
 	}
 }
 
