--- a/admission/local.go
+++ b/admission/local.go
@@ -16,9 +16,9 @@
 // Local is an Admission that counts the requests of this router alone and exchanges nothing with
 // other routers. It serves as the baseline of measurements. It is safe for concurrent use.
 type Local struct {
-	// Bounded enforces the load limit, by this router's own counts. Without it a backend server is
+	// EnforceLimit enforces the load limit, by this router's own counts. Without it a backend server is
 	// limited by its slots alone. Set it before the first call of Acquire.
-	Bounded bool
+	EnforceLimit bool
 
 	view atomic.Pointer[placement.View]
 	mu   sync.Mutex
@@ -74,7 +74,7 @@
 // hasRoom reports whether the backend server is below its limit.
 func (l *Local) hasRoom(pool *placement.Pool, backend slipwick.Backend) bool {
 	count := l.inFlight[backend.ID]
-	if !l.Bounded {
+	if !l.EnforceLimit {
 		return count < backend.EffectiveSlots()
 	}
 	return count < limit(pool, backend, float64(l.totals[pool.Name]), 0)
--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -26,7 +26,7 @@
 // LocalBound keeps each router to the limit by its own counts.
 func LocalBound(*Meter) ViewedAdmission {
 	local := admission.NewLocal()
-	local.Bounded = true
+	local.EnforceLimit = true
 	return local
 }
 
