--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -109,7 +109,7 @@
 	wait := max(0, time.Until(a.deadline))
 	switch a.kind {
 	case peerpb.Try_TRY_HOME:
-		return min(wait, c.Policy.HomeWait)
+		return min(wait, c.Policy.FirstChoiceWait)
 	case peerpb.Try_TRY_OTHER:
 		return min(wait, c.Policy.OtherWait)
 	default:
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -5,9 +5,9 @@
 // Policy holds the tuning parameters of admission. docs/design/admission.md describes the
 // measurements behind the values of DefaultPolicy.
 type Policy struct {
-	// HomeWait is how long the owner of a chat's first choice queues a request that exceeds the
+	// FirstChoiceWait is how long the owner of a chat's first choice queues a request that exceeds the
 	// limit before the request is sent elsewhere.
-	HomeWait time.Duration
+	FirstChoiceWait time.Duration
 	// OtherWait is the same for the other choices.
 	OtherWait time.Duration
 	// Tries is the number of backend servers that are asked before the request waits at one of them
@@ -69,7 +69,7 @@
 // DefaultPolicy returns the values found by measurement.
 func DefaultPolicy() Policy {
 	return Policy{
-		HomeWait:       450 * time.Millisecond,
+		FirstChoiceWait:       450 * time.Millisecond,
 		OtherWait:      50 * time.Millisecond,
 		Tries:          3,
 		OwnerTimeout:   300 * time.Millisecond,
