--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -111,7 +111,7 @@
 	case peerpb.Try_TRY_HOME:
 		return min(wait, c.Policy.FirstChoiceWait)
 	case peerpb.Try_TRY_OTHER:
-		return min(wait, c.Policy.OtherWait)
+		return min(wait, c.Policy.OtherChoiceWait)
 	default:
 		return wait
 	}
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -8,8 +8,8 @@
 	// FirstChoiceWait is how long the owner of a chat's first choice queues a request that exceeds the
 	// limit before the request is sent elsewhere.
 	FirstChoiceWait time.Duration
-	// OtherWait is the same for the other choices.
-	OtherWait time.Duration
+	// OtherChoiceWait is the same for the other choices.
+	OtherChoiceWait time.Duration
 	// Tries is the number of backend servers that are asked before the request waits at one of them
 	// until its deadline.
 	Tries int
@@ -70,7 +70,7 @@
 func DefaultPolicy() Policy {
 	return Policy{
 		FirstChoiceWait:       450 * time.Millisecond,
-		OtherWait:      50 * time.Millisecond,
+		OtherChoiceWait:      50 * time.Millisecond,
 		Tries:          3,
 		OwnerTimeout:   300 * time.Millisecond,
 		LeaseTime:      30 * time.Second,
