--- a/admission/answers.go
+++ b/admission/answers.go
@@ -68,7 +68,7 @@
 		return
 	}
 	next := c.nextUntried(a)
-	if next >= 0 && a.attempts < c.Policy.Tries {
+	if next >= 0 && a.attempts < c.Policy.MaxAttempts {
 		c.sendAttempt(a, next, peerpb.Try_TRY_OTHER)
 		return
 	}
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -10,9 +10,9 @@
 	FirstChoiceWait time.Duration
 	// OtherChoiceWait is the same for the other choices.
 	OtherChoiceWait time.Duration
-	// Tries is the number of backend servers that are asked before the request waits at one of them
+	// MaxAttempts is the number of backend servers that are asked before the request waits at one of them
 	// until its deadline.
-	Tries int
+	MaxAttempts int
 	// OwnerTimeout is how long an owner may take to answer before the next one is asked.
 	OwnerTimeout time.Duration
 	// LeaseTime is how long a lease is valid without renewal.
@@ -71,7 +71,7 @@
 	return Policy{
 		FirstChoiceWait:       450 * time.Millisecond,
 		OtherChoiceWait:      50 * time.Millisecond,
-		Tries:          3,
+		MaxAttempts:          3,
 		OwnerTimeout:   300 * time.Millisecond,
 		LeaseTime:      30 * time.Second,
 		RenewEvery:     10 * time.Second,
