--- a/admission/policy.go
+++ b/admission/policy.go
@@ -19,8 +19,8 @@
 	LeaseTime time.Duration
 	// RenewEvery is the interval at which routers renew the leases of their slots.
 	RenewEvery time.Duration
-	// OrphanTime is how long the leases of a router that failed stay valid.
-	OrphanTime time.Duration
+	// OrphanLeaseTime is how long the leases of a router that failed stay valid.
+	OrphanLeaseTime time.Duration
 	// TakeoverWindow is how long a new owner grants at most half of the headroom, as the previous
 	// owner may still grant the other half.
 	TakeoverWindow time.Duration
@@ -75,7 +75,7 @@
 		OwnerTimeout:   300 * time.Millisecond,
 		LeaseTime:      30 * time.Second,
 		RenewEvery:     10 * time.Second,
-		OrphanTime:     5 * time.Second,
+		OrphanLeaseTime:     5 * time.Second,
 		TakeoverWindow: 3 * time.Second,
 		ReportGap:      250 * time.Millisecond,
 		PressedGap:     25 * time.Millisecond,
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -67,11 +67,11 @@
 }
 
 // HandleRouterFailure handles the failure of a router. It drops the router's queued requests and shortens
-// its leases to OrphanTime: the router's connections are broken, and backend servers cancel
+// its leases to OrphanLeaseTime: the router's connections are broken, and backend servers cancel
 // requests whose response nobody reads.
 func (c *Coordinator) HandleRouterFailure(router string) {
 	c.withLock(func() {
-		expires := time.Now().Add(c.Policy.OrphanTime)
+		expires := time.Now().Add(c.Policy.OrphanLeaseTime)
 		for _, o := range c.owned {
 			for key, l := range o.leases {
 				if key.router == router && l.expires.After(expires) {
