--- a/admission/policy.go
+++ b/admission/policy.go
@@ -24,8 +24,8 @@
 	// TakeoverWindow is how long a new owner grants at most half of the headroom, as the previous
 	// owner may still grant the other half.
 	TakeoverWindow time.Duration
-	// ReportGap is the minimum interval between two load reports of a pool.
-	ReportGap time.Duration
+	// MinReportInterval is the minimum interval between two load reports of a pool.
+	MinReportInterval time.Duration
 	// PressedGap is the same for a pool under pressure: requests wait for the limit to rise, or the
 	// load falls fast.
 	PressedGap time.Duration
@@ -77,7 +77,7 @@
 		RenewEvery:     10 * time.Second,
 		OrphanLeaseTime:     5 * time.Second,
 		TakeoverWindow: 3 * time.Second,
-		ReportGap:      250 * time.Millisecond,
+		MinReportInterval:      250 * time.Millisecond,
 		PressedGap:     25 * time.Millisecond,
 		RefreshEvery:   2 * time.Second,
 		ReportExpiry:   5 * time.Second,
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -91,7 +91,7 @@
 // isPressed reports whether the pool is under pressure: its load falls fast, or requests wait for
 // the limit to rise at this router's backend servers or, as reported recently, elsewhere.
 func (c *Coordinator) isPressed(pool string, load *poolLoad, now time.Time) bool {
-	recent := c.Policy.ReportGap
+	recent := c.Policy.MinReportInterval
 	return now.Sub(load.pressedAt) < recent || now.Sub(load.groupPressedAt) < recent ||
 		c.isFallingFast(load) || c.hasQueuePressure(pool)
 }
@@ -115,7 +115,7 @@
 	if pressed {
 		return c.Policy.PressedGap
 	}
-	return c.Policy.ReportGap
+	return c.Policy.MinReportInterval
 }
 
 // scheduleReport schedules a report of the pool's load if it changed significantly and none is
