--- a/admission/policy.go
+++ b/admission/policy.go
@@ -26,9 +26,9 @@
 	TakeoverWindow time.Duration
 	// MinReportInterval is the minimum interval between two load reports of a pool.
 	MinReportInterval time.Duration
-	// PressedGap is the same for a pool under pressure: requests wait for the limit to rise, or the
+	// PressedReportInterval is the same for a pool under pressure: requests wait for the limit to rise, or the
 	// load falls fast.
-	PressedGap time.Duration
+	PressedReportInterval time.Duration
 	// RefreshEvery is the interval at which an unchanged load is reported again.
 	RefreshEvery time.Duration
 	// ReportExpiry is how long a load report is valid.
@@ -78,7 +78,7 @@
 		OrphanLeaseTime:     5 * time.Second,
 		TakeoverWindow: 3 * time.Second,
 		MinReportInterval:      250 * time.Millisecond,
-		PressedGap:     25 * time.Millisecond,
+		PressedReportInterval:     25 * time.Millisecond,
 		RefreshEvery:   2 * time.Second,
 		ReportExpiry:   5 * time.Second,
 		RiseChange:     0.08,
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -113,7 +113,7 @@
 // minReportInterval returns the minimum interval between two reports of a pool.
 func (c *Coordinator) minReportInterval(pressed bool) time.Duration {
 	if pressed {
-		return c.Policy.PressedGap
+		return c.Policy.PressedReportInterval
 	}
 	return c.Policy.MinReportInterval
 }
