--- a/admission/policy.go
+++ b/admission/policy.go
@@ -36,9 +36,9 @@
 	// RiseChange and FallChange are the relative changes of the load that are reported without
 	// waiting for RefreshEvery.
 	RiseChange, FallChange float64
-	// HeldShare is the ratio of queued requests to slots held above which an owner concludes that
+	// QueuePressureRatio is the ratio of queued requests to slots held above which an owner concludes that
 	// the load of the pool is rising.
-	HeldShare float64
+	QueuePressureRatio float64
 	// ReportLag is the maximum age of load reports when they arrive. A falling load is extrapolated
 	// by this time.
 	ReportLag time.Duration
@@ -83,7 +83,7 @@
 		ReportExpiry:   5 * time.Second,
 		RiseChange:     0.08,
 		FallChange:     0.03,
-		HeldShare:      0.1,
+		QueuePressureRatio:      0.1,
 		ReportLag:      600 * time.Millisecond,
 		Margin:         0.035,
 		PressedChange:  0.02,
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -85,7 +85,7 @@
 			held += o.queue.len()
 		}
 	}
-	return float64(held) > 1+c.Policy.HeldShare*float64(c.ownLoad(pool))
+	return float64(held) > 1+c.Policy.QueuePressureRatio*float64(c.ownLoad(pool))
 }
 
 // isPressed reports whether the pool is under pressure: its load falls fast, or requests wait for
