--- a/admission/grants.go
+++ b/admission/grants.go
@@ -97,7 +97,7 @@
 	if !ok {
 		return 0
 	}
-	return limit(place.Pool, o.backend, c.estimateTotal(o.pool), c.Policy.Margin)
+	return limit(place.Pool, o.backend, c.estimateTotal(o.pool), c.Policy.LimitMargin)
 }
 
 // atWorkspaceLimit reports whether the workspace has used up its max_in_flight at the backend
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -42,9 +42,9 @@
 	// ReportLag is the maximum age of load reports when they arrive. A falling load is extrapolated
 	// by this time.
 	ReportLag time.Duration
-	// Margin is the fraction by which the load factor is lowered for the limit, as the estimate of
+	// LimitMargin is the fraction by which the load factor is lowered for the limit, as the estimate of
 	// the pool's load may be too high.
-	Margin float64
+	LimitMargin float64
 	// PressedChange replaces RiseChange and FallChange for a pool under pressure.
 	PressedChange float64
 	// FastFall is the relative decrease of a pool's load per second above which the load counts as
@@ -85,7 +85,7 @@
 		FallChange:     0.03,
 		QueuePressureRatio:      0.1,
 		ReportLag:      600 * time.Millisecond,
-		Margin:         0.035,
+		LimitMargin:         0.035,
 		PressedChange:  0.02,
 		FastFall:       0.08,
 		QueueLimit:     256,
