--- a/admission/policy.go
+++ b/admission/policy.go
@@ -47,9 +47,9 @@
 	LimitMargin float64
 	// PressedChange replaces RiseChange and FallChange for a pool under pressure.
 	PressedChange float64
-	// FastFall is the relative decrease of a pool's load per second above which the load counts as
+	// FastFallRate is the relative decrease of a pool's load per second above which the load counts as
 	// falling fast.
-	FastFall float64
+	FastFallRate float64
 	// QueueLimit is the maximum number of requests queued for one backend server.
 	QueueLimit int
 	// EjectAfter is the number of failures in a row after which a backend server is ejected.
@@ -87,7 +87,7 @@
 		ReportLag:      600 * time.Millisecond,
 		LimitMargin:         0.035,
 		PressedChange:  0.02,
-		FastFall:       0.08,
+		FastFallRate:       0.08,
 		QueueLimit:     256,
 		EjectAfter:     3,
 		EjectFor:       5 * time.Second,
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -15,7 +15,7 @@
 // isFallingFast reports whether the pool's load falls fast. Reports are then sent as often as when
 // requests wait, since an estimate that is too high lets owners exceed the limit.
 func (c *Coordinator) isFallingFast(load *poolLoad) bool {
-	return load.trend.expectedFall(time.Second) > c.Policy.FastFall
+	return load.trend.expectedFall(time.Second) > c.Policy.FastFallRate
 }
 
 // knownTotal returns how many slots of the pool are held, by this router's own count and the
