--- a/admission/health.go
+++ b/admission/health.go
@@ -56,7 +56,7 @@
 // eject marks the backend server as ejected and returns the duration, which doubles with each
 // ejection in succession.
 func (h *health) eject(policy *Policy, now time.Time) time.Duration {
-	length := policy.EjectFor
+	length := policy.EjectTime
 	for range h.ejections {
 		length = min(2*length, policy.EjectMax)
 	}
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -54,9 +54,9 @@
 	QueueLimit int
 	// EjectAfter is the number of failures in a row after which a backend server is ejected.
 	EjectAfter int
-	// EjectFor is the duration of the first ejection. Each further ejection in succession lasts
+	// EjectTime is the duration of the first ejection. Each further ejection in succession lasts
 	// twice as long as the one before, up to EjectMax.
-	EjectFor time.Duration
+	EjectTime time.Duration
 	EjectMax time.Duration
 	// SlowReturn is the time in which the limit of a restored backend server rises to its full
 	// value.
@@ -90,7 +90,7 @@
 		FastFallRate:       0.08,
 		QueueLimit:     256,
 		EjectAfter:     3,
-		EjectFor:       5 * time.Second,
+		EjectTime:       5 * time.Second,
 		EjectMax:       time.Minute,
 		SlowReturn:     10 * time.Second,
 		Memory:         8192,
