--- a/admission/health.go
+++ b/admission/health.go
@@ -58,7 +58,7 @@
 func (h *health) eject(policy *Policy, now time.Time) time.Duration {
 	length := policy.EjectTime
 	for range h.ejections {
-		length = min(2*length, policy.EjectMax)
+		length = min(2*length, policy.MaxEjectTime)
 	}
 	h.state, h.consecutiveBad = HealthEjected, 0
 	h.ejections++
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -55,9 +55,9 @@
 	// EjectAfter is the number of failures in a row after which a backend server is ejected.
 	EjectAfter int
 	// EjectTime is the duration of the first ejection. Each further ejection in succession lasts
-	// twice as long as the one before, up to EjectMax.
+	// twice as long as the one before, up to MaxEjectTime.
 	EjectTime time.Duration
-	EjectMax time.Duration
+	MaxEjectTime time.Duration
 	// SlowReturn is the time in which the limit of a restored backend server rises to its full
 	// value.
 	SlowReturn time.Duration
@@ -91,7 +91,7 @@
 		QueueLimit:     256,
 		EjectAfter:     3,
 		EjectTime:       5 * time.Second,
-		EjectMax:       time.Minute,
+		MaxEjectTime:       time.Minute,
 		SlowReturn:     10 * time.Second,
 		Memory:         8192,
 	}
