--- a/admission/observe.go
+++ b/admission/observe.go
@@ -72,7 +72,7 @@
 				now.Before(o.health.ejectedUntil) || now.Before(o.restUntil) {
 				return
 			}
-			o.health.restore(c.Policy.SlowReturn, now)
+			o.health.restore(c.Policy.RampUpTime, now)
 			c.OnHealth(o.backend.ID, HealthGood)
 		})
 	})
@@ -91,7 +91,7 @@
 		if o == nil || o.health.state != HealthLeaving || time.Since(o.lastLeavingAt) < loadReportLag {
 			return
 		}
-		o.health.restore(c.Policy.SlowReturn, time.Now())
+		o.health.restore(c.Policy.RampUpTime, time.Now())
 		c.OnHealth(o.backend.ID, HealthGood)
 	})
 }
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -58,9 +58,9 @@
 	// twice as long as the one before, up to MaxEjectTime.
 	EjectTime time.Duration
 	MaxEjectTime time.Duration
-	// SlowReturn is the time in which the limit of a restored backend server rises to its full
+	// RampUpTime is the time in which the limit of a restored backend server rises to its full
 	// value.
-	SlowReturn time.Duration
+	RampUpTime time.Duration
 	// Memory is the maximum number of displaced chats, those not served by their first choice, that
 	// an owner remembers.
 	Memory int
@@ -92,7 +92,7 @@
 		EjectAfter:     3,
 		EjectTime:       5 * time.Second,
 		MaxEjectTime:       time.Minute,
-		SlowReturn:     10 * time.Second,
+		RampUpTime:     10 * time.Second,
 		Memory:         8192,
 	}
 }
