--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -77,7 +77,7 @@
 		done:   make(chan struct{}),
 	}
 	// NewLRU fails only for a size that is not positive.
-	c.displaced, _ = lru.NewLRU[displacedKey, uint64](max(policy.Memory, 1), nil)
+	c.displaced, _ = lru.NewLRU[displacedKey, uint64](max(policy.MaxDisplacedChats, 1), nil)
 	return c
 }
 
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -61,9 +61,9 @@
 	// RampUpTime is the time in which the limit of a restored backend server rises to its full
 	// value.
 	RampUpTime time.Duration
-	// Memory is the maximum number of displaced chats, those not served by their first choice, that
+	// MaxDisplacedChats is the maximum number of displaced chats, those not served by their first choice, that
 	// an owner remembers.
-	Memory int
+	MaxDisplacedChats int
 }
 
 // DefaultPolicy returns the values found by measurement.
@@ -93,6 +93,6 @@
 		EjectTime:       5 * time.Second,
 		MaxEjectTime:       time.Minute,
 		RampUpTime:     10 * time.Second,
-		Memory:         8192,
+		MaxDisplacedChats:         8192,
 	}
 }
