--- a/admission/notice.go
+++ b/admission/notice.go
@@ -8,9 +8,9 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Noticed forwards what a backend server announced in a response to this router to the server's
+// ForwardNotice forwards what a backend server announced in a response to this router to the server's
 // owner, since the owner grants its slots to all routers.
-func (c *Coordinator) Noticed(backend string, notice slipwick.Notice) {
+func (c *Coordinator) ForwardNotice(backend string, notice slipwick.Notice) {
 	if !notice.Leaving && notice.Rest <= 0 {
 		return
 	}
--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -114,7 +114,7 @@
 				Address: b.Address,
 				HTTP:    shared,
 
-				OnNotice: func(notice slipwick.Notice) { r.coordinator.Noticed(b.ID, notice) },
+				OnNotice: func(notice slipwick.Notice) { r.coordinator.ForwardNotice(b.ID, notice) },
 			}
 		},
 		Service: func(b slipwick.Backend, repeatable bool) slipwick.Service {
@@ -126,7 +126,7 @@
 				Address: b.Address,
 				HTTP:    client,
 
-				OnNotice: func(notice slipwick.Notice) { r.coordinator.Noticed(b.ID, asRest(notice)) },
+				OnNotice: func(notice slipwick.Notice) { r.coordinator.ForwardNotice(b.ID, asRest(notice)) },
 			}
 		},
 		Quarantine: r.ledger,
