--- a/admission/answers.go
+++ b/admission/answers.go
@@ -93,8 +93,8 @@
 // isUsable reports whether the backend server at the position may get new requests according to the
 // current view.
 func (c *Coordinator) isUsable(a *acquisition, position int) bool {
-	place, ok := c.view.Locate(hashOf(&a.pool.Backends[a.ranking[position]]))
-	return ok && place.IsUsable()
+	location, ok := c.view.Locate(hashOf(&a.pool.Backends[a.ranking[position]]))
+	return ok && location.IsUsable()
 }
 
 // waitPosition returns the position at which the request waits: the first choice or, if that is not
--- a/admission/displaced.go
+++ b/admission/displaced.go
@@ -42,6 +42,6 @@
 	if !ok {
 		return 0, false
 	}
-	place, ok := c.view.Locate(at)
-	return at, ok && place.IsUsable()
+	location, ok := c.view.Locate(at)
+	return at, ok && location.IsUsable()
 }
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -80,8 +80,8 @@
 	case HealthGood:
 		return true
 	default:
-		place, ok := c.view.Locate(o.engine)
-		return ok && place.IsUsable() && len(place.Pool.Usable) == 1
+		location, ok := c.view.Locate(o.engine)
+		return ok && location.IsUsable() && len(location.Pool.Usable) == 1
 	}
 }
 
@@ -93,11 +93,11 @@
 // slotLimit returns the current limit on the slots of the backend server, before health and
 // takeover reduce it.
 func (c *Coordinator) slotLimit(o *ownedBackend) int {
-	place, ok := c.view.Locate(o.engine)
+	location, ok := c.view.Locate(o.engine)
 	if !ok {
 		return 0
 	}
-	return limit(place.Pool, o.backend, c.estimateTotal(o.pool), c.Policy.LimitMargin)
+	return limit(location.Pool, o.backend, c.estimateTotal(o.pool), c.Policy.LimitMargin)
 }
 
 // atWorkspaceLimit reports whether the workspace has used up its max_in_flight at the backend
@@ -108,12 +108,12 @@
 	if share.MaxInFlight == 0 {
 		return false
 	}
-	place, ok := c.view.Locate(o.engine)
-	if !ok || place.Pool.Weight() == 0 {
+	location, ok := c.view.Locate(o.engine)
+	if !ok || location.Pool.Weight() == 0 {
 		return false
 	}
-	part := float64(o.backend.EffectiveWeight()) / place.Pool.Weight()
-	most := math.Ceil(float64(share.MaxInFlight) * place.Pool.MaxLoadFactor * part)
+	part := float64(o.backend.EffectiveWeight()) / location.Pool.Weight()
+	most := math.Ceil(float64(share.MaxInFlight) * location.Pool.MaxLoadFactor * part)
 	return o.byWorkspace[workspace] >= int(most)
 }
 
--- a/admission/local.go
+++ b/admission/local.go
@@ -16,8 +16,8 @@
 // Local is an Admission that counts the requests of this router alone and exchanges nothing with
 // other routers. It serves as the baseline of measurements. It is safe for concurrent use.
 type Local struct {
-	// EnforceLimit enforces the load limit, by this router's own counts. Without it a backend server is
-	// limited by its slots alone. Set it before the first call of Acquire.
+	// EnforceLimit enforces the load limit, by this router's own counts. Without it a backend
+	// server is limited by its slots alone. Set it before the first call of Acquire.
 	EnforceLimit bool
 
 	view atomic.Pointer[placement.View]
--- a/admission/notice.go
+++ b/admission/notice.go
@@ -8,8 +8,8 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// ForwardNotice forwards what a backend server announced in a response to this router to the server's
-// owner, since the owner grants its slots to all routers.
+// ForwardNotice forwards what a backend server announced in a response to this router to the
+// server's owner, since the owner grants its slots to all routers.
 func (c *Coordinator) ForwardNotice(backend string, notice slipwick.Notice) {
 	if !notice.Leaving && notice.Rest <= 0 {
 		return
--- a/admission/observe.go
+++ b/admission/observe.go
@@ -43,15 +43,15 @@
 // canEject reports whether the pool can do without the backend server: at least one other must stay
 // usable, and no more than half of the pool may be out.
 func (c *Coordinator) canEject(o *ownedBackend) bool {
-	place, ok := c.view.Locate(o.engine)
+	location, ok := c.view.Locate(o.engine)
 	if !ok {
 		return false
 	}
-	others := len(place.Pool.Usable)
-	if place.IsUsable() {
+	others := len(location.Pool.Usable)
+	if location.IsUsable() {
 		others--
 	}
-	return others >= 1 && 2*others >= len(place.Pool.Backends)-1
+	return others >= 1 && 2*others >= len(location.Pool.Backends)-1
 }
 
 // eject stops grants at the backend server for a time that grows with each ejection.
--- a/admission/ownedbackend.go
+++ b/admission/ownedbackend.go
@@ -35,11 +35,11 @@
 }
 
 // newOwnedBackend returns the state of a backend server without leases.
-func newOwnedBackend(engine uint64, place placement.Location) *ownedBackend {
+func newOwnedBackend(engine uint64, location placement.Location) *ownedBackend {
 	return &ownedBackend{
 		engine:      engine,
-		backend:     *place.Backend(),
-		pool:        place.Pool.Name,
+		backend:     *location.Backend(),
+		pool:        location.Pool.Name,
 		leases:      make(map[leaseKey]lease),
 		byWorkspace: make(map[string]int),
 	}
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -66,9 +66,9 @@
 	c.scheduleReport(o.pool)
 }
 
-// HandleRouterFailure handles the failure of a router. It drops the router's queued requests and shortens
-// its leases to OrphanLeaseTime: the router's connections are broken, and backend servers cancel
-// requests whose response nobody reads.
+// HandleRouterFailure handles the failure of a router. It drops the router's queued requests and
+// shortens its leases to OrphanLeaseTime: the router's connections are broken, and backend servers
+// cancel requests whose response nobody reads.
 func (c *Coordinator) HandleRouterFailure(router string) {
 	c.withLock(func() {
 		expires := time.Now().Add(c.Policy.OrphanLeaseTime)
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -71,8 +71,8 @@
 // countsTowardLoad reports whether a backend server's load is part of the pool's mean load. It is
 // not if the backend server gets no new requests.
 func (c *Coordinator) countsTowardLoad(engine uint64) bool {
-	place, ok := c.view.Locate(engine)
-	return ok && place.IsUsable()
+	location, ok := c.view.Locate(engine)
+	return ok && location.IsUsable()
 }
 
 // hasQueuePressure reports whether so many requests are queued at this router's backend servers of
--- a/admission/viewchange.go
+++ b/admission/viewchange.go
@@ -36,8 +36,8 @@
 	for engine, o := range c.owned {
 		owner := c.view.Owner(engine)
 		if owner == c.Self {
-			place, _ := c.view.Locate(engine)
-			o.backend, o.pool = *place.Backend(), place.Pool.Name
+			location, _ := c.view.Locate(engine)
+			o.backend, o.pool = *location.Backend(), location.Pool.Name
 			continue
 		}
 		delete(c.owned, engine)
@@ -66,8 +66,8 @@
 // takeOver starts to own a backend server. If another router may have owned it before, a takeover
 // window begins; a handover ends it.
 func (c *Coordinator) takeOver(engine uint64, previous *placement.View) {
-	place, _ := c.view.Locate(engine)
-	o := newOwnedBackend(engine, place)
+	location, _ := c.view.Locate(engine)
+	o := newOwnedBackend(engine, location)
 	c.owned[engine] = o
 	if previous == nil || previous.Owner(engine) != "" {
 		o.windowEnd = time.Now().Add(c.Policy.TakeoverWindow)
@@ -87,9 +87,9 @@
 		open = append(open, a)
 	}
 	for _, a := range open {
-		place, ok := c.view.Locate(a.engine())
+		location, ok := c.view.Locate(a.engine())
 		switch {
-		case !ok || !place.IsUsable():
+		case !ok || !location.IsUsable():
 			c.releaseAttempt(a)
 			c.tryNext(a)
 		case c.view.Owner(a.engine()) != a.owner:
--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -132,8 +132,8 @@
 		Quarantine: r.ledger,
 		IsGone:     isGone,
 
-		MaxSlotWait:   r.Settings.Limits.Hold.Or(defaultHold),
-		Limits: r.Settings.Limits.stream(),
+		MaxSlotWait: r.Settings.Limits.Hold.Or(defaultHold),
+		Limits:      r.Settings.Limits.stream(),
 	}
 }
 
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -25,8 +25,8 @@
 	// Service returns the client of a plain service.
 	Service func(backend slipwick.Backend, repeatable bool) slipwick.Service
 	// MaxSlotWait limits how long an attempt waits for a slot.
-	MaxSlotWait   time.Duration
-	Limits stream.Limits
+	MaxSlotWait time.Duration
+	Limits      stream.Limits
 	// Quarantine records the requests during which backend servers crashed and refuses those that
 	// crashed several; nil turns this off. IsGone reports whether a backend server whose connection
 	// was lost has crashed.
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -230,9 +230,9 @@
 				engines: []string{"first"},
 			}
 			d := &Dispatcher{
-				Admission: admission,
-				Service:   func(slipwick.Backend, bool) slipwick.Service { return hangingService{} },
-				MaxSlotWait:      time.Second,
+				Admission:   admission,
+				Service:     func(slipwick.Backend, bool) slipwick.Service { return hangingService{} },
+				MaxSlotWait: time.Second,
 			}
 			ctx, cancel := context.WithTimeout(t.Context(), 2*time.Second)
 			defer cancel()
@@ -257,8 +257,8 @@
 func TestFallbackPool(t *testing.T) {
 	admission := &fakeAdmission{}
 	d := &Dispatcher{
-		Admission: admission,
-		MaxSlotWait:      time.Second,
+		Admission:   admission,
+		MaxSlotWait: time.Second,
 	}
 	_, err := d.acquire(context.Background(), []string{"p", "fallback"}, slipwick.Ask{})
 	both := len(admission.asked) == 2 && admission.asked[1].Pool == "fallback"
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -41,8 +41,8 @@
 
 func (e *crashingEngines) dispatcher() *Dispatcher {
 	return &Dispatcher{
-		Admission: e,
-		MaxSlotWait:      time.Second,
+		Admission:   e,
+		MaxSlotWait: time.Second,
 		Engine: func(b slipwick.Backend) slipwick.Engine {
 			e.crashed[b.ID] = true
 			return &fakeEngine{
--- a/placement/location.go
+++ b/placement/location.go
@@ -13,11 +13,11 @@
 }
 
 // Backend returns the backend server, which the caller must not modify.
-func (p Location) Backend() *slipwick.Backend {
-	return &p.Pool.Backends[p.Index]
+func (l Location) Backend() *slipwick.Backend {
+	return &l.Pool.Backends[l.Index]
 }
 
 // IsUsable reports whether the backend server may get new requests according to the view.
-func (p Location) IsUsable() bool {
-	return slices.Contains(p.Pool.Usable, p.Index)
+func (l Location) IsUsable() bool {
+	return slices.Contains(l.Pool.Usable, l.Index)
 }
--- a/placement/view.go
+++ b/placement/view.go
@@ -38,17 +38,17 @@
 
 // Locate returns the position of the backend server whose ID has the given hash. ok is false if the
 // view does not contain it.
-func (v *View) Locate(backend uint64) (place Location, ok bool) {
-	place, ok = v.locations[backend]
-	return place, ok
+func (v *View) Locate(backend uint64) (location Location, ok bool) {
+	location, ok = v.locations[backend]
+	return location, ok
 }
 
 // Owner returns the ID of the router that owns the backend server whose ID has the given hash. It
 // is empty if the backend server is unknown or there are no routers.
 func (v *View) Owner(backend uint64) string {
-	place, ok := v.locations[backend]
-	if !ok || place.Pool.Owners[place.Index] < 0 {
+	location, ok := v.locations[backend]
+	if !ok || location.Pool.Owners[location.Index] < 0 {
 		return ""
 	}
-	return v.Routers[place.Pool.Owners[place.Index]].ID
+	return v.Routers[location.Pool.Owners[location.Index]].ID
 }
