--- a/admission/hub.go
+++ b/admission/hub.go
@@ -63,7 +63,8 @@
 	message := &peerpb.PoolLoad{
 		Pool:    pool,
 		Engines: c.groupReports(pool, load, now, full),
-		Pressed: c.hasQueuePressure(pool) || now.Sub(load.groupPressedAt) < c.Policy.MinReportInterval || c.isFallingFast(load),
+		Pressed: c.hasQueuePressure(pool) || now.Sub(load.groupPressedAt) < c.Policy.MinReportInterval ||
+			c.isFallingFast(load),
 	}
 	if len(message.GetEngines()) == 0 {
 		return
--- a/admission/notice.go
+++ b/admission/notice.go
@@ -48,10 +48,10 @@
 	}
 }
 
-// setRest stops grants for the duration, unless the backend server already rests for longer. It is
-// reported as ejected, so that all routers take it out of the pool's mean load: otherwise the other
-// backend servers of the pool would be limited to a part of the load, and requests would wait for
-// capacity that the resting one does not provide.
+// setRest stops grants for the duration, even if the backend server is the last usable one of its
+// pool, unless it already rests for longer. It is reported as ejected, so that all routers take it
+// out of the pool's mean load: otherwise the other backend servers of the pool would be limited to
+// a part of the load, and requests would wait for capacity that the resting one does not provide.
 func (c *Coordinator) setRest(o *ownedBackend, length time.Duration) {
 	until := time.Now().Add(length)
 	if !until.After(o.restUntil) {
--- a/admission/policy.go
+++ b/admission/policy.go
@@ -42,8 +42,8 @@
 	// ReportLag is the maximum age of load reports when they arrive. A falling load is extrapolated
 	// by this time.
 	ReportLag time.Duration
-	// LimitMargin is the fraction by which the load factor is lowered for the limit, as the
-	// estimate of the pool's load may be too high.
+	// LimitMargin is the fraction by which the load factor is lowered for the limit, as reports lag
+	// behind and the estimate of the pool's load may be too high.
 	LimitMargin float64
 	// PressedChange replaces RiseChange and FallChange for a pool under pressure.
 	PressedChange float64
