--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -15,8 +15,8 @@
 // choice, or the last one.
 type attemptKind = peerpb.Try
 
-// defaultHold limits how long Acquire waits if the context has no deadline.
-const defaultHold = 10 * time.Second
+// defaultAcquireTimeout limits how long Acquire waits if the context has no deadline.
+const defaultAcquireTimeout = 10 * time.Second
 
 // Acquire asks the owners of the pool's backend servers for a slot, in the order of the chat's
 // ranking, until one grants it. The last attempt waits in the owner's queue. Acquire blocks until
@@ -59,7 +59,7 @@
 	}
 	var ok bool
 	if a.deadline, ok = ctx.Deadline(); !ok {
-		a.deadline = time.Now().Add(defaultHold)
+		a.deadline = time.Now().Add(defaultAcquireTimeout)
 	}
 	a.ranking = slices.DeleteFunc(pool.Rank(make([]int, 0, len(pool.Usable)), request.Chat), func(index int) bool {
 		return slices.Contains(request.Avoid, pool.Backends[index].ID)
--- a/admission/coordinator_test.go
+++ b/admission/coordinator_test.go
@@ -12,16 +12,16 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// discardLink drops all envelopes.
-type discardLink struct{}
+// discardTransport drops all envelopes.
+type discardTransport struct{}
 
-func (discardLink) Send(string, *peerpb.Envelope) {}
+func (discardTransport) Send(string, *peerpb.Envelope) {}
 
 // newSoleCoordinator returns the coordinator of the only router, which owns a pool of two backend
 // servers.
 func newSoleCoordinator(t *testing.T) *Coordinator {
 	t.Helper()
-	c := NewCoordinator("self", discardLink{}, DefaultPolicy())
+	c := NewCoordinator("self", discardTransport{}, DefaultPolicy())
 	pool := newPool(2, 1.25, func(int) uint32 { return 1 })
 	c.SetView(placement.NewView([]placement.Pool{*pool}, []slipwick.Router{
 		{
@@ -78,7 +78,7 @@
 // each backend server and refuses further requests as not run.
 func TestUnreachableOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := NewCoordinator("self", discardLink{}, DefaultPolicy())
+		c := NewCoordinator("self", discardTransport{}, DefaultPolicy())
 		pool := newPool(2, 1.25, func(int) uint32 { return 1 })
 		c.SetView(placement.NewView([]placement.Pool{*pool}, []slipwick.Router{
 			{
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// beginRun records that the request is about to be sent. If the request was quarantined while it
-// waited, beginRun releases the slot and returns an error.
-func (d *Dispatcher) beginRun(key quarantine.Key, grant slipwick.Grant, isTrial bool) (*quarantine.Attempt, error) {
+// recordAttempt records that the request is about to be sent. If the request was quarantined while
+// it waited, recordAttempt releases the slot and returns an error.
+func (d *Dispatcher) recordAttempt(key quarantine.Key, grant slipwick.Grant, isTrial bool) (*quarantine.Attempt, error) {
 	if d.Quarantine == nil {
 		return nil, nil
 	}
@@ -46,10 +46,10 @@
 	return run, nil
 }
 
-// endRun records what became of the backend server during the request. A backend server that had
-// begun to respond did not crash because of the request: a request that crashes a backend server
-// does so when it begins to run.
-func (d *Dispatcher) endRun(
+// recordOutcome records what became of the backend server during the request. A backend server that
+// had begun to respond did not crash because of the request: a request that crashes a backend
+// server does so when it begins to run.
+func (d *Dispatcher) recordOutcome(
 	ctx context.Context, run *quarantine.Attempt, backend slipwick.Backend, delivered bool, err error,
 ) {
 	if run == nil {
