--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -24,7 +24,7 @@
 	// Self is the ID of this router.
 	Self string
 	// Link sends messages to the other routers.
-	Link Link
+	Link Transport
 	// Policy holds the tuning parameters.
 	Policy Policy
 	// Share returns what a workspace is entitled to. It is called with the coordinator locked and
@@ -59,7 +59,7 @@
 
 // NewCoordinator returns a coordinator for the router with the ID self. It refuses all requests
 // until SetView is called.
-func NewCoordinator(self string, link Link, policy Policy) *Coordinator {
+func NewCoordinator(self string, link Transport, policy Policy) *Coordinator {
 	c := &Coordinator{
 		Self:           self,
 		Link:           link,
--- a/admission/link.go
+++ b/admission/link.go
@@ -2,8 +2,8 @@
 
 import "github.com/slipwick/slipwick/peer/peerpb"
 
-// Link sends envelopes to other routers. Send must not block. It may lose envelopes, and receivers
+// Transport sends envelopes to other routers. Send must not block. It may lose envelopes, and receivers
 // must not modify them.
-type Link interface {
+type Transport interface {
 	Send(router string, envelope *peerpb.Envelope)
 }
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -17,7 +17,7 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-var _ admission.Link = (*Mesh)(nil)
+var _ admission.Transport = (*Mesh)(nil)
 
 const (
 	// routerKey names the calling router in a stream's metadata.
