--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -23,8 +23,8 @@
 type Coordinator struct {
 	// Self is the ID of this router.
 	Self string
-	// Link sends messages to the other routers.
-	Link Transport
+	// Transport sends messages to the other routers.
+	Transport Transport
 	// Policy holds the tuning parameters.
 	Policy Policy
 	// Share returns what a workspace is entitled to. It is called with the coordinator locked and
@@ -62,7 +62,7 @@
 func NewCoordinator(self string, link Transport, policy Policy) *Coordinator {
 	c := &Coordinator{
 		Self:           self,
-		Link:           link,
+		Transport:           link,
 		Policy:         policy,
 		Share:          func(string) Share { return Share{} },
 		OnHealth:       func(string, Health) {},
--- a/admission/outbox.go
+++ b/admission/outbox.go
@@ -47,7 +47,7 @@
 		case router == c.Self:
 			c.receive(router, envelope)
 		case router != "":
-			c.Link.Send(router, envelope)
+			c.Transport.Send(router, envelope)
 		}
 	}
 }
