--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -33,7 +33,7 @@
 	Quarantine *quarantine.Tracker
 	IsGone     func(context.Context, slipwick.Backend) bool
 
-	budgets Budgets
+	budgets PoolBudgets
 }
 
 // attemptFunc runs a request once at a backend server. delivered reports whether the caller has
