--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -62,7 +62,7 @@
 func NewCoordinator(self string, link Transport, policy Policy) *Coordinator {
 	c := &Coordinator{
 		Self:           self,
-		Transport:           link,
+		Transport:      link,
 		Policy:         policy,
 		Share:          func(string) Share { return Share{} },
 		OnHealth:       func(string, Health) {},
