--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -59,10 +59,10 @@
 
 // NewCoordinator returns a coordinator for the router with the ID self. It refuses all requests
 // until SetView is called.
-func NewCoordinator(self string, link Transport, policy Policy) *Coordinator {
+func NewCoordinator(self string, transport Transport, policy Policy) *Coordinator {
 	c := &Coordinator{
 		Self:           self,
-		Transport:      link,
+		Transport:      transport,
 		Policy:         policy,
 		Share:          func(string) Share { return Share{} },
 		OnHealth:       func(string, Health) {},
--- a/dispatch/poolbudgets.go
+++ b/dispatch/poolbudgets.go
@@ -2,8 +2,8 @@
 
 import "sync"
 
-// PoolBudgets holds a Budget for each pool. The zero value is ready to use. It is safe for concurrent
-// use.
+// PoolBudgets holds a Budget for each pool. The zero value is ready to use. It is safe for
+// concurrent use.
 type PoolBudgets struct {
 	pools sync.Map
 }
