--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -7,14 +7,14 @@
 	"github.com/slipwick/slipwick/exchange/exchangepb"
 )
 
-// maxCounts, maxReads and maxOutcomes bound a datagram so that it fits one packet of 1,500 bytes: a
-// count takes at most 14 bytes, a read 10 and the outcomes of a server 6; the server of a read or of
-// outcomes takes another 8. Reads and outcomes are added only to a datagram with few counts, and
-// each leaving server takes the place of one server's outcomes.
+// maxCounts, maxCachedParts and maxOutcomes bound a datagram so that it fits one packet of 1,500
+// bytes: a count takes at most 14 bytes, a cached part 10 and the outcomes of a server 6; the
+// server of a part or of outcomes takes another 8. Parts and outcomes are added only to a datagram
+// with few counts, and each leaving server takes the place of one server's outcomes.
 const (
-	maxCounts   = 50
-	maxReads    = 30
-	maxOutcomes = 25
+	maxCounts      = 50
+	maxCachedParts = 30
+	maxOutcomes    = 25
 )
 
 // encode splits an update into datagrams, which all carry the same round number.
@@ -31,8 +31,8 @@
 		e.addCounts(update.InFlight[:n])
 		update.InFlight = update.InFlight[n:]
 		if n < maxCounts/2 {
-			n = min(len(update.CachedParts), maxReads)
-			e.addReads(update.CachedParts[:n])
+			n = min(len(update.CachedParts), maxCachedParts)
+			e.addCachedParts(update.CachedParts[:n])
 			update.CachedParts = update.CachedParts[n:]
 			n = min(len(update.Outcomes), maxOutcomes)
 			e.addOutcomes(update.Outcomes[:n])
@@ -93,10 +93,10 @@
 	}
 }
 
-func (e *encoder) addReads(reads []balance.CachedPart) {
-	for _, read := range reads {
-		e.message.Parts = append(e.message.Parts, read.Part)
-		e.message.Readers = append(e.message.Readers, e.indexOf(read.Server))
+func (e *encoder) addCachedParts(parts []balance.CachedPart) {
+	for _, part := range parts {
+		e.message.Parts = append(e.message.Parts, part.Part)
+		e.message.Readers = append(e.message.Readers, e.indexOf(part.Server))
 	}
 }
 
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -18,7 +18,7 @@
 
 const (
 	testEngines = 20
-	// testParts is the number of shared parts that each engine keeps.
+	// testParts is the number of shared parts that each engine has cached.
 	testParts = 30
 )
 
@@ -34,30 +34,30 @@
 	partsSent, enginesNamed int
 	// unresponsive are the engines that never list their cache.
 	unresponsive map[string]bool
-	// engines is the number of engines, parts the mean number of shared parts that each keeps, and
-	// settleAfter the time until a router knows the others.
+	// engines is the number of engines, parts the mean number of shared parts that each has cached,
+	// and settleAfter the time until a router knows the others.
 	engines, parts int
 	settleAfter    time.Duration
-	// partsByEngine are the parts that each engine keeps, computed at the first call of partsOf.
+	// partsByEngine are the parts in each engine's cache, computed at the first call of partsOf.
 	partsByEngine map[string][]uint64
 }
 
-// partsOf returns the parts that an engine keeps: the shared parts that rank it first, and as many
+// partsOf returns the parts in an engine's cache: the shared parts that rank it first, and as many
 // ends of prompts, which were sent there whatever its rank for them.
 func (f *recoveringFleet) partsOf(engine string) []uint64 {
 	if f.partsByEngine != nil {
 		return f.partsByEngine[engine]
 	}
 	f.partsByEngine = make(map[string][]uint64)
-	listed := testBackends(f.engines)
+	engines := testBackends(f.engines)
 	part := uint64(0)
 	for ; part < uint64(f.engines*f.parts); part++ {
-		id := rankedBy(part, listed)[0]
+		id := rankedBy(part, engines)[0]
 		f.partsByEngine[id] = append(f.partsByEngine[id], part)
 	}
-	for _, e := range listed {
+	for _, e := range engines {
 		for ends := 0; ends < f.parts && f.engines > 12; part++ {
-			if slices.Index(rankedBy(part, listed), e.ID) >= 12 {
+			if slices.Index(rankedBy(part, engines), e.ID) >= 12 {
 				f.partsByEngine[e.ID] = append(f.partsByEngine[e.ID], part)
 				ends++
 			}
@@ -85,10 +85,10 @@
 }
 
 // rankedBy returns the IDs of the engines in the order of their rank for a part.
-func rankedBy(part uint64, listed []balance.Entry) []string {
-	ids := make([]string, 0, len(listed))
-	scores := make(map[string]uint64, len(listed))
-	for _, e := range listed {
+func rankedBy(part uint64, engines []balance.Entry) []string {
+	ids := make([]string, 0, len(engines))
+	scores := make(map[string]uint64, len(engines))
+	for _, e := range engines {
 		ids = append(ids, e.ID)
 		scores[e.ID] = placement.Score(part, placement.IDHash(e.ID))
 	}
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -117,8 +117,8 @@
 		}
 		time.Sleep(time.Second)
 		for _, r := range started {
-			// While few engines were listed, an engine ranked high enough for ends of prompts too,
-			// so that more than the shared parts may be known.
+			// While few engines were listed, each ranked high for ends of prompts too, so that
+			// routers may know more than the shared parts.
 			if got := f.unknownParts(r); got > 0 || r.MissingCount() > 0 {
 				t.Errorf("router %s: got %d shared parts unknown and %d engines missing, want none", r.Self, got, r.MissingCount())
 			}
--- a/exchange/snapshot.go
+++ b/exchange/snapshot.go
@@ -134,9 +134,9 @@
 	for _, engine := range k.Engines {
 		message.Covered[indexOf(engine)] = true
 	}
-	for _, read := range k.CachedParts {
-		message.Parts = append(message.Parts, read.Part)
-		message.Keepers = append(message.Keepers, indexOf(read.Server))
+	for _, part := range k.CachedParts {
+		message.Parts = append(message.Parts, part.Part)
+		message.Keepers = append(message.Keepers, indexOf(part.Server))
 	}
 	return message
 }
--- a/exchange/syncer.go
+++ b/exchange/syncer.go
@@ -20,7 +20,7 @@
 	// that updates cost a router little.
 	updateInterval = 200 * time.Millisecond
 	// urgentDelay is the delay before an urgent update, relayDelay the delay before a hub relays
-	// urgent reads. Together with the time to send them, they are shorter than the shortest prefill
+	// urgent parts. Together with the time to send them, they are shorter than the shortest prefill
 	// that is reported as urgent.
 	urgentDelay = 10 * time.Millisecond
 	relayDelay  = 15 * time.Millisecond
@@ -29,8 +29,8 @@
 	sequenceBits = 16
 	// fleetSource is the source of the counts of the whole fleet, which a hub sends.
 	fleetSource = "fleet"
-	// maxQueued bounds the reads, the outcomes and the leaving servers that a hub has queued for
-	// relay.
+	// maxQueued bounds the cached parts, the outcomes and the leaving servers that a hub has queued
+	// for relay.
 	maxQueued = 4096
 )
 
@@ -54,7 +54,7 @@
 
 	sequence atomic.Uint64
 	sendSoon chan struct{}
-	// relaySoon is signalled when a hub has urgent reads to relay.
+	// relaySoon is signalled when a hub has urgent parts to relay.
 	relaySoon chan struct{}
 	// hubs are chosen again when the live routers have changed since the last update. Only Run uses
 	// the field.
@@ -67,12 +67,13 @@
 	received map[string]*counts
 	// own are the counts that this router sent last.
 	own *counts
-	// groupEvents and hubEvents are reads, outcomes and leaving servers to relay. A router in the
-	// group of a hub receives its own outcomes with those of the fleet, and counts them twice.
+	// groupEvents and hubEvents are cached parts, outcomes and leaving servers to relay. A router
+	// in the group of a hub receives its own outcomes with those of the fleet, and counts them
+	// twice.
 	groupEvents, hubEvents balance.Update
-	// urgentGroupReads and urgentHubReads are the reads among these that are relayed at once. They
-	// are sent again with the next update, since datagrams may be lost.
-	urgentGroupReads, urgentHubReads []balance.CachedPart
+	// urgentGroupParts and urgentHubParts are the cached parts among these that are relayed at
+	// once. They are sent again with the next update, since datagrams may be lost.
+	urgentGroupParts, urgentHubParts []balance.CachedPart
 
 	done chan struct{}
 }
@@ -139,8 +140,8 @@
 	}
 }
 
-// sendUpdate sends an update to the routers that this router's role requires: to all others in a
-// full mesh, to its hub, or as a hub to the other hubs and to its group.
+// sendUpdate sends an update as the router's role requires: to all others in a full mesh, to its
+// hub, or as a hub to the other hubs and to its group.
 func (t *Syncer) sendUpdate(urgent bool) {
 	if routers := t.Routers(); !slices.Equal(routers, t.hubs.routers) {
 		t.hubs = chooseHubs(routers)
@@ -162,7 +163,7 @@
 	default:
 		t.mu.Lock()
 		t.groupEvents, t.hubEvents = balance.Update{}, balance.Update{}
-		t.urgentGroupReads, t.urgentHubReads = nil, nil
+		t.urgentGroupParts, t.urgentHubParts = nil, nil
 		t.mu.Unlock()
 		hub, _ := hubs.hubOf(t.Self)
 		t.Balancer.SetPeers([]string{fleetSource}, others)
@@ -275,11 +276,11 @@
 	switch scope {
 	case exchangepb.Scope_SCOPE_OWN:
 		addEvents(&t.groupEvents, events)
-		t.queueUrgentLocked(&t.urgentGroupReads, urgent, events.CachedParts)
+		t.queueUrgentLocked(&t.urgentGroupParts, urgent, events.CachedParts)
 	case exchangepb.Scope_SCOPE_GROUP:
 		addEvents(&t.hubEvents, events)
 	case exchangepb.Scope_SCOPE_NEWS:
-		t.queueUrgentLocked(&t.urgentHubReads, urgent, events.CachedParts)
+		t.queueUrgentLocked(&t.urgentHubParts, urgent, events.CachedParts)
 	default:
 	}
 }
--- a/quarantine/attempt.go
+++ b/quarantine/attempt.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Attempt is one attempt to run a request at a backend server. The caller has to call End exactly once.
+// Attempt is one attempt to run a request at a backend server. The caller has to call End exactly
+// once.
 type Attempt struct {
 	tracker *Tracker
 	crash   Crash
@@ -17,7 +18,8 @@
 	OutcomeUnknown Outcome = iota
 	// OutcomeCompleted means that the server returned the complete response.
 	OutcomeCompleted
-	// OutcomeCrashed means that the server broke off the response and no longer accepts connections.
+	// OutcomeCrashed means that the server broke off the response and no longer accepts
+	// connections.
 	OutcomeCrashed
 )
 
--- a/quarantine/crash.go
+++ b/quarantine/crash.go
@@ -7,8 +7,8 @@
 	Key Key
 	// Server is the hash of the backend server's ID.
 	Server uint64
-	// Incarnation identifies the incarnation of the server: the time at which it started, as the server
-	// reports it, or else the time at which its crash was seen, in Unix milliseconds.
+	// Incarnation identifies the incarnation of the server: the time at which it started, as the
+	// server reports it, or else the time at which its crash was seen, in Unix milliseconds.
 	Incarnation int64
 	// Excused says that the request has since completed, at any server, so that it probably did not
 	// cause this crash.
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -15,10 +15,10 @@
 // The simulated load is that of an incident: one request came ten times a second for a quarter of a
 // minute, at 18 engines that served 90 other requests a second, some of which ran for seconds.
 const (
-	simulatedEngines     = 18
-	otherRequestInterval = 11 * time.Millisecond
-	simulatedTime        = 16 * time.Second
-	badRequestInterval   = 100 * time.Millisecond
+	simulatedEngines        = 18
+	otherRequestInterval    = 11 * time.Millisecond
+	simulatedTime           = 16 * time.Second
+	crashingRequestInterval = 100 * time.Millisecond
 	// timeToCrash is how long the crashing request runs until its engine crashes, restartTime how
 	// long the engine is then away, crashDetectionDelay how late a router sees a crash, and
 	// firstEventDelay how long a request runs until its first event. A request that has sent events
@@ -63,7 +63,7 @@
 	number int
 }
 
-const badKey Key = 1
+const crashingKey Key = 1
 
 func (s *simulation) schedule(after time.Duration, do func()) {
 	heap.Push(&s.events, event{
@@ -90,14 +90,14 @@
 	e.attempt = attempt
 	s.running[&e] = true
 	after := time.Duration(s.random.ExpFloat64() * float64(meanRunTime))
-	if e.key == badKey {
+	if e.key == crashingKey {
 		after = timeToCrash
 	}
 	s.schedule(after, func() {
 		if !s.running[&e] {
 			return
 		}
-		if e.key == badKey {
+		if e.key == crashingKey {
 			s.crash(e.engine)
 			return
 		}
@@ -128,7 +128,7 @@
 	for _, e := range executions {
 		delete(s.running, e)
 		outcome := OutcomeCrashed
-		if e.key != badKey && s.now-e.began > firstEventDelay+suspicionPeriod && !s.suspectAll {
+		if e.key != crashingKey && s.now-e.began > firstEventDelay+suspicionPeriod && !s.suspectAll {
 			outcome = OutcomeUnknown
 		}
 		s.schedule(crashDetectionDelay, func() { e.attempt.End(outcome) })
@@ -159,10 +159,10 @@
 			})
 		})
 	}
-	for at := time.Second; at < simulatedTime; at += badRequestInterval {
+	for at := time.Second; at < simulatedTime; at += crashingRequestInterval {
 		s.schedule(at, func() {
 			s.send(execution{
-				key: badKey,
+				key: crashingKey,
 			})
 		})
 	}
@@ -174,7 +174,7 @@
 	for _, key := range s.tracker.records.Keys() {
 		r, _ := s.tracker.records.Peek(key)
 		switch {
-		case key == badKey:
+		case key == crashingKey:
 		case r.quarantined:
 			quarantined++
 		case len(r.crashes) >= 2:
@@ -202,7 +202,7 @@
 		s := newSimulation(seed)
 		q, w, o := s.run()
 		crashes, quarantined, twice, others = crashes+s.crashes, quarantined+q, twice+w, others+o
-		if !s.tracker.IsQuarantined(badKey) {
+		if !s.tracker.IsQuarantined(crashingKey) {
 			t.Errorf("seed %d: got the request that crashes engines not quarantined", seed)
 		}
 		if s.crashes > 2*quarantineThreshold {
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -16,8 +16,8 @@
 	// maxRecords bounds the requests that are remembered, at about 300 bytes each. A server that
 	// crashes adds a few dozen, and requests that are retried are kept as the most recently used.
 	maxRecords = 4096
-	// maxPending bounds the crashes that wait to be sent to the other routers; RecentCrashes returns any
-	// beyond that.
+	// maxPending bounds the crashes that wait to be sent to the other routers; RecentCrashes
+	// returns any beyond that.
 	maxPending = 512
 	// recentPeriod is how long RecentCrashes returns the crashes of a record after a change.
 	recentPeriod = 10 * time.Second
@@ -249,8 +249,8 @@
 	return crashes
 }
 
-// RecentCrashes returns up to limit crashes: first those of quarantined requests, then those of requests
-// with several crashes whose record changed recently. They are for routers that started
+// RecentCrashes returns up to limit crashes: first those of quarantined requests, then those of
+// requests with several crashes whose record changed recently. They are for routers that started
 // since, or that missed an update.
 func (t *Tracker) RecentCrashes(limit int) []Crash {
 	t.mu.Lock()
