--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -91,12 +91,12 @@
 func (p *Process) newGateway() *gateway.Gateway {
 	s := p.Settings
 	return &gateway.Gateway{
-		Headers:  s.Headers,
-		Balancer: p.balancer,
-		Client:   p.client,
-		Observer: p.observer,
-		Ready:    p.ready,
-		CachesKnown:    p.learnt,
+		Headers:     s.Headers,
+		Balancer:    p.balancer,
+		Client:      p.client,
+		Observer:    p.observer,
+		Ready:       p.ready,
+		CachesKnown: p.learnt,
 		Budget: &retry.Budget{
 			Ratio:   s.Retries.Ratio,
 			Extra:   s.Retries.Extra,
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -52,7 +52,7 @@
 		mayRetry: c.route.MayRepeat() && c.possibleRuns+1 < c.route.MaxAttempts && c.sends < c.maxSends(),
 	}
 	timeouts := upstream.Timeouts{
-		FirstByte:   c.gateway.Balancer.FirstByteTimeout(lease),
+		FirstByte: c.gateway.Balancer.FirstByteTimeout(lease),
 		OnTimeout: h.onTimeout,
 	}
 	if timeouts.FirstByte == 0 {
