--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -52,7 +52,9 @@
 	r.Pools = p.enginePools
 	r.DataCentre = p.Settings.DataCentre
 	r.FleetKnown = p.node.Settled()
-	r.QueryRouter = func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
+	r.QueryRouter = func(
+		ctx context.Context, router slipwick.Router, q *balance.CacheQuery,
+	) (*balance.CacheSnapshot, error) {
 		return exchange.FetchCacheSnapshot(ctx, p.peers.http, router.Address, q)
 	}
 	if p.Feeds.Caches != nil {
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -34,7 +34,9 @@
 
 // recordAttempt records that the request is about to be sent. If the request was quarantined while
 // it waited, recordAttempt releases the slot and returns an error.
-func (d *Dispatcher) recordAttempt(key quarantine.Key, grant slipwick.Grant, isTrial bool) (*quarantine.Attempt, error) {
+func (d *Dispatcher) recordAttempt(
+	key quarantine.Key, grant slipwick.Grant, isTrial bool,
+) (*quarantine.Attempt, error) {
 	if d.Quarantine == nil {
 		return nil, nil
 	}
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -142,7 +142,9 @@
 		defer f.mu.Unlock()
 		return f.live
 	}
-	r.QueryRouter = func(_ context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
+	r.QueryRouter = func(
+		_ context.Context, router slipwick.Router, q *balance.CacheQuery,
+	) (*balance.CacheSnapshot, error) {
 		time.Sleep(3 * time.Millisecond)
 		f.mu.Lock()
 		other := f.routers[router.ID]
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -194,7 +194,9 @@
 			for i := range size {
 				r := f.add(fmt.Sprint("r", i))
 				ask := r.QueryRouter
-				r.QueryRouter = func(ctx context.Context, other slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error) {
+				r.QueryRouter = func(
+					ctx context.Context, other slipwick.Router, q *balance.CacheQuery,
+				) (*balance.CacheSnapshot, error) {
 					mu.Lock()
 					asked[r.Self]++
 					mu.Unlock()
