--- a/gateway/response.go
+++ b/gateway/response.go
@@ -61,9 +61,9 @@
 }
 
 // evidenceOfRejection returns what a response that says not-run tells about the backend server. A
-// 503 or 429 means that it is overloaded. A limit on a workspace is no such response: it holds at
-// all backend servers alike, so that it makes none of them fail more than the others. Other
-// statuses are about the request.
+// 503 or 429 means that it is overloaded. One that is caused by the limit of a workspace does no
+// harm: all backend servers send it alike, so that none of them fails more often than the others.
+// Other statuses are about the request.
 func evidenceOfRejection(status int) slipwick.Evidence {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -112,7 +112,8 @@
 }
 
 // impliesNotRun reports whether callers take the status for a promise that the request was not run.
-// Such a response is forwarded only if the backend server says so in the header NotRun.
+// Such a response is not forwarded, as only the header NotRun says for certain that the request was
+// not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
