--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -11,7 +11,7 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-func listed(n int) []Entry {
+func testEntries(n int) []Entry {
 	list := make([]Entry, 0, n)
 	for i := range n {
 		list = append(list, Entry{
@@ -28,15 +28,15 @@
 
 func newTestBalancer(n int) *Balancer {
 	b := New("dc-0")
-	b.SetBackends(listed(n))
+	b.SetBackends(testEntries(n))
 	return b
 }
 
-func acquire(t *testing.T, b *Balancer, ask *Request) *Lease {
+func acquire(t *testing.T, b *Balancer, request *Request) *Lease {
 	t.Helper()
-	lease, err := b.Acquire(ask)
+	lease, err := b.Acquire(request)
 	if err != nil {
-		t.Fatalf("acquire %+v: %v", ask, err)
+		t.Fatalf("acquire %+v: %v", request, err)
 	}
 	return lease
 }
@@ -53,9 +53,9 @@
 }
 
 // home is the backend server that all routers rank first for a key.
-func home(key uint64, n int) string {
+func topRanked(key uint64, n int) string {
 	best, score := "", uint64(0)
-	for _, l := range listed(n) {
+	for _, l := range testEntries(n) {
 		if s := placement.Score(key, placement.IDHash(l.ID)); best == "" || s > score {
 			best, score = l.ID, s
 		}
@@ -63,12 +63,12 @@
 	return best
 }
 
-func TestPromptsStayAtHome(t *testing.T) {
+func TestPromptsStayAtTheirTopRankedEngine(t *testing.T) {
 	b := newTestBalancer(9)
 	for key := range uint64(50) {
 		for range 3 {
 			lease := acquire(t, b, prompt(key))
-			if got, want := lease.Backend.ID, home(key, 9); got != want {
+			if got, want := lease.Backend.ID, topRanked(key, 9); got != want {
 				t.Errorf("key %d: got %s, want %s", key, got, want)
 			}
 			if lease.FetchFrom != "" {
@@ -105,22 +105,22 @@
 
 func TestSpillPrefersEnginesThatHaveThePrompt(t *testing.T) {
 	b := newTestBalancer(6)
-	var keeper Entry
-	for _, l := range listed(6) {
-		if l.ID != home(7, 6) {
-			keeper = l
+	var holder Entry
+	for _, l := range testEntries(6) {
+		if l.ID != topRanked(7, 6) {
+			holder = l
 		}
 	}
 	b.ReceiveCachedParts([]CachedPart{
 		{
 			Part:   7,
-			Server: placement.IDHash(keeper.ID),
+			Server: placement.IDHash(holder.ID),
 		},
 	})
 	for range 4 {
-		if lease := acquire(t, b, prompt(7)); lease.Backend.ID != home(7, 6) {
-			if lease.Backend.ID != keeper.ID || lease.FetchFrom != "" {
-				t.Errorf("got %s, fetching from %q; want %s, which has the prompt", lease.Backend.ID, lease.FetchFrom, keeper.ID)
+		if lease := acquire(t, b, prompt(7)); lease.Backend.ID != topRanked(7, 6) {
+			if lease.Backend.ID != holder.ID || lease.FetchFrom != "" {
+				t.Errorf("got %s, fetching from %q; want %s, which has the prompt", lease.Backend.ID, lease.FetchFrom, holder.ID)
 			}
 			return
 		}
@@ -128,18 +128,18 @@
 	t.Error("got no spill with four requests at one engine of six")
 }
 
-func TestNewEngineFetchesFromTheHomeBefore(t *testing.T) {
+func TestNewEngineFetchesFromPreviousTopRankedEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(5)
 		time.Sleep(time.Minute)
-		b.SetBackends(listed(6))
+		b.SetBackends(testEntries(6))
 		for key := range uint64(200) {
-			if home(key, 6) != "p-5" {
+			if topRanked(key, 6) != "p-5" {
 				continue
 			}
 			lease := acquire(t, b, prompt(key))
 			b.Release(lease, slipwick.EvidenceGood)
-			before := home(key, 5)
+			before := topRanked(key, 5)
 			want := fmt.Sprintf("10.0.0.%s:80", before[len("p-"):])
 			if lease.Backend.ID != "p-5" || lease.FetchFrom != want {
 				t.Errorf("key %d: got %s fetching from %q, want p-5 from %q", key, lease.Backend.ID, lease.FetchFrom, want)
@@ -150,47 +150,47 @@
 
 func TestLeavingAndTriedBackendsGetNothing(t *testing.T) {
 	b := New("dc-0")
-	list := listed(3)
+	list := testEntries(3)
 	list[0].Leaving = true
 	b.SetBackends(list)
-	ask := &Request{
+	request := &Request{
 		Pool:    "p",
 		Exclude: []string{"p-1"},
 	}
 	for range 5 {
-		if got := acquire(t, b, ask).Backend.ID; got != "p-2" {
+		if got := acquire(t, b, request).Backend.ID; got != "p-2" {
 			t.Errorf("got %s, want p-2", got)
 		}
 	}
-	ask.Exclude = []string{"p-1", "p-2"}
-	_, err := b.Acquire(ask)
+	request.Exclude = []string{"p-1", "p-2"}
+	_, err := b.Acquire(request)
 	if typed, ok := slipwick.AsError(err); !ok || typed.Outcome != slipwick.OutcomeNotRun {
 		t.Errorf("no backend server left: got %v, want an error with outcome not-run", err)
 	}
 }
 
-func TestPlainServicesGetTheLeastLoadedNearFirst(t *testing.T) {
-	ask := &Request{
+func TestPlainServicesPreferLeastLoadedAndLocalServers(t *testing.T) {
+	request := &Request{
 		Pool: "p",
 	}
-	near, far := 0, 0
+	local, remote := 0, 0
 	for seed := range uint64(50) {
 		b := newTestBalancer(4)
 		b.Random = rand.New(rand.NewPCG(seed, 3)).Float64
 		counts := make(map[string]int)
 		for range 8 {
-			counts[acquire(t, b, ask).Backend.ID]++
+			counts[acquire(t, b, request).Backend.ID]++
 		}
-		near, far = near+counts["p-0"]+counts["p-2"], far+counts["p-1"]+counts["p-3"]
+		local, remote = local+counts["p-0"]+counts["p-2"], remote+counts["p-1"]+counts["p-3"]
 	}
-	if 4*near <= 5*far || far == 0 {
-		t.Errorf("got %d near and %d far at 50 routers, want a quarter more near, and some far", near, far)
+	if 4*local <= 5*remote || remote == 0 {
+		t.Errorf("got %d local and %d remote at 50 routers, want a quarter more local, and some far", local, remote)
 	}
 }
 
 func TestEqualServicesShareRequests(t *testing.T) {
 	b := New("elsewhere")
-	b.SetBackends(listed(4))
+	b.SetBackends(testEntries(4))
 	counts := make(map[string]int)
 	for range 200 {
 		lease := acquire(t, b, &Request{
@@ -199,24 +199,24 @@
 		counts[lease.Backend.ID]++
 		b.Release(lease, slipwick.EvidenceGood)
 	}
-	for _, l := range listed(4) {
+	for _, l := range testEntries(4) {
 		if got := counts[l.ID]; got < 10 {
 			t.Errorf("%s: got %d of 200 requests, want a share", l.ID, got)
 		}
 	}
 }
 
-func TestUnreachableBackendIsLeftOutForAWhile(t *testing.T) {
+func TestUnreachableBackendIsEjectedForAWhile(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		id := home(7, 3)
-		var told []string
+		id := topRanked(7, 3)
+		var ejected []string
 		b.OnEjected = func(backend slipwick.Backend, wait time.Duration) {
-			told = append(told, backend.ID+" "+wait.String())
+			ejected = append(ejected, backend.ID+" "+wait.String())
 		}
 		b.Release(acquire(t, b, prompt(7)), slipwick.EvidenceUnreachable)
-		if want := id + " " + shortEjection.String(); len(told) != 1 || told[0] != want {
-			t.Errorf("got told of %v, want %s", told, want)
+		if want := id + " " + shortEjection.String(); len(ejected) != 1 || ejected[0] != want {
+			t.Errorf("got told of %v, want %s", ejected, want)
 		}
 		lease := acquire(t, b, prompt(7))
 		if lease.Backend.ID == id {
@@ -230,14 +230,14 @@
 	})
 }
 
-func TestFailingBackendIsLeftOutUnlessAllFail(t *testing.T) {
+func TestFailingBackendIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(2)
-		ask := &Request{
+		request := &Request{
 			Pool: "p",
 		}
 		for range 20 {
-			lease := acquire(t, b, ask)
+			lease := acquire(t, b, request)
 			evidence := slipwick.EvidenceGood
 			if lease.Backend.ID == "p-0" {
 				evidence = slipwick.EvidenceError
@@ -245,14 +245,14 @@
 			b.Release(lease, evidence)
 		}
 		for range 5 {
-			if got := acquire(t, b, ask).Backend.ID; got != "p-1" {
+			if got := acquire(t, b, request).Backend.ID; got != "p-1" {
 				t.Errorf("got %s, want p-1", got)
 			}
 		}
 	})
 }
 
-func TestLoadToldByAllPeersGoesBeforeReports(t *testing.T) {
+func TestPeerCountsTakePrecedenceOverLoadReports(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(2)
 		lease := acquire(t, b, prompt(7))
@@ -270,8 +270,8 @@
 		load := func() float64 {
 			b.mu.Lock()
 			defer b.mu.Unlock()
-			each := b.loadsLocked([]*server{lease.server}, time.Now())
-			return each[0]
+			loads := b.loadsLocked([]*server{lease.server}, time.Now())
+			return loads[0]
 		}
 		if got := load(); got != 2 {
 			t.Errorf("told by all peers: got load %v, want 2", got)
@@ -288,7 +288,7 @@
 }
 
 // TestSpillGoesToTheDataCentreOfAHolder has one prompt alone fill its engine: the
-// next one is near that.
+// next one is local that.
 func TestSpillGoesToTheDataCentreOfAHolder(t *testing.T) {
 	for key := range uint64(20) {
 		b := newTestBalancer(8)
--- a/balance/bound_test.go
+++ b/balance/bound_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestLoadBoundKeepsThePromise has the bound that is used stay below the one
+// TestLoadBoundIsBelowThePromisedBound has the bound that is used stay below the one
 // promised, with room for what other routers send meanwhile.
-func TestLoadBoundKeepsThePromise(t *testing.T) {
+func TestLoadBoundIsBelowThePromisedBound(t *testing.T) {
 	b := New("d")
 	for _, factor := range []float64{1.3, 1.4, 1.6, 2, 3} {
 		b.SetLoadBound(factor, 3)
--- a/balance/canary_test.go
+++ b/balance/canary_test.go
@@ -9,8 +9,8 @@
 )
 
 // versions lists servers of a version.
-func versions(version string, n int) []Entry {
-	list := placedPool(n, "d", "e")
+func entriesOfVersion(version string, n int) []Entry {
+	list := entriesIn(n, "d", "e")
 	for i := range list {
 		list[i].ID += "-" + version
 		list[i].Version = version
@@ -18,9 +18,9 @@
 	return list
 }
 
-func newTrialBalancer(share float64) *Balancer {
+func newCanaryBalancer(share float64) *Balancer {
 	b := New("d")
-	b.SetBackends(append(versions("v1", 6), versions("v2", 6)...))
+	b.SetBackends(append(entriesOfVersion("v1", 6), entriesOfVersion("v2", 6)...))
 	b.SetCanaries(map[string]Canary{
 		"p": {
 			Version: "v2",
@@ -30,40 +30,40 @@
 	return b
 }
 
-// TestTrialGetsItsShare sends prompts and plain requests while a version is on trial.
-func TestTrialGetsItsShare(t *testing.T) {
+// TestCanaryGetsItsShare sends prompts and plain requests while a version is on trial.
+func TestCanaryGetsItsShare(t *testing.T) {
 	const requests = 2000
 	for _, share := range []float64{0, 0.025, 0.25, 1} {
-		b := newTrialBalancer(share)
+		b := newCanaryBalancer(share)
 		got := 0
 		for i := range uint64(requests) {
-			ask := prompt(i % 50)
+			request := prompt(i % 50)
 			if i%2 == 0 {
-				ask = &Request{
+				request = &Request{
 					Pool: "p",
 				}
 			}
-			lease := acquire(t, b, ask)
+			lease := acquire(t, b, request)
 			if lease.server.Version == "v2" {
 				got++
 			}
 			b.RecordResponseStart(lease)
 			b.Release(lease, slipwick.EvidenceGood)
 		}
-		least, most := share*requests*0.75-10, share*requests*1.25+10
+		low, high := share*requests*0.75-10, share*requests*1.25+10
 		if share == 0 {
-			most = 0
+			high = 0
 		}
-		if float64(got) < least || float64(got) > most {
+		if float64(got) < low || float64(got) > high {
 			t.Errorf("share %v: got %d of %d at the new version", share, got, requests)
 		}
 	}
 }
 
-// TestVersionThatWasTurnedBackGetsNothing has all servers of the old version leave.
-func TestVersionThatWasTurnedBackGetsNothing(t *testing.T) {
-	b := newTrialBalancer(0)
-	leaving := versions("v1", 6)
+// TestRolledBackVersionGetsNothing has all servers of the old version leave.
+func TestRolledBackVersionGetsNothing(t *testing.T) {
+	b := newCanaryBalancer(0)
+	leaving := entriesOfVersion("v1", 6)
 	for i := range leaving {
 		leaving[i].Leaving = true
 	}
@@ -75,10 +75,10 @@
 	}
 }
 
-// TestTrialIsToldAndHeard has two routers count answers: each knows those of both, and what is
+// TestCanaryCountsAreExchanged has two routers count answers: each knows those of both, and what is
 // told of servers is as without a trial.
-func TestTrialIsToldAndHeard(t *testing.T) {
-	first, second := newTrialBalancer(1), newTrialBalancer(0)
+func TestCanaryCountsAreExchanged(t *testing.T) {
+	first, second := newCanaryBalancer(1), newCanaryBalancer(0)
 	for i, evidence := range []slipwick.Evidence{
 		slipwick.EvidenceGood, slipwick.EvidenceError, slipwick.EvidenceTimeout, slipwick.EvidenceRefused,
 	} {
@@ -110,15 +110,15 @@
 	}
 }
 
-// TestNewVersionWaitsForItsOrder has servers of a version turn up before the order is known.
-func TestNewVersionWaitsForItsOrder(t *testing.T) {
+// TestNewVersionIsHeldUntilRolloutsAreKnown has servers of a version turn up before the order is known.
+func TestNewVersionIsHeldUntilRolloutsAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New("d")
 		b.HoldVersions = true
-		b.SetBackends(versions("v1", 3))
+		b.SetBackends(entriesOfVersion("v1", 3))
 		time.Sleep(2 * RelistWindow)
 		b.ChangeBackends(&Changes{
-			Entries: versions("v2", 30),
+			Entries: entriesOfVersion("v2", 30),
 		})
 		key := uint64(0)
 		uses := func() bool {
@@ -144,7 +144,7 @@
 		}
 		time.Sleep(time.Millisecond)
 		b.ChangeBackends(&Changes{
-			Entries: versions("v3", 300),
+			Entries: entriesOfVersion("v3", 300),
 		})
 		if !b.heldVersionsLocked("p", time.Now())["v3"] {
 			t.Error("got the next version not held")
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -13,88 +13,88 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// plainChoice chooses the engine for a prompt as Acquire does, step by step and
+// referenceChoice chooses the engine for a prompt as Acquire does, step by step and
 // without what makes that fast; nil if chance decides.
-func plainChoice(b *Balancer, ask *Request, now time.Time, decay float64) *server {
+func referenceChoice(b *Balancer, request *Request, now time.Time, decay float64) *server {
 	var usable []*server
-	for _, s := range b.pools[ask.Pool] {
-		if !s.Leaving && !slices.Contains(ask.Exclude, s.ID) && !b.isUnavailableLocked(s, now) {
+	for _, s := range b.pools[request.Pool] {
+		if !s.Leaving && !slices.Contains(request.Exclude, s.ID) && !b.isUnavailableLocked(s, now) {
 			usable = append(usable, s)
 		}
 	}
-	each, mean := plainLoads(b, usable, now, decay)
+	loads, mean := referenceLoads(b, usable, now, decay)
 	bound := b.loadBound(mean)
-	prompt := ask.Prompt[len(ask.Prompt)-1].Key
-	var below, holding []*server
+	prompt := request.Prompt[len(request.Prompt)-1].Key
+	var below, holders []*server
 	for i, s := range usable {
-		if each[i] >= bound {
+		if loads[i] >= bound {
 			continue
 		}
 		below = append(below, s)
 		if b.cacheIndex.holds(prompt, s) {
-			holding = append(holding, s)
+			holders = append(holders, s)
 		}
 	}
 	if len(below) == 0 {
 		return nil
 	}
-	slices.SortFunc(holding, func(x, y *server) int {
-		if near := x.DataCentre == b.DataCentre; near != (y.DataCentre == b.DataCentre) {
-			return map[bool]int{true: -1, false: 1}[near]
+	slices.SortFunc(holders, func(x, y *server) int {
+		if isLocal := x.DataCentre == b.DataCentre; isLocal != (y.DataCentre == b.DataCentre) {
+			return map[bool]int{true: -1, false: 1}[isLocal]
 		}
 		return cmp.Compare(placement.Score(prompt, y.hash), placement.Score(prompt, x.hash))
 	})
-	if len(holding) > 0 {
-		return holding[0]
+	if len(holders) > 0 {
+		return holders[0]
 	}
-	return plainLeastReading(b, prompt, below, now)
+	return referenceLeastPrefill(b, prompt, below, now)
 }
 
-// plainLoads is what all routers probably have at each server.
-func plainLoads(b *Balancer, usable []*server, now time.Time, decay float64) (each []float64, mean float64) {
-	told, complete := make(map[uint64]int), len(b.peers) > 0
+// referenceLoads is what all routers probably have at loads server.
+func referenceLoads(b *Balancer, usable []*server, now time.Time, decay float64) (loads []float64, mean float64) {
+	counts, complete := make(map[uint64]int), len(b.peers) > 0
 	for _, id := range b.peers {
-		h, known := b.countsByRouter[id]
-		complete = complete && known && now.Sub(h.receivedAt) <= remoteCountsLifetime
-		for _, in := range h.inFlight {
-			told[in.Server] += in.Count
+		c, known := b.countsByRouter[id]
+		complete = complete && known && now.Sub(c.receivedAt) <= remoteCountsLifetime
+		for _, in := range c.inFlight {
+			counts[in.Server] += in.Count
 		}
 	}
-	usual := 0.0
+	typical := 0.0
 	for _, s := range usable {
-		usual += s.sends
+		typical += s.sends
 	}
 	// In the order of operations that the balancer has: rapid finds loads that are the
 	// bound but for the rounding.
-	usual = usual * decay / float64(len(usable))
+	typical = typical * decay / float64(len(usable))
 	for _, s := range usable {
 		others := meanReportedLoad(usable, now)
 		if complete {
-			others = float64(told[s.hash])
+			others = float64(counts[s.hash])
 		} else if reported, ok := s.inFlightElsewhere(now); ok {
 			others = float64(reported)
 		}
-		load := float64(s.inFlight) + others + float64(b.otherRouters)*expectedExcess(s.sends*decay, usual)
+		load := float64(s.inFlight) + others + float64(b.otherRouters)*expectedExcess(s.sends*decay, typical)
 		load = max(load, float64(s.inFlight))
-		each = append(each, load)
+		loads = append(loads, load)
 		mean += load
 	}
-	return each, mean / float64(len(usable))
+	return loads, mean / float64(len(usable))
 }
 
-func plainLeastReading(b *Balancer, prompt uint64, below []*server, now time.Time) *server {
+func referenceLeastPrefill(b *Balancer, prompt uint64, below []*server, now time.Time) *server {
 	holders, _ := b.cacheIndex.holdersByPart.Peek(prompt)
-	var near []*server
+	var sameDataCentre []*server
 	for _, s := range below {
 		if slices.ContainsFunc(holders, func(hash uint64) bool {
 			holder := b.hashes[hash]
 			return holder != nil && b.canFetchFromLocked(holder, now) && holder.DataCentre == s.DataCentre
 		}) {
-			near = append(near, s)
+			sameDataCentre = append(sameDataCentre, s)
 		}
 	}
-	if len(near) > 0 {
-		below = near
+	if len(sameDataCentre) > 0 {
+		below = sameDataCentre
 	}
 	slices.SortFunc(below, func(x, y *server) int {
 		return cmp.Compare(placement.Score(prompt, y.hash), placement.Score(prompt, x.hash))
@@ -118,9 +118,9 @@
 	return best
 }
 
-// TestChoiceIsThatOfThePlainWay compares choices in any state that requests and
+// TestChoiceMatchesReference compares choices in any state that requests and
 // tellings bring about.
-func TestChoiceIsThatOfThePlainWay(t *testing.T) {
+func TestChoiceMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 40).Draw(t, "engines")
 		b := newTestBalancer(engines)
@@ -130,7 +130,7 @@
 			ids = append(ids, fmt.Sprint("r", i))
 		}
 		b.SetPeers(ids, 3*peers)
-		draw := func() *Request {
+		drawRequest := func() *Request {
 			return &Request{
 				Pool: "p",
 				Prompt: []Part{
@@ -147,17 +147,17 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0:
 				sequence++
-				b.ReceiveCounts(fmt.Sprint("r", rapid.IntRange(0, 4).Draw(t, "peer")), sequence, drawTold(t, b))
+				b.ReceiveCounts(fmt.Sprint("r", rapid.IntRange(0, 4).Draw(t, "peer")), sequence, drawCounts(t, b))
 			case 1:
 				b.SetPeers(ids[:rapid.IntRange(0, len(ids)).Draw(t, "live")], 3*peers)
 			case 2:
-				b.SetBackends(listed(rapid.IntRange(1, engines).Draw(t, "listed")))
+				b.SetBackends(testEntries(rapid.IntRange(1, engines).Draw(t, "listed")))
 			default:
-				ask, now := draw(), time.Now()
-				want := plainChoice(b, ask, now, b.decayLocked(now))
+				request, now := drawRequest(), time.Now()
+				want := referenceChoice(b, request, now, b.decayLocked(now))
 				// Both see the same moment: loads decay, and an engine may pass the
 				// bound between two readings of the clock.
-				lease, err := b.acquireLocked(ask, now)
+				lease, err := b.acquireLocked(request, now)
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -174,8 +174,8 @@
 	})
 }
 
-// drawTold draws what another router has in flight.
-func drawTold(t *rapid.T, b *Balancer) []InFlight {
+// drawCounts draws what another router has in flight.
+func drawCounts(t *rapid.T, b *Balancer) []InFlight {
 	var list []InFlight
 	for _, s := range b.pools["p"] {
 		if count := rapid.IntRange(0, 6).Draw(t, "in flight"); count > 0 {
@@ -201,7 +201,7 @@
 			Count:  3,
 		})
 	}
-	ask := &Request{
+	request := &Request{
 		Pool: "p",
 		Prompt: []Part{
 			{
@@ -223,9 +223,9 @@
 		}
 		sequence++
 		if !isKnown {
-			ask.Prompt[1].Key = sequence + 2
+			request.Prompt[1].Key = sequence + 2
 		}
-		lease, err := balancer.Acquire(ask)
+		lease, err := balancer.Acquire(request)
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -21,7 +21,7 @@
 // coldFleet is routers before a pool of cold engines.
 type coldFleet struct {
 	routers []*Balancer
-	names   []string
+	ids     []string
 	// started counts the routers that were started later.
 	started int
 	// arrivals are when requests reached each engine.
@@ -37,20 +37,20 @@
 		frozenUntil: make(map[int]time.Time),
 	}
 	for i := range routers {
-		f.names = append(f.names, fmt.Sprint("r", i))
-		f.routers = append(f.routers, f.start(engines, coldTime))
+		f.ids = append(f.ids, fmt.Sprint("r", i))
+		f.routers = append(f.routers, f.newRouter(engines, coldTime))
 	}
-	f.know(f.names, 0, routers)
+	f.setRouters(f.ids, 0, routers)
 	return f
 }
 
 // start makes a router that has just learnt of the engines.
-func (f *coldFleet) start(engines int, coldTime time.Duration) *Balancer {
+func (f *coldFleet) newRouter(engines int, coldTime time.Duration) *Balancer {
 	b := New("d")
 	b.SetColdLimits(map[string]ColdLimit{
 		"p": testLimit,
 	})
-	list := placedPool(engines, "d", "e", "f", "g")
+	list := entriesIn(engines, "d", "e", "f", "g")
 	for i := range list {
 		list[i].ColdUntil = time.Now().Add(coldTime)
 	}
@@ -59,14 +59,14 @@
 }
 
 // know tells some of the routers which live.
-func (f *coldFleet) know(live []string, from, to int) {
+func (f *coldFleet) setRouters(live []string, from, to int) {
 	for i := from; i < to; i++ {
-		f.routers[i].SetRouters(f.names[i], live)
+		f.routers[i].SetRouters(f.ids[i], live)
 	}
 }
 
-// ask has one router try to send as much as it may.
-func (f *coldFleet) ask(router int, key uint64) {
+// request has one router try to send as much as it may.
+func (f *coldFleet) send(router int, key uint64) {
 	lease, err := f.routers[router].Acquire(prompt(key))
 	if err != nil {
 		return
@@ -81,7 +81,7 @@
 }
 
 // most gives the most that any engine got in any second, and the sum of all.
-func (f *coldFleet) most() (most, sum int) {
+func (f *coldFleet) maxPerSecond() (most, sum int) {
 	for _, arrivals := range f.arrivals {
 		sum += len(arrivals)
 		for _, from := range arrivals {
@@ -97,11 +97,11 @@
 	return most, sum
 }
 
-// TestColdEnginesGetNoMoreThanTheyBear has all engines cold and all routers send as
+// TestColdEnginesStayBelowTheLimit has all engines cold and all routers send as
 // much as they may, while the fleet splits into halves, routers start that know all
 // or a few, some are killed, and some are frozen: one disturbance after the other. The
 // sum over all routers, those cut off among them, stays below the limit in any second.
-func TestColdEnginesGetNoMoreThanTheyBear(t *testing.T) {
+func TestColdEnginesStayBelowTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 8, 24, 65}).Draw(rt, "routers")
 		kinds := rapid.SliceOfN(rapid.SampledFrom([]string{"split", "start", "kill", "freeze", "none"}), 1, 3).
@@ -115,10 +115,10 @@
 			for _, kind := range kinds {
 				f.disturb(random, kind)
 				f.run(random, 3*time.Second)
-				f.know(f.names, 0, len(f.names))
+				f.setRouters(f.ids, 0, len(f.ids))
 				f.run(random, time.Second)
 			}
-			most, _ = f.most()
+			most, _ = f.maxPerSecond()
 		})
 		if float64(most) > testLimit.MaxPerSecond {
 			rt.Fatalf("%d routers, %v: got %d requests at a cold engine in a second, want at most %v",
@@ -133,20 +133,20 @@
 	half := size / 2
 	switch kind {
 	case "split":
-		f.know(f.names[:half], 0, half)
-		f.know(f.names[half:], half, size)
+		f.setRouters(f.ids[:half], 0, half)
+		f.setRouters(f.ids[half:], half, size)
 	case "start":
 		// It knows a part of the fleet, and the others do not know it yet. Its ID is
 		// nobody's else, also after others were killed.
 		f.started++
-		f.names = append(f.names, fmt.Sprint("new", f.started))
-		f.routers = append(f.routers, f.start(3, time.Hour))
-		f.know(f.names[:random.IntN(size)+1], size, size+1)
+		f.ids = append(f.ids, fmt.Sprint("new", f.started))
+		f.routers = append(f.routers, f.newRouter(3, time.Hour))
+		f.setRouters(f.ids[:random.IntN(size)+1], size, size+1)
 	case "kill":
 		// The first half is gone, and the rest learns it one by one.
-		f.routers, f.names = f.routers[half:], f.names[half:]
+		f.routers, f.ids = f.routers[half:], f.ids[half:]
 		for i := range f.routers {
-			f.know(f.names, i, i+1)
+			f.setRouters(f.ids, i, i+1)
 			f.run(random, 10*time.Millisecond)
 		}
 	case "freeze":
@@ -164,9 +164,9 @@
 	const step = 10 * time.Millisecond
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(step) {
 		for i := range f.routers {
-			isAwake := !time.Now().Before(f.frozenUntil[i]) || time.Until(f.frozenUntil[i]) > 3*time.Second-step
-			if isAwake && random.Float64() < 0.5 {
-				f.ask(i, uint64(random.IntN(50)))
+			isRunning := !time.Now().Before(f.frozenUntil[i]) || time.Until(f.frozenUntil[i]) > 3*time.Second-step
+			if isRunning && random.Float64() < 0.5 {
+				f.send(i, uint64(random.IntN(50)))
 			}
 		}
 	}
@@ -183,7 +183,7 @@
 				f := newColdFleet(size, engines, time.Hour)
 				time.Sleep(coldWindow)
 				f.run(rand.New(rand.NewPCG(1, 2)), during)
-				most, sum := f.most()
+				most, sum := f.maxPerSecond()
 				if float64(most) > testLimit.MaxPerSecond/2 {
 					t.Errorf("got %d requests at an engine in a second, want at most half of the limit", most)
 				}
@@ -195,13 +195,13 @@
 	}
 }
 
-// TestColdEnginesAreARelief has one engine in eight cold: it gets nothing while the
+// TestColdEnginesTakeOverflow has one engine in eight cold: it gets nothing while the
 // others have room, and its part while they are pressed.
-func TestColdEnginesAreARelief(t *testing.T) {
+func TestColdEnginesTakeOverflow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newColdFleet(1, 8, 0)
 		b := f.routers[0]
-		list := placedPool(8, "d", "e", "f", "g")
+		list := entriesIn(8, "d", "e", "f", "g")
 		list[1].ColdUntil = time.Now().Add(3 * time.Second)
 		b.SetBackends(list)
 		time.Sleep(coldWindow)
@@ -225,16 +225,16 @@
 	})
 }
 
-// TestBurstAtAReturnKeepsTheLimit has a burst of four times the usual come as an
+// TestBurstAfterEvacuationStaysBelowTheColdLimit has a burst of four times the usual come as an
 // evacuation ends, whose engines told before that they are cold: 19 routers before 28
 // engines. At 65 routers before 112 one then got 25 and 26 requests in a second, of 24.5
 // allowed, when none was counted as cold.
-func TestBurstAtAReturnKeepsTheLimit(t *testing.T) {
+func TestBurstAfterEvacuationStaysBelowTheColdLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers, engines, perSecond = 19, 28, 4 * 200
 		f := newColdFleet(routers, engines, 0)
 		time.Sleep(2 * time.Second)
-		list := placedPool(engines, "d", "e", "f", "g")
+		list := entriesIn(engines, "d", "e", "f", "g")
 		for i := range list {
 			if list[i].DataCentre == "e" {
 				list[i].ColdUntil = time.Now().Add(3 * time.Second)
@@ -248,22 +248,22 @@
 		random := rand.New(rand.NewPCG(5, 6))
 		for range 2 * perSecond {
 			time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Second) / perSecond))
-			f.ask(random.IntN(routers), uint64(random.IntN(10)))
+			f.send(random.IntN(routers), uint64(random.IntN(10)))
 		}
-		for _, listed := range list {
-			if listed.DataCentre != "e" {
-				delete(f.arrivals, listed.ID)
+		for _, entry := range list {
+			if entry.DataCentre != "e" {
+				delete(f.arrivals, entry.ID)
 			}
 		}
-		if most, _ := f.most(); float64(most) > testLimit.MaxPerSecond {
+		if most, _ := f.maxPerSecond(); float64(most) > testLimit.MaxPerSecond {
 			t.Errorf("got %d requests in a second at a cold engine, want at most %v", most, testLimit.MaxPerSecond)
 		}
 	})
 }
 
-// TestColdTimesAreNoneOfThePools has a cold engine answer late: others are not given
+// TestColdServersDoNotCountInResponseTimes has a cold engine answer late: others are not given
 // more time for it.
-func TestColdTimesAreNoneOfThePools(t *testing.T) {
+func TestColdServersDoNotCountInResponseTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newColdFleet(1, 1, time.Hour)
 		b := f.routers[0]
@@ -281,21 +281,21 @@
 
 // BenchmarkSetRouters tells of one router that died, at the size designed for.
 func BenchmarkSetRouters(b *testing.B) {
-	var names []string
+	var ids []string
 	for i := range 330 {
-		names = append(names, fmt.Sprint("r", i))
+		ids = append(ids, fmt.Sprint("r", i))
 	}
 	balancer := New("d")
-	balancer.SetBackends(placedPool(930, "d", "e", "f", "g"))
-	balancer.SetRouters("r0", names)
+	balancer.SetBackends(entriesIn(930, "d", "e", "f", "g"))
+	balancer.SetRouters("r0", ids)
 	for i := 0; b.Loop(); i++ {
-		balancer.SetRouters("r0", names[:len(names)-i%2])
+		balancer.SetRouters("r0", ids[:len(ids)-i%2])
 	}
 }
 
-// TestNewServerCountsAsColdWhereEntriesDoNotTell has a server added to the list long
+// TestNewServerCountsAsColdByDefault has a server added to the list long
 // after the router's start.
-func TestNewServerCountsAsColdWhereEntriesDoNotTell(t *testing.T) {
+func TestNewServerCountsAsColdByDefault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New("d")
 		limit := testLimit
@@ -303,7 +303,7 @@
 		b.SetColdLimits(map[string]ColdLimit{
 			"p": limit,
 		})
-		list := placedPool(2, "d", "e")
+		list := entriesIn(2, "d", "e")
 		b.SetBackends(list[:1])
 		time.Sleep(2 * RelistWindow)
 		b.SetBackends(list)
--- a/balance/cutoff_test.go
+++ b/balance/cutoff_test.go
@@ -9,34 +9,34 @@
 	"github.com/slipwick/slipwick"
 )
 
-// tellOutcomes has all routers hear how the others' requests ended.
-func (f *testFleet) tellOutcomes() {
+// exchangeOutcomes has all routers hear how the others' requests ended.
+func (f *testFleet) exchangeOutcomes() {
 	for i, b := range f.routers {
-		told := b.TakeUpdate()
+		update := b.TakeUpdate()
 		for j, other := range f.routers {
 			if j != i {
-				other.ReceiveOutcomes(told.Outcomes)
+				other.ReceiveOutcomes(update.Outcomes)
 			}
 		}
 	}
 }
 
-// TestOneRouterThatIsCutOffHasNobodyLeftOut has one router reach no engine at all: the
+// TestCutOffRouterDoesNotHaveAllEnginesEjected has one router reach no engine at all: the
 // others go on using all of them.
-func TestOneRouterThatIsCutOffHasNobodyLeftOut(t *testing.T) {
+func TestCutOffRouterDoesNotHaveAllEnginesEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(6, 28, 2)
 		random := rand.New(rand.NewPCG(9, 10))
 		for _, b := range f.routers {
 			b.Random = random.Float64
 		}
-		cut := f.routers[0]
+		cutOff := f.routers[0]
 		for range 20 {
 			for range 12 {
-				lease := acquire(t, cut, prompt(uint64(random.IntN(95))))
+				lease := acquire(t, cutOff, prompt(uint64(random.IntN(95))))
 				time.AfterFunc(350*time.Millisecond, func() {
-					cut.RecordOverdue(lease)
-					cut.Release(lease, slipwick.EvidenceNone)
+					cutOff.RecordOverdue(lease)
+					cutOff.Release(lease, slipwick.EvidenceNone)
 				})
 				time.Sleep(time.Second / 12)
 			}
@@ -47,15 +47,15 @@
 					b.Release(lease, slipwick.EvidenceGood)
 				}
 			}
-			f.tellOutcomes()
-			out := 0
+			f.exchangeOutcomes()
+			unavailable := 0
 			for _, s := range f.routers[1].servers {
 				if f.routers[1].isUnavailableLocked(s, time.Now()) {
-					out++
+					unavailable++
 				}
 			}
-			if out > 6 {
-				t.Fatalf("got %d of 28 engines left out by what one router says, want at most 6", out)
+			if unavailable > 6 {
+				t.Fatalf("got %d of 28 engines left out by what one router says, want at most 6", unavailable)
 			}
 		}
 		time.Sleep(time.Second)
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -13,27 +13,27 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-var plain = &Request{
+var plainRequest = &Request{
 	Pool: "p",
 }
 
-// outNow counts the backend servers that are left out.
-func outNow(b *Balancer) int {
+// unavailableCount counts the backend servers that are left out.
+func unavailableCount(b *Balancer) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	out := 0
+	count := 0
 	for _, s := range b.servers {
 		if b.isUnavailableLocked(s, time.Now()) {
-			out++
+			count++
 		}
 	}
-	return out
+	return count
 }
 
-func TestSilentBackendGetsNothingNew(t *testing.T) {
+func TestUnresponsiveBackendGetsNothingNew(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		id := home(7, 3)
+		id := topRanked(7, 3)
 		waiting := acquire(t, b, prompt(7))
 		b.RecordResponseStart(waiting)
 		time.Sleep(minSilence)
@@ -52,14 +52,14 @@
 	})
 }
 
-// TestIdleBackendIsNotSilent has one say nothing as it was asked nothing.
-func TestIdleBackendIsNotSilent(t *testing.T) {
+// TestIdleBackendIsNotUnresponsive has one say nothing as it was asked nothing.
+func TestIdleBackendIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(1)
-		b.Release(acquire(t, b, plain), slipwick.EvidenceGood)
+		b.Release(acquire(t, b, plainRequest), slipwick.EvidenceGood)
 		time.Sleep(time.Minute)
-		acquire(t, b, plain)
-		if got := outNow(b); got != 0 {
+		acquire(t, b, plainRequest)
+		if got := unavailableCount(b); got != 0 {
 			t.Error("got it left out when it had just been asked, want it used")
 		}
 	})
@@ -68,35 +68,35 @@
 func TestOutcomesOfOtherRoutersCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(4)
-		bad := Outcomes{
+		failing := Outcomes{
 			Server: placement.IDHash("p-2"),
 			Good:   2,
 			Failed: 2,
 		}
-		b.ReceiveOutcomes([]Outcomes{bad})
-		if got := outNow(b); got != 0 {
+		b.ReceiveOutcomes([]Outcomes{failing})
+		if got := unavailableCount(b); got != 0 {
 			t.Errorf("after two failures of four: got %d left out, want none", got)
 		}
-		b.ReceiveOutcomes([]Outcomes{bad, bad})
+		b.ReceiveOutcomes([]Outcomes{failing, failing})
 		for range 20 {
-			lease := acquire(t, b, plain)
+			lease := acquire(t, b, plainRequest)
 			if lease.Backend.ID == "p-2" {
 				t.Fatal("after six failures of twelve: got p-2, want it left out")
 			}
 			b.Release(lease, slipwick.EvidenceNone)
 		}
 		time.Sleep(errorEjection)
-		b.ReceiveOutcomes([]Outcomes{bad, bad})
+		b.ReceiveOutcomes([]Outcomes{failing, failing})
 		time.Sleep(errorEjection)
-		if got := outNow(b); got != 1 {
+		if got := unavailableCount(b); got != 1 {
 			t.Errorf("when it fails again: got %d left out after %v, want it out for longer", got, errorEjection)
 		}
 	})
 }
 
-func TestOutcomesAreToldOnceAndWithFailuresAlone(t *testing.T) {
+func TestOutcomesAreSentOnceAndOnlyWithFailures(t *testing.T) {
 	b := newTestBalancer(1)
-	end := func(evidence slipwick.Evidence) { b.Release(acquire(t, b, plain), evidence) }
+	end := func(evidence slipwick.Evidence) { b.Release(acquire(t, b, plainRequest), evidence) }
 	for range 3 * maxUnsentSuccesses {
 		end(slipwick.EvidenceGood)
 	}
@@ -135,23 +135,23 @@
 	b := newTestBalancer(4)
 	var lease *Lease
 	for lease == nil || lease.Backend.ID != "p-1" {
-		lease = acquire(t, b, plain)
+		lease = acquire(t, b, plainRequest)
 	}
 	for range 4 {
 		b.RecordOverdue(lease)
 	}
-	if got := outNow(b); got != 1 {
+	if got := unavailableCount(b); got != 1 {
 		t.Errorf("got %d left out, want the one that lets requests wait", got)
 	}
 }
 
-// TestOutingsAreBounded has backend servers fail at rates of their own: never
+// TestEjectionsAreBounded has backend servers fail at rates of their own: never
 // more than a third of a pool, rounded up, is left out, one that fails far more
 // than the others is found, and the sound ones stay.
-func TestOutingsAreBounded(t *testing.T) {
+func TestEjectionsAreBounded(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.IntRange(2, 20).Draw(r, "size")
-		usual := rapid.Float64Range(0, 0.5).Draw(r, "usual")
+		failureRate := rapid.Float64Range(0, 0.5).Draw(r, "failureRate")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1))
 		b := newTestBalancer(size)
 		for range 500 {
@@ -160,11 +160,11 @@
 				Server: placement.IDHash(fmt.Sprintf("p-%d", i)),
 				Good:   1,
 			}
-			if random.Float64() < usual {
+			if random.Float64() < failureRate {
 				o.Good, o.Failed = 0, 1
 			}
 			b.ReceiveOutcomes([]Outcomes{o})
-			if got, limit := outNow(b), (size+ejectableOneIn-1)/ejectableOneIn; got > limit {
+			if got, limit := unavailableCount(b), (size+ejectableOneIn-1)/ejectableOneIn; got > limit {
 				r.Fatalf("got %d of %d left out, want at most %d", got, size, limit)
 			}
 		}
@@ -201,23 +201,23 @@
 	}
 }
 
-// TestFailuresByChanceLeaveNobodyOut has all servers of a pool fail alike, as in
+// TestFailuresByChanceEjectFew has all servers of a pool fail alike, as in
 // an overload that makes many answers late.
-func TestFailuresByChanceLeaveNobodyOut(t *testing.T) {
+func TestFailuresByChanceEjectFew(t *testing.T) {
 	const (
 		seeds    = 5
 		outcomes = 10000
 	)
 	for _, share := range []float64{0.05, 0.15, 0.3} {
-		consecutiveEjections := 0
+		ejections := 0
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
 				b := newTestBalancer(7)
-				b.OnEjected = func(slipwick.Backend, time.Duration) { consecutiveEjections++ }
+				b.OnEjected = func(slipwick.Backend, time.Duration) { ejections++ }
 				random := rand.New(rand.NewPCG(seed, 2))
 				b.Random = random.Float64
 				for range outcomes {
-					lease := acquire(t, b, plain)
+					lease := acquire(t, b, plainRequest)
 					evidence := slipwick.EvidenceGood
 					if random.Float64() < share {
 						evidence = slipwick.EvidenceError
@@ -227,44 +227,44 @@
 				}
 			})
 		}
-		if got, most := consecutiveEjections, seeds*outcomes/500; got > most {
-			t.Errorf("%v fail: got %d times one left out in %d outcomes, want %d at most", share, got, seeds*outcomes, most)
+		if got, limit := ejections, seeds*outcomes/500; got > limit {
+			t.Errorf("%v fail: got %d times one left out in %d outcomes, want %d at most", share, got, seeds*outcomes, limit)
 		}
 	}
 }
 
-// TestServerThatFailsMoreIsStillLeftOut has one of seven servers fail as grey ones
+// TestServerThatFailsMoreIsStillEjected has one of seven servers fail as grey ones
 // do while the others fail now and then.
-func TestServerThatFailsMoreIsStillLeftOut(t *testing.T) {
+func TestServerThatFailsMoreIsStillEjected(t *testing.T) {
 	for _, share := range []float64{0.04, 0.14} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestBalancer(7)
-			out := make(map[string]int)
-			b.OnEjected = func(backend slipwick.Backend, _ time.Duration) { out[backend.ID]++ }
+			ejections := make(map[string]int)
+			b.OnEjected = func(backend slipwick.Backend, _ time.Duration) { ejections[backend.ID]++ }
 			random := rand.New(rand.NewPCG(3, 4))
 			for range 1400 {
-				lease := acquire(t, b, plain)
-				limit := share
+				lease := acquire(t, b, plainRequest)
+				failureRate := share
 				if lease.Backend.ID == "p-3" {
-					limit = 0.6
+					failureRate = 0.6
 				}
 				evidence := slipwick.EvidenceGood
-				if random.Float64() < limit {
+				if random.Float64() < failureRate {
 					evidence = slipwick.EvidenceError
 				}
 				b.Release(lease, evidence)
 				time.Sleep(5 * time.Millisecond)
 			}
-			if out["p-3"] < 2 {
-				t.Errorf("others fail %v: got the failing server out %d times, want it again and again", share, out["p-3"])
+			if ejections["p-3"] < 2 {
+				t.Errorf("others fail %v: got the failing server out %d times, want it again and again", share, ejections["p-3"])
 			}
 		})
 	}
 }
 
-// TestRefusedConnectionsAreToldToAllRouters has three routers meet a backend
+// TestRefusedConnectionsAreSentToAllRouters has three routers meet a backend
 // server at which nothing listens: a fourth that never tried it leaves it out.
-func TestRefusedConnectionsAreToldToAllRouters(t *testing.T) {
+func TestRefusedConnectionsAreSentToAllRouters(t *testing.T) {
 	for evidence, want := range map[slipwick.Evidence]int{
 		slipwick.EvidenceRefused: 0,
 		// The way of one router says nothing of the others'.
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -11,16 +11,16 @@
 	"github.com/slipwick/slipwick"
 )
 
-// newPlacedBalancer makes a balancer before such a pool, in the first data centre.
-func newPlacedBalancer(engines int, dataCentres ...string) *Balancer {
+// newBalancerIn makes a balancer before such a pool, in the first data centre.
+func newBalancerIn(engines int, dataCentres ...string) *Balancer {
 	b := New(dataCentres[0])
-	b.SetBackends(placedPool(engines, dataCentres...))
+	b.SetBackends(entriesIn(engines, dataCentres...))
 	return b
 }
 
-// placedPool gives engines that lie in as many data centres and regions as are named,
+// entriesIn gives engines that lie in as many data centres and regions as are named,
 // by turns.
-func placedPool(engines int, dataCentres ...string) []Entry {
+func entriesIn(engines int, dataCentres ...string) []Entry {
 	var list []Entry
 	for i := range engines {
 		name := dataCentres[i%len(dataCentres)]
@@ -41,14 +41,14 @@
 // TestEvacuatedDataCentreGetsNothingNew sends prompts, new and known ones, and plain
 // requests while a data centre is evacuated, and once it was taken back.
 func TestEvacuatedDataCentreGetsNothingNew(t *testing.T) {
-	b := newPlacedBalancer(8, "d", "e", "f", "g")
+	b := newBalancerIn(8, "d", "e", "f", "g")
 	for key := range uint64(40) {
 		b.Release(acquire(t, b, prompt(key)), slipwick.EvidenceGood)
 	}
 	b.SetEvacuated([]string{"e"})
 	for key := range uint64(80) {
-		for _, ask := range []*Request{prompt(key), plain} {
-			lease := acquire(t, b, ask)
+		for _, request := range []*Request{prompt(key), plainRequest} {
+			lease := acquire(t, b, request)
 			if lease.Backend.DataCentre == "e" {
 				t.Fatalf("prompt %d: got %s of the evacuated data centre", key, lease.Backend.ID)
 			}
@@ -72,7 +72,7 @@
 // TestEvacuatedEnginesAreFetchedFrom has an engine elsewhere take a prompt over from
 // one that is evacuated and still lives: reading it again would take some times longer.
 func TestEvacuatedEnginesAreFetchedFrom(t *testing.T) {
-	b := newPlacedBalancer(4, "d", "e")
+	b := newBalancerIn(4, "d", "e")
 	first := acquire(t, b, prompt(7))
 	b.RecordResponseStart(first)
 	b.Release(first, slipwick.EvidenceGood)
@@ -84,22 +84,22 @@
 	}
 }
 
-// TestPromptsDoNotMoveBack has the homes that prompts found during an evacuation stay
+// TestPromptsDoNotMoveBackAfterEvacuation has the engines that prompts found during an evacuation stay
 // theirs once it has ended: the engines there have lost what they kept.
-func TestPromptsDoNotMoveBack(t *testing.T) {
-	b := newPlacedBalancer(8, "d", "e", "f", "g")
+func TestPromptsDoNotMoveBackAfterEvacuation(t *testing.T) {
+	b := newBalancerIn(8, "d", "e", "f", "g")
 	b.SetEvacuated([]string{"e"})
-	homes := make(map[uint64]string)
+	engines := make(map[uint64]string)
 	for key := range uint64(40) {
 		lease := acquire(t, b, prompt(key))
-		homes[key] = lease.Backend.ID
+		engines[key] = lease.Backend.ID
 		b.RecordResponseStart(lease)
 		b.Release(lease, slipwick.EvidenceGood)
 	}
 	b.SetEvacuated(nil)
 	for key := range uint64(40) {
 		lease := acquire(t, b, prompt(key))
-		if got, want := lease.Backend.ID, homes[key]; got != want {
+		if got, want := lease.Backend.ID, engines[key]; got != want {
 			t.Errorf("prompt %d: got %s after the evacuation, want its home %s", key, got, want)
 		}
 		b.Release(lease, slipwick.EvidenceGood)
@@ -107,7 +107,7 @@
 }
 
 func TestRequestIsRefusedAtOnceWhenAllIsEvacuated(t *testing.T) {
-	b := newPlacedBalancer(4, "d", "e")
+	b := newBalancerIn(4, "d", "e")
 	b.SetEvacuated([]string{"d", "e"})
 	_, err := b.Acquire(prompt(1))
 	typed, ok := slipwick.AsError(err)
@@ -132,14 +132,14 @@
 			Pool: "p",
 		},
 	})
-	if lease, err := b.Acquire(plain); err == nil {
+	if lease, err := b.Acquire(plainRequest); err == nil {
 		t.Errorf("got %s of the evacuated data centre", lease.Backend.ID)
 	}
 }
 
-func TestLeaseTellsWhetherItsServerStillTakesNew(t *testing.T) {
-	b := newPlacedBalancer(1, "d")
-	lease := acquire(t, b, plain)
+func TestStillAccepts(t *testing.T) {
+	b := newBalancerIn(1, "d")
+	lease := acquire(t, b, plainRequest)
 	if !b.StillAccepts(lease) {
 		t.Error("got a server that takes nothing, want one that does")
 	}
@@ -151,7 +151,7 @@
 	b.SetColdLimits(map[string]ColdLimit{
 		"p": testLimit,
 	})
-	list := placedPool(1, "d")
+	list := entriesIn(1, "d")
 	list[0].ColdUntil = time.Now().Add(time.Hour)
 	b.SetBackends(list)
 	if b.StillAccepts(lease) {
@@ -172,15 +172,15 @@
 func TestLoadOfEvacuatedDataCentresSpreads(t *testing.T) {
 	for _, test := range []struct {
 		evacuated []string
-		most      float64
+		maxShare  float64
 	}{
 		{
 			evacuated: []string{"e"},
-			most:      0.01,
+			maxShare:  0.01,
 		},
 		{
 			evacuated: []string{"e", "f"},
-			most:      0.03,
+			maxShare:  0.03,
 		},
 	} {
 		evacuated := test.evacuated
@@ -189,10 +189,10 @@
 				const routers, engines, perSecond = 19, 28, 200
 				f := newTestFleet(routers, 0, 2)
 				for _, b := range f.routers {
-					b.SetBackends(placedPool(engines, "d", "e", "f", "g"))
+					b.SetBackends(entriesIn(engines, "d", "e", "f", "g"))
 				}
 				random := rand.New(rand.NewPCG(3, 4))
-				told, started := time.Now(), time.Now()
+				lastUpdate, started := time.Now(), time.Now()
 				var sequence uint64
 				isEvacuated := false
 				for range 6 * perSecond {
@@ -208,14 +208,14 @@
 					if isEvacuated && slices.Contains(evacuated, lease.Backend.DataCentre) {
 						t.Fatalf("got %s of an evacuated data centre", lease.Backend.ID)
 					}
-					if time.Since(told) > 200*time.Millisecond {
+					if time.Since(lastUpdate) > 200*time.Millisecond {
 						sequence++
-						told = time.Now()
-						f.tell(sequence)
+						lastUpdate = time.Now()
+						f.exchangeUpdates(sequence)
 					}
 				}
-				if share := float64(f.over) / float64(f.sent); share > test.most {
-					t.Errorf("got %.3f of the requests at engines above the bound, want at most %v", share, test.most)
+				if share := float64(f.overBound) / float64(f.sent); share > test.maxShare {
+					t.Errorf("got %.3f of the requests at engines above the bound, want at most %v", share, test.maxShare)
 				}
 				time.Sleep(2 * time.Second)
 			})
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,7 +18,7 @@
 	mu   sync.Mutex
 	load map[string]int
 	// over counts requests sent to an engine above the promised bound.
-	over, sent int
+	overBound, sent int
 }
 
 func newTestFleet(routers, engines int, factor float64) *testFleet {
@@ -43,13 +43,13 @@
 }
 
 // tell has all routers hear what the others have in flight.
-func (f *testFleet) tell(sequence uint64) {
+func (f *testFleet) exchangeUpdates(sequence uint64) {
 	for i, b := range f.routers {
-		told := b.TakeUpdate()
+		update := b.TakeUpdate()
 		for j, other := range f.routers {
 			if j != i {
-				other.ReceiveCounts(fmt.Sprint("r", i), sequence, told.InFlight)
-				other.ReceiveCachedParts(told.CachedParts)
+				other.ReceiveCounts(fmt.Sprint("r", i), sequence, update.InFlight)
+				other.ReceiveCachedParts(update.CachedParts)
 			}
 		}
 	}
@@ -72,7 +72,7 @@
 	}
 	f.sent++
 	if float64(f.load[lease.Backend.ID]) > factor*mean+3 {
-		f.over++
+		f.overBound++
 	}
 	f.load[lease.Backend.ID]++
 	b.RecordResponseStart(lease)
@@ -94,19 +94,19 @@
 				synctest.Test(t, func(t *testing.T) {
 					f := newTestFleet(7, 18, factor)
 					random := rand.New(rand.NewPCG(1, uint64(perSecond)))
-					told := time.Now()
+					lastUpdate := time.Now()
 					var sequence uint64
 					for range 8 * perSecond {
 						time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Second) / float64(perSecond)))
 						synctest.Wait()
 						f.send(t, random, factor)
-						if time.Since(told) > 200*time.Millisecond {
+						if time.Since(lastUpdate) > 200*time.Millisecond {
 							sequence++
-							told = time.Now()
-							f.tell(sequence)
+							lastUpdate = time.Now()
+							f.exchangeUpdates(sequence)
 						}
 					}
-					if share := float64(f.over) / float64(f.sent); share > 0.02 {
+					if share := float64(f.overBound) / float64(f.sent); share > 0.02 {
 						t.Errorf("got %.3f of the requests at engines above the bound, want less than 0.02", share)
 					}
 					time.Sleep(2 * time.Second)
@@ -120,28 +120,28 @@
 // six requests at once and queue a few: none may get so many that it sheds.
 func TestPlainServicesGetTheirShares(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const perSecond, places, work = 320, 30, 60 * time.Millisecond
+		const perSecond, capacity, serviceTime = 320, 30, 60 * time.Millisecond
 		f := newTestFleet(60, 4, 2)
 		random := rand.New(rand.NewPCG(1, 2))
-		told := time.Now()
+		lastUpdate := time.Now()
 		var sequence uint64
 		shed, sent := 0, 0
 		for range 6 * perSecond {
 			time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Second) / perSecond))
 			synctest.Wait()
 			b := f.routers[random.IntN(len(f.routers))]
-			lease := acquire(t, b, plain)
+			lease := acquire(t, b, plainRequest)
 			b.RecordSend(lease)
 			f.mu.Lock()
 			ahead := f.load[lease.Backend.ID]
 			f.load[lease.Backend.ID]++
 			f.mu.Unlock()
 			sent++
-			if ahead >= places {
+			if ahead >= capacity {
 				shed++
 			}
 			// Those beyond the six wait for their turn.
-			time.AfterFunc(work+time.Duration(ahead/6)*work, func() {
+			time.AfterFunc(serviceTime+time.Duration(ahead/6)*serviceTime, func() {
 				f.mu.Lock()
 				f.load[lease.Backend.ID]--
 				f.mu.Unlock()
@@ -149,10 +149,10 @@
 				b.RecordResponseTime(lease)
 				b.Release(lease, slipwick.EvidenceGood)
 			})
-			if time.Since(told) > 200*time.Millisecond {
+			if time.Since(lastUpdate) > 200*time.Millisecond {
 				sequence++
-				told = time.Now()
-				f.tell(sequence)
+				lastUpdate = time.Now()
+				f.exchangeUpdates(sequence)
 			}
 		}
 		if share := float64(shed) / float64(sent); share > 0.01 {
--- a/balance/life_test.go
+++ b/balance/life_test.go
@@ -10,11 +10,11 @@
 	"github.com/slipwick/slipwick"
 )
 
-const lifeEngines = 6
+const restartEngines = 6
 
-// bornAt lists engines of which one began at another time than the others.
-func bornAt(id string, born int64) []Entry {
-	list := listed(lifeEngines)
+// entriesStartedAt lists engines of which one began at another time than the others.
+func entriesStartedAt(id string, born int64) []Entry {
+	list := testEntries(restartEngines)
 	for i := range list {
 		list[i].Born = 1_000
 		if list[i].ID == id {
@@ -24,17 +24,17 @@
 	return list
 }
 
-// lifeFleet is three routers that tell each other all.
-type lifeFleet struct {
+// restartFleet is three routers that tell each other all.
+type restartFleet struct {
 	routers  []*Balancer
 	sequence uint64
 }
 
-func newLifeFleet() *lifeFleet {
-	f := &lifeFleet{}
+func newRestartFleet() *restartFleet {
+	f := &restartFleet{}
 	for range 3 {
 		b := New("dc-0")
-		b.SetBackends(bornAt("", 0))
+		b.SetBackends(entriesStartedAt("", 0))
 		b.MarkCachesKnown()
 		b.SetPeers(f.others(len(f.routers)), 2)
 		f.routers = append(f.routers, b)
@@ -42,7 +42,7 @@
 	return f
 }
 
-func (f *lifeFleet) others(self int) []string {
+func (f *restartFleet) others(self int) []string {
 	var ids []string
 	for i := range 3 {
 		if i != self {
@@ -53,43 +53,43 @@
 }
 
 // told gives what a router has to tell.
-func (f *lifeFleet) told(router int) Update {
+func (f *restartFleet) takeUpdate(router int) Update {
 	return f.routers[router].TakeUpdate()
 }
 
-// hear has all others hear what a router told.
-func (f *lifeFleet) hear(from int, told Update) {
+// hear has all others hear what a router update.
+func (f *restartFleet) deliver(from int, update Update) {
 	f.sequence++
 	for i, b := range f.routers {
 		if i != from {
-			b.ReceiveCounts(fmt.Sprint("r", from), f.sequence, told.InFlight)
-			b.ReceiveCachedParts(told.CachedParts)
-			b.ReceivePrefills(told.CachedParts)
-			b.ReceiveOutcomes(told.Outcomes)
+			b.ReceiveCounts(fmt.Sprint("r", from), f.sequence, update.InFlight)
+			b.ReceiveCachedParts(update.CachedParts)
+			b.ReceivePrefills(update.CachedParts)
+			b.ReceiveOutcomes(update.Outcomes)
 		}
 	}
 }
 
-func (f *lifeFleet) setBackends(list []Entry) {
+func (f *restartFleet) setBackends(list []Entry) {
 	for _, b := range f.routers {
 		b.SetBackends(list)
 	}
 }
 
-func (f *lifeFleet) state(router int, id string) State {
+func (f *restartFleet) state(router int, id string) State {
 	states := f.routers[router].States()
 	return states[slices.IndexFunc(states, func(s State) bool { return s.ID == id })]
 }
 
-// TestServerBackUnderItsIDIsAnother has an engine with a prompt, and requests of all
+// TestRestartedServerIsANewIncarnation has an engine with a prompt, and requests of all
 // routers in flight, start again within a heartbeat: its entry never goes.
-func TestServerBackUnderItsIDIsAnother(t *testing.T) {
+func TestRestartedServerIsANewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newLifeFleet()
+		f := newRestartFleet()
 		time.Sleep(RelistWindow + time.Second)
 		first := acquire(t, f.routers[0], prompt(7))
 		id := first.Backend.ID
-		f.hear(0, f.told(0))
+		f.deliver(0, f.takeUpdate(0))
 		f.routers[0].RecordResponseStart(first)
 		leases := []*Lease{first, acquire(t, f.routers[1], prompt(7)), acquire(t, f.routers[2], prompt(7))}
 		for i, lease := range leases[1:] {
@@ -98,12 +98,12 @@
 			}
 			f.routers[i+1].RecordResponseStart(lease)
 		}
-		late := []Update{f.told(0), f.told(1), f.told(2)}
-		for i, told := range late {
-			f.hear(i, told)
+		late := []Update{f.takeUpdate(0), f.takeUpdate(1), f.takeUpdate(2)}
+		for i, update := range late {
+			f.deliver(i, update)
 		}
 
-		f.setBackends(bornAt(id, 9_000))
+		f.setBackends(entriesStartedAt(id, 9_000))
 		for i, b := range f.routers {
 			if b.HasCachedPrompt(prompt(7)) {
 				t.Errorf("router %d: got the prompt's home believed, want it unknown", i)
@@ -112,8 +112,8 @@
 				t.Errorf("router %d: got %v requests in flight, want the new life to begin at none", i, got)
 			}
 		}
-		for i, told := range late {
-			f.hear(i, told)
+		for i, update := range late {
+			f.deliver(i, update)
 		}
 		for i, b := range f.routers {
 			if b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 0 {
@@ -133,33 +133,33 @@
 	})
 }
 
-// TestOutingsBelongToALife has an engine left out, start again, and get requests.
-func TestOutingsBelongToALife(t *testing.T) {
+// TestEjectionsBelongToAnIncarnation has an engine left out, start again, and get requests.
+func TestEjectionsBelongToAnIncarnation(t *testing.T) {
 	b := New("dc-0")
-	b.SetBackends(bornAt("", 0))
+	b.SetBackends(entriesStartedAt("", 0))
 	lease := acquire(t, b, &Request{Pool: "p"})
 	b.Release(lease, slipwick.EvidenceRefused)
 	id := lease.Backend.ID
-	isOut := func() bool {
+	isEjected := func() bool {
 		states := b.States()
 		return states[slices.IndexFunc(states, func(s State) bool { return s.ID == id })].Out
 	}
-	if !isOut() {
+	if !isEjected() {
 		t.Fatal("got an engine that refuses connections not left out")
 	}
-	b.SetBackends(bornAt(id, 9_000))
-	if isOut() {
+	b.SetBackends(entriesStartedAt(id, 9_000))
+	if isEjected() {
 		t.Error("got the new life left out for what the earlier one did")
 	}
 }
 
-// TestEntryThatSaysNoBirthIsTheSameLife has entries of earlier contracts, and one that
+// TestEntryWithoutStartTimeIsTheSameIncarnation has entries of earlier contracts, and one that
 // leaves the birth out once.
-func TestEntryThatSaysNoBirthIsTheSameLife(t *testing.T) {
+func TestEntryWithoutStartTimeIsTheSameIncarnation(t *testing.T) {
 	for _, births := range [][]int64{{0, 0}, {1_000, 0}, {1_000, 0, 1_000}, {1_000, 1_000}} {
 		b := New("dc-0")
 		for i, born := range births {
-			list := listed(lifeEngines)
+			list := testEntries(restartEngines)
 			for j := range list {
 				list[j].Born = born
 			}
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -9,18 +9,18 @@
 	"pgregory.net/rapid"
 )
 
-// TestChangeCostsByItsSize replaces one server after the other, as a release does, in pools of
+// TestCostOfChangeDependsOnItsSizeAlone replaces one server after the other, as a release does, in pools of
 // several sizes: what a change allocates does not grow with the pool.
-func TestChangeCostsByItsSize(t *testing.T) {
-	var costs []float64
+func TestCostOfChangeDependsOnItsSizeAlone(t *testing.T) {
+	var allocations []float64
 	for _, servers := range []int{1000, 2000, 4000} {
 		b := newTestBalancer(servers)
 		next := 0
-		costs = append(costs, testing.AllocsPerRun(100, func() {
-			listed := listed(1)[0]
-			listed.ID = fmt.Sprint("new-", next)
+		allocations = append(allocations, testing.AllocsPerRun(100, func() {
+			entry := testEntries(1)[0]
+			entry.ID = fmt.Sprint("new-", next)
 			b.ChangeBackends(&Changes{
-				Entries: []Entry{listed},
+				Entries: []Entry{entry},
 				Removed: []string{fmt.Sprint("p-", next)},
 			})
 			next++
@@ -29,24 +29,24 @@
 			t.Errorf("got %d servers, want %d", got, servers)
 		}
 	}
-	if slices.Max(costs) > slices.Min(costs)+1 {
-		t.Errorf("got %v allocations for a change at 1000, 2000 and 4000 servers, want the same", costs)
+	if slices.Max(allocations) > slices.Min(allocations)+1 {
+		t.Errorf("got %v allocations for a change at 1000, 2000 and 4000 servers, want the same", allocations)
 	}
 }
 
-// TestChangesAmountToTheList plays changes of entries, lives and pools beside what other
-// routers tell, and compares with a balancer that takes each list whole.
-func TestChangesAmountToTheList(t *testing.T) {
+// TestChangesMatchFullList plays changes of entries, lives and pools beside what other
+// routers tell, and compares with a balancer that takes each list byList.
+func TestChangesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		byChanges, whole := New("d"), New("d")
-		for _, b := range []*Balancer{byChanges, whole} {
+		byChanges, byList := New("d"), New("d")
+		for _, b := range []*Balancer{byChanges, byList} {
 			b.SetPeers([]string{"peer"}, 1)
 		}
 		state := make(map[string]Entry)
 		for round := range uint64(rapid.IntRange(1, 20).Draw(t, "rounds")) {
 			changes := Changes{}
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 0, 4, rapid.ID[int]).Draw(t, "entries") {
-				entry := listed(10)[i]
+				entry := testEntries(10)[i]
 				if _, ok := state[entry.ID]; ok && rapid.Bool().Draw(t, "gone") {
 					changes.Removed = append(changes.Removed, entry.ID)
 					delete(state, entry.ID)
@@ -59,13 +59,13 @@
 				changes.Entries = append(changes.Entries, entry)
 			}
 			byChanges.ChangeBackends(&changes)
-			whole.SetBackends(slices.Collect(maps.Values(state)))
+			byList.SetBackends(slices.Collect(maps.Values(state)))
 			if rapid.Bool().Draw(t, "told") {
-				told := toldOf(byChanges, int(round))
-				byChanges.ReceiveCounts("peer", round+1, told)
-				whole.ReceiveCounts("peer", round+1, told)
+				counts := testCounts(byChanges, int(round))
+				byChanges.ReceiveCounts("peer", round+1, counts)
+				byList.ReceiveCounts("peer", round+1, counts)
 			}
-			if got, want := summary(byChanges), summary(whole); !slices.Equal(got, want) {
+			if got, want := poolStates(byChanges), poolStates(byList); !slices.Equal(got, want) {
 				t.Fatalf("got %v, want %v", got, want)
 			}
 			for _, in := range byChanges.countsByRouter["peer"].inFlight {
@@ -77,20 +77,20 @@
 	})
 }
 
-// toldOf counts some requests at each listed server.
-func toldOf(b *Balancer, round int) []InFlight {
-	var told []InFlight
+// testCounts counts some requests at each listed server.
+func testCounts(b *Balancer, round int) []InFlight {
+	var counts []InFlight
 	for hash := range b.hashes {
-		told = append(told, InFlight{
+		counts = append(counts, InFlight{
 			Server: hash,
 			Count:  int(hash%5) + round,
 		})
 	}
-	return told
+	return counts
 }
 
-// summary tells what a balancer knows of its pools.
-func summary(b *Balancer) []string {
+// poolStates tells what a balancer knows of its pools.
+func poolStates(b *Balancer) []string {
 	var lines []string
 	for name, pool := range b.pools {
 		for i, s := range pool {
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -11,7 +11,7 @@
 )
 
 // say has a backend server answer a request of the router, with a notice.
-func say(t *testing.T, b *Balancer, id string, notice slipwick.Notice) {
+func announce(t *testing.T, b *Balancer, id string, notice slipwick.Notice) {
 	t.Helper()
 	b.RecordNotice(leaseAt(t, b, id), notice)
 }
@@ -27,29 +27,29 @@
 }
 
 // chosen gives which backend servers requests go to, all of which are still in progress.
-func chosen(t *testing.T, b *Balancer, requests int) map[string]int {
+func countChosen(t *testing.T, b *Balancer, requests int) map[string]int {
 	t.Helper()
 	counts := make(map[string]int)
 	for range requests {
-		counts[acquire(t, b, plain).Backend.ID]++
+		counts[acquire(t, b, plainRequest).Backend.ID]++
 	}
 	return counts
 }
 
 var (
-	leaves = slipwick.Notice{
+	leavingNotice = slipwick.Notice{
 		Leaving: true,
 	}
-	restsFor3s = slipwick.Notice{
+	pauseNotice = slipwick.Notice{
 		Rest: 3 * time.Second,
 	}
 )
 
-// TestWordOfALifeBindsThatLifeAlone has servers say that they leave, and ask for rest, and
+// TestNoticeAppliesToItsIncarnationAlone has servers say that they leave, and ask for rest, and
 // then begin anew under their ID, vanish from the list and come back, or both.
-func TestWordOfALifeBindsThatLifeAlone(t *testing.T) {
-	born := func(at int64) []Entry {
-		list := listed(2)
+func TestNoticeAppliesToItsIncarnationAlone(t *testing.T) {
+	startedAt := func(at int64) []Entry {
+		list := testEntries(2)
 		list[0].Born = at
 		return list
 	}
@@ -57,25 +57,25 @@
 		lists [][]Entry
 		want  bool
 	}{
-		"same life":                    {[][]Entry{born(1)}, false},
-		"entry without a start":        {[][]Entry{born(0)}, false},
-		"lapsed, back":                 {[][]Entry{born(1)[1:], born(1)}, false},
-		"began anew":                   {[][]Entry{born(2)}, true},
-		"gone, began anew":             {[][]Entry{born(1)[1:], born(2)}, true},
-		"began anew, old entry, newer": {[][]Entry{born(2), born(1), born(2)}, true},
-		"began anew, old entry":        {[][]Entry{born(2), born(1)}, false},
+		"same life":                    {[][]Entry{startedAt(1)}, false},
+		"entry without a start":        {[][]Entry{startedAt(0)}, false},
+		"lapsed, back":                 {[][]Entry{startedAt(1)[1:], startedAt(1)}, false},
+		"began anew":                   {[][]Entry{startedAt(2)}, true},
+		"gone, began anew":             {[][]Entry{startedAt(1)[1:], startedAt(2)}, true},
+		"began anew, old entry, newer": {[][]Entry{startedAt(2), startedAt(1), startedAt(2)}, true},
+		"began anew, old entry":        {[][]Entry{startedAt(2), startedAt(1)}, false},
 	} {
-		for what, notice := range map[string]slipwick.Notice{"leaves": leaves, "rests": restsFor3s} {
+		for what, notice := range map[string]slipwick.Notice{"leaving": leavingNotice, "pause": pauseNotice} {
 			t.Run(name+", "+what, func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					b := New("dc-0")
-					b.SetBackends(born(1))
-					say(t, b, "p-0", notice)
+					b.SetBackends(startedAt(1))
+					announce(t, b, "p-0", notice)
 					for _, list := range test.lists {
 						time.Sleep(100 * time.Millisecond)
 						b.SetBackends(list)
 					}
-					if got := chosen(t, b, 20)["p-0"] > 0; got != test.want {
+					if got := countChosen(t, b, 20)["p-0"] > 0; got != test.want {
 						t.Errorf("got p-0 in use: %t, want %t", got, test.want)
 					}
 				})
@@ -84,98 +84,98 @@
 	}
 }
 
-// TestWordOfAnEarlierLifeThatComesLateChangesNothing has answers of a server's earlier life
+// TestLateNoticeOfEarlierIncarnationIsIgnored has answers of a server's earlier life
 // arrive, and other routers tell of it, once the next one is listed.
-func TestWordOfAnEarlierLifeThatComesLateChangesNothing(t *testing.T) {
+func TestLateNoticeOfEarlierIncarnationIsIgnored(t *testing.T) {
 	b := New("dc-0")
-	list := listed(2)
+	list := testEntries(2)
 	list[0].Born = 1
 	b.SetBackends(list)
 	before := leaseAt(t, b, "p-0")
 	hash := before.server.hash
-	list = listed(2)
+	list = testEntries(2)
 	list[0].Born = 2
 	b.SetBackends(list)
-	b.RecordNotice(before, leaves)
-	b.RecordNotice(before, restsFor3s)
+	b.RecordNotice(before, leavingNotice)
+	b.RecordNotice(before, pauseNotice)
 	b.ReceiveLeaving([]uint64{hash})
-	if got := chosen(t, b, 20)["p-0"]; got == 0 {
+	if got := countChosen(t, b, 20)["p-0"]; got == 0 {
 		t.Error("got none of 20 requests at the later life, want some")
 	}
 }
 
-// TestWordInOtherAnswersBinds has engines say so as they list their caches, one of a life
+// TestNoticeInOtherResponsesApplies has engines say so as they list their caches, one of a life
 // that is over.
-func TestWordInOtherAnswersBinds(t *testing.T) {
+func TestNoticeInOtherResponsesApplies(t *testing.T) {
 	b := newTestBalancer(3)
 	first, second := leaseAt(t, b, "p-0").Backend, leaseAt(t, b, "p-1").Backend
 	second.Born = 7
-	b.RecordNoticeFrom(&first, leaves)
-	b.RecordNoticeFrom(&second, leaves)
-	got := chosen(t, b, 30)
+	b.RecordNoticeFrom(&first, leavingNotice)
+	b.RecordNoticeFrom(&second, leavingNotice)
+	got := countChosen(t, b, 30)
 	if got["p-0"] > 0 || got["p-1"] == 0 {
 		t.Errorf("got requests at %v, want none at p-0 and some at p-1", got)
 	}
-	if told, want := b.TakeUpdate().Leaving, 1; len(told) != want {
-		t.Errorf("got %d leaves to tell the others, want %d", len(told), want)
+	if leaving, want := b.TakeUpdate().Leaving, 1; len(leaving) != want {
+		t.Errorf("got %d leaves to tell the others, want %d", len(leaving), want)
 	}
 }
 
-// TestWordThatComesWhileTheEntryIsAwayBinds has the entry lapse while a request is under way
+// TestNoticeAppliesThoughEntryExpired has the entry lapse while a request is under way
 // whose answer says that the server leaves.
-func TestWordThatComesWhileTheEntryIsAwayBinds(t *testing.T) {
+func TestNoticeAppliesThoughEntryExpired(t *testing.T) {
 	for name, between := range map[string]func(b *Balancer, lease *Lease){
 		"before it is back": func(b *Balancer, lease *Lease) {
-			b.RecordNotice(lease, leaves)
-			b.SetBackends(listed(2))
+			b.RecordNotice(lease, leavingNotice)
+			b.SetBackends(testEntries(2))
 		},
 		"after": func(b *Balancer, lease *Lease) {
-			b.SetBackends(listed(2))
-			b.RecordNotice(lease, leaves)
+			b.SetBackends(testEntries(2))
+			b.RecordNotice(lease, leavingNotice)
 		},
 	} {
 		b := newTestBalancer(2)
 		lease := leaseAt(t, b, "p-0")
-		b.SetBackends(listed(2)[1:])
+		b.SetBackends(testEntries(2)[1:])
 		between(b, lease)
-		if got := chosen(t, b, 20)["p-0"]; got > 0 {
+		if got := countChosen(t, b, 20)["p-0"]; got > 0 {
 			t.Errorf("the answer came %s: got %d of 20 requests there, want none", name, got)
 		}
 	}
 }
 
-// TestRestEnds has a server ask for rest, for more while it rests, and for less.
-func TestRestEnds(t *testing.T) {
+// TestPauseEnds has a server ask for rest, for more while it rests, and for less.
+func TestPauseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(2)
-		say(t, b, "p-0", restsFor3s)
+		announce(t, b, "p-0", pauseNotice)
 		time.Sleep(time.Second)
-		say(t, b, "p-0", slipwick.Notice{
+		announce(t, b, "p-0", slipwick.Notice{
 			Rest: time.Second,
 		})
 		time.Sleep(1999 * time.Millisecond)
-		if got := chosen(t, b, 20)["p-0"]; got > 0 {
+		if got := countChosen(t, b, 20)["p-0"]; got > 0 {
 			t.Errorf("got %d of 20 requests within the rest, want none", got)
 		}
 		time.Sleep(time.Millisecond)
-		if got := chosen(t, b, 20)["p-0"]; got == 0 {
+		if got := countChosen(t, b, 20)["p-0"]; got == 0 {
 			t.Error("got none of 20 requests after the rest, want some")
 		}
 	})
 }
 
-// TestRestOfAllIsToldToCallers has all that may serve a request rest: nobody is sent
+// TestRetryAfterWhenAllServersPause has all that may serve a request rest: nobody is sent
 // there as the last one left, and callers hear when the first has rested.
-func TestRestOfAllIsToldToCallers(t *testing.T) {
+func TestRetryAfterWhenAllServersPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		say(t, b, "p-0", restsFor3s)
-		say(t, b, "p-1", slipwick.Notice{
+		announce(t, b, "p-0", pauseNotice)
+		announce(t, b, "p-1", slipwick.Notice{
 			Rest: 2 * time.Second,
 		})
-		say(t, b, "p-2", leaves)
+		announce(t, b, "p-2", leavingNotice)
 		time.Sleep(500 * time.Millisecond)
-		_, err := b.Acquire(plain)
+		_, err := b.Acquire(plainRequest)
 		typed, ok := slipwick.AsError(err)
 		if !ok {
 			t.Fatalf("got error %v, want an *slipwick.Error", err)
@@ -189,16 +189,16 @@
 	})
 }
 
-// TestWhatWaitsIsNotSentToOneThatLeavesOrRests has the word come between the choice and
+// TestDelayedRequestIsNotSentAfterNotice has the word come between the choice and
 // the send.
-func TestWhatWaitsIsNotSentToOneThatLeavesOrRests(t *testing.T) {
-	for _, notice := range []slipwick.Notice{leaves, restsFor3s} {
+func TestDelayedRequestIsNotSentAfterNotice(t *testing.T) {
+	for _, notice := range []slipwick.Notice{leavingNotice, pauseNotice} {
 		b := newTestBalancer(1)
-		lease := acquire(t, b, plain)
+		lease := acquire(t, b, plainRequest)
 		if !b.StillAccepts(lease) {
 			t.Error("got the backend server taking nothing before its word, want it in use")
 		}
-		say(t, b, "p-0", notice)
+		announce(t, b, "p-0", notice)
 		if b.StillAccepts(lease) {
 			t.Errorf("%+v: got the request sent, want another choice", notice)
 		}
@@ -208,55 +208,55 @@
 	}
 }
 
-// TestRestingServersCountAsOut has a third of a pool rest: failures leave out none of the
+// TestRestingServersCountAsEjected has a third of a pool rest: failures leave out none of the
 // others, which have to carry all.
-func TestRestingServersCountAsOut(t *testing.T) {
+func TestRestingServersCountAsEjected(t *testing.T) {
 	b := newTestBalancer(6)
-	say(t, b, "p-0", restsFor3s)
-	say(t, b, "p-1", restsFor3s)
+	announce(t, b, "p-0", pauseNotice)
+	announce(t, b, "p-1", pauseNotice)
 	failing := leaseAt(t, b, "p-2")
 	for range 20 {
 		b.mu.Lock()
 		b.recordEvidenceLocked(failing.server, slipwick.EvidenceError, time.Now())
 		b.mu.Unlock()
 	}
-	if got := outNow(b); got > 0 {
+	if got := unavailableCount(b); got > 0 {
 		t.Errorf("got %d servers left out beside those that rest, want none", got)
 	}
 }
 
-// TestLeavingLapsesWhereLivesAreNotTold has a server of a list that operators write be
+// TestLeavingExpiresWhereEntriesAreReused has a server of a list that operators write be
 // replaced in place, and one whose entry is its own.
-func TestLeavingLapsesWhereLivesAreNotTold(t *testing.T) {
-	for _, inPlace := range []bool{true, false} {
+func TestLeavingExpiresWhereEntriesAreReused(t *testing.T) {
+	for _, isReused := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			b := New("dc-0")
-			b.EntriesReused = inPlace
-			b.SetBackends(listed(2))
-			say(t, b, "p-0", leaves)
+			b.EntriesReused = isReused
+			b.SetBackends(testEntries(2))
+			announce(t, b, "p-0", leavingNotice)
 			time.Sleep(leavingExpiry / 2)
-			say(t, b, "p-0", leaves)
+			announce(t, b, "p-0", leavingNotice)
 			time.Sleep(leavingExpiry - time.Millisecond)
-			if got := chosen(t, b, 20)["p-0"]; got > 0 {
-				t.Errorf("in place %t: got %d of 20 requests before the word lapsed, want none", inPlace, got)
+			if got := countChosen(t, b, 20)["p-0"]; got > 0 {
+				t.Errorf("in place %t: got %d of 20 requests before the word lapsed, want none", isReused, got)
 			}
 			time.Sleep(time.Hour)
-			if got := chosen(t, b, 20)["p-0"] > 0; got != inPlace {
-				t.Errorf("in place %t: got it in use after an hour: %t, want %t", inPlace, got, inPlace)
+			if got := countChosen(t, b, 20)["p-0"] > 0; got != isReused {
+				t.Errorf("in place %t: got it in use after an hour: %t, want %t", isReused, got, isReused)
 			}
 		})
 	}
 }
 
-// TestNoticesAreForgotten has many servers come, say that they leave, and go.
-func TestNoticesAreForgotten(t *testing.T) {
+// TestOldNoticesAreDropped has many servers come, say that they leave, and go.
+func TestOldNoticesAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(1)
 		for i := range 1000 {
-			list := listed(2)
+			list := testEntries(2)
 			list[1].ID = fmt.Sprint("other-", i)
 			b.SetBackends(list)
-			say(t, b, list[1].ID, leaves)
+			announce(t, b, list[1].ID, leavingNotice)
 			time.Sleep(time.Second)
 		}
 		if got, want := len(b.notices), int(noticeRetention/time.Second)+2; got > want {
@@ -265,38 +265,38 @@
 	})
 }
 
-// runLeaving has one of a pool leave while the list stays, and gives the requests that
+// countLateRequests has one of a pool leave while the list stays, and gives the requests that
 // it gets later than a second after its first answer said so.
-func runLeaving(t *testing.T, routers, engines, perSecond int, isTold bool) (late int) {
+func countLateRequests(t *testing.T, routers, engines, perSecond int, sharesNotices bool) (late int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(routers, engines, 2)
 		random := rand.New(rand.NewPCG(1, uint64(routers)))
-		began, told := time.Time{}, time.Now()
+		firstNoticeAt, lastUpdate := time.Time{}, time.Now()
 		for start := time.Now(); time.Since(start) < 10*time.Second; {
 			time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Second) / float64(perSecond)))
 			synctest.Wait()
 			b := f.routers[random.IntN(len(f.routers))]
 			lease := acquire(t, b, prompt(uint64(random.IntN(95))))
 			if lease.Backend.ID == "p-0" {
-				if began.IsZero() {
-					began = time.Now()
+				if firstNoticeAt.IsZero() {
+					firstNoticeAt = time.Now()
 				}
-				if time.Since(began) > time.Second {
+				if time.Since(firstNoticeAt) > time.Second {
 					late++
 				}
-				b.RecordNotice(lease, leaves)
+				b.RecordNotice(lease, leavingNotice)
 			}
 			time.AfterFunc(time.Duration(300+random.IntN(800))*time.Millisecond, func() {
 				b.Release(lease, slipwick.EvidenceGood)
 			})
-			if time.Since(told) > 200*time.Millisecond {
-				told = time.Now()
+			if time.Since(lastUpdate) > 200*time.Millisecond {
+				lastUpdate = time.Now()
 				for i, b := range f.routers {
-					news := b.TakeUpdate()
+					update := b.TakeUpdate()
 					for j, other := range f.routers {
-						if j != i && isTold {
-							other.ReceiveLeaving(news.Leaving)
+						if j != i && sharesNotices {
+							other.ReceiveLeaving(update.Leaving)
 						}
 					}
 				}
@@ -307,18 +307,18 @@
 	return late
 }
 
-// TestFleetLearnsOfALeaveFromOneAnswer has one server say to whoever sends to it that it
-// leaves, in fleets of several sizes: the first router that hears it tells the others.
-func TestFleetLearnsOfALeaveFromOneAnswer(t *testing.T) {
+// TestFleetLearnsOfLeavingFromOneResponse has one server say to whoever sends to it that it
+// leavingNotice, in fleets of several sizes: the first router that hears it tells the others.
+func TestFleetLearnsOfLeavingFromOneResponse(t *testing.T) {
 	for _, size := range []struct{ routers, engines, perSecond int }{
 		{8, 18, 260},
 		{80, 89, 800},
 		{295, 153, 1300},
 	} {
-		if got := runLeaving(t, size.routers, size.engines, size.perSecond, true); got > 0 {
+		if got := countLateRequests(t, size.routers, size.engines, size.perSecond, true); got > 0 {
 			t.Errorf("%+v: got %d requests at it later than a second after its first answer, want none", size, got)
 		}
 		t.Logf("%+v: %d where routers tell nobody", size,
-			runLeaving(t, size.routers, size.engines, size.perSecond, false))
+			countLateRequests(t, size.routers, size.engines, size.perSecond, false))
 	}
 }
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -10,9 +10,9 @@
 )
 
 // serve has the pool answer a request after the time.
-func serve(t *testing.T, b *Balancer, ask *Request, took time.Duration) {
+func serve(t *testing.T, b *Balancer, request *Request, took time.Duration) {
 	t.Helper()
-	lease := acquire(t, b, ask)
+	lease := acquire(t, b, request)
 	b.RecordSend(lease)
 	time.Sleep(took)
 	b.RecordResponseStart(lease)
@@ -20,72 +20,72 @@
 	b.Release(lease, slipwick.EvidenceGood)
 }
 
-// patienceOf is the patience with the pool's next request.
-func patienceOf(t *testing.T, b *Balancer, ask *Request) time.Duration {
+// firstByteTimeout is the patience with the pool's next request.
+func firstByteTimeout(t *testing.T, b *Balancer, request *Request) time.Duration {
 	t.Helper()
-	lease := acquire(t, b, ask)
+	lease := acquire(t, b, request)
 	defer b.Abandon(lease)
 	return b.FirstByteTimeout(lease)
 }
 
-func expectBetween(t *testing.T, what string, got, least, most time.Duration) {
+func expectBetween(t *testing.T, what string, got, low, high time.Duration) {
 	t.Helper()
-	if got < least || got > most {
-		t.Errorf("%s: got %v, want %v to %v", what, got, least, most)
+	if got < low || got > high {
+		t.Errorf("%s: got %v, want %v to %v", what, got, low, high)
 	}
 }
 
-func TestPatienceIsUnknownAtTheStart(t *testing.T) {
+func TestFirstByteTimeoutIsUnknownAtTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
 		for range minSlownessSamples - 1 {
-			serve(t, b, plain, 10*time.Millisecond)
+			serve(t, b, plainRequest, 10*time.Millisecond)
 		}
-		if got := patienceOf(t, b, plain); got != 0 {
+		if got := firstByteTimeout(t, b, plainRequest); got != 0 {
 			t.Errorf("got a patience of %v after too few requests, want 0", got)
 		}
 	})
 }
 
-// TestPatienceFollowsThePool has a plain service become slow, and fast again.
-func TestPatienceFollowsThePool(t *testing.T) {
+// TestFirstByteTimeoutFollowsThePool has a plain service become slow, and fast again.
+func TestFirstByteTimeoutFollowsThePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
 		for _, took := range []time.Duration{80 * time.Millisecond, 400 * time.Millisecond, 80 * time.Millisecond} {
 			for range 512 {
-				serve(t, b, plain, took)
+				serve(t, b, plainRequest, took)
 			}
-			expectBetween(t, fmt.Sprintf("answers after %v", took), patienceOf(t, b, plain), 2*took, 5*took/2)
+			expectBetween(t, fmt.Sprintf("answers after %v", took), firstByteTimeout(t, b, plainRequest), 2*took, 5*took/2)
 		}
 		for range 512 {
-			serve(t, b, plain, time.Millisecond)
+			serve(t, b, plainRequest, time.Millisecond)
 		}
-		if got := patienceOf(t, b, plain); got != minFirstByteTimeout {
+		if got := firstByteTimeout(t, b, plainRequest); got != minFirstByteTimeout {
 			t.Errorf("got %v for a fast service, want the floor, %v", got, minFirstByteTimeout)
 		}
 	})
 }
 
-// TestPatienceAllowsForReading has engines read at a tenth of the usual pace.
-func TestPatienceAllowsForReading(t *testing.T) {
+// TestFirstByteTimeoutAllowsForPrefill has engines read at a tenth of the usual pace.
+func TestFirstByteTimeoutAllowsForPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		const base, each = 500 * time.Millisecond, 100 * time.Microsecond
+		const base, perToken = 500 * time.Millisecond, 100 * time.Microsecond
 		key := uint64(0)
-		read := func(tokens int) {
+		sendPrompt := func(tokens int) {
 			key++
-			ask := prompt(key)
-			ask.Prompt[0].Tokens, ask.UniqueTokens = tokens, 0
-			serve(t, b, ask, base+time.Duration(tokens)*each)
+			request := prompt(key)
+			request.Prompt[0].Tokens, request.UniqueTokens = tokens, 0
+			serve(t, b, request, base+time.Duration(tokens)*perToken)
 		}
 		for i := range 300 {
-			read(100 + i%100)
+			sendPrompt(100 + i%100)
 			if i%5 == 0 {
-				read(10000)
+				sendPrompt(10000)
 			}
 		}
-		expectBetween(t, "a short prompt", patienceOf(t, b, shared(1, 100)), time.Second, 1500*time.Millisecond)
-		expectBetween(t, "a long prompt", patienceOf(t, b, shared(2, 20000)), 4*time.Second, 6500*time.Millisecond)
+		expectBetween(t, "a short prompt", firstByteTimeout(t, b, newPrompt(1, 100)), time.Second, 1500*time.Millisecond)
+		expectBetween(t, "a long prompt", firstByteTimeout(t, b, newPrompt(2, 20000)), 4*time.Second, 6500*time.Millisecond)
 		if got := b.paces["p"].prefill.Tokens(longPrefillTime); got > 1200 {
 			t.Errorf("got %d tokens for a long prompt, want about 800", got)
 		}
@@ -93,15 +93,15 @@
 }
 
 // shared is an ask for a prompt that nobody has read.
-func shared(key uint64, tokens int) *Request {
-	ask := prompt(key + 1<<40)
-	ask.Prompt[0].Tokens, ask.UniqueTokens = tokens, 0
-	return ask
+func newPrompt(key uint64, tokens int) *Request {
+	request := prompt(key + 1<<40)
+	request.Prompt[0].Tokens, request.UniqueTokens = tokens, 0
+	return request
 }
 
-// TestOneSlowServerDoesNotSpoilThePatience has one of eight servers hang before
+// TestOneSlowServerDoesNotRaiseFirstByteTimeout has one of eight servers hang before
 // it answers.
-func TestOneSlowServerDoesNotSpoilThePatience(t *testing.T) {
+func TestOneSlowServerDoesNotRaiseFirstByteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(8)
 		for i := range 512 {
@@ -109,21 +109,21 @@
 			if i%200 == 0 {
 				took = 3 * time.Second
 			}
-			serve(t, b, plain, took)
+			serve(t, b, plainRequest, took)
 		}
-		expectBetween(t, "with few late answers", patienceOf(t, b, plain), 80*time.Millisecond, 200*time.Millisecond)
+		expectBetween(t, "with few late answers", firstByteTimeout(t, b, plainRequest), 80*time.Millisecond, 200*time.Millisecond)
 	})
 }
 
-// TestSlowPoolIsNotSilent has engines that take 900 ms to their first token: one
+// TestSlowPoolIsNotUnresponsive has engines that take 900 ms to their first token: one
 // that says nothing for so long still gets requests.
-func TestSlowPoolIsNotSilent(t *testing.T) {
+func TestSlowPoolIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
 		for range 2 * minSlownessSamples {
 			serve(t, b, prompt(7), 900*time.Millisecond)
 		}
-		id := home(7, 3)
+		id := topRanked(7, 3)
 		waiting := acquire(t, b, prompt(7))
 		time.Sleep(2 * time.Second)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
@@ -137,10 +137,10 @@
 	})
 }
 
-func TestUsualTimeIsTheMiddle(t *testing.T) {
+func TestMedianResponseTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		if got := b.MedianResponseTime(plain); got != 0 {
+		if got := b.MedianResponseTime(plainRequest); got != 0 {
 			t.Errorf("got %v at the start, want 0", got)
 		}
 		for i := range 512 {
@@ -148,15 +148,15 @@
 			if i%4 == 0 {
 				took = time.Second
 			}
-			serve(t, b, plain, took)
+			serve(t, b, plainRequest, took)
 		}
-		expectBetween(t, "usual", b.MedianResponseTime(plain), 40*time.Millisecond, 45*time.Millisecond)
+		expectBetween(t, "usual", b.MedianResponseTime(plainRequest), 40*time.Millisecond, 45*time.Millisecond)
 	})
 }
 
-// TestPausePatienceFollowsThePool has streams of a pool begin to pause for long,
+// TestStreamIdleTimeoutFollowsThePool has streams of a pool begin to pause for long,
 // and cease to.
-func TestPausePatienceFollowsThePool(t *testing.T) {
+func TestStreamIdleTimeoutFollowsThePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
 		stream := func(pause time.Duration) {
--- a/balance/prefill_test.go
+++ b/balance/prefill_test.go
@@ -11,12 +11,12 @@
 
 // longPrompt has a shared part of 10,000 tokens.
 func longPrompt(key uint64) *Request {
-	ask := prompt(key)
-	ask.Prompt[0].Tokens = 10000
-	return ask
+	request := prompt(key)
+	request.Prompt[0].Tokens = 10000
+	return request
 }
 
-func isOver(lease *Lease) bool {
+func isPrefillDone(lease *Lease) bool {
 	select {
 	case <-lease.PrefillDone:
 		return true
@@ -26,13 +26,13 @@
 }
 
 const (
-	// startReading is how long a long prompt is waited for, by the start values
+	// initialMaxPrefill is how long a long prompt is waited for, by the start values
 	// of the pace: 1.5 times the base and 1.2 times the reading of 10,000 tokens.
-	startReading = 82500*time.Microsecond + 120*time.Millisecond
-	longestWait  = 250 * time.Millisecond
+	initialMaxPrefill = 82500*time.Microsecond + 120*time.Millisecond
+	maxWait           = 250 * time.Millisecond
 )
 
-func TestRequestsWaitWhileTheirPromptIsReadForAnother(t *testing.T) {
+func TestRequestsWaitWhileTheirPromptIsPrefilled(t *testing.T) {
 	for _, test := range []struct {
 		name string
 		end  func(b *Balancer, first *Lease)
@@ -51,11 +51,11 @@
 				// that fetch from it.
 				for range 5 {
 					lease := acquire(t, b, longPrompt(7))
-					if lease.Wait <= 0 || lease.Wait > longestWait || isOver(lease) {
-						t.Errorf("%s: got a wait of %v, want one of up to %v", lease.Backend.ID, lease.Wait, longestWait)
+					if lease.Wait <= 0 || lease.Wait > maxWait || isPrefillDone(lease) {
+						t.Errorf("%s: got a wait of %v, want one of up to %v", lease.Backend.ID, lease.Wait, maxWait)
 					}
 					defer func() {
-						if !isOver(lease) {
+						if !isPrefillDone(lease) {
 							t.Errorf("%s: got no end of the wait", lease.Backend.ID)
 						}
 					}()
@@ -69,33 +69,33 @@
 	}
 }
 
-func TestRequestsWaitForLongReadingsOfOtherRouters(t *testing.T) {
+func TestRequestsWaitForLongPrefillsOfOtherRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(4)
-		reads := []CachedPart{
+		prefills := []CachedPart{
 			{
 				Part:   7,
 				Server: placement.IDHash("p-2"),
 			},
 		}
-		b.ReceivePrefills(reads)
+		b.ReceivePrefills(prefills)
 		lease := acquire(t, b, longPrompt(7))
-		if want := startReading; lease.Backend.ID != "p-2" || lease.Wait != want || lease.PrefillDone != nil {
+		if want := initialMaxPrefill; lease.Backend.ID != "p-2" || lease.Wait != want || lease.PrefillDone != nil {
 			t.Errorf("got %s and a wait of %v, want p-2 and %v", lease.Backend.ID, lease.Wait, want)
 		}
 		if lease := acquire(t, b, prompt(7)); lease.Wait > 0 {
 			t.Errorf("a short prompt: got a wait of %v, want none", lease.Wait)
 		}
-		time.Sleep(startReading)
-		b.ReceivePrefills(reads)
+		time.Sleep(initialMaxPrefill)
+		b.ReceivePrefills(prefills)
 		if lease := acquire(t, b, longPrompt(7)); lease.Wait > 0 {
 			t.Errorf("when it is read: got a wait of %v, want none", lease.Wait)
 		}
 	})
 }
 
-// TestReadingsAreForgotten has more readings than are kept, none of which ends.
-func TestReadingsAreForgotten(t *testing.T) {
+// TestPrefillsAreDropped has more readings than are kept, none of which ends.
+func TestPrefillsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(4)
 		for key := range uint64(3 * maxPrefills) {
@@ -104,7 +104,7 @@
 		if got := len(b.prefills); got > maxPrefills {
 			t.Errorf("got %d readings, want at most %d", got, maxPrefills)
 		}
-		time.Sleep(longestWait + time.Millisecond)
+		time.Sleep(maxWait + time.Millisecond)
 		acquire(t, b, longPrompt(1<<40))
 		if got := len(b.prefills); got > 1 {
 			t.Errorf("got %d readings later, want the newest alone", got)
@@ -118,14 +118,14 @@
 	b := newTestBalancer(6)
 	b.MarkCachesKnown()
 	const head, part = 7, 8
-	var keeper Entry
-	for _, l := range listed(6) {
-		if l.ID != home(part, 6) {
-			keeper = l
+	var holder Entry
+	for _, l := range testEntries(6) {
+		if l.ID != topRanked(part, 6) {
+			holder = l
 		}
 	}
-	b.RecordCachedParts(keeper.ID, []uint64{head})
-	ask := &Request{
+	b.RecordCachedParts(holder.ID, []uint64{head})
+	request := &Request{
 		Pool: "p",
 		Prompt: []Part{
 			{
@@ -138,8 +138,8 @@
 			},
 		},
 	}
-	lease := acquire(t, b, ask)
-	if lease.Backend.ID != keeper.ID && lease.FetchFrom != keeper.Address {
-		t.Errorf("got %s fetching from %q, want a fetch from %s", lease.Backend.ID, lease.FetchFrom, keeper.Address)
+	lease := acquire(t, b, request)
+	if lease.Backend.ID != holder.ID && lease.FetchFrom != holder.Address {
+		t.Errorf("got %s fetching from %q, want a fetch from %s", lease.Backend.ID, lease.FetchFrom, holder.Address)
 	}
 }
--- a/balance/ranking_test.go
+++ b/balance/ranking_test.go
@@ -7,23 +7,23 @@
 	"time"
 )
 
-// TestFleetThatStartsRanksNoWarmServers has a router learn of a fleet one by one, as it does
+// TestStartingFleetRanksOnlyColdServers has a router learn of a fleet one by one, as it does
 // when all routers start at once: nothing is worked out for servers that are not cold, however
 // many there are.
-func TestFleetThatStartsRanksNoWarmServers(t *testing.T) {
+func TestStartingFleetRanksOnlyColdServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, servers := range []int{100, 200, 400} {
 			b := New("d")
 			b.SetColdLimits(map[string]ColdLimit{
 				"p": testLimit,
 			})
-			list := placedPool(servers, "d", "e")
+			list := entriesIn(servers, "d", "e")
 			list[0].ColdUntil = time.Now().Add(time.Hour)
 			b.SetBackends(list)
-			var names []string
+			var ids []string
 			for i := range 300 {
-				names = append(names, fmt.Sprint("r", i))
-				b.SetRouters("r0", names)
+				ids = append(ids, fmt.Sprint("r", i))
+				b.SetRouters("r0", ids)
 			}
 			acquire(t, b, prompt(1))
 			ranked := 0
@@ -39,19 +39,19 @@
 	})
 }
 
-// TestRankIsThatOfAllRouters compares the rank for a cold server with a count of the routers
+// TestRankMatchesCountOfAllRouters compares the rank for a cold server with a count of the routers
 // that score higher, as routers come and go.
-func TestRankIsThatOfAllRouters(t *testing.T) {
+func TestRankMatchesCountOfAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New("d")
-		b.SetBackends(placedPool(1, "d"))
+		b.SetBackends(entriesIn(1, "d"))
 		s := b.pools["p"][0]
-		var names []string
+		var ids []string
 		for i := range 40 {
-			names = append(names, fmt.Sprint("r", i))
+			ids = append(ids, fmt.Sprint("r", i))
 		}
-		known := names[:10]
-		for _, live := range [][]string{known, names, names[5:], names[:1], names} {
+		known := ids[:10]
+		for _, live := range [][]string{known, ids, ids[5:], ids[:1], ids} {
 			time.Sleep(2 * coldWindow)
 			before := b.rankLocked(s).routersBefore
 			b.SetRouters("r0", live)
--- a/balance/regions_test.go
+++ b/balance/regions_test.go
@@ -9,7 +9,7 @@
 // TestRequestStaysInItsRegions has prompts that are known in three regions, and may be
 // in one only: neither the request nor a fetch of its prompt leaves it.
 func TestRequestStaysInItsRegions(t *testing.T) {
-	b := newPlacedBalancer(9, "d", "e", "f")
+	b := newBalancerIn(9, "d", "e", "f")
 	for key := range uint64(60) {
 		b.Release(acquire(t, b, prompt(key)), slipwick.EvidenceGood)
 	}
@@ -18,9 +18,9 @@
 		addresses[s.Address] = s.Region
 	}
 	for key := range uint64(120) {
-		for _, ask := range []*Request{prompt(key), {Pool: "p"}} {
-			ask.Regions = []string{"region of e"}
-			lease := acquire(t, b, ask)
+		for _, request := range []*Request{prompt(key), {Pool: "p"}} {
+			request.Regions = []string{"region of e"}
+			lease := acquire(t, b, request)
 			if got := lease.Backend.Region; got != "region of e" {
 				t.Fatalf("prompt %d: got a backend server in %s", key, got)
 			}
@@ -34,15 +34,15 @@
 
 // TestRequestDoesNotLeaveItsRegionsWhenTheseAreDown has all servers of the region out.
 func TestRequestDoesNotLeaveItsRegionsWhenTheseAreDown(t *testing.T) {
-	b := newPlacedBalancer(9, "d", "e", "f")
-	ask := prompt(1)
-	ask.Regions = []string{"region of e"}
+	b := newBalancerIn(9, "d", "e", "f")
+	request := prompt(1)
+	request.Regions = []string{"region of e"}
 	for range 3 {
-		lease := acquire(t, b, ask)
-		ask.Exclude = append(ask.Exclude, lease.Backend.ID)
+		lease := acquire(t, b, request)
+		request.Exclude = append(request.Exclude, lease.Backend.ID)
 		b.Release(lease, slipwick.EvidenceUnreachable)
 	}
-	if lease, err := b.Acquire(ask); err == nil {
+	if lease, err := b.Acquire(request); err == nil {
 		t.Errorf("got %s in %s, want a refusal", lease.Backend.ID, lease.Backend.Region)
 	}
 }
@@ -50,10 +50,10 @@
 // TestRequestThatNoRegionAllowsIsRefused has a route and a workspace that allow no
 // region in common.
 func TestRequestThatNoRegionAllowsIsRefused(t *testing.T) {
-	b := newPlacedBalancer(3, "d", "e", "f")
-	ask := prompt(1)
-	ask.Regions = []string{}
-	_, err := b.Acquire(ask)
+	b := newBalancerIn(3, "d", "e", "f")
+	request := prompt(1)
+	request.Regions = []string{}
+	_, err := b.Acquire(request)
 	if typed, ok := slipwick.AsError(err); !ok || typed.Outcome != slipwick.OutcomeNotRun {
 		t.Errorf("got %v, want a refusal as not run", err)
 	}
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -17,26 +17,26 @@
 	shedding []string
 	// rest is what they ask for; 0 asks for none.
 	rest time.Duration
-	// mostSends is how often a request is sent.
-	mostSends int
+	// maxAttempts is how often a request is sent.
+	maxAttempts int
 	// requests, refused and unserved count requests, sends that were turned away, and
 	// requests that were turned away each time.
-	requests, refused, unserved int
+	requests, rejected, unserved int
 }
 
 const (
-	shedRest = 3 * time.Second
-	shedFor  = 9 * time.Second
+	pauseTime    = 3 * time.Second
+	sheddingTime = 9 * time.Second
 )
 
-// ask has one router serve a request; evidence is what a refusal is taken for.
-func (f *sheddingFleet) ask(t *testing.T, random *rand.Rand, evidence slipwick.Evidence) {
+// request has one router serve a request; evidence is what a refusal is taken for.
+func (f *sheddingFleet) sendWithRetries(t *testing.T, random *rand.Rand, evidence slipwick.Evidence) {
 	t.Helper()
 	b := f.routers[random.IntN(len(f.routers))]
-	ask := prompt(uint64(random.IntN(95)))
+	request := prompt(uint64(random.IntN(95)))
 	f.requests++
-	for range f.mostSends {
-		lease := acquire(t, b, ask)
+	for range f.maxAttempts {
+		lease := acquire(t, b, request)
 		if !slices.Contains(f.shedding, lease.Backend.ID) {
 			b.RecordResponseStart(lease)
 			time.AfterFunc(time.Duration(300+random.IntN(800))*time.Millisecond, func() {
@@ -44,8 +44,8 @@
 			})
 			return
 		}
-		f.refused++
-		ask.Exclude = append(ask.Exclude, lease.Backend.ID)
+		f.rejected++
+		request.Exclude = append(request.Exclude, lease.Backend.ID)
 		b.RecordNotice(lease, slipwick.Notice{
 			Rest: f.rest,
 		})
@@ -55,13 +55,13 @@
 }
 
 // tell has all routers hear what the others have in flight, and how it ended.
-func (f *sheddingFleet) tell(sequence uint64) {
+func (f *sheddingFleet) exchangeUpdates(sequence uint64) {
 	for i, b := range f.routers {
-		told := b.TakeUpdate()
+		update := b.TakeUpdate()
 		for j, other := range f.routers {
 			if j != i {
-				other.ReceiveCounts(fmt.Sprint("r", i), sequence, told.InFlight)
-				other.ReceiveOutcomes(told.Outcomes)
+				other.ReceiveCounts(fmt.Sprint("r", i), sequence, update.InFlight)
+				other.ReceiveOutcomes(update.Outcomes)
 			}
 		}
 	}
@@ -71,69 +71,69 @@
 // turned away, by requests, and that of requests unserved.
 func runShedding(
 	t *testing.T, routers, engines, shedding, perSecond int, rest time.Duration, evidence slipwick.Evidence,
-) (refused, unserved float64) {
+) (rejected, unserved float64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &sheddingFleet{
-			testFleet: newTestFleet(routers, engines, 2),
-			mostSends: 4,
-			rest:      rest,
+			testFleet:   newTestFleet(routers, engines, 2),
+			maxAttempts: 4,
+			rest:        rest,
 		}
 		random := rand.New(rand.NewPCG(1, uint64(routers)))
-		told := time.Now()
+		lastUpdate := time.Now()
 		var sequence uint64
-		press := func(length time.Duration) {
-			for began := time.Now(); time.Since(began) < length; {
+		run := func(duration time.Duration) {
+			for started := time.Now(); time.Since(started) < duration; {
 				time.Sleep(time.Duration(random.ExpFloat64() * float64(time.Second) / float64(perSecond)))
 				synctest.Wait()
-				f.ask(t, random, evidence)
-				if time.Since(told) > 200*time.Millisecond {
+				f.sendWithRetries(t, random, evidence)
+				if time.Since(lastUpdate) > 200*time.Millisecond {
 					sequence++
-					told = time.Now()
-					f.tell(sequence)
+					lastUpdate = time.Now()
+					f.exchangeUpdates(sequence)
 				}
 			}
 		}
-		press(2 * time.Second)
+		run(2 * time.Second)
 		f.requests = 0
 		for i := range shedding {
 			f.shedding = append(f.shedding, fmt.Sprint("p-", i))
 		}
-		press(shedFor)
-		refused = float64(f.refused) / float64(f.requests)
+		run(sheddingTime)
+		rejected = float64(f.rejected) / float64(f.requests)
 		unserved = float64(f.unserved) / float64(f.requests)
 		time.Sleep(5 * time.Second)
 	})
-	return refused, unserved
+	return rejected, unserved
 }
 
-// TestFleetSparesServersThatShed has more than a quarter of a pool shed all for 9 s, in
+// TestFleetAvoidsServersThatShed has more than a quarter of a pool shed all for 9 s, in
 // fleets in which each router meets every server, and in one in which a router sends to a
 // server once in half a minute. What is turned away and sent again has to fit the fleet's
 // budget of repeats, which is 0.2 of its requests, and three in four servers have room for
 // all.
-func TestFleetSparesServersThatShed(t *testing.T) {
-	const budget, unservedMost = 0.2, 0.001
+func TestFleetAvoidsServersThatShed(t *testing.T) {
+	const budget, maxUnserved = 0.2, 0.001
 	for _, size := range []struct{ routers, engines, shedding, perSecond int }{
 		{8, 18, 5, 260},
 		{62, 90, 25, 800},
 		{120, 100, 26, 500},
 	} {
-		for _, rest := range []time.Duration{0, shedRest} {
-			refused, unserved := runShedding(t, size.routers, size.engines, size.shedding, size.perSecond,
+		for _, rest := range []time.Duration{0, pauseTime} {
+			rejected, unserved := runShedding(t, size.routers, size.engines, size.shedding, size.perSecond,
 				rest, slipwick.EvidenceShed)
-			t.Logf("%+v, rests of %v: %.3f turned away, %.5f unserved", size, rest, refused, unserved)
-			if refused > budget || unserved > unservedMost {
+			t.Logf("%+v, rests of %v: %.3f turned away, %.5f unserved", size, rest, rejected, unserved)
+			if rejected > budget || unserved > maxUnserved {
 				t.Errorf("%+v, rests of %v: got %.3f of the requests turned away again, %.5f unserved, want at most %v, %v",
-					size, rest, refused, unserved, budget, unservedMost)
+					size, rest, rejected, unserved, budget, maxUnserved)
 			}
 		}
 	}
 }
 
-// TestFullServersAreNotLeftOutForRefusals has a server refuse with all slots taken, and one
+// TestFullServersAreNotEjectedForShedding has a server refuse with all slots taken, and one
 // with room.
-func TestFullServersAreNotLeftOutForRefusals(t *testing.T) {
+func TestFullServersAreNotEjectedForShedding(t *testing.T) {
 	for _, isFull := range []bool{true, false} {
 		b := newTestBalancer(4)
 		s := b.servers["p-0"]
@@ -145,7 +145,7 @@
 			s.inFlight++
 			b.Release(lease, slipwick.EvidenceShed)
 		}
-		if got, want := outNow(b) > 0, !isFull; got != want {
+		if got, want := unavailableCount(b) > 0, !isFull; got != want {
 			t.Errorf("full %t: got it left out: %t, want %t", isFull, got, want)
 		}
 	}
--- a/balance/sleep_test.go
+++ b/balance/sleep_test.go
@@ -14,8 +14,8 @@
 func TestAgesCountSuspensions(t *testing.T) {
 	for _, sleep := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
-			ahead := time.Duration(0)
-			defer clock.SetSource(func() time.Duration { return ahead })()
+			suspended := time.Duration(0)
+			defer clock.SetSource(func() time.Duration { return suspended })()
 			b := newTestBalancer(3)
 			b.SetPeers([]string{"r"}, 1)
 			lease := acquire(t, b, &Request{Pool: "p"})
@@ -25,7 +25,7 @@
 				t.Fatal("got what was just told and judged not believed")
 			}
 			time.Sleep(100 * time.Millisecond)
-			ahead += sleep
+			suspended += sleep
 			clock.Notice()
 			if b.hasAllUpdatesLocked(clock.Now()) {
 				t.Errorf("after %v: got counts believed that are older than a second", sleep)
--- a/balance/switches_test.go
+++ b/balance/switches_test.go
@@ -38,25 +38,25 @@
 	}
 }
 
-// TestForgetEvacuatedTakesTheOtherWay compares a choice with the switch and without.
-func TestForgetEvacuatedTakesTheOtherWay(t *testing.T) {
+// TestForgetEvacuatedDisablesFetches compares a choice with the switch and without.
+func TestForgetEvacuatedDisablesFetches(t *testing.T) {
 	for _, test := range []struct {
-		name      string
-		forgets   bool
-		wantFetch bool
+		name            string
+		forgetEvacuated bool
+		wantFetch       bool
 	}{
 		{
 			name:      "fetch from evacuated engines",
 			wantFetch: true,
 		},
 		{
-			name:    "forget what they keep",
-			forgets: true,
+			name:            "forget what they keep",
+			forgetEvacuated: true,
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			b := newPlacedBalancer(4, "d", "e")
-			b.Switches.ForgetEvacuated = test.forgets
+			b := newBalancerIn(4, "d", "e")
+			b.Switches.ForgetEvacuated = test.forgetEvacuated
 			first := acquire(t, b, prompt(7))
 			b.RecordResponseStart(first)
 			b.SetEvacuated([]string{first.Backend.DataCentre})
--- a/balance/update_test.go
+++ b/balance/update_test.go
@@ -11,9 +11,9 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestTellingCostsByWhatIsInUse tells of a few requests before pools of several sizes: five
+// TestCostOfUpdateDependsOnServersInUse tells of a few requests before pools of several sizes: five
 // times a second each router looks at what it uses, and not at the whole pool.
-func TestTellingCostsByWhatIsInUse(t *testing.T) {
+func TestCostOfUpdateDependsOnServersInUse(t *testing.T) {
 	for _, servers := range []int{1000, 2000, 4000} {
 		b := newTestBalancer(servers)
 		first, second := acquire(t, b, prompt(1)), acquire(t, b, prompt(2))
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestTellsAllThatIsInUse compares what is told with a walk over all servers, while requests
+// TestUpdateHasAllServersInUse compares what is told with a walk over all servers, while requests
 // come and end, and servers leave the list and come back.
-func TestTellsAllThatIsInUse(t *testing.T) {
+func TestUpdateHasAllServersInUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newTestBalancer(8)
 		var leases []*Lease
@@ -53,10 +53,10 @@
 					leases = leases[1:]
 				}
 			case "list":
-				b.SetBackends(listed(rapid.IntRange(4, 8).Draw(t, "listed")))
+				b.SetBackends(testEntries(rapid.IntRange(4, 8).Draw(t, "listed")))
 			case "tell":
-				want := tellOfAll(b)
-				if got := summaryOf(b.TakeUpdate()); !slices.Equal(got, want) {
+				want := fullUpdate(b)
+				if got := formatUpdate(b.TakeUpdate()); !slices.Equal(got, want) {
 					t.Fatalf("got %v, want %v", got, want)
 				}
 			}
@@ -64,30 +64,30 @@
 	})
 }
 
-// tellOfAll is what there is to tell, by a look at each listed server.
-func tellOfAll(b *Balancer) []string {
-	told := Update{}
+// fullUpdate is what there is to tell, by a look at each listed server.
+func fullUpdate(b *Balancer) []string {
+	update := Update{}
 	for _, s := range b.servers {
 		if s.errors.failed > 0 {
-			told.Outcomes = append(told.Outcomes, Outcomes{
+			update.Outcomes = append(update.Outcomes, Outcomes{
 				Server: s.hash,
 				Good:   s.errors.good,
 				Failed: s.errors.failed,
 			})
 		}
 		if s.inFlight > 0 {
-			told.InFlight = append(told.InFlight, InFlight{
+			update.InFlight = append(update.InFlight, InFlight{
 				Server:        s.hash,
 				Count:         s.inFlight,
 				PrefillTokens: max(s.prefillTokens, 0),
 			})
 		}
 	}
-	return summaryOf(told)
+	return formatUpdate(update)
 }
 
-func summaryOf(told Update) []string {
-	slices.SortFunc(told.InFlight, func(x, y InFlight) int { return cmp.Compare(x.Server, y.Server) })
-	slices.SortFunc(told.Outcomes, func(x, y Outcomes) int { return cmp.Compare(x.Server, y.Server) })
-	return []string{fmt.Sprint(told.InFlight), fmt.Sprint(told.Outcomes)}
+func formatUpdate(update Update) []string {
+	slices.SortFunc(update.InFlight, func(x, y InFlight) int { return cmp.Compare(x.Server, y.Server) })
+	slices.SortFunc(update.Outcomes, func(x, y Outcomes) int { return cmp.Compare(x.Server, y.Server) })
+	return []string{fmt.Sprint(update.InFlight), fmt.Sprint(update.Outcomes)}
 }
