--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -52,7 +52,8 @@
 	}
 }
 
-// home is the backend server that all routers rank first for a key.
+// topRanked returns the ID of the backend server that ranks first for a prompt among the first n
+// test entries. All routers rank alike.
 func topRanked(key uint64, n int) string {
 	best, score := "", uint64(0)
 	for _, l := range testEntries(n) {
@@ -72,15 +73,15 @@
 				t.Errorf("key %d: got %s, want %s", key, got, want)
 			}
 			if lease.FetchFrom != "" {
-				t.Errorf("key %d at home: got fetch from %s, want none", key, lease.FetchFrom)
+				t.Errorf("key %d: got a fetch from %s, want none", key, lease.FetchFrom)
 			}
 			b.Release(lease, slipwick.EvidenceGood)
 		}
 	}
 }
 
-// TestHotPromptSpillsBelowTheBound sends one prompt alone, without an end; the
-// first engine has read it.
+// TestHotPromptSpillsBelowTheBound sends only one prompt, in requests that never end: when its
+// engine reaches the load bound, requests go to others, each of which fetches the prompt once.
 func TestHotPromptSpillsBelowTheBound(t *testing.T) {
 	b := newTestBalancer(6)
 	counts := make(map[string]int)
@@ -165,7 +166,7 @@
 	request.Exclude = []string{"p-1", "p-2"}
 	_, err := b.Acquire(request)
 	if typed, ok := slipwick.AsError(err); !ok || typed.Outcome != slipwick.OutcomeNotRun {
-		t.Errorf("no backend server left: got %v, want an error with outcome not-run", err)
+		t.Errorf("all leaving or excluded: got %v, want an error with outcome not-run", err)
 	}
 }
 
@@ -184,7 +185,7 @@
 		local, remote = local+counts["p-0"]+counts["p-2"], remote+counts["p-1"]+counts["p-3"]
 	}
 	if 4*local <= 5*remote || remote == 0 {
-		t.Errorf("got %d local and %d remote at 50 routers, want a quarter more local, and some far", local, remote)
+		t.Errorf("got %d local and %d remote at 50 routers, want a quarter more local, and some remote", local, remote)
 	}
 }
 
@@ -201,7 +202,7 @@
 	}
 	for _, l := range testEntries(4) {
 		if got := counts[l.ID]; got < 10 {
-			t.Errorf("%s: got %d of 200 requests, want a share", l.ID, got)
+			t.Errorf("%s: got %d of 200 requests, want at least 10", l.ID, got)
 		}
 	}
 }
@@ -216,7 +217,7 @@
 		}
 		b.Release(acquire(t, b, prompt(7)), slipwick.EvidenceUnreachable)
 		if want := id + " " + shortEjection.String(); len(ejected) != 1 || ejected[0] != want {
-			t.Errorf("got told of %v, want %s", ejected, want)
+			t.Errorf("got ejections %v, want %s", ejected, want)
 		}
 		lease := acquire(t, b, prompt(7))
 		if lease.Backend.ID == id {
@@ -274,21 +275,21 @@
 			return loads[0]
 		}
 		if got := load(); got != 2 {
-			t.Errorf("told by all peers: got load %v, want 2", got)
+			t.Errorf("with the counts of all peers: got load %v, want 2", got)
 		}
 		time.Sleep(remoteCountsLifetime + time.Millisecond)
 		if got := load(); got != 50 {
-			t.Errorf("told too long ago: got load %v, want the reported 50", got)
+			t.Errorf("with old counts: got load %v, want the reported 50", got)
 		}
 		time.Sleep(loadReportLifetime)
 		if got := load(); got != 1 {
-			t.Errorf("nothing fresh: got load %v, want the router's own 1", got)
+			t.Errorf("with an old report as well: got load %v, want the router's own 1", got)
 		}
 	})
 }
 
-// TestSpillGoesToTheDataCentreOfAHolder has one prompt alone fill its engine: the
-// next one is local that.
+// TestSpillGoesToTheDataCentreOfAHolder checks that when the engine of a prompt reaches the load
+// bound, the next engine for it is in the same data centre, where it fetches the prompt faster.
 func TestSpillGoesToTheDataCentreOfAHolder(t *testing.T) {
 	for key := range uint64(20) {
 		b := newTestBalancer(8)
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -13,8 +13,8 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// referenceChoice chooses the engine for a prompt as Acquire does, step by step and
-// without what makes that fast; nil if chance decides.
+// referenceChoice is a simple implementation of Acquire's choice of an engine for a prompt,
+// without the optimisations. It returns nil if the choice is random.
 func referenceChoice(b *Balancer, request *Request, now time.Time, decay float64) *server {
 	var usable []*server
 	for _, s := range b.pools[request.Pool] {
@@ -50,7 +50,8 @@
 	return referenceLeastPrefill(b, prompt, below, now)
 }
 
-// referenceLoads is what all routers probably have at loads server.
+// referenceLoads returns how many requests all routers probably have at each server, and the
+// mean.
 func referenceLoads(b *Balancer, usable []*server, now time.Time, decay float64) (loads []float64, mean float64) {
 	counts, complete := make(map[uint64]int), len(b.peers) > 0
 	for _, id := range b.peers {
@@ -64,8 +65,8 @@
 	for _, s := range usable {
 		typical += s.sends
 	}
-	// In the order of operations that the balancer has: rapid finds loads that are the
-	// bound but for the rounding.
+	// The order of operations has to be that of the balancer: rapid finds loads that differ from
+	// the bound only by rounding.
 	typical = typical * decay / float64(len(usable))
 	for _, s := range usable {
 		others := meanReportedLoad(usable, now)
@@ -82,6 +83,8 @@
 	return loads, mean / float64(len(usable))
 }
 
+// referenceLeastPrefill returns the engine with the least prefill work, with a lead by rank, of
+// those in a data centre that has a holder of the prompt, or of all.
 func referenceLeastPrefill(b *Balancer, prompt uint64, below []*server, now time.Time) *server {
 	holders, _ := b.cacheIndex.holdersByPart.Peek(prompt)
 	var sameDataCentre []*server
@@ -118,8 +121,8 @@
 	return best
 }
 
-// TestChoiceMatchesReference compares choices in any state that requests and
-// tellings bring about.
+// TestChoiceMatchesReference compares the balancer's choices with the reference implementation
+// in random states, which requests, updates and changes of the list bring about.
 func TestChoiceMatchesReference(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		engines := rapid.IntRange(1, 40).Draw(t, "engines")
@@ -139,7 +142,7 @@
 						Tokens: rapid.IntRange(1, 20000).Draw(t, "tokens"),
 					},
 				},
-				UniqueTokens: rapid.IntRange(0, 2000).Draw(t, "own"),
+				UniqueTokens: rapid.IntRange(0, 2000).Draw(t, "unique tokens"),
 			}
 		}
 		sequence := uint64(0)
@@ -149,14 +152,14 @@
 				sequence++
 				b.ReceiveCounts(fmt.Sprint("r", rapid.IntRange(0, 4).Draw(t, "peer")), sequence, drawCounts(t, b))
 			case 1:
-				b.SetPeers(ids[:rapid.IntRange(0, len(ids)).Draw(t, "live")], 3*peers)
+				b.SetPeers(ids[:rapid.IntRange(0, len(ids)).Draw(t, "peer count")], 3*peers)
 			case 2:
 				b.SetBackends(testEntries(rapid.IntRange(1, engines).Draw(t, "listed")))
 			default:
 				request, now := drawRequest(), time.Now()
 				want := referenceChoice(b, request, now, b.decayLocked(now))
-				// Both see the same moment: loads decay, and an engine may pass the
-				// bound between two readings of the clock.
+				// Both get the same time: send counts decay, so that an engine may fall
+				// below the bound between two readings of the clock.
 				lease, err := b.acquireLocked(request, now)
 				if err != nil {
 					t.Fatal(err)
@@ -164,7 +167,7 @@
 				if want != nil && lease.server != want {
 					t.Fatalf("got %s, want %s", lease.Backend.ID, want.ID)
 				}
-				if rapid.Bool().Draw(t, "ends") {
+				if rapid.Bool().Draw(t, "release") {
 					b.Release(lease, rapid.SampledFrom([]slipwick.Evidence{
 						slipwick.EvidenceGood, slipwick.EvidenceError, slipwick.EvidenceRefused,
 					}).Draw(t, "evidence"))
@@ -174,7 +177,7 @@
 	})
 }
 
-// drawCounts draws what another router has in flight.
+// drawCounts draws the requests in flight of another router.
 func drawCounts(t *rapid.T, b *Balancer) []InFlight {
 	var list []InFlight
 	for _, s := range b.pools["p"] {
@@ -182,14 +185,15 @@
 			list = append(list, InFlight{
 				Server:        s.hash,
 				Count:         count,
-				PrefillTokens: rapid.IntRange(0, 30000).Draw(t, "reading"),
+				PrefillTokens: rapid.IntRange(0, 30000).Draw(t, "prefill tokens"),
 			})
 		}
 	}
 	return list
 }
 
-// benchmarkAcquire chooses for one router of a fleet that a hub tells.
+// benchmarkAcquire measures choices on one router of a large fleet, whose counts a hub relays.
+// isKnown says that the prompt is cached already.
 func benchmarkAcquire(b *testing.B, engines int, isKnown bool) {
 	balancer := newTestBalancer(engines)
 	balancer.MarkCachesKnown()
--- a/balance/cutoff_test.go
+++ b/balance/cutoff_test.go
@@ -9,7 +9,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// exchangeOutcomes has all routers hear how the others' requests ended.
+// exchangeOutcomes sends the outcomes of each router's requests to all others.
 func (f *testFleet) exchangeOutcomes() {
 	for i, b := range f.routers {
 		update := b.TakeUpdate()
@@ -21,8 +21,8 @@
 	}
 }
 
-// TestCutOffRouterDoesNotHaveAllEnginesEjected has one router reach no engine at all: the
-// others go on using all of them.
+// TestCutOffRouterDoesNotHaveAllEnginesEjected has one router that cannot reach any engine. The
+// failures that it sends must not make the others eject more than a few.
 func TestCutOffRouterDoesNotHaveAllEnginesEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newTestFleet(6, 28, 2)
@@ -55,7 +55,7 @@
 				}
 			}
 			if unavailable > 6 {
-				t.Fatalf("got %d of 28 engines left out by what one router says, want at most 6", unavailable)
+				t.Fatalf("got %d of 28 engines ejected for failures of one router, want at most 6", unavailable)
 			}
 		}
 		time.Sleep(time.Second)
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -11,13 +11,15 @@
 	"github.com/slipwick/slipwick"
 )
 
-// testFleet is routers before a pool, which tell each other their requests.
+// testFleet has routers that share a pool and send each other updates.
 type testFleet struct {
 	routers []*Balancer
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// load counts the requests of all routers at each engine, by its ID.
 	load map[string]int
-	// over counts requests sent to an engine above the promised bound.
+	// overBound counts the requests, of all sent, that went to an engine above the promised
+	// bound.
 	overBound, sent int
 }
 
@@ -42,7 +44,7 @@
 	return f
 }
 
-// tell has all routers hear what the others have in flight.
+// exchangeUpdates sends each router's counts and cached parts to all others.
 func (f *testFleet) exchangeUpdates(sequence uint64) {
 	for i, b := range f.routers {
 		update := b.TakeUpdate()
@@ -55,7 +57,7 @@
 	}
 }
 
-// send has one router serve a request, which runs for a while.
+// send sends a request through a random router. It runs for 300 to 1100 ms.
 func (f *testFleet) send(t *testing.T, random *rand.Rand, factor float64) *Lease {
 	t.Helper()
 	b := f.routers[random.IntN(len(f.routers))]
@@ -85,8 +87,8 @@
 	return lease
 }
 
-// TestFleetKeepsTheBound has seven routers, which tell each other their requests
-// five times a second, share 18 engines.
+// TestFleetKeepsTheBound checks that engines stay below the promised load bound when 7 routers
+// share 18 of them and exchange updates five times a second.
 func TestFleetKeepsTheBound(t *testing.T) {
 	for _, factor := range []float64{1.3, 2} {
 		for _, perSecond := range []int{150, 600} {
@@ -116,8 +118,9 @@
 	}
 }
 
-// TestPlainServicesGetTheirShares has sixty routers share four servers that take
-// six requests at once and queue a few: none may get so many that it sheds.
+// TestPlainServicesGetTheirShares checks that no server of a plain service gets so many requests
+// that it sheds some: 60 routers share 4 servers that process 6 requests at once and queue up to
+// 24 more.
 func TestPlainServicesGetTheirShares(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const perSecond, capacity, serviceTime = 320, 30, 60 * time.Millisecond
@@ -140,7 +143,7 @@
 			if ahead >= capacity {
 				shed++
 			}
-			// Those beyond the six wait for their turn.
+			// The server processes 6 requests at once, and the others wait in its queue.
 			time.AfterFunc(serviceTime+time.Duration(ahead/6)*serviceTime, func() {
 				f.mu.Lock()
 				f.load[lease.Backend.ID]--
@@ -156,7 +159,7 @@
 			}
 		}
 		if share := float64(shed) / float64(sent); share > 0.01 {
-			t.Errorf("got %.3f of the requests at servers without a place, want less than 0.01", share)
+			t.Errorf("got %.3f of the requests at full servers, want less than 0.01", share)
 		}
 		time.Sleep(5 * time.Second)
 	})
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -9,8 +9,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestCostOfChangeDependsOnItsSizeAlone replaces one server after the other, as a release does, in pools of
-// several sizes: what a change allocates does not grow with the pool.
+// TestCostOfChangeDependsOnItsSizeAlone replaces one server after the other, as a release does,
+// in pools of several sizes, and checks that the allocations of a change do not grow with the
+// pool.
 func TestCostOfChangeDependsOnItsSizeAlone(t *testing.T) {
 	var allocations []float64
 	for _, servers := range []int{1000, 2000, 4000} {
@@ -34,8 +35,9 @@
 	}
 }
 
-// TestChangesMatchFullList plays changes of entries, lives and pools beside what other
-// routers tell, and compares with a balancer that takes each list byList.
+// TestChangesMatchFullList applies random changes of entries, incarnations and pools, and counts
+// of another router, to a balancer that gets changes and to one that gets each list as a whole.
+// Both must end up in the same state.
 func TestChangesMatchFullList(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		byChanges, byList := New("d"), New("d")
@@ -47,7 +49,7 @@
 			changes := Changes{}
 			for _, i := range rapid.SliceOfNDistinct(rapid.IntRange(0, 9), 0, 4, rapid.ID[int]).Draw(t, "entries") {
 				entry := testEntries(10)[i]
-				if _, ok := state[entry.ID]; ok && rapid.Bool().Draw(t, "gone") {
+				if _, ok := state[entry.ID]; ok && rapid.Bool().Draw(t, "removed") {
 					changes.Removed = append(changes.Removed, entry.ID)
 					delete(state, entry.ID)
 					continue
@@ -60,7 +62,7 @@
 			}
 			byChanges.ChangeBackends(&changes)
 			byList.SetBackends(slices.Collect(maps.Values(state)))
-			if rapid.Bool().Draw(t, "told") {
+			if rapid.Bool().Draw(t, "update") {
 				counts := testCounts(byChanges, int(round))
 				byChanges.ReceiveCounts("peer", round+1, counts)
 				byList.ReceiveCounts("peer", round+1, counts)
@@ -70,14 +72,14 @@
 			}
 			for _, in := range byChanges.countsByRouter["peer"].inFlight {
 				if s := byChanges.hashes[in.Server]; s != nil && s.remoteInFlight != in.Count {
-					t.Fatalf("%s: got %d told, want %d", s.ID, s.remoteInFlight, in.Count)
+					t.Fatalf("%s: got %d requests of the peer, want %d", s.ID, s.remoteInFlight, in.Count)
 				}
 			}
 		}
 	})
 }
 
-// testCounts counts some requests at each listed server.
+// testCounts returns counts of another router for each listed server.
 func testCounts(b *Balancer, round int) []InFlight {
 	var counts []InFlight
 	for hash := range b.hashes {
@@ -89,7 +91,7 @@
 	return counts
 }
 
-// poolStates tells what a balancer knows of its pools.
+// poolStates returns what a balancer knows of its pools, in an order that can be compared.
 func poolStates(b *Balancer) []string {
 	var lines []string
 	for name, pool := range b.pools {
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -9,7 +9,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// serve has the pool answer a request after the time.
+// serve sends a request whose response begins after the given time and ends at once.
 func serve(t *testing.T, b *Balancer, request *Request, took time.Duration) {
 	t.Helper()
 	lease := acquire(t, b, request)
@@ -20,7 +20,7 @@
 	b.Release(lease, slipwick.EvidenceGood)
 }
 
-// firstByteTimeout is the patience with the pool's next request.
+// firstByteTimeout returns the timeout of the pool's next request.
 func firstByteTimeout(t *testing.T, b *Balancer, request *Request) time.Duration {
 	t.Helper()
 	lease := acquire(t, b, request)
@@ -42,12 +42,13 @@
 			serve(t, b, plainRequest, 10*time.Millisecond)
 		}
 		if got := firstByteTimeout(t, b, plainRequest); got != 0 {
-			t.Errorf("got a patience of %v after too few requests, want 0", got)
+			t.Errorf("got a timeout of %v after too few requests, want 0", got)
 		}
 	})
 }
 
-// TestFirstByteTimeoutFollowsThePool has a plain service become slow, and fast again.
+// TestFirstByteTimeoutFollowsThePool checks the timeout of a plain service that becomes slow, and
+// fast again.
 func TestFirstByteTimeoutFollowsThePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
@@ -55,18 +56,19 @@
 			for range 512 {
 				serve(t, b, plainRequest, took)
 			}
-			expectBetween(t, fmt.Sprintf("answers after %v", took), firstByteTimeout(t, b, plainRequest), 2*took, 5*took/2)
+			expectBetween(t, fmt.Sprintf("responses after %v", took), firstByteTimeout(t, b, plainRequest), 2*took, 5*took/2)
 		}
 		for range 512 {
 			serve(t, b, plainRequest, time.Millisecond)
 		}
 		if got := firstByteTimeout(t, b, plainRequest); got != minFirstByteTimeout {
-			t.Errorf("got %v for a fast service, want the floor, %v", got, minFirstByteTimeout)
+			t.Errorf("got %v for a fast service, want the minimum, %v", got, minFirstByteTimeout)
 		}
 	})
 }
 
-// TestFirstByteTimeoutAllowsForPrefill has engines read at a tenth of the usual pace.
+// TestFirstByteTimeoutAllowsForPrefill checks the timeouts of short and long prompts on engines
+// that prefill at a tenth of the usual speed.
 func TestFirstByteTimeoutAllowsForPrefill(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
@@ -92,15 +94,15 @@
 	})
 }
 
-// shared is an ask for a prompt that nobody has read.
+// newPrompt returns a request for a prompt that no engine has cached.
 func newPrompt(key uint64, tokens int) *Request {
 	request := prompt(key + 1<<40)
 	request.Prompt[0].Tokens, request.UniqueTokens = tokens, 0
 	return request
 }
 
-// TestOneSlowServerDoesNotRaiseFirstByteTimeout has one of eight servers hang before
-// it answers.
+// TestOneSlowServerDoesNotRaiseFirstByteTimeout has few responses begin very late, as when one of
+// eight servers hangs at times.
 func TestOneSlowServerDoesNotRaiseFirstByteTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(8)
@@ -111,12 +113,13 @@
 			}
 			serve(t, b, plainRequest, took)
 		}
-		expectBetween(t, "with few late answers", firstByteTimeout(t, b, plainRequest), 80*time.Millisecond, 200*time.Millisecond)
+		expectBetween(t, "with few late responses", firstByteTimeout(t, b, plainRequest),
+			80*time.Millisecond, 200*time.Millisecond)
 	})
 }
 
-// TestSlowPoolIsNotUnresponsive has engines that take 900 ms to their first token: one
-// that says nothing for so long still gets requests.
+// TestSlowPoolIsNotUnresponsive has engines that take 900 ms to their first token. An engine that
+// sends nothing for 2 s must still get requests, and none after maxSilence more.
 func TestSlowPoolIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
@@ -127,7 +130,7 @@
 		waiting := acquire(t, b, prompt(7))
 		time.Sleep(2 * time.Second)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
-			t.Errorf("after 2 s: got %s, want %s still", got, id)
+			t.Errorf("after 2 s: got %s, want still %s", got, id)
 		}
 		time.Sleep(maxSilence)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got == id {
@@ -150,12 +153,12 @@
 			}
 			serve(t, b, plainRequest, took)
 		}
-		expectBetween(t, "usual", b.MedianResponseTime(plainRequest), 40*time.Millisecond, 45*time.Millisecond)
+		expectBetween(t, "median", b.MedianResponseTime(plainRequest), 40*time.Millisecond, 45*time.Millisecond)
 	})
 }
 
-// TestStreamIdleTimeoutFollowsThePool has streams of a pool begin to pause for long,
-// and cease to.
+// TestStreamIdleTimeoutFollowsThePool checks the timeout of a pool whose streams begin to have
+// long pauses, and then short ones again.
 func TestStreamIdleTimeoutFollowsThePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
--- a/balance/prefill_test.go
+++ b/balance/prefill_test.go
@@ -9,7 +9,7 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// longPrompt has a shared part of 10,000 tokens.
+// longPrompt returns a request whose prompt has a shared part of 10,000 tokens.
 func longPrompt(key uint64) *Request {
 	request := prompt(key)
 	request.Prompt[0].Tokens = 10000
@@ -26,8 +26,9 @@
 }
 
 const (
-	// initialMaxPrefill is how long a long prompt is waited for, by the start values
-	// of the pace: 1.5 times the base and 1.2 times the reading of 10,000 tokens.
+	// initialMaxPrefill is how long requests wait for the prefill of a long prompt as long as
+	// nothing was measured: 1.5 times the initial base time plus 1.2 times the initial prefill
+	// time of 10,000 tokens.
 	initialMaxPrefill = 82500*time.Microsecond + 120*time.Millisecond
 	maxWait           = 250 * time.Millisecond
 )
@@ -37,7 +38,7 @@
 		name string
 		end  func(b *Balancer, first *Lease)
 	}{
-		{"the engine begins to answer", func(b *Balancer, first *Lease) { b.RecordResponseStart(first) }},
+		{"the response begins", func(b *Balancer, first *Lease) { b.RecordResponseStart(first) }},
 		{"the request fails", func(b *Balancer, first *Lease) { b.Release(first, slipwick.EvidenceError) }},
 	} {
 		t.Run(test.name, func(t *testing.T) {
@@ -47,8 +48,8 @@
 				if first.Wait > 0 {
 					t.Errorf("first: got a wait of %v, want none", first.Wait)
 				}
-				// The second is sent to the same engine, later ones to others
-				// that fetch from it.
+				// The second request goes to the same engine, and later ones go to others that
+				// fetch the prompt from it.
 				for range 5 {
 					lease := acquire(t, b, longPrompt(7))
 					if lease.Wait <= 0 || lease.Wait > maxWait || isPrefillDone(lease) {
@@ -56,13 +57,13 @@
 					}
 					defer func() {
 						if !isPrefillDone(lease) {
-							t.Errorf("%s: got no end of the wait", lease.Backend.ID)
+							t.Errorf("%s: got PrefillDone still open, want it closed", lease.Backend.ID)
 						}
 					}()
 				}
 				test.end(b, first)
 				if lease := acquire(t, b, longPrompt(7)); lease.Wait > 0 {
-					t.Errorf("after it: got a wait of %v, want none", lease.Wait)
+					t.Errorf("after the prefill: got a wait of %v, want none", lease.Wait)
 				}
 			})
 		})
@@ -89,12 +90,13 @@
 		time.Sleep(initialMaxPrefill)
 		b.ReceivePrefills(prefills)
 		if lease := acquire(t, b, longPrompt(7)); lease.Wait > 0 {
-			t.Errorf("when it is read: got a wait of %v, want none", lease.Wait)
+			t.Errorf("after the prefill: got a wait of %v, want none", lease.Wait)
 		}
 	})
 }
 
-// TestPrefillsAreDropped has more readings than are kept, none of which ends.
+// TestPrefillsAreDropped starts more prefills than are remembered, none of which ends, and checks
+// that expired ones are dropped.
 func TestPrefillsAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(4)
@@ -102,18 +104,18 @@
 			acquire(t, b, longPrompt(key))
 		}
 		if got := len(b.prefills); got > maxPrefills {
-			t.Errorf("got %d readings, want at most %d", got, maxPrefills)
+			t.Errorf("got %d prefills, want at most %d", got, maxPrefills)
 		}
 		time.Sleep(maxWait + time.Millisecond)
 		acquire(t, b, longPrompt(1<<40))
 		if got := len(b.prefills); got > 1 {
-			t.Errorf("got %d readings later, want the newest alone", got)
+			t.Errorf("got %d prefills after the others expired, want the newest alone", got)
 		}
 	})
 }
 
-// TestFirstPartsAreFetchedForNewPrompts has a prompt that nobody has, but for
-// its first part.
+// TestFirstPartsAreFetchedForNewPrompts requests a prompt of which an engine has only the first
+// part cached.
 func TestFirstPartsAreFetchedForNewPrompts(t *testing.T) {
 	b := newTestBalancer(6)
 	b.MarkCachesKnown()
--- a/balance/suspension_test.go
+++ b/balance/suspension_test.go
@@ -9,8 +9,8 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// TestAgesCountSuspensions has a router sleep between two decisions: what it was told
-// and has judged is as much older.
+// TestAgesCountSuspensions suspends a router's machine between two decisions. The counts that it
+// received and the ejections that it decided on must age by the time of the suspension.
 func TestAgesCountSuspensions(t *testing.T) {
 	for _, sleep := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -22,17 +22,17 @@
 			b.Release(lease, slipwick.EvidenceRefused)
 			b.ReceiveCounts("r", 1, []InFlight{{Server: b.servers[lease.Backend.ID].hash, Count: 9}})
 			if !b.hasAllUpdatesLocked(clock.Now()) || !b.isUnavailableLocked(b.servers[lease.Backend.ID], clock.Now()) {
-				t.Fatal("got what was just told and judged not believed")
+				t.Fatal("got new counts or a new ejection ignored, want both in effect")
 			}
 			time.Sleep(100 * time.Millisecond)
 			suspended += sleep
 			clock.Notice()
 			if b.hasAllUpdatesLocked(clock.Now()) {
-				t.Errorf("after %v: got counts believed that are older than a second", sleep)
+				t.Errorf("after %v: got counts in use that are older than a second", sleep)
 			}
 			for _, s := range b.States() {
 				if s.Out {
-					t.Errorf("after %v: got %s left out for %d ms more, want the outing over", sleep, s.ID, s.OutMS)
+					t.Errorf("after %v: got %s ejected for %d ms more, want the ejection over", sleep, s.ID, s.OutMS)
 				}
 			}
 		})
--- a/balance/update_test.go
+++ b/balance/update_test.go
@@ -11,36 +11,37 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestCostOfUpdateDependsOnServersInUse tells of a few requests before pools of several sizes: five
-// times a second each router looks at what it uses, and not at the whole pool.
+// TestCostOfUpdateDependsOnServersInUse takes updates with a few requests in pools of several
+// sizes. Each router does so five times a second, and must iterate only over the servers that it
+// uses, not over the whole pool.
 func TestCostOfUpdateDependsOnServersInUse(t *testing.T) {
 	for _, servers := range []int{1000, 2000, 4000} {
 		b := newTestBalancer(servers)
 		first, second := acquire(t, b, prompt(1)), acquire(t, b, prompt(2))
 		if got := len(b.TakeUpdate().InFlight); got != 2 {
-			t.Errorf("%d servers: got %d told, want 2", servers, got)
+			t.Errorf("%d servers: got %d in the update, want 2", servers, got)
 		}
 		b.Release(first, slipwick.EvidenceGood)
 		b.Release(second, slipwick.EvidenceGood)
 		if got := len(b.active); got != 2 {
-			t.Errorf("%d servers: got %d to look at, want 2", servers, got)
+			t.Errorf("%d servers: got %d active, want 2", servers, got)
 		}
 		b.TakeUpdate()
 		if got := len(b.active); got != 0 {
-			t.Errorf("%d servers: got %d to look at when nothing runs, want none", servers, got)
+			t.Errorf("%d servers: got %d active without requests, want none", servers, got)
 		}
 	}
 }
 
-// TestUpdateHasAllServersInUse compares what is told with a walk over all servers, while requests
-// come and end, and servers leave the list and come back.
+// TestUpdateHasAllServersInUse compares updates with an iteration over all servers, while requests
+// start and end, and servers are removed from the list and listed again.
 func TestUpdateHasAllServersInUse(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := newTestBalancer(8)
 		var leases []*Lease
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			switch rapid.SampledFrom([]string{"ask", "ask", "good", "error", "list", "tell"}).Draw(t, "step") {
-			case "ask":
+			switch rapid.SampledFrom([]string{"acquire", "acquire", "good", "error", "list", "update"}).Draw(t, "step") {
+			case "acquire":
 				if lease, err := b.Acquire(prompt(rapid.Uint64Range(0, 9).Draw(t, "prompt"))); err == nil {
 					leases = append(leases, lease)
 				}
@@ -54,7 +55,7 @@
 				}
 			case "list":
 				b.SetBackends(testEntries(rapid.IntRange(4, 8).Draw(t, "listed")))
-			case "tell":
+			case "update":
 				want := fullUpdate(b)
 				if got := formatUpdate(b.TakeUpdate()); !slices.Equal(got, want) {
 					t.Fatalf("got %v, want %v", got, want)
@@ -64,7 +65,8 @@
 	})
 }
 
-// fullUpdate is what there is to tell, by a look at each listed server.
+// fullUpdate returns what the next update has to contain, from an iteration over all listed
+// servers.
 func fullUpdate(b *Balancer) []string {
 	update := Update{}
 	for _, s := range b.servers {
