--- a/balance/bound_test.go
+++ b/balance/bound_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// TestLoadBoundIsBelowThePromisedBound has the bound that is used stay below the one
-// promised, with room for what other routers send meanwhile.
+// TestLoadBoundIsBelowThePromisedBound checks that the bound that a router uses leaves room below
+// the promised one for requests that other routers send meanwhile.
 func TestLoadBoundIsBelowThePromisedBound(t *testing.T) {
 	b := New("d")
 	for _, factor := range []float64{1.3, 1.4, 1.6, 2, 3} {
@@ -11,13 +11,14 @@
 		for _, mean := range []float64{0, 1, 5, 20, 60} {
 			got, promised := b.loadBound(mean), factor*mean+3
 			if got+1 > promised || got < mean+1 {
-				t.Errorf("factor %v, mean %v: got a bound of %v, want between the mean and %v", factor, mean, got, promised)
+				t.Errorf("factor %v, mean %v: got a bound of %v, want at least 1 above the mean and 1 below %v",
+					factor, mean, got, promised)
 			}
 		}
 	}
 }
 
-// TestTightBoundIsKept sends one prompt alone to a pool with a tight bound.
+// TestTightBoundIsKept sends only one prompt to a pool with a low load bound.
 func TestTightBoundIsKept(t *testing.T) {
 	b := newTestBalancer(6)
 	b.SetLoadBound(1.3, 3)
--- a/balance/canary_test.go
+++ b/balance/canary_test.go
@@ -8,7 +8,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// versions lists servers of a version.
+// entriesOfVersion returns entries of n servers of a version.
 func entriesOfVersion(version string, n int) []Entry {
 	list := entriesIn(n, "d", "e")
 	for i := range list {
@@ -18,6 +18,8 @@
 	return list
 }
 
+// newCanaryBalancer returns a balancer with six servers each of v1 and v2, of which v2 is the
+// canary.
 func newCanaryBalancer(share float64) *Balancer {
 	b := New("d")
 	b.SetBackends(append(entriesOfVersion("v1", 6), entriesOfVersion("v2", 6)...))
@@ -30,7 +32,7 @@
 	return b
 }
 
-// TestCanaryGetsItsShare sends prompts and plain requests while a version is on trial.
+// TestCanaryGetsItsShare sends requests with and without prompts during a canary.
 func TestCanaryGetsItsShare(t *testing.T) {
 	const requests = 2000
 	for _, share := range []float64{0, 0.025, 0.25, 1} {
@@ -60,7 +62,8 @@
 	}
 }
 
-// TestRolledBackVersionGetsNothing has all servers of the old version leave.
+// TestRolledBackVersionGetsNothing has all servers of the old version leave while the canary's
+// share is 0.
 func TestRolledBackVersionGetsNothing(t *testing.T) {
 	b := newCanaryBalancer(0)
 	leaving := entriesOfVersion("v1", 6)
@@ -75,8 +78,8 @@
 	}
 }
 
-// TestCanaryCountsAreExchanged has two routers count answers: each knows those of both, and what is
-// told of servers is as without a trial.
+// TestCanaryCountsAreExchanged has two routers count outcomes and send each other updates. Each
+// must have the counts of both, and send its own only once.
 func TestCanaryCountsAreExchanged(t *testing.T) {
 	first, second := newCanaryBalancer(1), newCanaryBalancer(0)
 	for i, evidence := range []slipwick.Evidence{
@@ -106,11 +109,12 @@
 		}
 	}
 	if again := first.TakeUpdate(); len(again.Outcomes) > 0 {
-		t.Errorf("got %v told twice", again.Outcomes)
+		t.Errorf("got %v in a second update, want nothing", again.Outcomes)
 	}
 }
 
-// TestNewVersionIsHeldUntilRolloutsAreKnown has servers of a version turn up before the order is known.
+// TestNewVersionIsHeldUntilRolloutsAreKnown lists servers of a new version before it is known
+// whether a rollout names that version.
 func TestNewVersionIsHeldUntilRolloutsAreKnown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New("d")
@@ -135,23 +139,23 @@
 		}
 		b.RolloutsKnown(time.Now().Add(-time.Millisecond))
 		if uses() {
-			t.Error("got a new version in use before its order can be known")
+			t.Error("got a new version in use before its rollout can be known")
 		}
 		time.Sleep(time.Millisecond)
 		b.RolloutsKnown(time.Now())
 		if !uses() {
-			t.Error("got a new version held that no order names")
+			t.Error("got a new version held back that no rollout names")
 		}
 		time.Sleep(time.Millisecond)
 		b.ChangeBackends(&Changes{
 			Entries: entriesOfVersion("v3", 300),
 		})
 		if !b.heldVersionsLocked("p", time.Now())["v3"] {
-			t.Error("got the next version not held")
+			t.Error("got the next version in use, want it held back")
 		}
 		time.Sleep(maxVersionHold)
 		if len(b.heldVersionsLocked("p", time.Now())) > 0 {
-			t.Error("got a version held for good while orders can't be known")
+			t.Error("got a version held back for longer than maxVersionHold while rollouts are not known")
 		}
 	})
 }
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -12,22 +12,22 @@
 	"github.com/slipwick/slipwick"
 )
 
-// testLimit is that of a pool whose engines bear 13 requests a second while they are
-// cold, with half more and 5 allowed.
+// testLimit is the limit of a pool whose engines can serve 13 requests a second while they are
+// cold. It allows half as many again, and 5 more.
 var testLimit = ColdLimit{
 	MaxPerSecond: 1.5*13 + 5,
 }
 
-// coldFleet is routers before a pool of cold engines.
+// coldFleet has routers that share a pool of cold engines.
 type coldFleet struct {
 	routers []*Balancer
 	ids     []string
-	// started counts the routers that were started later.
+	// started counts the routers that were started during the test.
 	started int
-	// arrivals are when requests reached each engine.
+	// arrivals has the times at which requests reached each engine.
 	arrivals map[string][]time.Time
-	// frozenUntil is until when a router stands still: what it was about to send
-	// arrives then.
+	// frozenUntil is when each frozen router resumes. The requests that it was about to send
+	// reach the engines then.
 	frozenUntil map[int]time.Time
 }
 
@@ -44,7 +44,7 @@
 	return f
 }
 
-// start makes a router that has just learnt of the engines.
+// newRouter returns a router that has just received the list of engines.
 func (f *coldFleet) newRouter(engines int, coldTime time.Duration) *Balancer {
 	b := New("d")
 	b.SetColdLimits(map[string]ColdLimit{
@@ -58,14 +58,14 @@
 	return b
 }
 
-// know tells some of the routers which live.
+// setRouters sets the live routers at those with the indexes [from, to).
 func (f *coldFleet) setRouters(live []string, from, to int) {
 	for i := from; i < to; i++ {
 		f.routers[i].SetRouters(f.ids[i], live)
 	}
 }
 
-// request has one router try to send as much as it may.
+// send sends a request through a router, unless the limit does not let it.
 func (f *coldFleet) send(router int, key uint64) {
 	lease, err := f.routers[router].Acquire(prompt(key))
 	if err != nil {
@@ -80,7 +80,8 @@
 	f.routers[router].Release(lease, slipwick.EvidenceGood)
 }
 
-// most gives the most that any engine got in any second, and the sum of all.
+// maxPerSecond returns the most requests that any engine got in any second, and the sum of all
+// requests.
 func (f *coldFleet) maxPerSecond() (most, sum int) {
 	for _, arrivals := range f.arrivals {
 		sum += len(arrivals)
@@ -97,10 +98,10 @@
 	return most, sum
 }
 
-// TestColdEnginesStayBelowTheLimit has all engines cold and all routers send as
-// much as they may, while the fleet splits into halves, routers start that know all
-// or a few, some are killed, and some are frozen: one disturbance after the other. The
-// sum over all routers, those cut off among them, stays below the limit in any second.
+// TestColdEnginesStayBelowTheLimit has all routers send as much as they may to cold engines, with
+// one disturbance after the other: the fleet is partitioned into halves, routers start that know
+// all or a few of the others, half of them are killed, or some are frozen. The sum over all
+// routers, in both partitions, must stay below the limit in any second.
 func TestColdEnginesStayBelowTheLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 8, 24, 65}).Draw(rt, "routers")
@@ -127,7 +128,7 @@
 	})
 }
 
-// disturb does one thing to the fleet.
+// disturb causes one disturbance of the fleet.
 func (f *coldFleet) disturb(random *rand.Rand, kind string) {
 	size := len(f.routers)
 	half := size / 2
@@ -136,14 +137,14 @@
 		f.setRouters(f.ids[:half], 0, half)
 		f.setRouters(f.ids[half:], half, size)
 	case "start":
-		// It knows a part of the fleet, and the others do not know it yet. Its ID is
-		// nobody's else, also after others were killed.
+		// The new router knows a part of the fleet, and the others do not know it yet. Its ID
+		// is never reused, also after others were killed.
 		f.started++
 		f.ids = append(f.ids, fmt.Sprint("new", f.started))
 		f.routers = append(f.routers, f.newRouter(3, time.Hour))
 		f.setRouters(f.ids[:random.IntN(size)+1], size, size+1)
 	case "kill":
-		// The first half is gone, and the rest learns it one by one.
+		// The first half is killed, and the others learn of it one by one.
 		f.routers, f.ids = f.routers[half:], f.ids[half:]
 		for i := range f.routers {
 			f.setRouters(f.ids, i, i+1)
@@ -153,13 +154,13 @@
 		for range size/4 + 1 {
 			f.frozenUntil[random.IntN(size)] = time.Now().Add(3 * time.Second)
 		}
-		// What they had chosen reaches the engines as they wake.
+		// The requests for which they had chosen a server reach the engines as they resume.
 		f.run(random, 10*time.Millisecond)
 	}
 }
 
-// run has the routers ask all the time: each several times more often than at the
-// usual rate of a request for each engine in 150 ms.
+// run has all routers send requests for a while: about 50 a second each, several times the usual
+// rate of one request per engine in 150 ms.
 func (f *coldFleet) run(random *rand.Rand, during time.Duration) {
 	const step = 10 * time.Millisecond
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(step) {
@@ -172,9 +173,9 @@
 	}
 }
 
-// TestColdPoolIsUsed has a pool that is cold as a whole, as after the loss of all its
-// engines: the routers together use nearly the half of the limit that is theirs. An
-// even split would leave each of 65 or 330 routers less than one request a second.
+// TestColdPoolIsUsed has a pool in which all engines are cold, as after the loss of all. The
+// routers together must use nearly the half of the limit that is meant for them. If the limit
+// were split evenly, each of 65 or 330 routers could send less than one request a second.
 func TestColdPoolIsUsed(t *testing.T) {
 	for _, size := range []int{1, 8, 65, 330} {
 		t.Run(fmt.Sprint(size, " routers"), func(t *testing.T) {
@@ -195,8 +196,8 @@
 	}
 }
 
-// TestColdEnginesTakeOverflow has one engine in eight cold: it gets nothing while the
-// others have room, and its part while they are pressed.
+// TestColdEnginesTakeOverflow has one cold engine among eight. It must get nothing while the
+// others are below busyShare, and its part of the requests above that.
 func TestColdEnginesTakeOverflow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newColdFleet(1, 8, 0)
@@ -209,26 +210,26 @@
 		for key := range uint64(20) {
 			acquire(t, b, prompt(key))
 			if cold.inFlight > 0 {
-				t.Fatalf("request %d: got the cold engine while the others had room", key)
+				t.Fatalf("request %d: got the cold engine while the others were not busy", key)
 			}
 		}
 		for key := range uint64(30) {
 			acquire(t, b, prompt(100+key))
 		}
 		if got := float64(cold.inFlight); got == 0 || got > maxColdLoadShare*12+1 {
-			t.Errorf("got %v requests at the cold engine when the others are pressed, want 1 to %v", got, maxColdLoadShare*12+1)
+			t.Errorf("got %v requests at the cold engine while the others are busy, want 1 to %v", got, maxColdLoadShare*12+1)
 		}
 		time.Sleep(2 * time.Second)
 		if b.isColdLocked(cold, time.Now()) {
-			t.Error("got an engine that stays cold, want one that is warm after its time")
+			t.Error("got an engine that is cold after ColdUntil, want it warm")
 		}
 	})
 }
 
-// TestBurstAfterEvacuationStaysBelowTheColdLimit has a burst of four times the usual come as an
-// evacuation ends, whose engines told before that they are cold: 19 routers before 28
-// engines. At 65 routers before 112 one then got 25 and 26 requests in a second, of 24.5
-// allowed, when none was counted as cold.
+// TestBurstAfterEvacuationStaysBelowTheColdLimit sends a burst of four times the usual load as an
+// evacuation ends, whose engines are listed as cold before that: 19 routers with 28 engines. When
+// none counted as cold, with 65 routers and 112 engines, an engine got 25 and 26 requests in a
+// second, of 24.5 allowed.
 func TestBurstAfterEvacuationStaysBelowTheColdLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers, engines, perSecond = 19, 28, 4 * 200
@@ -261,8 +262,8 @@
 	})
 }
 
-// TestColdServersDoNotCountInResponseTimes has a cold engine answer late: others are not given
-// more time for it.
+// TestColdServersDoNotCountInResponseTimes has a cold engine respond late, which must not raise
+// the timeouts of the other engines.
 func TestColdServersDoNotCountInResponseTimes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newColdFleet(1, 1, time.Hour)
@@ -274,12 +275,13 @@
 		b.RecordResponseStart(lease)
 		b.RecordResponseTime(lease)
 		if got := b.paceLocked("p").slowness.Len(); got != 0 {
-			t.Errorf("got %d times learnt from a cold engine, want none", got)
+			t.Errorf("got %d response times recorded for a cold engine, want none", got)
 		}
 	})
 }
 
-// BenchmarkSetRouters tells of one router that died, at the size designed for.
+// BenchmarkSetRouters removes and adds one router, at the largest size in the design: 330 routers
+// and 930 servers.
 func BenchmarkSetRouters(b *testing.B) {
 	var ids []string
 	for i := range 330 {
@@ -293,8 +295,8 @@
 	}
 }
 
-// TestNewServerCountsAsColdByDefault has a server added to the list long
-// after the router's start.
+// TestNewServerCountsAsColdByDefault lists a new server long after the router's start, in an
+// entry that does not say whether it is cold.
 func TestNewServerCountsAsColdByDefault(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New("d")
@@ -309,11 +311,11 @@
 		b.SetBackends(list)
 		first, added := b.servers[list[0].ID], b.servers[list[1].ID]
 		if b.isColdLocked(first, time.Now()) || !b.isColdLocked(added, time.Now()) {
-			t.Error("got the wrong servers cold, want the added one alone")
+			t.Error("got the wrong servers cold, want only the added one")
 		}
 		time.Sleep(limit.NewServerTime)
 		if b.isColdLocked(added, time.Now()) {
-			t.Error("got a server cold after its time")
+			t.Error("got a server cold after NewServerTime, want it warm")
 		}
 	})
 }
--- a/balance/errors_test.go
+++ b/balance/errors_test.go
@@ -17,7 +17,7 @@
 	Pool: "p",
 }
 
-// unavailableCount counts the backend servers that are left out.
+// unavailableCount returns the number of backend servers that are ejected or unresponsive.
 func unavailableCount(b *Balancer) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -38,7 +38,7 @@
 		b.RecordResponseStart(waiting)
 		time.Sleep(minSilence)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
-			t.Errorf("after %v: got %s, want %s still", minSilence, got, id)
+			t.Errorf("after %v: got %s, want still %s", minSilence, got, id)
 		}
 		time.Sleep(time.Millisecond)
 		lease := acquire(t, b, prompt(7))
@@ -47,12 +47,13 @@
 		}
 		b.RecordProgress(waiting)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
-			t.Errorf("when it was heard: got %s, want %s", got, id)
+			t.Errorf("after a sign of progress: got %s, want %s", got, id)
 		}
 	})
 }
 
-// TestIdleBackendIsNotUnresponsive has one say nothing as it was asked nothing.
+// TestIdleBackendIsNotUnresponsive has a server that sent nothing for a minute because it got no
+// requests.
 func TestIdleBackendIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(1)
@@ -60,7 +61,7 @@
 		time.Sleep(time.Minute)
 		acquire(t, b, plainRequest)
 		if got := unavailableCount(b); got != 0 {
-			t.Error("got it left out when it had just been asked, want it used")
+			t.Error("got it unavailable right after the first request, want it in use")
 		}
 	})
 }
@@ -75,13 +76,13 @@
 		}
 		b.ReceiveOutcomes([]Outcomes{failing})
 		if got := unavailableCount(b); got != 0 {
-			t.Errorf("after two failures of four: got %d left out, want none", got)
+			t.Errorf("after two failures of four: got %d ejected, want none", got)
 		}
 		b.ReceiveOutcomes([]Outcomes{failing, failing})
 		for range 20 {
 			lease := acquire(t, b, plainRequest)
 			if lease.Backend.ID == "p-2" {
-				t.Fatal("after six failures of twelve: got p-2, want it left out")
+				t.Fatal("after six failures of twelve: got p-2, want it ejected")
 			}
 			b.Release(lease, slipwick.EvidenceNone)
 		}
@@ -89,7 +90,7 @@
 		b.ReceiveOutcomes([]Outcomes{failing, failing})
 		time.Sleep(errorEjection)
 		if got := unavailableCount(b); got != 1 {
-			t.Errorf("when it fails again: got %d left out after %v, want it out for longer", got, errorEjection)
+			t.Errorf("after more failures: got %d ejected after %v, want it ejected for longer", got, errorEjection)
 		}
 	})
 }
@@ -101,7 +102,7 @@
 		end(slipwick.EvidenceGood)
 	}
 	if got := b.TakeUpdate().Outcomes; len(got) != 0 {
-		t.Errorf("without a failure: got %v, want nothing told", got)
+		t.Errorf("without a failure: got %v, want no outcomes", got)
 	}
 	end(slipwick.EvidenceError)
 	got := b.TakeUpdate().Outcomes
@@ -109,7 +110,7 @@
 		t.Errorf("got %v, want %d good and 1 failed", got, maxUnsentSuccesses)
 	}
 	if got := b.TakeUpdate().Outcomes; len(got) != 0 {
-		t.Errorf("told again: got %v, want nothing", got)
+		t.Errorf("in the next update: got %v, want no outcomes", got)
 	}
 }
 
@@ -141,17 +142,16 @@
 		b.RecordOverdue(lease)
 	}
 	if got := unavailableCount(b); got != 1 {
-		t.Errorf("got %d left out, want the one that lets requests wait", got)
+		t.Errorf("got %d ejected, want the one with overdue requests", got)
 	}
 }
 
-// TestEjectionsAreBounded has backend servers fail at rates of their own: never
-// more than a third of a pool, rounded up, is left out, one that fails far more
-// than the others is found, and the sound ones stay.
+// TestEjectionsAreBounded has all backend servers fail at the same random rate, and checks that
+// never more than a third of the pool, rounded up, is ejected.
 func TestEjectionsAreBounded(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.IntRange(2, 20).Draw(r, "size")
-		failureRate := rapid.Float64Range(0, 0.5).Draw(r, "failureRate")
+		failureRate := rapid.Float64Range(0, 0.5).Draw(r, "failure rate")
 		random := rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1))
 		b := newTestBalancer(size)
 		for range 500 {
@@ -165,14 +165,14 @@
 			}
 			b.ReceiveOutcomes([]Outcomes{o})
 			if got, limit := unavailableCount(b), (size+ejectableOneIn-1)/ejectableOneIn; got > limit {
-				r.Fatalf("got %d of %d left out, want at most %d", got, size, limit)
+				r.Fatalf("got %d of %d ejected, want at most %d", got, size, limit)
 			}
 		}
 	})
 }
 
-// TestBadServerIsFoundAmongMany has one of 18 engines fail nearly every second
-// request.
+// TestBadServerIsFoundAmongMany has one of 18 engines fail nearly every second request, and checks
+// that it is ejected within 20 requests, and no other.
 func TestBadServerIsFoundAmongMany(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	b := newTestBalancer(18)
@@ -181,7 +181,7 @@
 		if backend.ID == "p-3" {
 			found++
 		} else {
-			t.Errorf("got %s left out, want p-3 alone", backend.ID)
+			t.Errorf("got %s ejected, want only p-3", backend.ID)
 		}
 	}
 	for n := 0; found == 0 && n < 20; n++ {
@@ -197,12 +197,12 @@
 		}
 	}
 	if found == 0 {
-		t.Error("got p-3 not left out after 20 requests, want it found")
+		t.Error("got p-3 not ejected after 20 requests")
 	}
 }
 
-// TestFailuresByChanceEjectFew has all servers of a pool fail alike, as in
-// an overload that makes many answers late.
+// TestFailuresByChanceEjectFew has all servers of a pool fail at the same rate, as in an overload
+// that makes many responses late. At most one in 500 outcomes may cause an ejection.
 func TestFailuresByChanceEjectFew(t *testing.T) {
 	const (
 		seeds    = 5
@@ -228,13 +228,13 @@
 			})
 		}
 		if got, limit := ejections, seeds*outcomes/500; got > limit {
-			t.Errorf("%v fail: got %d times one left out in %d outcomes, want %d at most", share, got, seeds*outcomes, limit)
+			t.Errorf("failure rate %v: got %d ejections in %d outcomes, want at most %d", share, got, seeds*outcomes, limit)
 		}
 	}
 }
 
-// TestServerThatFailsMoreIsStillEjected has one of seven servers fail as grey ones
-// do while the others fail now and then.
+// TestServerThatFailsMoreIsStillEjected has one of seven servers fail most requests, as in a partial
+// (grey) failure, while the others fail some.
 func TestServerThatFailsMoreIsStillEjected(t *testing.T) {
 	for _, share := range []float64{0.04, 0.14} {
 		synctest.Test(t, func(t *testing.T) {
@@ -256,18 +256,18 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			if ejections["p-3"] < 2 {
-				t.Errorf("others fail %v: got the failing server out %d times, want it again and again", share, ejections["p-3"])
+				t.Errorf("others fail at %v: got the failing server ejected %d times, want at least 2", share, ejections["p-3"])
 			}
 		})
 	}
 }
 
-// TestRefusedConnectionsAreSentToAllRouters has three routers meet a backend
-// server at which nothing listens: a fourth that never tried it leaves it out.
+// TestRefusedConnectionsAreSentToAllRouters has three routers find that nothing listens at a backend
+// server. A fourth that never tried it must eject it.
 func TestRefusedConnectionsAreSentToAllRouters(t *testing.T) {
 	for evidence, want := range map[slipwick.Evidence]int{
 		slipwick.EvidenceRefused: 0,
-		// The way of one router says nothing of the others'.
+		// The network path of one router says nothing about those of the others.
 		slipwick.EvidenceUnreachable: 1,
 	} {
 		other := newTestBalancer(4)
@@ -289,7 +289,7 @@
 			}).Backend.ID]++
 		}
 		if got := min(counts["p-0"], 1); got != want {
-			t.Errorf("evidence %d: got %v by backend server, want p-0 used: %v", evidence, counts, want == 1)
+			t.Errorf("evidence %d: got %v by backend server, want p-0 in use: %v", evidence, counts, want == 1)
 		}
 	}
 }
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -11,15 +11,15 @@
 	"github.com/slipwick/slipwick"
 )
 
-// newBalancerIn makes a balancer before such a pool, in the first data centre.
+// newBalancerIn returns a balancer in the first data centre, with the pool of entriesIn.
 func newBalancerIn(engines int, dataCentres ...string) *Balancer {
 	b := New(dataCentres[0])
 	b.SetBackends(entriesIn(engines, dataCentres...))
 	return b
 }
 
-// entriesIn gives engines that lie in as many data centres and regions as are named,
-// by turns.
+// entriesIn returns entries of engines that are in the given data centres by turns. Each data
+// centre is in a region of its own.
 func entriesIn(engines int, dataCentres ...string) []Entry {
 	var list []Entry
 	for i := range engines {
@@ -38,8 +38,8 @@
 	return list
 }
 
-// TestEvacuatedDataCentreGetsNothingNew sends prompts, new and known ones, and plain
-// requests while a data centre is evacuated, and once it was taken back.
+// TestEvacuatedDataCentreGetsNothingNew sends requests with new prompts, with cached prompts and
+// without prompts during an evacuation, and with new prompts after its end.
 func TestEvacuatedDataCentreGetsNothingNew(t *testing.T) {
 	b := newBalancerIn(8, "d", "e", "f", "g")
 	for key := range uint64(40) {
@@ -65,12 +65,12 @@
 		b.Release(lease, slipwick.EvidenceGood)
 	}
 	if returned == 0 {
-		t.Error("got none of 200 new prompts at the data centre that was taken back, want some")
+		t.Error("got none of 200 new prompts at the data centre after its evacuation, want some")
 	}
 }
 
-// TestEvacuatedEnginesAreFetchedFrom has an engine elsewhere take a prompt over from
-// one that is evacuated and still lives: reading it again would take some times longer.
+// TestEvacuatedEnginesAreFetchedFrom checks that an engine elsewhere fetches a prompt from an
+// evacuated one that still runs, because prefilling it again would take several times as long.
 func TestEvacuatedEnginesAreFetchedFrom(t *testing.T) {
 	b := newBalancerIn(4, "d", "e")
 	first := acquire(t, b, prompt(7))
@@ -79,13 +79,13 @@
 	b.SetEvacuated([]string{first.Backend.DataCentre})
 	second := acquire(t, b, prompt(7))
 	if second.Backend.DataCentre == first.Backend.DataCentre || second.FetchFrom != first.Backend.Address {
-		t.Errorf("got %s fetching from %q, want one elsewhere that fetches from %s",
+		t.Errorf("got %s fetching from %q, want one in another data centre that fetches from %s",
 			second.Backend.ID, second.FetchFrom, first.Backend.Address)
 	}
 }
 
-// TestPromptsDoNotMoveBackAfterEvacuation has the engines that prompts found during an evacuation stay
-// theirs once it has ended: the engines there have lost what they kept.
+// TestPromptsDoNotMoveBackAfterEvacuation checks that prompts stay at the engines that got them
+// during an evacuation once it has ended: the evacuated engines have lost their caches.
 func TestPromptsDoNotMoveBackAfterEvacuation(t *testing.T) {
 	b := newBalancerIn(8, "d", "e", "f", "g")
 	b.SetEvacuated([]string{"e"})
@@ -100,7 +100,7 @@
 	for key := range uint64(40) {
 		lease := acquire(t, b, prompt(key))
 		if got, want := lease.Backend.ID, engines[key]; got != want {
-			t.Errorf("prompt %d: got %s after the evacuation, want its home %s", key, got, want)
+			t.Errorf("prompt %d: got %s after the evacuation, want still %s", key, got, want)
 		}
 		b.Release(lease, slipwick.EvidenceGood)
 	}
@@ -112,11 +112,11 @@
 	_, err := b.Acquire(prompt(1))
 	typed, ok := slipwick.AsError(err)
 	if !ok || typed.Outcome != slipwick.OutcomeNotRun || typed.RetryAfter <= 0 {
-		t.Errorf("got %v, want a refusal as not run with a time to come back", err)
+		t.Errorf("got %v, want a refusal with outcome not-run and a Retry-After", err)
 	}
 	b.SetEvacuated([]string{"d"})
 	if _, err := b.Acquire(prompt(1)); err != nil {
-		t.Errorf("got %v once a data centre was taken back", err)
+		t.Errorf("after the end of one evacuation: got %v, want no error", err)
 	}
 }
 
@@ -141,11 +141,11 @@
 	b := newBalancerIn(1, "d")
 	lease := acquire(t, b, plainRequest)
 	if !b.StillAccepts(lease) {
-		t.Error("got a server that takes nothing, want one that does")
+		t.Error("got false for a usable server, want true")
 	}
 	b.SetEvacuated([]string{"d"})
 	if b.StillAccepts(lease) {
-		t.Error("got a server that takes new requests in an evacuated data centre")
+		t.Error("got true for a server in an evacuated data centre, want false")
 	}
 	b.SetEvacuated(nil)
 	b.SetColdLimits(map[string]ColdLimit{
@@ -155,20 +155,20 @@
 	list[0].ColdUntil = time.Now().Add(time.Hour)
 	b.SetBackends(list)
 	if b.StillAccepts(lease) {
-		t.Error("got a server that takes what it was chosen for before it became cold")
+		t.Error("got true for a server that became cold after the choice, want false")
 	}
 	b.SetBackends(nil)
 	if b.StillAccepts(lease) {
-		t.Error("got a server that takes new requests though it is gone")
+		t.Error("got true for a server that is no longer listed, want false")
 	}
 }
 
-// TestLoadOfEvacuatedDataCentresSpreads has a quarter, or half, of the pool evacuated
-// at the busiest second: 19 routers before 28 engines of 12 slots, 7 requests a second
-// for each engine, as at a deployment of four data centres. The bound on load, by the
-// mean of all engines, holds for the rest, and nothing goes to the evacuated ones. Three
-// in a hundred may be above it: with half of the pool the bound is so near the mean of
-// the rest that loads exceed it by chance.
+// TestLoadOfEvacuatedDataCentresSpreads evacuates a quarter or half of the pool at peak load: 19
+// routers, 28 engines of 12 slots, 7 requests a second for each engine, as in a deployment with four
+// data centres. Nothing may go to the evacuated engines, and the load bound, which is based on the
+// mean of all engines, has to hold for the others. With half of the pool evacuated the bound is so
+// close to the mean of the others that loads exceed it by chance, so 3% of the requests may be above
+// it.
 func TestLoadOfEvacuatedDataCentresSpreads(t *testing.T) {
 	for _, test := range []struct {
 		evacuated []string
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -12,7 +12,8 @@
 
 const restartEngines = 6
 
-// entriesStartedAt lists engines of which one began at another time than the others.
+// entriesStartedAt returns entries of engines, of which the one with the ID started at another time
+// than the others.
 func entriesStartedAt(id string, born int64) []Entry {
 	list := testEntries(restartEngines)
 	for i := range list {
@@ -24,7 +25,7 @@
 	return list
 }
 
-// restartFleet is three routers that tell each other all.
+// restartFleet has three routers that send each other updates.
 type restartFleet struct {
 	routers  []*Balancer
 	sequence uint64
@@ -52,12 +53,12 @@
 	return ids
 }
 
-// told gives what a router has to tell.
+// takeUpdate returns a router's next update.
 func (f *restartFleet) takeUpdate(router int) Update {
 	return f.routers[router].TakeUpdate()
 }
 
-// hear has all others hear what a router update.
+// deliver has all other routers receive an update.
 func (f *restartFleet) deliver(from int, update Update) {
 	f.sequence++
 	for i, b := range f.routers {
@@ -81,8 +82,9 @@
 	return states[slices.IndexFunc(states, func(s State) bool { return s.ID == id })]
 }
 
-// TestRestartedServerIsANewIncarnation has an engine with a prompt, and requests of all
-// routers in flight, start again within a heartbeat: its entry never goes.
+// TestRestartedServerIsANewIncarnation has an engine restart that has a prompt cached and requests
+// of all routers in flight. It restarts within a heartbeat, so that its entry never expires. Nothing
+// known of the earlier incarnation may be applied to the new one.
 func TestRestartedServerIsANewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestartFleet()
@@ -106,10 +108,10 @@
 		f.setBackends(entriesStartedAt(id, 9_000))
 		for i, b := range f.routers {
 			if b.HasCachedPrompt(prompt(7)) {
-				t.Errorf("router %d: got the prompt's home believed, want it unknown", i)
+				t.Errorf("router %d: got the prompt cached, want it unknown", i)
 			}
 			if got := b.InFlight("p"); got != 0 {
-				t.Errorf("router %d: got %v requests in flight, want the new life to begin at none", i, got)
+				t.Errorf("router %d: got %v requests in flight, want the new incarnation to start at none", i, got)
 			}
 		}
 		for i, update := range late {
@@ -117,23 +119,23 @@
 		}
 		for i, b := range f.routers {
 			if b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 0 {
-				t.Errorf("router %d: got news of the earlier life believed: home %t, %v in flight",
+				t.Errorf("router %d: got updates of the earlier incarnation applied: prompt cached %t, %v in flight",
 					i, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
 			}
-			// What was in flight at the earlier life ends, and fails.
+			// The requests in flight at the earlier incarnation fail.
 			b.Release(leases[i], slipwick.EvidenceError)
 			if got := f.state(i, id); got.InFlight != 0 || got.ErrorRate != 0 || got.Out {
-				t.Errorf("router %d: got %+v after the ends of the earlier life, want a fresh one", i, got)
+				t.Errorf("router %d: got %+v after requests to the earlier incarnation failed, want a fresh state", i, got)
 			}
 		}
 		again := acquire(t, f.routers[1], prompt(7))
 		if again.FetchFrom != "" {
-			t.Errorf("got a fetch from %s, want the prompt read", again.FetchFrom)
+			t.Errorf("got a fetch from %s, want the prompt prefilled", again.FetchFrom)
 		}
 	})
 }
 
-// TestEjectionsBelongToAnIncarnation has an engine left out, start again, and get requests.
+// TestEjectionsBelongToAnIncarnation checks that an ejected engine is not ejected after its restart.
 func TestEjectionsBelongToAnIncarnation(t *testing.T) {
 	b := New("dc-0")
 	b.SetBackends(entriesStartedAt("", 0))
@@ -145,20 +147,20 @@
 		return states[slices.IndexFunc(states, func(s State) bool { return s.ID == id })].Out
 	}
 	if !isEjected() {
-		t.Fatal("got an engine that refuses connections not left out")
+		t.Fatal("got an engine that refuses connections not ejected")
 	}
 	b.SetBackends(entriesStartedAt(id, 9_000))
 	if isEjected() {
-		t.Error("got the new life left out for what the earlier one did")
+		t.Error("got the new incarnation ejected for a failure of the earlier one")
 	}
 }
 
-// TestEntryWithoutStartTimeIsTheSameIncarnation has entries of earlier contracts, and one that
-// leaves the birth out once.
+// TestEntryWithoutStartTimeIsTheSameIncarnation has entries without start times, as servers of an
+// earlier contract version write them, and an entry that lacks its start time once.
 func TestEntryWithoutStartTimeIsTheSameIncarnation(t *testing.T) {
-	for _, births := range [][]int64{{0, 0}, {1_000, 0}, {1_000, 0, 1_000}, {1_000, 1_000}} {
+	for _, starts := range [][]int64{{0, 0}, {1_000, 0}, {1_000, 0, 1_000}, {1_000, 1_000}} {
 		b := New("dc-0")
-		for i, born := range births {
+		for i, born := range starts {
 			list := testEntries(restartEngines)
 			for j := range list {
 				list[j].Born = born
@@ -169,8 +171,8 @@
 			}
 		}
 		if !b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 1 {
-			t.Errorf("births %v: got home %t and %v in flight, want one life",
-				births, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
+			t.Errorf("start times %v: got prompt cached %t and %v in flight, want one incarnation",
+				starts, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
 		}
 	}
 }
--- a/balance/ranking_bench_test.go
+++ b/balance/ranking_bench_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// BenchmarkStartingFleet tells of the routers of a fleet, 14 at a time.
+// BenchmarkStartingFleet has a router learn of the routers of a starting fleet, 14 at a time.
 func BenchmarkStartingFleet(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/balance/ranking_test.go
+++ b/balance/ranking_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestStartingFleetRanksOnlyColdServers has a router learn of a fleet one by one, as it does
-// when all routers start at once: nothing is worked out for servers that are not cold, however
-// many there are.
+// TestStartingFleetRanksOnlyColdServers has a router learn of the others one by one, as it does
+// when all start at once. It must not rank the routers for servers that are not cold, however many
+// there are.
 func TestStartingFleetRanksOnlyColdServers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		for _, servers := range []int{100, 200, 400} {
@@ -33,14 +33,14 @@
 				}
 			}
 			if ranked != 1 {
-				t.Errorf("%d servers: got %d ranked, want the cold one alone", servers, ranked)
+				t.Errorf("%d servers: got %d ranked, want only the cold one", servers, ranked)
 			}
 		}
 	})
 }
 
 // TestRankMatchesCountOfAllRouters compares the rank for a cold server with a count of the routers
-// that score higher, as routers come and go.
+// that score higher, while routers join and leave.
 func TestRankMatchesCountOfAllRouters(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := New("d")
--- a/balance/regions_test.go
+++ b/balance/regions_test.go
@@ -6,8 +6,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestRequestStaysInItsRegions has prompts that are known in three regions, and may be
-// in one only: neither the request nor a fetch of its prompt leaves it.
+// TestRequestStaysInItsRegions has prompts that are cached in three regions, and requests that
+// allow only one of these. Neither the request nor a fetch of its prompt may leave that region.
 func TestRequestStaysInItsRegions(t *testing.T) {
 	b := newBalancerIn(9, "d", "e", "f")
 	for key := range uint64(60) {
@@ -22,17 +22,18 @@
 			request.Regions = []string{"region of e"}
 			lease := acquire(t, b, request)
 			if got := lease.Backend.Region; got != "region of e" {
-				t.Fatalf("prompt %d: got a backend server in %s", key, got)
+				t.Fatalf("prompt %d: got a backend server in %s, want region of e", key, got)
 			}
 			if got := addresses[lease.FetchFrom]; lease.FetchFrom != "" && got != "region of e" {
-				t.Fatalf("prompt %d: got a fetch from %s", key, got)
+				t.Fatalf("prompt %d: got a fetch from %s, want region of e", key, got)
 			}
 			b.Release(lease, slipwick.EvidenceGood)
 		}
 	}
 }
 
-// TestRequestDoesNotLeaveItsRegionsWhenTheseAreDown has all servers of the region out.
+// TestRequestDoesNotLeaveItsRegionsWhenTheseAreDown has no reachable server in the only region
+// that the request allows.
 func TestRequestDoesNotLeaveItsRegionsWhenTheseAreDown(t *testing.T) {
 	b := newBalancerIn(9, "d", "e", "f")
 	request := prompt(1)
@@ -47,14 +48,14 @@
 	}
 }
 
-// TestRequestThatNoRegionAllowsIsRefused has a route and a workspace that allow no
-// region in common.
+// TestRequestThatNoRegionAllowsIsRefused has a request without allowed regions, as when its route
+// and its workspace have none in common.
 func TestRequestThatNoRegionAllowsIsRefused(t *testing.T) {
 	b := newBalancerIn(3, "d", "e", "f")
 	request := prompt(1)
 	request.Regions = []string{}
 	_, err := b.Acquire(request)
 	if typed, ok := slipwick.AsError(err); !ok || typed.Outcome != slipwick.OutcomeNotRun {
-		t.Errorf("got %v, want a refusal as not run", err)
+		t.Errorf("got %v, want a refusal with outcome not-run", err)
 	}
 }
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -11,16 +11,16 @@
 	"github.com/slipwick/slipwick"
 )
 
-// sheddingFleet is a fleet of which some engines turn all away and ask for rest.
+// sheddingFleet is a fleet in which some engines shed all requests and ask for a pause.
 type sheddingFleet struct {
 	*testFleet
 	shedding []string
-	// rest is what they ask for; 0 asks for none.
+	// rest is the pause that they ask for, 0 for none.
 	rest time.Duration
-	// maxAttempts is how often a request is sent.
+	// maxAttempts is how often a request is sent at most.
 	maxAttempts int
-	// requests, refused and unserved count requests, sends that were turned away, and
-	// requests that were turned away each time.
+	// requests counts the requests, rejected the attempts that were shed, and unserved the
+	// requests of which every attempt was shed.
 	requests, rejected, unserved int
 }
 
@@ -29,7 +29,8 @@
 	sheddingTime = 9 * time.Second
 )
 
-// request has one router serve a request; evidence is what a refusal is taken for.
+// sendWithRetries sends a request through a random router. evidence is what the router records
+// when an engine sheds it.
 func (f *sheddingFleet) sendWithRetries(t *testing.T, random *rand.Rand, evidence slipwick.Evidence) {
 	t.Helper()
 	b := f.routers[random.IntN(len(f.routers))]
@@ -54,7 +55,7 @@
 	f.unserved++
 }
 
-// tell has all routers hear what the others have in flight, and how it ended.
+// exchangeUpdates sends each router's counts and outcomes to all others.
 func (f *sheddingFleet) exchangeUpdates(sequence uint64) {
 	for i, b := range f.routers {
 		update := b.TakeUpdate()
@@ -67,8 +68,8 @@
 	}
 }
 
-// runShedding has engines shed for a while, and gives the share of sends that were
-// turned away, by requests, and that of requests unserved.
+// runShedding has engines shed for a while. It returns the numbers of rejected attempts and of
+// unserved requests, both as fractions of the requests.
 func runShedding(
 	t *testing.T, routers, engines, shedding, perSecond int, rest time.Duration, evidence slipwick.Evidence,
 ) (rejected, unserved float64) {
@@ -107,11 +108,10 @@
 	return rejected, unserved
 }
 
-// TestFleetAvoidsServersThatShed has more than a quarter of a pool shed all for 9 s, in
-// fleets in which each router meets every server, and in one in which a router sends to a
-// server once in half a minute. What is turned away and sent again has to fit the fleet's
-// budget of repeats, which is 0.2 of its requests, and three in four servers have room for
-// all.
+// TestFleetAvoidsServersThatShed has more than a quarter of a pool shed all requests for 9 s, in
+// fleets in which each router sends to every server, and in one in which a router sends to a given
+// server once in half a minute. The retries have to fit into the fleet's retry budget, which is 0.2
+// of its requests. The other three quarters of the servers have room for all requests.
 func TestFleetAvoidsServersThatShed(t *testing.T) {
 	const budget, maxUnserved = 0.2, 0.001
 	for _, size := range []struct{ routers, engines, shedding, perSecond int }{
@@ -122,17 +122,17 @@
 		for _, rest := range []time.Duration{0, pauseTime} {
 			rejected, unserved := runShedding(t, size.routers, size.engines, size.shedding, size.perSecond,
 				rest, slipwick.EvidenceShed)
-			t.Logf("%+v, rests of %v: %.3f turned away, %.5f unserved", size, rest, rejected, unserved)
+			t.Logf("%+v, pauses of %v: %.3f rejected, %.5f unserved", size, rest, rejected, unserved)
 			if rejected > budget || unserved > maxUnserved {
-				t.Errorf("%+v, rests of %v: got %.3f of the requests turned away again, %.5f unserved, want at most %v, %v",
+				t.Errorf("%+v, pauses of %v: got %.3f attempts rejected per request, %.5f unserved, want at most %v, %v",
 					size, rest, rejected, unserved, budget, maxUnserved)
 			}
 		}
 	}
 }
 
-// TestFullServersAreNotEjectedForShedding has a server refuse with all slots taken, and one
-// with room.
+// TestFullServersAreNotEjectedForShedding has a server shed requests with all slots taken, and
+// another with free slots.
 func TestFullServersAreNotEjectedForShedding(t *testing.T) {
 	for _, isFull := range []bool{true, false} {
 		b := newTestBalancer(4)
@@ -146,7 +146,7 @@
 			b.Release(lease, slipwick.EvidenceShed)
 		}
 		if got, want := unavailableCount(b) > 0, !isFull; got != want {
-			t.Errorf("full %t: got it left out: %t, want %t", isFull, got, want)
+			t.Errorf("full %t: got it ejected: %t, want %t", isFull, got, want)
 		}
 	}
 }
--- a/balance/switches_test.go
+++ b/balance/switches_test.go
@@ -16,15 +16,15 @@
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
 	}
 	if got, err := ParseSwitches(nil); err != nil || got != (Switches{}) {
-		t.Errorf("got %+v, %v for no names, want none on", got, err)
+		t.Errorf("got %+v, %v for no names, want no switch set", got, err)
 	}
 	_, err = ParseSwitches([]string{"no-such"})
 	if err == nil || !strings.Contains(err.Error(), "cold-as-others") {
-		t.Errorf("got %v, want an error that names the switches there are", err)
+		t.Errorf("got %v, want an error that names the known switches", err)
 	}
 }
 
-// TestSwitchesPageNamesAll has the operators' page explain each switch.
+// TestSwitchesPageNamesAll checks that docs/ABLATION.md explains each switch.
 func TestSwitchesPageNamesAll(t *testing.T) {
 	page, err := os.ReadFile("../docs/ABLATION.md")
 	if err != nil {
@@ -38,7 +38,8 @@
 	}
 }
 
-// TestForgetEvacuatedDisablesFetches compares a choice with the switch and without.
+// TestForgetEvacuatedDisablesFetches requests a prompt that only an evacuated engine has cached,
+// with the switch and without.
 func TestForgetEvacuatedDisablesFetches(t *testing.T) {
 	for _, test := range []struct {
 		name            string
@@ -50,7 +51,7 @@
 			wantFetch: true,
 		},
 		{
-			name:            "forget what they keep",
+			name:            "prefill again",
 			forgetEvacuated: true,
 		},
 	} {
@@ -63,7 +64,7 @@
 			b.MarkCachesKnown()
 			got := acquire(t, b, prompt(7)).FetchFrom == first.Backend.Address
 			if got != test.wantFetch {
-				t.Errorf("got a fetch from there: %t, want %t", got, test.wantFetch)
+				t.Errorf("got a fetch from the evacuated engine: %t, want %t", got, test.wantFetch)
 			}
 		})
 	}
