--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -10,13 +10,13 @@
 	"github.com/slipwick/slipwick"
 )
 
-// say has a backend server answer a request of the router, with a notice.
+// announce has a router receive a response of a backend server with a notice.
 func announce(t *testing.T, b *Balancer, id string, notice slipwick.Notice) {
 	t.Helper()
 	b.RecordNotice(leaseAt(t, b, id), notice)
 }
 
-// leaseAt gives a lease that is released already.
+// leaseAt returns a lease at a backend server that does not count as in flight.
 func leaseAt(t *testing.T, b *Balancer, id string) *Lease {
 	t.Helper()
 	s := b.servers[id]
@@ -26,7 +26,7 @@
 	return newLease(s)
 }
 
-// chosen gives which backend servers requests go to, all of which are still in progress.
+// countChosen sends requests that do not end, and returns how many went to each backend server.
 func countChosen(t *testing.T, b *Balancer, requests int) map[string]int {
 	t.Helper()
 	counts := make(map[string]int)
@@ -45,8 +45,8 @@
 	}
 )
 
-// TestNoticeAppliesToItsIncarnationAlone has servers say that they leave, and ask for rest, and
-// then begin anew under their ID, vanish from the list and come back, or both.
+// TestNoticeAppliesToItsIncarnationAlone has a server announce that it is leaving, or ask for a
+// pause, and then restart under its ID, expire and reappear in the list, or both.
 func TestNoticeAppliesToItsIncarnationAlone(t *testing.T) {
 	startedAt := func(at int64) []Entry {
 		list := testEntries(2)
@@ -57,13 +57,13 @@
 		lists [][]Entry
 		want  bool
 	}{
-		"same life":                    {[][]Entry{startedAt(1)}, false},
-		"entry without a start":        {[][]Entry{startedAt(0)}, false},
-		"lapsed, back":                 {[][]Entry{startedAt(1)[1:], startedAt(1)}, false},
-		"began anew":                   {[][]Entry{startedAt(2)}, true},
-		"gone, began anew":             {[][]Entry{startedAt(1)[1:], startedAt(2)}, true},
-		"began anew, old entry, newer": {[][]Entry{startedAt(2), startedAt(1), startedAt(2)}, true},
-		"began anew, old entry":        {[][]Entry{startedAt(2), startedAt(1)}, false},
+		"same incarnation":                  {[][]Entry{startedAt(1)}, false},
+		"entry without a start time":        {[][]Entry{startedAt(0)}, false},
+		"expired, reappeared":               {[][]Entry{startedAt(1)[1:], startedAt(1)}, false},
+		"restarted":                         {[][]Entry{startedAt(2)}, true},
+		"expired, restarted":                {[][]Entry{startedAt(1)[1:], startedAt(2)}, true},
+		"restarted, old entry, newer entry": {[][]Entry{startedAt(2), startedAt(1), startedAt(2)}, true},
+		"restarted, old entry":              {[][]Entry{startedAt(2), startedAt(1)}, false},
 	} {
 		for what, notice := range map[string]slipwick.Notice{"leaving": leavingNotice, "pause": pauseNotice} {
 			t.Run(name+", "+what, func(t *testing.T) {
@@ -84,8 +84,8 @@
 	}
 }
 
-// TestLateNoticeOfEarlierIncarnationIsIgnored has answers of a server's earlier life
-// arrive, and other routers tell of it, once the next one is listed.
+// TestLateNoticeOfEarlierIncarnationIsIgnored has responses of an earlier incarnation, and updates
+// of other routers about it, arrive after the next one was listed.
 func TestLateNoticeOfEarlierIncarnationIsIgnored(t *testing.T) {
 	b := New("dc-0")
 	list := testEntries(2)
@@ -100,12 +100,12 @@
 	b.RecordNotice(before, pauseNotice)
 	b.ReceiveLeaving([]uint64{hash})
 	if got := countChosen(t, b, 20)["p-0"]; got == 0 {
-		t.Error("got none of 20 requests at the later life, want some")
+		t.Error("got none of 20 requests at the later incarnation, want some")
 	}
 }
 
-// TestNoticeInOtherResponsesApplies has engines say so as they list their caches, one of a life
-// that is over.
+// TestNoticeInOtherResponsesApplies has engines announce that they are leaving in responses that
+// list their caches. One of the responses is from an incarnation that is not listed.
 func TestNoticeInOtherResponsesApplies(t *testing.T) {
 	b := newTestBalancer(3)
 	first, second := leaseAt(t, b, "p-0").Backend, leaseAt(t, b, "p-1").Backend
@@ -117,19 +117,19 @@
 		t.Errorf("got requests at %v, want none at p-0 and some at p-1", got)
 	}
 	if leaving, want := b.TakeUpdate().Leaving, 1; len(leaving) != want {
-		t.Errorf("got %d leaves to tell the others, want %d", len(leaving), want)
+		t.Errorf("got %d leaving servers in the update, want %d", len(leaving), want)
 	}
 }
 
-// TestNoticeAppliesThoughEntryExpired has the entry lapse while a request is under way
-// whose answer says that the server leaves.
+// TestNoticeAppliesThoughEntryExpired has a server's entry expire during a request, in the response
+// to which the server announces that it is leaving.
 func TestNoticeAppliesThoughEntryExpired(t *testing.T) {
 	for name, between := range map[string]func(b *Balancer, lease *Lease){
-		"before it is back": func(b *Balancer, lease *Lease) {
+		"before the entry reappears": func(b *Balancer, lease *Lease) {
 			b.RecordNotice(lease, leavingNotice)
 			b.SetBackends(testEntries(2))
 		},
-		"after": func(b *Balancer, lease *Lease) {
+		"after the entry reappears": func(b *Balancer, lease *Lease) {
 			b.SetBackends(testEntries(2))
 			b.RecordNotice(lease, leavingNotice)
 		},
@@ -139,12 +139,13 @@
 		b.SetBackends(testEntries(2)[1:])
 		between(b, lease)
 		if got := countChosen(t, b, 20)["p-0"]; got > 0 {
-			t.Errorf("the answer came %s: got %d of 20 requests there, want none", name, got)
+			t.Errorf("response %s: got %d of 20 requests there, want none", name, got)
 		}
 	}
 }
 
-// TestPauseEnds has a server ask for rest, for more while it rests, and for less.
+// TestPauseEnds has a server ask for a pause, and during it for a shorter one, which must not change
+// the end of the first.
 func TestPauseEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(2)
@@ -155,17 +156,17 @@
 		})
 		time.Sleep(1999 * time.Millisecond)
 		if got := countChosen(t, b, 20)["p-0"]; got > 0 {
-			t.Errorf("got %d of 20 requests within the rest, want none", got)
+			t.Errorf("got %d of 20 requests during the pause, want none", got)
 		}
 		time.Sleep(time.Millisecond)
 		if got := countChosen(t, b, 20)["p-0"]; got == 0 {
-			t.Error("got none of 20 requests after the rest, want some")
+			t.Error("got none of 20 requests after the pause, want some")
 		}
 	})
 }
 
-// TestRetryAfterWhenAllServersPause has all that may serve a request rest: nobody is sent
-// there as the last one left, and callers hear when the first has rested.
+// TestRetryAfterWhenAllServersPause has all servers leave or ask for a pause. None of them may get a
+// request as the last one available, and callers get a Retry-After until the first pause ends.
 func TestRetryAfterWhenAllServersPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
@@ -181,7 +182,7 @@
 			t.Fatalf("got error %v, want an *slipwick.Error", err)
 		}
 		if got, want := typed.RetryAfter, 1500*time.Millisecond; got != want {
-			t.Errorf("got %v until callers may come back, want %v", got, want)
+			t.Errorf("got a Retry-After of %v, want %v", got, want)
 		}
 		if got, want := typed.Outcome, slipwick.OutcomeNotRun; got != want {
 			t.Errorf("got outcome %s, want %s", got, want)
@@ -189,27 +190,27 @@
 	})
 }
 
-// TestDelayedRequestIsNotSentAfterNotice has the word come between the choice and
-// the send.
+// TestDelayedRequestIsNotSentAfterNotice has a notice arrive after a server was chosen for a request
+// and before the request is sent.
 func TestDelayedRequestIsNotSentAfterNotice(t *testing.T) {
 	for _, notice := range []slipwick.Notice{leavingNotice, pauseNotice} {
 		b := newTestBalancer(1)
 		lease := acquire(t, b, plainRequest)
 		if !b.StillAccepts(lease) {
-			t.Error("got the backend server taking nothing before its word, want it in use")
+			t.Error("before the notice: got a server that does not accept the request, want one that does")
 		}
 		announce(t, b, "p-0", notice)
 		if b.StillAccepts(lease) {
-			t.Errorf("%+v: got the request sent, want another choice", notice)
+			t.Errorf("%+v: got a server that still accepts the request, want one that does not", notice)
 		}
 		if got := b.EnginesWithUnknownCaches("p"); len(got) > 0 {
-			t.Errorf("%+v: got its cache asked for, want nothing sent there", notice)
+			t.Errorf("%+v: got its cache among those to query, want nothing sent there", notice)
 		}
 	}
 }
 
-// TestRestingServersCountAsEjected has a third of a pool rest: failures leave out none of the
-// others, which have to carry all.
+// TestRestingServersCountAsEjected has a third of a pool ask for a pause. Failures must not eject any
+// of the others, which have to carry the whole load.
 func TestRestingServersCountAsEjected(t *testing.T) {
 	b := newTestBalancer(6)
 	announce(t, b, "p-0", pauseNotice)
@@ -221,12 +222,12 @@
 		b.mu.Unlock()
 	}
 	if got := unavailableCount(b); got > 0 {
-		t.Errorf("got %d servers left out beside those that rest, want none", got)
+		t.Errorf("got %d servers ejected beside the resting ones, want none", got)
 	}
 }
 
-// TestLeavingExpiresWhereEntriesAreReused has a server of a list that operators write be
-// replaced in place, and one whose entry is its own.
+// TestLeavingExpiresWhereEntriesAreReused has a leaving server replaced under the same entry, as in a
+// list that operators write, and a leaving server whose entry is never reused.
 func TestLeavingExpiresWhereEntriesAreReused(t *testing.T) {
 	for _, isReused := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -238,17 +239,18 @@
 			announce(t, b, "p-0", leavingNotice)
 			time.Sleep(leavingExpiry - time.Millisecond)
 			if got := countChosen(t, b, 20)["p-0"]; got > 0 {
-				t.Errorf("in place %t: got %d of 20 requests before the word lapsed, want none", isReused, got)
+				t.Errorf("entries reused %t: got %d of 20 requests before the notice expired, want none", isReused, got)
 			}
 			time.Sleep(time.Hour)
 			if got := countChosen(t, b, 20)["p-0"] > 0; got != isReused {
-				t.Errorf("in place %t: got it in use after an hour: %t, want %t", isReused, got, isReused)
+				t.Errorf("entries reused %t: got it in use after an hour: %t, want %t", isReused, got, isReused)
 			}
 		})
 	}
 }
 
-// TestOldNoticesAreDropped has many servers come, say that they leave, and go.
+// TestOldNoticesAreDropped lists many servers one after the other, each of which announces that it is
+// leaving and then is no longer listed.
 func TestOldNoticesAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(1)
@@ -265,8 +267,8 @@
 	})
 }
 
-// countLateRequests has one of a pool leave while the list stays, and gives the requests that
-// it gets later than a second after its first answer said so.
+// countLateRequests has one server of a pool announce that it is leaving, while its entry stays as it
+// is. It returns how many requests the server gets later than a second after its first notice.
 func countLateRequests(t *testing.T, routers, engines, perSecond int, sharesNotices bool) (late int) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -307,8 +309,9 @@
 	return late
 }
 
-// TestFleetLearnsOfLeavingFromOneResponse has one server say to whoever sends to it that it
-// leavingNotice, in fleets of several sizes: the first router that hears it tells the others.
+// TestFleetLearnsOfLeavingFromOneResponse has one server announce in each response that it is
+// leaving, in fleets of several sizes. The first router that receives the notice must inform the
+// others.
 func TestFleetLearnsOfLeavingFromOneResponse(t *testing.T) {
 	for _, size := range []struct{ routers, engines, perSecond int }{
 		{8, 18, 260},
@@ -316,9 +319,9 @@
 		{295, 153, 1300},
 	} {
 		if got := countLateRequests(t, size.routers, size.engines, size.perSecond, true); got > 0 {
-			t.Errorf("%+v: got %d requests at it later than a second after its first answer, want none", size, got)
+			t.Errorf("%+v: got %d requests later than a second after the first notice, want none", size, got)
 		}
-		t.Logf("%+v: %d where routers tell nobody", size,
+		t.Logf("%+v: %d if routers do not inform each other", size,
 			countLateRequests(t, size.routers, size.engines, size.perSecond, false))
 	}
 }
