--- a/balance/list.go
+++ b/balance/list.go
@@ -67,7 +67,7 @@
 			added[s.hash] = true
 		}
 	}
-	b.addRemoteCountsOfLocked(added)
+	b.addEarlierCountsLocked(added)
 	b.dropOldNoticesLocked()
 }
 
@@ -129,9 +129,9 @@
 	s.poolIndex = -1
 }
 
-// addRemoteCountsOfLocked adds the counts that other routers had sent for servers before these
+// addEarlierCountsLocked adds the counts that other routers had sent for servers before these
 // were listed.
-func (b *Balancer) addRemoteCountsOfLocked(added map[uint64]bool) {
+func (b *Balancer) addEarlierCountsLocked(added map[uint64]bool) {
 	if len(added) == 0 {
 		return
 	}
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -113,15 +113,15 @@
 // any it returns all engines. It reorders the slice.
 func (b *Balancer) preferHolderDataCentresLocked(prompt uint64, engines []*server, now time.Time) []*server {
 	known, _ := b.cacheIndex.holdersByPart.Peek(prompt)
-	var holds []string
+	var holderDataCentres []string
 	for _, hash := range known {
 		if holder := b.hashes[hash]; holder != nil && b.canFetchFromLocked(holder, now) {
-			holds = append(holds, holder.DataCentre)
+			holderDataCentres = append(holderDataCentres, holder.DataCentre)
 		}
 	}
 	matches := 0
 	for i, e := range engines {
-		if slices.Contains(holds, e.DataCentre) {
+		if slices.Contains(holderDataCentres, e.DataCentre) {
 			engines[matches], engines[i] = engines[i], engines[matches]
 			matches++
 		}
--- a/balance/scratch.go
+++ b/balance/scratch.go
@@ -3,8 +3,8 @@
 // scratch has the buffers that one choice needs. The next choice reuses them, so that no choice
 // allocates memory in proportion to the pool.
 type scratch struct {
-	// usable has the servers that a request may go to, cold the cold ones that may get it as
-	// well, ejected the ejected ones, below the engines below the load bound.
+	// usable has the servers that a request may go to, cold the cold servers that may get it as
+	// well, ejected the ejected servers, and below those whose load is below the load bound.
 	usable, cold, ejected, below []*server
 	// paused has the evacuated servers and those that asked for a pause.
 	paused []*server
--- a/balance/update.go
+++ b/balance/update.go
@@ -188,9 +188,9 @@
 func (b *Balancer) InFlight(pool string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	each := b.loadsLocked(b.pools[pool], clock.Now())
+	loads := b.loadsLocked(b.pools[pool], clock.Now())
 	sum := 0.0
-	for _, load := range each {
+	for _, load := range loads {
 		sum += load
 	}
 	return sum
