--- a/balance/prefill_test.go
+++ b/balance/prefill_test.go
@@ -30,7 +30,8 @@
 	// nothing was measured: 1.5 times the initial base time plus 1.2 times the initial prefill
 	// time of 10,000 tokens.
 	initialMaxPrefill = 82500*time.Microsecond + 120*time.Millisecond
-	maxWait           = 250 * time.Millisecond
+	// maxWait is longer than any wait for the prefill of such a prompt.
+	maxWait = 250 * time.Millisecond
 )
 
 func TestRequestsWaitWhileTheirPromptIsPrefilled(t *testing.T) {
