--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -11,12 +11,12 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-type listLog struct {
+type listRecorder struct {
 	mu  sync.Mutex
 	ids []string
 }
 
-func (l *listLog) take(changes *balance.Changes) {
+func (l *listRecorder) apply(changes *balance.Changes) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	isGone := func(id string) bool { return slices.Contains(changes.Removed, id) }
@@ -28,7 +28,7 @@
 	l.ids = slices.Compact(l.ids)
 }
 
-func entry(id string, gone bool) Change[balance.Entry] {
+func backendChange(id string, gone bool) Change[balance.Entry] {
 	return Change[balance.Entry]{
 		Name: id,
 		Gone: gone,
@@ -40,7 +40,7 @@
 	}
 }
 
-func (l *listLog) expect(t *testing.T, when string, want ...string) {
+func (l *listRecorder) expect(t *testing.T, when string, want ...string) {
 	t.Helper()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -49,117 +49,117 @@
 	}
 }
 
-func TestBackendsDropWhatIsGoneAtOnce(t *testing.T) {
+func TestBackendsDropRemovedEntryAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var log listLog
-		b := NewBackends(log.take)
+		var list listRecorder
+		b := NewBackends(list.apply)
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
-		b.Change([]Change[balance.Entry]{entry("b", true)})
-		log.expect(t, "after the removal", "a")
+		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+		b.Change([]Change[balance.Entry]{backendChange("b", true)})
+		list.expect(t, "after the removal", "a")
 	})
 }
 
-// TestBackendsKeepWhatLapsedDuringAnOutage has two entries lapse while the
+// TestBackendsKeepEntriesExpiredDuringOutage has two entries lapse while the
 // store is away; one of their servers comes back, the other does not.
-func TestBackendsKeepWhatLapsedDuringAnOutage(t *testing.T) {
+func TestBackendsKeepEntriesExpiredDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var log listLog
-		b := NewBackends(log.take)
+		var list listRecorder
+		b := NewBackends(list.apply)
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false), entry("c", false)})
+		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false), backendChange("c", false)})
 		time.Sleep(5 * time.Second)
 		b.Failed()
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{entry("b", true), entry("c", true)})
-		log.expect(t, "on return", "a", "b", "c")
+		b.Change([]Change[balance.Entry]{backendChange("b", true), backendChange("c", true)})
+		list.expect(t, "on return", "a", "b", "c")
 		time.Sleep(time.Second)
-		b.Change([]Change[balance.Entry]{entry("b", false)})
+		b.Change([]Change[balance.Entry]{backendChange("b", false)})
 		time.Sleep(time.Second)
-		log.expect(t, "two seconds after the return", "a", "b")
+		list.expect(t, "two seconds after the return", "a", "b")
 	})
 }
 
-func TestBackendsTakeAShortFailureForNoOutage(t *testing.T) {
+func TestBackendsIgnoreShortFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var log listLog
-		b := NewBackends(log.take)
+		var list listRecorder
+		b := NewBackends(list.apply)
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
+		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(time.Second)
 		b.Failed()
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{entry("b", true)})
-		log.expect(t, "after the removal", "a")
+		b.Change([]Change[balance.Entry]{backendChange("b", true)})
+		list.expect(t, "after the removal", "a")
 	})
 }
 
-// TestBackendsThatVanishedInAShortGapAreGoneInTime has a router hear nothing for less
+// TestEntriesRemovedInShortGapAreDroppedInTime has a router hear nothing for less
 // than the time after which a server that is gone gets nothing new, while the store serves
 // others: an entry may have gone as the gap began.
 //
 // What was seen: a server whose entry had gone got a request 3.2 s later, of 3 s allowed,
 // from one router of eighty. It had followed a router that fell behind, heard nothing for
 // 1.75 s, took that for an outage of the store, and kept the entry for 1.9 s more.
-func TestBackendsThatVanishedInAShortGapAreGoneInTime(t *testing.T) {
+func TestEntriesRemovedInShortGapAreDroppedInTime(t *testing.T) {
 	const leave = 3 * time.Second
 	for _, gap := range []time.Duration{1600 * time.Millisecond, 1750 * time.Millisecond, 2800 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			var log listLog
-			b := NewBackends(log.take)
+			var list listRecorder
+			b := NewBackends(list.apply)
 			b.Leave = leave
 			b.Answered(0, 0)
-			b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
-			began := time.Now()
+			b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+			gapStart := time.Now()
 			time.Sleep(gap)
 			b.Failed()
 			b.Answered(0, 0)
-			b.Change([]Change[balance.Entry]{entry("b", true)})
-			time.Sleep(time.Until(began.Add(leave)))
+			b.Change([]Change[balance.Entry]{backendChange("b", true)})
+			time.Sleep(time.Until(gapStart.Add(leave)))
 			synctest.Wait()
-			log.expect(t, "after a gap of "+gap.String(), "a")
+			list.expect(t, "after a gap of "+gap.String(), "a")
 		})
 	}
 }
 
-// TestBackendsThatVanishedSinceAnOldCopyAreGoneInTime has a router follow another, whose copy
+// TestEntriesRemovedSinceOldCopyAreDroppedInTime has a router follow another, whose copy
 // was as old as copies may be, and then hear nothing for less than the time after which a
 // server that is gone gets nothing new: an entry may have gone as soon as the copy was
 // confirmed, before the gap.
-func TestBackendsThatVanishedSinceAnOldCopyAreGoneInTime(t *testing.T) {
+func TestEntriesRemovedSinceOldCopyAreDroppedInTime(t *testing.T) {
 	const leave, age, gap = 3 * time.Second, 1200 * time.Millisecond, 1600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
-		var log listLog
-		b := NewBackends(log.take)
+		var list listRecorder
+		b := NewBackends(list.apply)
 		b.Leave = leave
 		confirmed := time.Now().Add(-age)
 		b.Answered(age, 0)
-		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
+		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(gap)
 		b.Failed()
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{entry("b", true)})
+		b.Change([]Change[balance.Entry]{backendChange("b", true)})
 		time.Sleep(time.Until(confirmed.Add(leave)))
 		synctest.Wait()
-		log.expect(t, "after a gap of "+gap.String(), "a")
+		list.expect(t, "after a gap of "+gap.String(), "a")
 	})
 }
 
-// TestBackendsThatVanishedInAGapOfOnesOwnAreGoneAtOnce has a router hear nothing for longer
+// TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce has a router hear nothing for longer
 // than what counts as an outage of the store, and learn then from another that the store has
 // served all the while: nothing lapsed for it, and what vanished has left.
-func TestBackendsThatVanishedInAGapOfOnesOwnAreGoneAtOnce(t *testing.T) {
+func TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var log listLog
-		b := NewBackends(log.take)
+		var list listRecorder
+		b := NewBackends(list.apply)
 		b.Leave = 2 * time.Second
 		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{entry("a", false), entry("b", false)})
+		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(4 * time.Second)
 		b.Failed()
 		b.Answered(100*time.Millisecond, time.Minute)
-		b.Change([]Change[balance.Entry]{entry("b", true)})
+		b.Change([]Change[balance.Entry]{backendChange("b", true)})
 		synctest.Wait()
-		log.expect(t, "after the gap", "a")
+		list.expect(t, "after the gap", "a")
 	})
 }
--- a/directory/copy_test.go
+++ b/directory/copy_test.go
@@ -10,7 +10,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestServerThatLeavesAfterTheStoreFellBackGetsNothing brings about the incident in which
+// TestServerLeavingAfterRestoreGetsNothing brings about the incident in which
 // backend servers got requests 2.2 to 2.9 s after the store had taken that they leave, where
 // 2 s are allowed.
 //
@@ -22,13 +22,13 @@
 // the new one. The log proved it: refusals at all eight routers until one moment, servers
 // taken off the lists 1.90 s after it, and two routers, those that had not asked the store,
 // which took a list without the leave.
-func TestServerThatLeavesAfterTheStoreFellBackGetsNothing(t *testing.T) {
+func TestServerLeavingAfterRestoreGetsNothing(t *testing.T) {
 	const (
 		routers = 8
 		// lost is how old the copy is, outage how long the store is away before.
-		lost, outage = 3 * time.Second, 1500 * time.Millisecond
+		backupAge, outage = 3 * time.Second, 1500 * time.Millisecond
 		// quiet is the time from the store's return to the leave.
-		quiet = 3300 * time.Millisecond
+		restoredTime = 3300 * time.Millisecond
 		// writes are those whose revisions are given out again.
 		writes = 3
 	)
@@ -67,25 +67,25 @@
 				}
 				f.start(t)
 				time.Sleep(5 * time.Second)
-				copied := time.Now()
+				backupTime := time.Now()
 				for range writes {
-					time.Sleep(lost / (writes + 1))
+					time.Sleep(backupAge / (writes + 1))
 					newVersion()
 				}
-				time.Sleep(lost / (writes + 1))
-				f.store.setAway(true)
+				time.Sleep(backupAge / (writes + 1))
+				f.store.setDown(true)
 				time.Sleep(outage)
-				f.store.fallBack(copied)
-				time.Sleep(quiet)
+				f.store.restore(backupTime)
+				time.Sleep(restoredTime)
 				tc.leave(f.store)
 				for range tc.after {
 					time.Sleep(40 * time.Millisecond)
 					newVersion()
 				}
-				time.Sleep(modelLeave)
+				time.Sleep(modelWithin)
 				for _, r := range f.routers {
-					if r.sends("a") {
-						t.Errorf("%s would send to the server that leaves, %v after the store knew", r.self.ID, modelLeave)
+					if r.wouldSend("a") {
+						t.Errorf("%s would send to the server that leaves, %v after the store knew", r.self.ID, modelWithin)
 					}
 				}
 			})
@@ -93,17 +93,17 @@
 	}
 }
 
-// TestCopyOfARevisionGivenOutAgainIsTheNewOne has a router ask another for its list, before
+// TestReassignedRevisionIsEncodedAgain has a router ask another for its list, before
 // and after a store has come back from a copy and reached the same revision with other
-// changes. In the incident that TestServerThatLeavesAfterTheStoreFellBackGetsNothing tells,
+// changes. In the incident that TestServerLeavingAfterRestoreGetsNothing tells,
 // two routers of eight were given the answer that had been encoded before.
-func TestCopyOfARevisionGivenOutAgainIsTheNewOne(t *testing.T) {
+func TestReassignedRevisionIsEncodedAgain(t *testing.T) {
 	mirror := NewMirror()
 	relay := &RelayClient{
 		Address:  "other",
 		FeedName: "f",
 		HTTP: &http.Client{
-			Transport: &directWay{
+			Transport: &handlerTransport{
 				to: &RelayServer{
 					Mirrors: map[string]*Mirror{
 						"f": mirror,
--- a/directory/copyof_test.go
+++ b/directory/copyof_test.go
@@ -9,15 +9,15 @@
 )
 
 // copyOf is another router's copy, a millisecond away.
-type copyOf struct {
-	from, to *followingRouter
+type simPeerFeed struct {
+	from, to *simRouter
 }
 
 // reach waits as long as the way takes, or for ever.
-func (c *copyOf) reach(ctx context.Context) error {
-	for _, r := range []*followingRouter{c.from, c.to} {
+func (c *simPeerFeed) reach(ctx context.Context) error {
+	for _, r := range []*simRouter{c.from, c.to} {
 		r.mu.Lock()
-		silent := r.silent || r.alone
+		silent := r.unresponsive || r.isolated
 		r.mu.Unlock()
 		if silent {
 			<-ctx.Done()
@@ -28,29 +28,29 @@
 	return ctx.Err()
 }
 
-func (c *copyOf) List(ctx context.Context) (slipwick.FeedBatch, error) {
+func (c *simPeerFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
 	if err := c.reach(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
 	batch, err := c.to.follower.Mirror.AwaitList(ctx, firstCopyWait)
 	batch.Hops++
-	if err == nil && c.from.fleet.sends > 0 {
+	if err == nil && c.from.fleet.maxSends > 0 {
 		return c.send(ctx, &batch)
 	}
 	if err == nil {
 		notifyBegin(ctx)
 	}
-	if err == nil && c.from.fleet.listTime > 0 {
-		sleep(ctx, c.from.fleet.listTime)
+	if err == nil && c.from.fleet.transferTime > 0 {
+		sleep(ctx, c.from.fleet.transferTime)
 	}
 	return batch, errors.Join(err, ctx.Err())
 }
 
 // send sends a list beside others, or refuses it.
-func (c *copyOf) send(ctx context.Context, batch *slipwick.FeedBatch) (slipwick.FeedBatch, error) {
+func (c *simPeerFeed) send(ctx context.Context, batch *slipwick.FeedBatch) (slipwick.FeedBatch, error) {
 	isRefused := false
-	c.to.set(func(r *followingRouter) {
-		isRefused = r.sending >= r.fleet.sends
+	c.to.set(func(r *simRouter) {
+		isRefused = r.sending >= r.fleet.maxSends
 		if !isRefused {
 			r.sending++
 		}
@@ -58,8 +58,8 @@
 	if isRefused {
 		return slipwick.FeedBatch{}, loadingError(storeRetryInterval)
 	}
-	defer c.to.set(func(r *followingRouter) { r.sending-- })
+	defer c.to.set(func(r *simRouter) { r.sending-- })
 	notifyBegin(ctx)
-	sleep(ctx, time.Duration(c.from.fleet.sends)*c.from.fleet.listTime)
+	sleep(ctx, time.Duration(c.from.fleet.maxSends)*c.from.fleet.transferTime)
 	return *batch, ctx.Err()
 }
--- a/directory/encoding_test.go
+++ b/directory/encoding_test.go
@@ -13,8 +13,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestEncodingsCarryTheSame passes drawn batches on in each encoding.
-func TestEncodingsCarryTheSame(t *testing.T) {
+// TestEncodingsRoundTrip passes drawn batches on in each encoding.
+func TestEncodingsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		want := slipwick.FeedBatch{
 			Whole:    rapid.Bool().Draw(r, "whole"),
@@ -48,9 +48,9 @@
 	})
 }
 
-// TestRoutersOfBeforeGetJSON has two routers ask for one copy: the one names an encoding, the
+// TestOlderRoutersGetJSON has two routers ask for one copy: the one names an encoding, the
 // other none.
-func TestRoutersOfBeforeGetJSON(t *testing.T) {
+func TestOlderRoutersGetJSON(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(batch(3, true, "a1", "b1"))
 	server := &RelayServer{
--- a/directory/evacuations_test.go
+++ b/directory/evacuations_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// TestEvacuationThatACopyLacksHolds has the store come back from a copy that was made before
+// TestEvacuationMissingFromBackupStaysInForce has the store come back from a copy that was made before
 // two evacuations; one of them is written again.
-func TestEvacuationThatACopyLacksHolds(t *testing.T) {
+func TestEvacuationMissingFromBackupStaysInForce(t *testing.T) {
 	const within = 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
 		var mu sync.Mutex
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -19,7 +19,7 @@
 	calls int
 	lists int
 	// slow is how long each answer takes.
-	slow time.Duration
+	delay time.Duration
 	// age is added to that of the copy.
 	age time.Duration
 }
@@ -32,13 +32,13 @@
 	return f
 }
 
-func (f *fakeFeed) answer(ctx context.Context, call func() (slipwick.FeedBatch, error)) (slipwick.FeedBatch, error) {
+func (f *fakeFeed) call(ctx context.Context, call func() (slipwick.FeedBatch, error)) (slipwick.FeedBatch, error) {
 	f.mu.Lock()
 	f.calls++
 	hangs, failure, age := f.hangs, f.err, f.age
 	f.mu.Unlock()
-	if f.slow > 0 {
-		time.Sleep(f.slow)
+	if f.delay > 0 {
+		time.Sleep(f.delay)
 		if ctx.Err() != nil {
 			return slipwick.FeedBatch{}, ctx.Err()
 		}
@@ -56,35 +56,35 @@
 }
 
 // fail has all further calls fail; nil ends that.
-func (f *fakeFeed) fail(err error) {
+func (f *fakeFeed) setError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.err = err
 }
 
 // hang has further calls get no answer, or ends that; those that hang stay so.
-func (f *fakeFeed) hang(hangs bool) {
+func (f *fakeFeed) setHangs(hangs bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hangs = hangs
 }
 
 // grow adds to the age of what it answers from now on.
-func (f *fakeFeed) grow(age time.Duration) {
+func (f *fakeFeed) addAge(age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.age += age
 }
 
 // called counts the calls so far.
-func (f *fakeFeed) called() int {
+func (f *fakeFeed) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
 // listed counts the lists so far.
-func (f *fakeFeed) listed() int {
+func (f *fakeFeed) listCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.lists
@@ -94,11 +94,11 @@
 	f.mu.Lock()
 	f.lists++
 	f.mu.Unlock()
-	return f.answer(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.List(ctx) })
+	return f.call(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.List(ctx) })
 }
 
 func (f *fakeFeed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
-	return f.answer(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.Watch(ctx, after, wait) })
+	return f.call(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.Watch(ctx, after, wait) })
 }
 
 // fakePeers are routers whose copies are fakes.
@@ -129,7 +129,7 @@
 func (p *fakePeers) Relay(id, _ string) slipwick.Feed { return p.relays[id] }
 
 // rhythm is the one that followers have by default.
-var rhythm = TimingWithin(DefaultWithin)
+var defaultTiming = TimingWithin(DefaultWithin)
 
 // at is a position of a store that tells no timelines.
 func at(revision uint64) slipwick.Position {
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -12,10 +12,10 @@
 func TestFleetStartsAndRestsWithFewCalls(t *testing.T) {
 	for _, size := range []int{1, 8, 62, 295} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFollowing(size)
+			f := newSimFleet(size)
 			stop := f.start(t)
 			time.Sleep(time.Second)
-			if got := f.lagging("0"); got > 0 {
+			if got := f.countLagging("0"); got > 0 {
 				t.Errorf("%d routers: got %d without a copy after a second, want none", size, got)
 			}
 			if got := f.calls.Load(); got > 9 {
@@ -35,28 +35,28 @@
 // on the way are silent or cut off from the store: all others have to know in
 // time.
 func TestChangesReachTheFleetThoughRoutersFail(t *testing.T) {
-	for name, fail := range map[string]func(f *following){
-		"nobody": func(*following) {},
-		"a watcher is silent": func(f *following) {
-			f.watchers()[0].set(func(r *followingRouter) { r.silent = true })
+	for name, fail := range map[string]func(f *simFleet){
+		"nobody": func(*simFleet) {},
+		"a watcher is silent": func(f *simFleet) {
+			f.watchers()[0].set(func(r *simRouter) { r.unresponsive = true })
 		},
-		"two watchers are silent": func(f *following) {
+		"two watchers are silent": func(f *simFleet) {
 			for _, w := range f.watchers()[:min(2, len(f.watchers()))] {
-				w.set(func(r *followingRouter) { r.silent = true })
+				w.set(func(r *simRouter) { r.unresponsive = true })
 			}
 		},
-		"a watcher is cut off from the store": func(f *following) {
-			f.watchers()[0].set(func(r *followingRouter) { r.cut = true })
+		"a watcher is cut off from the store": func(f *simFleet) {
+			f.watchers()[0].set(func(r *simRouter) { r.storeHangs = true })
 		},
-		"all watchers are cut off from the store": func(f *following) {
+		"all watchers are cut off from the store": func(f *simFleet) {
 			for _, w := range f.watchers() {
-				w.set(func(r *followingRouter) { r.cut = true })
+				w.set(func(r *simRouter) { r.storeHangs = true })
 			}
 		},
-		"a seventh of the routers is silent": func(f *following) {
+		"a seventh of the routers is silent": func(f *simFleet) {
 			for i, r := range f.routers {
 				if i%7 == 3 {
-					r.set(func(r *followingRouter) { r.silent = true })
+					r.set(func(r *simRouter) { r.unresponsive = true })
 				}
 			}
 		},
@@ -64,15 +64,15 @@
 		for _, size := range []int{8, 62, 295} {
 			for seed := range 5 {
 				synctest.Test(t, func(t *testing.T) {
-					f := newFollowing(size)
+					f := newSimFleet(size)
 					stop := f.start(t)
 					// At any moment between two confirmations.
 					time.Sleep(5*time.Second + time.Duration(seed)*371*time.Millisecond)
 					fail(f)
 					time.Sleep(time.Duration(seed%2) * 50 * time.Millisecond)
-					f.change("1")
+					f.setValue("1")
 					time.Sleep(fleetWithin - 100*time.Millisecond)
-					if got := f.lagging("1"); got > 0 {
+					if got := f.countLagging("1"); got > 0 {
 						t.Errorf("%d routers, %s, seed %d: got %d that do not know the change in time, want none", size, name, seed, got)
 					}
 					stop()
@@ -86,41 +86,41 @@
 // of the routers, those that follow it among them.
 func TestOutageCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFollowing(295)
+		f := newSimFleet(295)
 		stop := f.start(t)
 		time.Sleep(5 * time.Second)
-		refuse := func(refused func(i int, r *followingRouter) bool) {
+		refuse := func(refused func(i int, r *simRouter) bool) {
 			for i, r := range f.routers {
 				is := refused(i, r)
-				r.set(func(r *followingRouter) { r.refused = is })
+				r.set(func(r *simRouter) { r.storeRefuses = is })
 			}
 		}
-		refuse(func(int, *followingRouter) bool { return true })
+		refuse(func(int, *simRouter) bool { return true })
 		f.calls.Store(0)
 		time.Sleep(9 * time.Second)
 		if got := f.calls.Load(); got > 250 {
 			t.Errorf("got %d calls in 9 s of outage, want at most 250", got)
 		}
-		refuse(func(int, *followingRouter) bool { return false })
-		f.change("1")
+		refuse(func(int, *simRouter) bool { return false })
+		f.setValue("1")
 		time.Sleep(2 * time.Second)
-		if got := f.lagging("1"); got > 0 {
+		if got := f.countLagging("1"); got > 0 {
 			t.Errorf("got %d routers that do not know the change 2 s after the store's return, want none", got)
 		}
 		time.Sleep(5 * time.Second)
-		refuse(func(i int, r *followingRouter) bool { return i%3 == 0 || r.Place().Watches })
+		refuse(func(i int, r *simRouter) bool { return i%3 == 0 || r.Place().Watches })
 		f.calls.Store(0)
 		time.Sleep(time.Second)
-		f.change("2")
+		f.setValue("2")
 		time.Sleep(fleetWithin)
-		if got := f.lagging("2"); got > 0 {
+		if got := f.countLagging("2"); got > 0 {
 			t.Errorf("watchers refused: got %d routers that do not know the change in time, want none", got)
 		}
 		for i := range 5 {
 			value := strings.Repeat("3", i+1)
-			f.change(value)
+			f.setValue(value)
 			time.Sleep(fleetWithin)
-			if got := f.lagging(value); got > 0 {
+			if got := f.countLagging(value); got > 0 {
 				t.Errorf("watchers refused, change %d: got %d routers that do not know it in time, want none", i, got)
 			}
 		}
@@ -131,15 +131,15 @@
 	})
 }
 
-// TestRouterGivesTheWatchersPlaceBack has a router of the lowest level cut off from
+// TestRouterStopsActingOnceReconnected has a router of the lowest level cut off from
 // the others for a while: it follows the store itself, and the others again
 // afterwards.
-func TestRouterGivesTheWatchersPlaceBack(t *testing.T) {
+func TestRouterStopsActingOnceReconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFollowing(295)
+		f := newSimFleet(295)
 		stop := f.start(t)
 		time.Sleep(5 * time.Second)
-		var lowest *followingRouter
+		var lowest *simRouter
 		for _, r := range f.routers {
 			if r.Place().Turn < 0 {
 				lowest = r
@@ -150,13 +150,13 @@
 			defer lowest.mu.Unlock()
 			return lowest.calls
 		}
-		lowest.set(func(r *followingRouter) { r.alone = true })
+		lowest.set(func(r *simRouter) { r.isolated = true })
 		before := calls()
 		time.Sleep(10 * time.Second)
 		if got := calls() - before; got == 0 {
 			t.Error("cut off from the others: got no call to the store, want some")
 		}
-		lowest.set(func(r *followingRouter) { r.alone = false })
+		lowest.set(func(r *simRouter) { r.isolated = false })
 		// It looks whether others follow the store again every few seconds.
 		time.Sleep(15 * time.Second)
 		before = calls()
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -64,11 +64,11 @@
 		if got, want := state(), []string{"a1", "b1"}; !slices.Equal(got, want) {
 			t.Errorf("first: got %v, want %v", got, want)
 		}
-		store.fail(errors.New("down"))
-		time.Sleep(2 * rhythm.WatchWait)
+		store.setError(errors.New("down"))
+		time.Sleep(2 * defaultTiming.WatchWait)
 		store.Apply(batch(2, false, "b", "c1"))
 		time.Sleep(10 * time.Second)
-		store.fail(nil)
+		store.setError(nil)
 		if got, want := state(), []string{"a1", "b1"}; !slices.Equal(got, want) {
 			t.Errorf("outage: got %v, want %v", got, want)
 		}
@@ -85,13 +85,13 @@
 		state, stop := follow(t, store)
 		defer stop()
 		state()
-		store.fail(&slipwick.Error{
+		store.setError(&slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		})
-		time.Sleep(2 * rhythm.WatchWait)
+		time.Sleep(2 * defaultTiming.WatchWait)
 		store.Apply(batch(9, true, "b2"))
-		store.fail(nil)
-		time.Sleep(2 * rhythm.WatchWait)
+		store.setError(nil)
+		time.Sleep(2 * defaultTiming.WatchWait)
 		if got, want := state(), []string{"b2"}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
@@ -107,23 +107,23 @@
 		state, stop := follow(t, store)
 		defer stop()
 		state()
-		store.fail(errors.New("not read in time"))
-		time.Sleep(2 * rhythm.WatchWait)
+		store.setError(errors.New("not read in time"))
+		time.Sleep(2 * defaultTiming.WatchWait)
 		store.Apply(batch(2, false, "a2"))
-		store.fail(nil)
-		before := store.listed()
+		store.setError(nil)
+		before := store.listCount()
 		time.Sleep(2 * maxBackoff)
-		if got, want := state(), []string{"a2"}; !slices.Equal(got, want) || store.listed() == before {
-			t.Errorf("got %v and %d lists, want %v by a list", got, store.listed()-before, want)
+		if got, want := state(), []string{"a2"}; !slices.Equal(got, want) || store.listCount() == before {
+			t.Errorf("got %v and %d lists, want %v by a list", got, store.listCount()-before, want)
 		}
 	})
 }
 
-// TestOldCopiesAreNoAnswerOfTheStore has a watcher whose store is away, while
+// TestStaleCopiesDoNotCountAsStoreAnswers has a watcher whose store is away, while
 // another router still gives its old copy: calls to the store have to become
 // seldom, and the store has to count as away, so that entries which lapse
 // meanwhile are kept on its return.
-func TestOldCopiesAreNoAnswerOfTheStore(t *testing.T) {
+func TestStaleCopiesDoNotCountAsStoreAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
 		other := newFakeFeed(batch(1, true, "a1"))
@@ -145,21 +145,21 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		go follower.Run(ctx)
 		synctest.Wait()
-		store.fail(errors.New("down"))
-		other.grow(rhythm.MaxAge + time.Second)
-		time.Sleep(2 * rhythm.WatchWait)
-		before := store.called()
+		store.setError(errors.New("down"))
+		other.addAge(defaultTiming.MaxAge + time.Second)
+		time.Sleep(2 * defaultTiming.WatchWait)
+		before := store.callCount()
 		answers.Store(0)
 		const outage = 10 * time.Second
 		time.Sleep(outage)
-		if got, limit := store.called()-before, int(outage/(maxBackoff/2)); got > limit {
+		if got, limit := store.callCount()-before, int(outage/(maxBackoff/2)); got > limit {
 			t.Errorf("got %d calls in %v, want at most %d", got, outage, limit)
 		}
 		if got := answers.Load(); got > 0 {
 			t.Errorf("got %d answers of the store while it is away, want none", got)
 		}
 		store.Apply(batch(2, true, "a2"))
-		store.fail(nil)
+		store.setError(nil)
 		time.Sleep(2 * maxBackoff)
 		synctest.Wait()
 		if answers.Load() == 0 {
@@ -170,14 +170,14 @@
 	})
 }
 
-// TestStartingRouterIsNotHeldByALostAnswer starts a router alone while the store
+// TestStartingRouterRetriesUnansweredList starts a router alone while the store
 // is silent: what it asked then is never answered, and it has to ask again soon
 // after the store's return.
-func TestStartingRouterIsNotHeldByALostAnswer(t *testing.T) {
+func TestStartingRouterRetriesUnansweredList(t *testing.T) {
 	for _, outage := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 3 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			store := newFakeFeed(batch(1, true, "a1"))
-			store.hang(true)
+			store.setHangs(true)
 			state, stop := follow(t, &SharedFeed{
 				Store: store,
 				Peers: &fakePeers{
@@ -186,7 +186,7 @@
 			})
 			defer stop()
 			time.Sleep(outage)
-			store.hang(false)
+			store.setHangs(false)
 			time.Sleep(storeRetryInterval + 2*maxUrgentBackoff)
 			if got, want := state(), []string{"a1"}; !slices.Equal(got, want) {
 				t.Errorf("outage of %v: got %v after it, want %v", outage, got, want)
@@ -199,7 +199,7 @@
 func TestSlowStoreIsGivenTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
-		store.slow = 3 * storeRetryInterval / 2
+		store.delay = 3 * storeRetryInterval / 2
 		state, stop := follow(t, &SharedFeed{
 			Store: store,
 			Peers: &fakePeers{
@@ -214,18 +214,18 @@
 	})
 }
 
-// TestFollowerNeverGoesBack has a list come from an older copy.
-func TestFollowerNeverGoesBack(t *testing.T) {
+// TestFollowerIgnoresOlderList has a list come from an older copy.
+func TestFollowerIgnoresOlderList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(5, true, "a5", "b5"))
 		state, stop := follow(t, store)
 		defer stop()
 		state()
-		store.fail(errors.New("down"))
-		time.Sleep(2 * rhythm.WatchWait)
+		store.setError(errors.New("down"))
+		time.Sleep(2 * defaultTiming.WatchWait)
 		store.Mirror = NewMirror()
 		store.Apply(batch(3, true, "a3"))
-		store.fail(nil)
+		store.setError(nil)
 		time.Sleep(2 * maxBackoff)
 		if got, want := state(), []string{"a5", "b5"}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v to stay", got, want)
@@ -248,24 +248,24 @@
 	})
 }
 
-// TestFollowerGathersChanges has a store change forty times in a second, as when
+// TestFollowerBatchesChanges has a store change forty times in a second, as when
 // many backend servers are replaced: the last change is known soon, with few
 // calls.
-func TestFollowerGathersChanges(t *testing.T) {
+func TestFollowerBatchesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
 		state, stop := follow(t, store)
 		defer stop()
 		time.Sleep(time.Second)
-		called := store.called()
+		called := store.callCount()
 		for i := range 40 {
 			store.Apply(batch(uint64(2+i), false, "a"+string(rune('A'+i))))
 			time.Sleep(25 * time.Millisecond)
 		}
-		if got := store.called() - called; got > 20 {
+		if got := store.callCount() - called; got > 20 {
 			t.Errorf("got %d calls for 40 changes in a second, want at most 20", got)
 		}
-		time.Sleep(rhythm.BatchDelay)
+		time.Sleep(defaultTiming.BatchDelay)
 		if got, want := state(), []string{"a" + string(rune('A'+39))}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
@@ -273,30 +273,30 @@
 }
 
 // forgetful is a store that lists, and has forgotten what came since as soon as it has.
-type forgetful struct {
+type forgetfulFeed struct {
 	*fakeFeed
 }
 
-func (f *forgetful) Watch(ctx context.Context, _ slipwick.Position, _ time.Duration) (slipwick.FeedBatch, error) {
-	return f.answer(ctx, func() (slipwick.FeedBatch, error) { return slipwick.FeedBatch{}, timelineChangedError() })
+func (f *forgetfulFeed) Watch(ctx context.Context, _ slipwick.Position, _ time.Duration) (slipwick.FeedBatch, error) {
+	return f.call(ctx, func() (slipwick.FeedBatch, error) { return slipwick.FeedBatch{}, timelineChangedError() })
 }
 
-// TestFollowerPausesWhenHistoryIsLostAgainAndAgain bounds the calls to a store that can't tell
+// TestFollowerBacksOffWhenHistoryIsLostRepeatedly bounds the calls to a store that can't tell
 // what changed since its own list. What was found by histories of the store's model: 2,266
 // calls in a second from eight routers, as a lost history was answered by a list at once.
-func TestFollowerPausesWhenHistoryIsLostAgainAndAgain(t *testing.T) {
+func TestFollowerBacksOffWhenHistoryIsLostRepeatedly(t *testing.T) {
 	const period = 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		store := &forgetful{newFakeFeed(batch(1, true, "a1"))}
-		store.slow = answerTime
+		store := &forgetfulFeed{newFakeFeed(batch(1, true, "a1"))}
+		store.delay = responseTime
 		ctx, cancel := context.WithCancel(t.Context())
-		go confirmAlways(ctx, store.fakeFeed)
+		go keepConfirmed(ctx, store.fakeFeed)
 		_, stop := follow(t, store)
 		time.Sleep(period)
 		cancel()
 		// A list and a watch after each pause, of at least half of the longest, and those
 		// of the first second, while pauses grow.
-		if got, want := store.called(), 2*int(period/(maxBackoff/2))+20; got > want {
+		if got, want := store.callCount(), 2*int(period/(maxBackoff/2))+20; got > want {
 			t.Errorf("got %d calls in %v, want at most %d", got, period, want)
 		}
 		stop()
--- a/directory/followeronce_test.go
+++ b/directory/followeronce_test.go
@@ -9,10 +9,10 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestFollowerReadsEachValueOnce has objects change that have an order: what is read to compare
+// TestFollowerDecodesEachValueOnce has objects change that have an order: what is read to compare
 // a value with the known one is not read again to take it. All routers of a fleet read a
 // configuration at the same moment.
-func TestFollowerReadsEachValueOnce(t *testing.T) {
+func TestFollowerDecodesEachValueOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed(&slipwick.FeedBatch{
 			Entries: []slipwick.FeedEntry{
@@ -24,11 +24,11 @@
 			Whole:    true,
 			Revision: 1,
 		})
-		reads, latest := make(map[string]int), ""
+		decodeCounts, latest := make(map[string]int), ""
 		follower := NewFollower[string](feed, NewMirror())
-		follower.IsOutdated = func(known, told string) bool { return told < known }
+		follower.IsOutdated = func(known, received string) bool { return received < known }
 		follower.Decode = func(_ string, value []byte) (string, error) {
-			reads[string(value)]++
+			decodeCounts[string(value)]++
 			return string(value), nil
 		}
 		follower.OnChange = func(changes []Change[string]) { latest = changes[len(changes)-1].Value }
@@ -52,7 +52,7 @@
 		if latest != "4" {
 			t.Errorf("got %q, want the newest value", latest)
 		}
-		for value, count := range reads {
+		for value, count := range decodeCounts {
 			if count != 1 {
 				t.Errorf("value %s: read %d times, want once", value, count)
 			}
--- a/directory/following_test.go
+++ b/directory/following_test.go
@@ -20,30 +20,30 @@
 const fleetWithin = 4 * time.Second
 
 // following is a fleet whose routers follow one store.
-type following struct {
+type simFleet struct {
 	store   *Mirror
 	calls   atomic.Int64
-	routers []*followingRouter
+	routers []*simRouter
 	members []slipwick.Router
-	byID    map[string]*followingRouter
+	byID    map[string]*simRouter
 	// revision is the store's.
 	revision uint64
 	// knowTime is how long a router takes to know the others, pages how many calls a list
 	// of the store takes, pageTime how long each, listTime how long a router takes to send
 	// one to another.
-	knowTime, pageTime, listTime time.Duration
-	pages                        int
+	discoveryTime, pageTime, transferTime time.Duration
+	pages                                 int
 	// sends is to how many others a router sends a list at a time, which share its link; 0
 	// has all get theirs in listTime.
-	sends int
+	maxSends int
 	// off are routers without power, startOff has them start.
-	off      []*followingRouter
-	startOff func()
+	poweredOff []*simRouter
+	powerOn    func()
 }
 
 // followingRouter is one router, and what is wrong with it.
-type followingRouter struct {
-	fleet    *following
+type simRouter struct {
+	fleet    *simFleet
 	self     slipwick.Router
 	follower *Follower[string]
 	// started is when it starts; it is settled knowTime later.
@@ -53,7 +53,7 @@
 	mu sync.Mutex
 	// silent has nothing get an answer from it, alone no other router, cut has the
 	// store give it none, refused has the store refuse it.
-	silent, alone, cut, refused bool
+	unresponsive, isolated, storeHangs, storeRefuses bool
 	// calls counts its own to the store, sending the lists that it sends.
 	calls, sending int
 	// values are the values known here.
@@ -62,17 +62,17 @@
 
 var errRefused = errors.New("refused")
 
-func newFollowing(n int) *following {
-	f := &following{
-		store:    NewMirror(),
-		byID:     make(map[string]*followingRouter),
-		knowTime: knowTime,
-		pages:    1,
-		pageTime: answerTime,
+func newSimFleet(n int) *simFleet {
+	f := &simFleet{
+		store:         NewMirror(),
+		byID:          make(map[string]*simRouter),
+		discoveryTime: defaultDiscoveryTime,
+		pages:         1,
+		pageTime:      responseTime,
 	}
-	f.change("0")
+	f.setValue("0")
 	for i := range n {
-		r := &followingRouter{
+		r := &simRouter{
 			fleet: f,
 			self: slipwick.Router{
 				ID:         fmt.Sprint("r", i),
@@ -87,7 +87,7 @@
 		mirror := NewMirror()
 		shared := &SharedFeed{
 			FeedName: "feed",
-			Store:    &storeOf{r},
+			Store:    &simStoreFeed{r},
 			Peers:    r,
 			Mirror:   mirror,
 			Timing:   TimingWithin(fleetWithin),
@@ -107,7 +107,7 @@
 }
 
 // change changes the one object of the store.
-func (f *following) change(value string) {
+func (f *simFleet) setValue(value string) {
 	f.revision++
 	f.store.Apply(&slipwick.FeedBatch{
 		Whole:    f.revision == 1,
@@ -122,11 +122,11 @@
 }
 
 // knowTime is how long a router takes to know the others.
-const knowTime = 200 * time.Millisecond
+const defaultDiscoveryTime = 200 * time.Millisecond
 
 // start starts all routers within 0.3 s; each comes to know the others. It gives
 // what ends them.
-func (f *following) start(t *testing.T) (stop func()) {
+func (f *simFleet) start(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	// The store's state is always known.
 	go func() {
@@ -144,22 +144,22 @@
 		}
 	}()
 	random := rand.New(rand.NewPCG(1, 2))
-	startRouter := func(r *followingRouter) {
+	startRouter := func(r *simRouter) {
 		wait := time.Duration(random.Int64N(int64(300 * time.Millisecond)))
 		r.started = time.Now().Add(wait)
 		go func() {
 			time.Sleep(wait)
-			time.AfterFunc(f.knowTime, func() { close(r.settled) })
+			time.AfterFunc(f.discoveryTime, func() { close(r.settled) })
 			r.follower.Run(ctx)
 		}()
 	}
 	for _, r := range f.routers {
-		if !slices.Contains(f.off, r) {
+		if !slices.Contains(f.poweredOff, r) {
 			startRouter(r)
 		}
 	}
-	f.startOff = func() {
-		for _, r := range f.off {
+	f.powerOn = func() {
+		for _, r := range f.poweredOff {
 			startRouter(r)
 		}
 	}
@@ -173,8 +173,8 @@
 }
 
 // watchers gives the routers that follow the store.
-func (f *following) watchers() []*followingRouter {
-	var watchers []*followingRouter
+func (f *simFleet) watchers() []*simRouter {
+	var watchers []*simRouter
 	for _, r := range f.routers {
 		if r.Place().Watches {
 			watchers = append(watchers, r)
@@ -184,11 +184,11 @@
 }
 
 // lagging counts the sound routers that do not know the value.
-func (f *following) lagging(value string) int {
+func (f *simFleet) countLagging(value string) int {
 	n := 0
 	for _, r := range f.routers {
 		r.mu.Lock()
-		if !r.silent && !r.cut && r.values["a"] != value {
+		if !r.unresponsive && !r.storeHangs && r.values["a"] != value {
 			n++
 		}
 		r.mu.Unlock()
@@ -196,33 +196,33 @@
 	return n
 }
 
-func (r *followingRouter) set(change func(*followingRouter)) {
+func (r *simRouter) set(change func(*simRouter)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(r)
 }
 
-func (r *followingRouter) Settled() <-chan struct{} { return r.settled }
+func (r *simRouter) Settled() <-chan struct{} { return r.settled }
 
-func (r *followingRouter) Place() fleet.Place {
-	return fleet.PlaceOf(r.self, r.known())
+func (r *simRouter) Place() fleet.Place {
+	return fleet.PlaceOf(r.self, r.knownMembers())
 }
 
 // known gives the members that the router knows by now: it learns of them one
 // after the other, in an order of its own.
-func (r *followingRouter) known() []slipwick.Router {
+func (r *simRouter) knownMembers() []slipwick.Router {
 	members := r.fleet.members
-	share := min(time.Since(r.started).Seconds()/r.fleet.knowTime.Seconds(), 1)
+	fraction := min(time.Since(r.started).Seconds()/r.fleet.discoveryTime.Seconds(), 1)
 	var known []slipwick.Router
-	for i := range int(share * float64(len(members))) {
+	for i := range int(fraction * float64(len(members))) {
 		known = append(known, members[(i*7+len(r.self.ID)+int(r.started.UnixNano()))%len(members)])
 	}
 	return known
 }
 
-func (r *followingRouter) Others() []string {
+func (r *simRouter) Others() []string {
 	var ids []string
-	for _, other := range r.known() {
+	for _, other := range r.knownMembers() {
 		if other.ID != r.self.ID {
 			ids = append(ids, other.ID)
 		}
@@ -230,21 +230,21 @@
 	return ids
 }
 
-func (r *followingRouter) Relay(id, _ string) slipwick.Feed {
-	return &copyOf{
+func (r *simRouter) Relay(id, _ string) slipwick.Feed {
+	return &simPeerFeed{
 		from: r,
 		to:   r.fleet.byID[id],
 	}
 }
 
 // tellPage tells whoever asks that an answer begins, as a connection to a store does.
-func tellPage(ctx context.Context) {
+func reportFirstByte(ctx context.Context) {
 	if trace := httptrace.ContextClientTrace(ctx); trace != nil && trace.GotFirstResponseByte != nil {
 		trace.GotFirstResponseByte()
 	}
 }
 
-func (c *copyOf) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
+func (c *simPeerFeed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	if err := c.reach(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
@@ -257,21 +257,21 @@
 }
 
 // storeOf is the store as one router reaches it.
-type storeOf struct {
-	router *followingRouter
+type simStoreFeed struct {
+	router *simRouter
 }
 
-func (s *storeOf) reach(ctx context.Context) error {
+func (s *simStoreFeed) reach(ctx context.Context) error {
 	s.router.fleet.calls.Add(1)
-	s.router.set(func(r *followingRouter) { r.calls++ })
+	s.router.set(func(r *simRouter) { r.calls++ })
 	time.Sleep(s.router.fleet.pageTime)
-	return s.back(ctx)
+	return s.awaitResponse(ctx)
 }
 
 // back is the way of an answer.
-func (s *storeOf) back(ctx context.Context) error {
+func (s *simStoreFeed) awaitResponse(ctx context.Context) error {
 	s.router.mu.Lock()
-	hangs, refused := s.router.cut || s.router.silent, s.router.refused
+	hangs, refused := s.router.storeHangs || s.router.unresponsive, s.router.storeRefuses
 	s.router.mu.Unlock()
 	if hangs {
 		<-ctx.Done()
@@ -283,22 +283,22 @@
 	return ctx.Err()
 }
 
-func (s *storeOf) List(ctx context.Context) (slipwick.FeedBatch, error) {
+func (s *simStoreFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
 	for range s.router.fleet.pages {
 		if err := s.reach(ctx); err != nil {
 			return slipwick.FeedBatch{}, err
 		}
-		tellPage(ctx)
+		reportFirstByte(ctx)
 	}
 	return s.router.fleet.store.List(ctx)
 }
 
-func (s *storeOf) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
+func (s *simStoreFeed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	if err := s.reach(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
 	batch, err := s.router.fleet.store.Watch(ctx, after, wait)
-	if failed := s.back(ctx); failed != nil {
+	if failed := s.awaitResponse(ctx); failed != nil {
 		return slipwick.FeedBatch{}, failed
 	}
 	return batch, err
--- a/directory/foreign_test.go
+++ b/directory/foreign_test.go
@@ -15,7 +15,7 @@
 )
 
 // servers gives entries of backend servers; those whose value is "foreign" can't be read.
-func servers(revision uint64, whole bool, values ...string) *slipwick.FeedBatch {
+func serverBatch(revision uint64, whole bool, values ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
 		Whole:    whole,
 		Revision: revision,
@@ -31,7 +31,7 @@
 }
 
 // foreignWorld follows a feed of backend servers among which others write.
-type foreignWorld struct {
+type backendsFollower struct {
 	store  *fakeFeed
 	list   []string
 	errors int
@@ -39,11 +39,11 @@
 	reasons map[string]error
 }
 
-func (w *foreignWorld) run(ctx context.Context) *Follower[balance.Entry] {
-	var log listLog
+func (w *backendsFollower) run(ctx context.Context) *Follower[balance.Entry] {
+	var recorder listRecorder
 	backends := NewBackends(func(changes *balance.Changes) {
-		log.take(changes)
-		w.list = slices.Clone(log.ids)
+		recorder.apply(changes)
+		w.list = slices.Clone(recorder.ids)
 	})
 	w.reasons = make(map[string]error)
 	follower := NewFollower[balance.Entry](w.store, NewMirror())
@@ -75,9 +75,9 @@
 	return follower
 }
 
-// TestForeignEntriesNameNoServer has every third entry be of another writer: the others
+// TestInvalidEntriesNameNoServer has every third entry be of another writer: the others
 // serve on, and the store counts as healthy.
-func TestForeignEntriesNameNoServer(t *testing.T) {
+func TestInvalidEntriesNameNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var entries, want []string
 		for i := range 30 {
@@ -88,8 +88,8 @@
 			entries = append(entries, fmt.Sprintf("s%02d=ready", i))
 			want = append(want, fmt.Sprintf("s%02d", i))
 		}
-		w := &foreignWorld{
-			store: newFakeFeed(servers(1, true, entries...)),
+		w := &backendsFollower{
+			store: newFakeFeed(serverBatch(1, true, entries...)),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		follower := w.run(ctx)
@@ -104,33 +104,33 @@
 	})
 }
 
-// TestEntryThatTurnsForeignIsOutUntilItIsGood changes an entry to something unreadable,
+// TestEntryIsUnusedWhileInvalid changes an entry to something unreadable,
 // in calm and as the store comes back, and back.
-func TestEntryThatTurnsForeignIsOutUntilItIsGood(t *testing.T) {
-	for _, away := range []bool{false, true} {
+func TestEntryIsUnusedWhileInvalid(t *testing.T) {
+	for _, isDown := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := &foreignWorld{
-				store: newFakeFeed(servers(1, true, "a=ready", "b=ready")),
+			w := &backendsFollower{
+				store: newFakeFeed(serverBatch(1, true, "a=ready", "b=ready")),
 			}
 			ctx, cancel := context.WithCancel(t.Context())
 			follower := w.run(ctx)
 			time.Sleep(time.Second)
-			if away {
-				w.store.fail(errors.New("away"))
+			if isDown {
+				w.store.setError(errors.New("away"))
 				time.Sleep(10 * time.Second)
 			}
-			w.store.Apply(servers(2, false, "b=foreign"))
-			w.store.fail(nil)
+			w.store.Apply(serverBatch(2, false, "b=foreign"))
+			w.store.setError(nil)
 			time.Sleep(time.Second)
 			synctest.Wait()
 			if got, want := w.list, []string{"a"}; !slices.Equal(got, want) {
-				t.Errorf("away %t: got %v, want %v", away, got, want)
+				t.Errorf("away %t: got %v, want %v", isDown, got, want)
 			}
-			w.store.Apply(servers(3, false, "b=ready"))
+			w.store.Apply(serverBatch(3, false, "b=ready"))
 			time.Sleep(time.Second)
 			synctest.Wait()
 			if got, want := w.list, []string{"a", "b"}; !slices.Equal(got, want) || len(w.reasons) > 0 {
-				t.Errorf("away %t: got %v, reasons %v; want %v and none", away, got, w.reasons, want)
+				t.Errorf("away %t: got %v, reasons %v; want %v and none", isDown, got, w.reasons, want)
 			}
 			cancel()
 			<-follower.Done()
--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -10,22 +10,22 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// TestLargeListsAreAskedForByFew starts fleets whose routers take a second to know each other,
+// TestLargeListsAreReadByFewRouters starts fleets whose routers take a second to know each other,
 // before a store whose list is fifty calls of 20 ms, and takes 200 ms to pass from one router
 // to another. The calls to the store must not grow with the fleet.
 //
 // What was found at 986 routers: each that knew a few others took itself for one of those that
 // follow the store and listed it; a list that took longer than half a second was asked for
 // again beside itself, and who waited for it more than half a second listed the store too.
-func TestLargeListsAreAskedForByFew(t *testing.T) {
+func TestLargeListsAreReadByFewRouters(t *testing.T) {
 	const pages = 50
 	for _, size := range []int{62, 125, 250} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFollowing(size)
-			f.knowTime, f.pages, f.pageTime, f.listTime = time.Second, pages, 20*time.Millisecond, 200*time.Millisecond
+			f := newSimFleet(size)
+			f.discoveryTime, f.pages, f.pageTime, f.transferTime = time.Second, pages, 20*time.Millisecond, 200*time.Millisecond
 			stop := f.start(t)
 			time.Sleep(5 * time.Second)
-			if got := f.lagging("0"); got > 0 {
+			if got := f.countLagging("0"); got > 0 {
 				t.Errorf("%d routers: got %d without a copy after 5 s, want none", size, got)
 			}
 			// Three routers follow the store; each lists once, and watches from then on.
@@ -37,16 +37,16 @@
 	}
 }
 
-// TestLargeListIsFoundThoughTheStoreRefusesItsFollowers has the routers that should list at a
+// TestLargeListIsFoundThoughStoreFailsForWatchers has the routers that should list at a
 // start be refused, or get no answer: others take their place.
-func TestLargeListIsFoundThoughTheStoreRefusesItsFollowers(t *testing.T) {
-	for name, fail := range map[string]func(*followingRouter){
-		"refused": func(r *followingRouter) { r.refused = true },
-		"silent":  func(r *followingRouter) { r.cut = true },
+func TestLargeListIsFoundThoughStoreFailsForWatchers(t *testing.T) {
+	for name, fail := range map[string]func(*simRouter){
+		"refused": func(r *simRouter) { r.storeRefuses = true },
+		"silent":  func(r *simRouter) { r.storeHangs = true },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFollowing(125)
-			f.knowTime, f.pages, f.pageTime, f.listTime = time.Second, 50, 20*time.Millisecond, 200*time.Millisecond
+			f := newSimFleet(125)
+			f.discoveryTime, f.pages, f.pageTime, f.transferTime = time.Second, 50, 20*time.Millisecond, 200*time.Millisecond
 			for _, r := range f.routers {
 				if fleet.PlaceOf(r.self, f.members).Watches {
 					r.set(fail)
@@ -54,7 +54,7 @@
 			}
 			stop := f.start(t)
 			time.Sleep(2*fleetWithin + time.Second)
-			if got := f.lagging("0"); got > 0 {
+			if got := f.countLagging("0"); got > 0 {
 				t.Errorf("%s: got %d without a copy after twice the time allowed, want none", name, got)
 			}
 			stop()
@@ -62,9 +62,9 @@
 	}
 }
 
-// TestLoadingIsNoReasonToWaitForEachOther has routers that lack a copy tell each other of a list
+// TestLoadingRoutersDoNotKeepEachOtherWaiting has routers that lack a copy tell each other of a list
 // that was under way once: it counts no longer than it was seen to be.
-func TestLoadingIsNoReasonToWaitForEachOther(t *testing.T) {
+func TestLoadingRoutersDoNotKeepEachOtherWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirrors := []*Mirror{NewMirror(), NewMirror()}
 		mirrors[0].SetLoading(storeRetryInterval)
@@ -74,9 +74,9 @@
 			if !slipwick.IsKind(err, slipwick.KindOverloaded) {
 				break
 			}
-			var busy *slipwick.Error
-			if errors.As(err, &busy) {
-				mirrors[(i+1)%2].SetLoading(busy.RetryAfter)
+			var overloaded *slipwick.Error
+			if errors.As(err, &overloaded) {
+				mirrors[(i+1)%2].SetLoading(overloaded.RetryAfter)
 			}
 		}
 		if took := time.Since(started); took > storeRetryInterval+20*time.Millisecond {
@@ -92,18 +92,18 @@
 	for _, size := range []int{62, 125, 250} {
 		for seed := range 4 {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFollowing(size)
+				f := newSimFleet(size)
 				stop := f.start(t)
 				time.Sleep(5*time.Second + time.Duration(seed)*371*time.Millisecond)
 				for i, r := range f.routers {
 					if i%3 == seed%3 {
-						r.set(func(r *followingRouter) { r.refused = true })
+						r.set(func(r *simRouter) { r.storeRefuses = true })
 					}
 				}
 				time.Sleep(time.Duration(seed) * 500 * time.Millisecond)
-				f.change("1")
+				f.setValue("1")
 				time.Sleep(fleetWithin / 2)
-				if got := f.lagging("1"); got > 0 {
+				if got := f.countLagging("1"); got > 0 {
 					t.Errorf("%d routers, seed %d: got %d that do not know the change in half of the time, want none", size, seed, got)
 				}
 				stop()
@@ -112,29 +112,29 @@
 	}
 }
 
-// TestHalfOfTheFleetThatReturnsListsFromTheOthers has more than half of the routers be without
+// TestRestartedHalfOfFleetListsFromOthers has more than half of the routers be without
 // power, those that follow the store among them or not, and return at once: they have their
 // lists from routers that stayed, within a part of the time that a return may take.
-func TestHalfOfTheFleetThatReturnsListsFromTheOthers(t *testing.T) {
+func TestRestartedHalfOfFleetListsFromOthers(t *testing.T) {
 	const pages = 50
 	for _, size := range []int{62, 125, 250} {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFollowing(size)
-			f.knowTime, f.pages, f.pageTime, f.listTime = time.Second, pages, 20*time.Millisecond, 200*time.Millisecond
+			f := newSimFleet(size)
+			f.discoveryTime, f.pages, f.pageTime, f.transferTime = time.Second, pages, 20*time.Millisecond, 200*time.Millisecond
 			for i, r := range f.routers {
 				if i%9 < 5 {
-					f.off = append(f.off, r)
+					f.poweredOff = append(f.poweredOff, r)
 				}
 			}
 			stop := f.start(t)
 			time.Sleep(8 * time.Second)
-			if got, want := f.lagging("0"), len(f.off); got != want {
+			if got, want := f.countLagging("0"), len(f.poweredOff); got != want {
 				t.Errorf("%d routers: got %d without a copy before the return, want the %d without power", size, got, want)
 			}
 			f.calls.Store(0)
-			f.startOff()
+			f.powerOn()
 			time.Sleep(1500 * time.Millisecond)
-			if got := f.lagging("0"); got > 0 {
+			if got := f.countLagging("0"); got > 0 {
 				t.Errorf("%d routers: got %d without a copy 1.5 s after the return, want none", size, got)
 			}
 			// Those that take the place of the store's followers list it once more at most.
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -26,7 +26,7 @@
 }
 
 // names gives the entries as text, removed ones with a minus.
-func names(entries []slipwick.FeedEntry) []string {
+func entryTexts(entries []slipwick.FeedEntry) []string {
 	var list []string
 	for _, e := range entries {
 		if e.Gone {
@@ -39,18 +39,18 @@
 	return list
 }
 
-func expectNames(t *testing.T, when string, got []slipwick.FeedEntry, want ...string) {
+func expectEntries(t *testing.T, when string, got []slipwick.FeedEntry, want ...string) {
 	t.Helper()
-	if list := names(got); !slices.Equal(list, want) {
+	if list := entryTexts(got); !slices.Equal(list, want) {
 		t.Errorf("%s: got %v, want %v", when, list, want)
 	}
 }
 
-func TestMirrorGivesWhatDiffers(t *testing.T) {
+func TestMirrorReturnsDifference(t *testing.T) {
 	m := NewMirror()
-	expectNames(t, "first list", m.Apply(batch(1, true, "a1", "b1")), "a1", "b1")
-	expectNames(t, "changes", m.Apply(batch(2, false, "a1", "b2", "c")), "b2")
-	expectNames(t, "list after a gap", m.Apply(batch(9, true, "b2", "d1")), "-a", "d1")
+	expectEntries(t, "first list", m.Apply(batch(1, true, "a1", "b1")), "a1", "b1")
+	expectEntries(t, "changes", m.Apply(batch(2, false, "a1", "b2", "c")), "b2")
+	expectEntries(t, "list after a gap", m.Apply(batch(9, true, "b2", "d1")), "-a", "d1")
 }
 
 func TestMirrorAnswersFromAnyRevision(t *testing.T) {
@@ -68,7 +68,7 @@
 		if err != nil {
 			t.Fatalf("after %d: %v", after, err)
 		}
-		expectNames(t, fmt.Sprintf("after %d", after), got.Entries, want...)
+		expectEntries(t, fmt.Sprintf("after %d", after), got.Entries, want...)
 		if got.Revision != 8 {
 			t.Errorf("after %d: got revision %d, want 8", after, got.Revision)
 		}
@@ -78,7 +78,7 @@
 	}
 }
 
-func TestMirrorWatchEndsByChangeByTimeAndByDoubt(t *testing.T) {
+func TestMirrorWatchEndsOnChangeTimeoutOrFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := NewMirror()
 		if _, err := m.Watch(t.Context(), at(0), time.Second); !slipwick.IsKind(err, slipwick.KindNotCurrent) {
@@ -95,7 +95,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		expectNames(t, "change", got.Entries, "a2")
+		expectEntries(t, "change", got.Entries, "a2")
 		time.AfterFunc(100*time.Millisecond, m.MarkUnconfirmed)
 		started = time.Now()
 		if _, err = m.Watch(t.Context(), at(2), time.Second); err == nil || time.Since(started) != 100*time.Millisecond {
@@ -104,7 +104,7 @@
 	})
 }
 
-func TestMirrorForgetsOldRemovalsAloud(t *testing.T) {
+func TestMirrorReportsDiscardedHistory(t *testing.T) {
 	m := NewMirror()
 	m.Apply(batch(1, true))
 	for i := range uint64(minChangesKept/2 + 1) {
@@ -119,14 +119,14 @@
 	}
 }
 
-// TestMirrorThatListedDoesNotVouchForTheGap has a copy that listed again after a failure, in
+// TestMirrorReportsHistoryLostInGap has a copy that listed again after a failure, in
 // which an object went and came back as it had been. A router that learnt from another that it
 // had gone asks for the changes since.
 //
 // What was found by histories of the store's model: a server whose entry had lapsed and was
 // back stayed out of use at one router of five until its entry changed once more. It had
 // followed two routers in turn; the second had not seen the entry go, and told no change.
-func TestMirrorThatListedDoesNotVouchForTheGap(t *testing.T) {
+func TestMirrorReportsHistoryLostInGap(t *testing.T) {
 	m := NewMirror()
 	m.Apply(batch(1, true, "a1", "b1"))
 	m.Apply(batch(5, true, "a1", "b1"))
@@ -139,13 +139,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectNames(t, "after the list", got.Entries, "a2")
+	expectEntries(t, "after the list", got.Entries, "a2")
 }
 
-// TestMirrorTellsTheDifferenceAfterAGap has a copy that listed again after a failure. Those that
+// TestMirrorReturnsDifferenceAcrossGap has a copy that listed again after a failure. Those that
 // followed it know what it knew before the gap, and are told what differs: at a fleet of
 // thousands of servers a list that is lost once would else pass whole to every router.
-func TestMirrorTellsTheDifferenceAfterAGap(t *testing.T) {
+func TestMirrorReturnsDifferenceAcrossGap(t *testing.T) {
 	for _, servers := range []int{100, 200, 400} {
 		m := NewMirror()
 		list := batch(1, true)
@@ -169,37 +169,37 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		expectNames(t, fmt.Sprintf("%d servers", servers), got.Entries, "-a", "-s0", "b2")
+		expectEntries(t, fmt.Sprintf("%d servers", servers), got.Entries, "-a", "-s0", "b2")
 	}
 }
 
-// TestMirrorRemembersALargeLoss has half of a pool go at once.
-func TestMirrorRemembersALargeLoss(t *testing.T) {
+// TestMirrorKeepsManyRemovals has half of a pool go at once.
+func TestMirrorKeepsManyRemovals(t *testing.T) {
 	const servers = 3 * minChangesKept
 	m := NewMirror()
-	list, loss := batch(1, true), batch(2, false)
+	list, removals := batch(1, true), batch(2, false)
 	for i := range servers {
 		list.Entries = append(list.Entries, slipwick.FeedEntry{
 			Name:  fmt.Sprint("s", i),
 			Value: []byte("ready"),
 		})
 		if i%2 == 0 {
-			loss.Entries = append(loss.Entries, slipwick.FeedEntry{
+			removals.Entries = append(removals.Entries, slipwick.FeedEntry{
 				Name: fmt.Sprint("s", i),
 				Gone: true,
 			})
 		}
 	}
 	m.Apply(list)
-	m.Apply(loss)
+	m.Apply(removals)
 	got, _, err := m.changesSince(at(1), false)
 	if err != nil || len(got.Entries) != servers/2 {
 		t.Errorf("got %d changes and %v, want %d", len(got.Entries), err, servers/2)
 	}
 }
 
-// TestWatchWithoutAWaitGivesWhatIsKnown asks a copy that is not confirmed any more.
-func TestWatchWithoutAWaitGivesWhatIsKnown(t *testing.T) {
+// TestWatchWithoutWaitReturnsStaleChanges asks a copy that is not confirmed any more.
+func TestWatchWithoutWaitReturnsStaleChanges(t *testing.T) {
 	m := NewMirror()
 	if _, err := m.Watch(t.Context(), at(0), 0); !slipwick.IsKind(err, slipwick.KindNotCurrent) {
 		t.Errorf("before the first list: got %v, want not current", err)
@@ -211,16 +211,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectNames(t, "old copy", got.Entries, "a2")
+	expectEntries(t, "old copy", got.Entries, "a2")
 }
 
-// TestMirrorThatLearntADifferenceDoesNotVouchForIt has a copy follow another one across a gap of
+// TestMirrorReportsHistoryLostInGapOfPeer has a copy follow another one across a gap of
 // that one's, in which an object went and came back as it had been. A third router knows it as
 // gone, from a revision in the gap.
 //
 // What was found by histories of the store's model: live servers that had lapsed during a
 // silence stayed out of use at some routers until their doubts were over.
-func TestMirrorThatLearntADifferenceDoesNotVouchForIt(t *testing.T) {
+func TestMirrorReportsHistoryLostInGapOfPeer(t *testing.T) {
 	first, second := NewMirror(), NewMirror()
 	for _, m := range []*Mirror{first, second} {
 		m.Apply(batch(1, true, "a1", "b1"))
@@ -236,9 +236,9 @@
 	}
 }
 
-// TestMirrorTellsWhatChangedBack has an object change and change back within one answer. A
+// TestMirrorReportsRevertedChange has an object change and change back within one answer. A
 // router that knows it as changed is told.
-func TestMirrorTellsWhatChangedBack(t *testing.T) {
+func TestMirrorReportsRevertedChange(t *testing.T) {
 	first, second := NewMirror(), NewMirror()
 	for _, m := range []*Mirror{first, second} {
 		m.Apply(batch(1, true, "a1"))
@@ -249,10 +249,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectNames(t, "copy that differs in nothing", second.Apply(&difference))
+	expectEntries(t, "copy that differs in nothing", second.Apply(&difference))
 	got, _, err := second.changesSince(at(2), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectNames(t, "to a router that knows it gone", got.Entries, "a1")
+	expectEntries(t, "to a router that knows it gone", got.Entries, "a1")
 }
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -22,7 +22,7 @@
 	modelTables   = "tables"
 	// modelLeave is the time after which a server that leaves gets nothing new, and
 	// that a new version has to be in force.
-	modelLeave = 2 * time.Second
+	modelWithin = 2 * time.Second
 )
 
 // modelFleet are routers that follow a modelStore, and each other over the wire's real
@@ -38,11 +38,11 @@
 
 // modelRouter is one router's parts that follow the store.
 type modelRouter struct {
-	fleet    *modelFleet
-	self     slipwick.Router
-	served   RelayServer
-	backends *Backends
-	settled  chan struct{}
+	fleet       *modelFleet
+	self        slipwick.Router
+	relayServer RelayServer
+	backends    *Backends
+	settled     chan struct{}
 	// followers run each feed, done tells that they ended.
 	followers []func(context.Context)
 	done      []<-chan struct{}
@@ -54,8 +54,8 @@
 	cut bool
 	// listed are the states by ID that the balancer would go by, table the newest
 	// version.
-	listed map[string]string
-	table  string
+	listed        map[string]string
+	configVersion string
 }
 
 func newModelFleet(routers int) *modelFleet {
@@ -76,7 +76,7 @@
 			ID:         id,
 			DataCentre: fmt.Sprint("dc-", len(f.routers)%3),
 		},
-		served: RelayServer{
+		relayServer: RelayServer{
 			Mirrors: make(map[string]*Mirror),
 		},
 		settled: make(chan struct{}),
@@ -84,9 +84,9 @@
 		listed:  make(map[string]string),
 	}
 	close(r.settled)
-	r.backends = NewBackends(r.takeBackends)
-	r.backends.Leave = modelLeave
-	r.follow()
+	r.backends = NewBackends(r.applyBackends)
+	r.backends.Leave = modelWithin
+	r.createFollowers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.routers = append(f.routers, r)
@@ -121,7 +121,7 @@
 }
 
 // startOne has one more router start.
-func (f *modelFleet) startOne(id string) {
+func (f *modelFleet) startRouter(id string) {
 	f.add(id).run(f.ctx)
 }
 
@@ -133,9 +133,9 @@
 
 // decodeModelServer reads a server's entry: its state, and its life if that is not the first.
 func decodeModelServer(name string, value []byte) (balance.Entry, error) {
-	state, life, _ := strings.Cut(string(value), "@")
+	state, incarnation, _ := strings.Cut(string(value), "@")
 	// The first life has no number.
-	born, _ := strconv.ParseInt(life, 10, 64)
+	born, _ := strconv.ParseInt(incarnation, 10, 64)
 	return balance.Entry{
 		Backend: slipwick.Backend{
 			ID:   name,
@@ -146,42 +146,42 @@
 }
 
 // follow makes the router's followers.
-func (r *modelRouter) follow() {
-	backends := followModel(r, modelBackends, decodeModelServer)
+func (r *modelRouter) createFollowers() {
+	backends := newModelFollower(r, modelBackends, decodeModelServer)
 	backends.OnAnswer = func(batch *slipwick.FeedBatch) { r.backends.Answered(batch.Age, batch.Steady) }
 	backends.OnStoreRestored = func(_ slipwick.Position, batch *slipwick.FeedBatch) {
 		r.backends.StoreRestored(batch.Age, batch.Steady)
 	}
 	backends.OnError = func(error) { r.backends.Failed() }
 	backends.OnChange = r.backends.Change
-	tables := followModel(r, modelTables, func(_ string, value []byte) (string, error) { return string(value), nil })
-	tables.OnChange = r.takeTables
-	tables.IsOutdated = func(known, told string) bool { return told < known }
+	tables := newModelFollower(r, modelTables, func(_ string, value []byte) (string, error) { return string(value), nil })
+	tables.OnChange = r.applyConfig
+	tables.IsOutdated = func(known, received string) bool { return received < known }
 	r.followers = append(r.followers, backends.Run, tables.Run)
 }
 
 // followModel makes the follower of one kind of object.
-func followModel[T any](r *modelRouter, kind string, decode func(string, []byte) (T, error)) *Follower[T] {
-	rhythm := TimingWithin(modelLeave)
+func newModelFollower[T any](r *modelRouter, kind string, decode func(string, []byte) (T, error)) *Follower[T] {
+	timing := TimingWithin(modelWithin)
 	mirror := NewMirror()
-	r.served.Mirrors[kind] = mirror
+	r.relayServer.Mirrors[kind] = mirror
 	follower := NewFollower[T](&SharedFeed{
 		FeedName: kind,
-		Store: &reachedStore{
+		Store: &routerStoreFeed{
 			router: r,
-			feed:   r.fleet.store.kind(kind),
+			feed:   r.fleet.store.feed(kind),
 		},
 		Peers:  r,
 		Mirror: mirror,
-		Timing: rhythm,
+		Timing: timing,
 	}, mirror)
-	follower.Timing = rhythm
+	follower.Timing = timing
 	follower.Decode = decode
 	r.done = append(r.done, follower.Done())
 	return follower
 }
 
-func (r *modelRouter) takeBackends(changes *balance.Changes) {
+func (r *modelRouter) applyBackends(changes *balance.Changes) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, id := range changes.Removed {
@@ -197,19 +197,19 @@
 }
 
 // modelEntry is a server's entry.
-func modelEntry(state string, life int64) string {
-	if life == 0 {
+func modelEntry(state string, incarnation int64) string {
+	if incarnation == 0 {
 		return state
 	}
-	return fmt.Sprintf("%s@%d", state, life)
+	return fmt.Sprintf("%s@%d", state, incarnation)
 }
 
-func (r *modelRouter) takeTables(changes []Change[string]) {
+func (r *modelRouter) applyConfig(changes []Change[string]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range changes {
 		// A gateway puts no older version in force.
-		r.table = max(r.table, c.Value)
+		r.configVersion = max(r.configVersion, c.Value)
 	}
 }
 
@@ -217,17 +217,17 @@
 func (r *modelRouter) version() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.table
+	return r.configVersion
 }
 
 // sends tells whether the router would send to the server's first life.
-func (r *modelRouter) sends(id string) bool { return r.sendsTo(id, 0) }
+func (r *modelRouter) wouldSend(id string) bool { return r.wouldSendTo(id, 0) }
 
 // sendsTo tells whether it would send to a life of the server.
-func (r *modelRouter) sendsTo(id string, life int64) bool {
+func (r *modelRouter) wouldSendTo(id string, incarnation int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.listed[id] == modelEntry("ready", life)
+	return r.listed[id] == modelEntry("ready", incarnation)
 }
 
 // setCut has the store refuse the router, or serve it again.
@@ -268,8 +268,8 @@
 	for _, other := range r.fleet.all() {
 		if other.self.ID == id {
 			relay.HTTP = &http.Client{
-				Transport: &directWay{
-					to: &other.served,
+				Transport: &handlerTransport{
+					to: &other.relayServer,
 				},
 			}
 		}
@@ -278,11 +278,11 @@
 }
 
 // directWay hands requests to a handler, a millisecond away each time.
-type directWay struct {
+type handlerTransport struct {
 	to http.Handler
 }
 
-func (w *directWay) RoundTrip(request *http.Request) (*http.Response, error) {
+func (w *handlerTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	time.Sleep(time.Millisecond)
 	recorder := httptest.NewRecorder()
 	w.to.ServeHTTP(recorder, request)
@@ -294,35 +294,35 @@
 }
 
 // reachedStore is the store as one router reaches it.
-type reachedStore struct {
+type routerStoreFeed struct {
 	router *modelRouter
 	feed   slipwick.Feed
 }
 
-func (s *reachedStore) reach() error {
+func (s *routerStoreFeed) checkReachable() error {
 	s.router.mu.Lock()
 	defer s.router.mu.Unlock()
 	if s.router.cut {
-		return errAway
+		return errStoreDown
 	}
 	return nil
 }
 
-func (s *reachedStore) List(ctx context.Context) (slipwick.FeedBatch, error) {
-	if err := s.reach(); err != nil {
+func (s *routerStoreFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
+	if err := s.checkReachable(); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
 	return s.feed.List(ctx)
 }
 
-func (s *reachedStore) Watch(
+func (s *routerStoreFeed) Watch(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
-	if err := s.reach(); err != nil {
+	if err := s.checkReachable(); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
 	batch, err := s.feed.Watch(ctx, after, wait)
-	if failed := s.reach(); failed != nil {
+	if failed := s.checkReachable(); failed != nil {
 		return slipwick.FeedBatch{}, failed
 	}
 	return batch, err
--- a/directory/modelstore_test.go
+++ b/directory/modelstore_test.go
@@ -20,12 +20,12 @@
 	writes []modelWrite
 	// away has calls fail, or get no answer if it hangs; forgets has each watch told that
 	// its history is gone, slow has answers take longer. Changed is closed at the next change of anything.
-	away, hangs, forgets bool
-	slow                 time.Duration
+	down, hangs, losesHistory bool
+	delay                     time.Duration
 
 	changed chan struct{}
 	// calls are when lists and watches came, in the latest second.
-	calls []time.Time
+	recentCalls []time.Time
 }
 
 // modelWrite is one change of an object.
@@ -36,7 +36,7 @@
 	at                time.Time
 }
 
-var errAway = errors.New("the store is away")
+var errStoreDown = errors.New("the store is away")
 
 func newModelStore() *modelStore {
 	return &modelStore{
@@ -60,11 +60,11 @@
 }
 
 // callsLately counts the calls of the latest second.
-func (s *modelStore) callsLately() int {
+func (s *modelStore) callsInLastSecond() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.calls = slices.DeleteFunc(s.calls, func(at time.Time) bool { return time.Since(at) > time.Second })
-	return len(s.calls)
+	s.recentCalls = slices.DeleteFunc(s.recentCalls, func(at time.Time) bool { return time.Since(at) > time.Second })
+	return len(s.recentCalls)
 }
 
 // removeServer takes a server's entry away, if there is one.
@@ -83,43 +83,43 @@
 }
 
 // isAway tells whether the store answers nobody.
-func (s *modelStore) isAway() bool {
+func (s *modelStore) isUnresponsive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.away || s.hangs
+	return s.down || s.hangs
 }
 
 // change begins or ends a disturbance.
-func (s *modelStore) change(change func(*modelStore, bool), begins bool) {
+func (s *modelStore) update(change func(*modelStore, bool), begins bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change(s, begins)
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
 func (s *modelStore) writeLocked(w modelWrite) {
 	s.revision++
 	w.revision, w.at = s.revision, time.Now()
 	s.writes = append(s.writes, w)
-	s.wakeLocked()
+	s.notifyLocked()
 }
 
-func (s *modelStore) wakeLocked() {
+func (s *modelStore) notifyLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 // setAway has the store answer nothing, or serve again.
-func (s *modelStore) setAway(away bool) {
+func (s *modelStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
-	s.wakeLocked()
+	s.down = down
+	s.notifyLocked()
 }
 
 // fallBack has the store come back from a copy of the moment: what was written since is
 // gone, and its revisions are given out again.
-func (s *modelStore) fallBack(to time.Time) {
+func (s *modelStore) restore(to time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.writes = slices.Clip(slices.DeleteFunc(slices.Clone(s.writes), func(w modelWrite) bool { return w.at.After(to) }))
@@ -128,8 +128,8 @@
 		s.revision = s.writes[len(s.writes)-1].revision
 	}
 	s.timeline++
-	s.away, s.hangs = false, false
-	s.wakeLocked()
+	s.down, s.hangs = false, false
+	s.notifyLocked()
 }
 
 // stateLocked gives the objects of a kind.
@@ -148,7 +148,7 @@
 }
 
 // kind gives the feed of one kind of object, at the distance of the store's usual answer.
-func (s *modelStore) kind(kind string) *modelFeed {
+func (s *modelStore) feed(kind string) *modelFeed {
 	return &modelFeed{
 		store: s,
 		kind:  kind,
@@ -164,10 +164,10 @@
 var _ slipwick.Feed = (*modelFeed)(nil)
 
 // answerTime is how long an answer of the model takes.
-const answerTime = 4 * time.Millisecond
+const responseTime = 4 * time.Millisecond
 
 func (f *modelFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
-	if err := f.begin(ctx); err != nil {
+	if err := f.startCall(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
 	s := f.store
@@ -188,21 +188,21 @@
 }
 
 // begin takes the time of a call, and fails while the store is away.
-func (f *modelFeed) begin(ctx context.Context) error {
+func (f *modelFeed) startCall(ctx context.Context) error {
 	s := f.store
 	s.mu.Lock()
-	s.calls = append(s.calls, time.Now())
-	slow := s.slow
+	s.recentCalls = append(s.recentCalls, time.Now())
+	delay := s.delay
 	s.mu.Unlock()
-	time.Sleep(answerTime + slow)
+	time.Sleep(responseTime + delay)
 	s.mu.Lock()
-	away, hangs := s.away, s.hangs
+	down, hangs := s.down, s.hangs
 	s.mu.Unlock()
 	if hangs {
 		<-ctx.Done()
 	}
-	if away {
-		return errAway
+	if down {
+		return errStoreDown
 	}
 	return ctx.Err()
 }
@@ -212,13 +212,13 @@
 func (f *modelFeed) Watch(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
-	if err := f.begin(ctx); err != nil {
+	if err := f.startCall(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for ended := false; ; {
-		batch, changed, err := f.since(after.Revision)
+		batch, changed, err := f.changesSince(after.Revision)
 		if err != nil || ended || len(batch.Entries) > 0 {
 			return batch, err
 		}
@@ -232,14 +232,14 @@
 	}
 }
 
-func (f *modelFeed) since(after uint64) (slipwick.FeedBatch, <-chan struct{}, error) {
+func (f *modelFeed) changesSince(after uint64) (slipwick.FeedBatch, <-chan struct{}, error) {
 	s := f.store
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.away:
-		return slipwick.FeedBatch{}, nil, errAway
-	case after > s.revision, s.forgets:
+	case s.down:
+		return slipwick.FeedBatch{}, nil, errStoreDown
+	case after > s.revision, s.losesHistory:
 		return slipwick.FeedBatch{}, nil, &slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		}
--- a/directory/refused_test.go
+++ b/directory/refused_test.go
@@ -12,13 +12,13 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestRefusedListsCostNothing asks a router for its copy that sends it to as many as it does at
+// TestRefusalCostDoesNotGrowWithList asks a router for its copy that sends it to as many as it does at
 // once. What a refusal takes must not grow with the list.
 //
 // What was seen at 986 routers before 9,999 servers: a router that had its copy first took up to
 // 162 MB after a loss of power. Each of hundreds that asked at the same moment had the list made
 // for it, and was refused then.
-func TestRefusedListsCostNothing(t *testing.T) {
+func TestRefusalCostDoesNotGrowWithList(t *testing.T) {
 	for _, size := range []int{10_000, 20_000, 40_000} {
 		mirror := NewMirror()
 		whole := slipwick.FeedBatch{
@@ -38,10 +38,10 @@
 			},
 			sending: maxLargeSends,
 		}
-		const asked = 100
+		const requests = 100
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
-		for range asked {
+		for range requests {
 			recorder := httptest.NewRecorder()
 			server.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, RelayPath+"f", nil))
 			if recorder.Code != http.StatusTooManyRequests {
@@ -49,7 +49,7 @@
 			}
 		}
 		runtime.ReadMemStats(&after)
-		if got, want := (after.TotalAlloc-before.TotalAlloc)/asked, uint64(32<<10); got > want {
+		if got, want := (after.TotalAlloc-before.TotalAlloc)/requests, uint64(32<<10); got > want {
 			t.Errorf("%d objects: got %d bytes for a refusal, want at most %d", size, got, want)
 		}
 	}
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -10,7 +10,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-func TestRelayCarriesTheCopyOverHTTP(t *testing.T) {
+func TestRelayClientReadsCopyOverHTTP(t *testing.T) {
 	mirror := NewMirror()
 	server := httptest.NewServer(&RelayServer{
 		Mirrors: map[string]*Mirror{
@@ -31,13 +31,13 @@
 	if err != nil || !got.Whole || got.Revision != 3 {
 		t.Errorf("got %+v, %v; want the whole copy at revision 3", got, err)
 	}
-	expectNames(t, "list", got.Entries, "a1", "b1")
+	expectEntries(t, "list", got.Entries, "a1", "b1")
 	time.AfterFunc(20*time.Millisecond, func() { mirror.Apply(batch(4, false, "b")) })
 	got, err = relay.Watch(t.Context(), at(3), time.Second)
 	if err != nil || got.Whole || got.Age > time.Second {
 		t.Errorf("got %+v, %v; want changes known lately", got, err)
 	}
-	expectNames(t, "watch", got.Entries, "-b")
+	expectEntries(t, "watch", got.Entries, "-b")
 	got, err = relay.Watch(t.Context(), at(1), time.Second)
 	if err != nil || !got.Whole {
 		t.Errorf("watch from before the copy: got %+v, %v; want the whole copy", got, err)
--- a/directory/relayserver_test.go
+++ b/directory/relayserver_test.go
@@ -37,10 +37,10 @@
 	}
 }
 
-// TestCopiesAreSmall has 29 routers list a large configuration at once: what
+// TestCopiesFitSlowLink has 29 routers list a large configuration at once: what
 // goes over the wire has to pass a link of 10 Mbit/s in half a second.
-func TestCopiesAreSmall(t *testing.T) {
-	const routers, most = 29, 10_000_000 / 8 / 2
+func TestCopiesFitSlowLink(t *testing.T) {
+	const routers, maxBytes = 29, 10_000_000 / 8 / 2
 	mirror := NewMirror()
 	want := largeBatch(3)
 	mirror.Apply(want)
@@ -89,16 +89,16 @@
 		})
 	}
 	all.Wait()
-	if sent > most {
-		t.Errorf("got %d bytes to %d routers, want at most %d", sent, routers, most)
+	if sent > maxBytes {
+		t.Errorf("got %d bytes to %d routers, want at most %d", sent, routers, maxBytes)
 	}
 	if got := len(relays.encoded); got != 1 {
 		t.Errorf("got %d encodings, want 1 for all routers", got)
 	}
 }
 
-// TestAgeIsToldAnew has a router ask twice for the same copy.
-func TestAgeIsToldAnew(t *testing.T) {
+// TestAgeIsCurrentInCachedResponse has a router ask twice for the same copy.
+func TestAgeIsCurrentInCachedResponse(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(batch(3, true, "a1"))
 	server := httptest.NewServer(&RelayServer{
@@ -112,19 +112,19 @@
 		FeedName: "f",
 		HTTP:     http.DefaultClient,
 	}
-	for _, least := range []time.Duration{0, 30 * time.Millisecond} {
-		time.Sleep(least)
+	for _, minAge := range []time.Duration{0, 30 * time.Millisecond} {
+		time.Sleep(minAge)
 		got, err := relay.List(t.Context())
-		if err != nil || got.Age < least-time.Millisecond || got.Age > time.Second {
-			t.Errorf("got age %v (%v), want %v at least", got.Age, err, least)
+		if err != nil || got.Age < minAge-time.Millisecond || got.Age > time.Second {
+			t.Errorf("got age %v (%v), want %v at least", got.Age, err, minAge)
 		}
 	}
 }
 
-// TestRoutersOfBeforeAreUnderstood has a question and an answer as routers ask and
+// TestOlderRoutersAreUnderstood has a question and an answer as routers ask and
 // give that do not know of waits for lists and of hops: they run beside newer ones
 // during an upgrade.
-func TestRoutersOfBeforeAreUnderstood(t *testing.T) {
+func TestOlderRoutersAreUnderstood(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(batch(3, true, "a1"))
 	relays := &RelayServer{
@@ -154,7 +154,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectNames(t, "list", got.Entries, "a1")
+	expectEntries(t, "list", got.Entries, "a1")
 	if got.Hops != 2 {
 		t.Errorf("got %d hops, want 2 for a router that may follow a watcher", got.Hops)
 	}
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -12,7 +12,7 @@
 
 // newShared makes a router that follows routers r1 and r2 rather than the
 // store.
-func newShared() (shared *SharedFeed, store *fakeFeed, peers *fakePeers) {
+func newSharedFeed() (shared *SharedFeed, store *fakeFeed, peers *fakePeers) {
 	store = newFakeFeed(batch(1, true, "a1"))
 	peers = &fakePeers{
 		relays: map[string]*fakeFeed{
@@ -27,14 +27,14 @@
 	}, store, peers
 }
 
-func TestSharedLeavesTheStoreAlone(t *testing.T) {
+func TestSharedFeedFollowsPeersInsteadOfStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, store, peers := newShared()
+		shared, store, peers := newSharedFeed()
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go confirmAlways(ctx, peers.relays["r1"], peers.relays["r2"])
+		go keepConfirmed(ctx, peers.relays["r1"], peers.relays["r2"])
 		for range 10 {
-			if _, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait); err != nil {
+			if _, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -51,18 +51,18 @@
 	for name, fail := range map[string]func(*fakeFeed){
 		"hang":       func(f *fakeFeed) { f.hangs = true },
 		"refuse":     func(f *fakeFeed) { f.err = errors.New("refused") },
-		"lag":        func(f *fakeFeed) { f.age = rhythm.MaxAge },
+		"lag":        func(f *fakeFeed) { f.age = defaultTiming.MaxAge },
 		"are unsure": func(f *fakeFeed) { f.MarkUnconfirmed() },
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			shared, store, peers := newShared()
+			shared, store, peers := newSharedFeed()
 			for _, f := range peers.relays {
 				fail(f)
 			}
 			started := time.Now()
 			store.Apply(batch(2, false, "a2"))
 			for after := uint64(1); after == 1; {
-				got, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait)
+				got, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
 				switch {
 				case slipwick.IsKind(err, slipwick.KindNotCurrent):
 					// The routers answer, and know nothing either: those whose
@@ -83,21 +83,21 @@
 
 func TestSharedLearnsFromRoutersWhenTheStoreRefusesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, store, peers := newShared()
+		shared, store, peers := newSharedFeed()
 		peers.watches = true
-		store.fail(errors.New("503"))
+		store.setError(errors.New("503"))
 		peers.relays["r1"].Apply(batch(3, false, "a3"))
 		peers.relays["r2"].Apply(batch(3, false, "a3"))
-		got, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait)
+		got, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
 		if err != nil {
 			t.Fatal(err)
 		}
-		expectNames(t, "from a router", got.Entries, "a3")
+		expectEntries(t, "from a router", got.Entries, "a3")
 		got, err = shared.List(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
-		expectNames(t, "list", got.Entries, "a3")
+		expectEntries(t, "list", got.Entries, "a3")
 	})
 }
 
@@ -105,23 +105,23 @@
 // during an outage.
 func TestSharedStartsFromRoutersWhileTheStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, store, _ := newShared()
+		shared, store, _ := newSharedFeed()
 		store.hangs = true
 		started := time.Now()
 		got, err := shared.List(t.Context())
 		if took := time.Since(started); err != nil || took > 500*time.Millisecond {
 			t.Errorf("got %v after %v, want a list within half a second", err, took)
 		}
-		expectNames(t, "list", got.Entries, "a1")
+		expectEntries(t, "list", got.Entries, "a1")
 	})
 }
 
-// TestSharedStartsFromOldCopies is a router that restarts while the store is
+// TestSharedFeedStartsFromStaleCopies is a router that restarts while the store is
 // away for all: the others' copies cannot be confirmed.
-func TestSharedStartsFromOldCopies(t *testing.T) {
+func TestSharedFeedStartsFromStaleCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, store, peers := newShared()
-		store.fail(errors.New("503"))
+		shared, store, peers := newSharedFeed()
+		store.setError(errors.New("503"))
 		time.Sleep(10 * time.Second)
 		for _, f := range peers.relays {
 			f.MarkUnconfirmed()
@@ -130,21 +130,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		expectNames(t, "list", got.Entries, "a1")
-		if _, err := shared.Watch(t.Context(), got.Position(), rhythm.WatchWait); err == nil {
+		expectEntries(t, "list", got.Entries, "a1")
+		if _, err := shared.Watch(t.Context(), got.Position(), defaultTiming.WatchWait); err == nil {
 			t.Error("watch of old copies: got no error, want the store tried again")
 		}
 	})
 }
 
-func TestSharedTellsThatTheStoreForgot(t *testing.T) {
+func TestSharedFeedReportsLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		shared, store, peers := newShared()
+		shared, store, peers := newSharedFeed()
 		peers.watches = true
-		store.fail(&slipwick.Error{
+		store.setError(&slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		})
-		if _, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
+		if _, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
 			t.Errorf("got %v, want history lost, so that the store is listed", err)
 		}
 	})
@@ -155,23 +155,23 @@
 func TestSharedAsksAnotherRouterBeforeTheStore(t *testing.T) {
 	for _, first := range []string{"r1", "r2"} {
 		synctest.Test(t, func(t *testing.T) {
-			shared, store, peers := newShared()
+			shared, store, peers := newSharedFeed()
 			for _, f := range peers.relays {
 				f.Apply(batch(3, false, "a3"))
 			}
-			peers.relays[first].hang(true)
+			peers.relays[first].setHangs(true)
 			ctx, cancel := context.WithCancel(t.Context())
 			defer cancel()
-			go confirmAlways(ctx, peers.relays["r1"], peers.relays["r2"])
-			called := store.called()
+			go keepConfirmed(ctx, peers.relays["r1"], peers.relays["r2"])
+			called := store.callCount()
 			for range 4 {
-				got, err := shared.Watch(t.Context(), at(1), rhythm.WatchWait)
+				got, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
 				if err != nil {
 					t.Fatal(err)
 				}
-				expectNames(t, "from a router", got.Entries, "a3")
+				expectEntries(t, "from a router", got.Entries, "a3")
 			}
-			if got := store.called() - called; got > 0 {
+			if got := store.callCount() - called; got > 0 {
 				t.Errorf("%s silent: got %d calls to the store, want none while another router has a current copy", first, got)
 			}
 		})
@@ -179,10 +179,10 @@
 }
 
 // confirmAlways keeps copies current, as routers that follow the store do.
-func confirmAlways(ctx context.Context, copies ...*fakeFeed) {
+func keepConfirmed(ctx context.Context, copies ...*fakeFeed) {
 	for ctx.Err() == nil {
 		for _, c := range copies {
-			c.Apply(on(c.position.Timeline, batch(c.position.Revision, false)))
+			c.Apply(withTimeline(c.position.Timeline, batch(c.position.Revision, false)))
 		}
 		sleep(ctx, 100*time.Millisecond)
 	}
--- a/directory/sleep_test.go
+++ b/directory/sleep_test.go
@@ -8,20 +8,20 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// TestCopiesAgeWhileTheirRouterSleeps has a router sleep after it copied the store: the
+// TestCopiesAgeWhileBoxIsSuspended has a router sleep after it copied the store: the
 // others have to know how old its copy is.
-func TestCopiesAgeWhileTheirRouterSleeps(t *testing.T) {
-	for _, sleep := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
+func TestCopiesAgeWhileBoxIsSuspended(t *testing.T) {
+	for _, suspension := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			ahead := time.Duration(0)
 			defer clock.SetSource(func() time.Duration { return ahead })()
 			m := NewMirror()
 			m.Apply(batch(1, true, "a1"))
 			time.Sleep(100 * time.Millisecond)
-			ahead += sleep
+			ahead += suspension
 			clock.Notice()
 			got, err := m.List(t.Context())
-			if want := sleep + 100*time.Millisecond; err != nil || got.Age != want {
+			if want := suspension + 100*time.Millisecond; err != nil || got.Age != want {
 				t.Errorf("got an age of %v, %v; want %v", got.Age, err, want)
 			}
 		})
--- a/directory/spread_test.go
+++ b/directory/spread_test.go
@@ -11,22 +11,22 @@
 
 // spreadOf gives how long a fleet that starts at once takes, in virtual time, until nine tenths and
 // all of it have a list that takes 0.8 s to read from the store and 85 ms over a small link.
-func spreadOf(t *testing.T, size, sends int) (most, all time.Duration, calls int64) {
+func spreadTimes(t *testing.T, size, maxSends int) (nineTenths, all time.Duration, calls int64) {
 	t.Helper()
-	f := newFollowing(size)
-	f.knowTime, f.pages, f.pageTime = 500*time.Millisecond, 50, 16*time.Millisecond
-	f.listTime, f.sends = 85*time.Millisecond, sends
+	f := newSimFleet(size)
+	f.discoveryTime, f.pages, f.pageTime = 500*time.Millisecond, 50, 16*time.Millisecond
+	f.transferTime, f.maxSends = 85*time.Millisecond, maxSends
 	started := time.Now()
 	stop := f.start(t)
 	defer stop()
-	for f.lagging("0") > size/10 && time.Since(started) < time.Minute {
+	for f.countLagging("0") > size/10 && time.Since(started) < time.Minute {
 		time.Sleep(10 * time.Millisecond)
 	}
-	most = time.Since(started)
-	for f.lagging("0") > 0 && time.Since(started) < time.Minute {
+	nineTenths = time.Since(started)
+	for f.countLagging("0") > 0 && time.Since(started) < time.Minute {
 		time.Sleep(10 * time.Millisecond)
 	}
-	return most, time.Since(started), f.calls.Load()
+	return nineTenths, time.Since(started), f.calls.Load()
 }
 
 // TestListSpreadsInTime has all routers of a fleet start at once, as after a loss of power. With
@@ -40,9 +40,9 @@
 	for _, size := range sizes {
 		for _, sends := range sends {
 			synctest.Test(t, func(t *testing.T) {
-				most, all, calls := spreadOf(t, size, sends)
+				nineTenths, all, calls := spreadTimes(t, size, sends)
 				t.Logf("%d routers, %d sends at once: nine tenths after %v, all after %v, %d calls",
-					size, sends, most, all, calls)
+					size, sends, nineTenths, all, calls)
 				if sends == maxLargeSends && all > fleetWithin {
 					t.Errorf("%d routers: got the list at all after %v, want it within %v", size, all, fleetWithin)
 				}
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -11,7 +11,7 @@
 )
 
 // on gives a batch of another timeline than the first.
-func on(timeline uint64, b *slipwick.FeedBatch) *slipwick.FeedBatch {
+func withTimeline(timeline uint64, b *slipwick.FeedBatch) *slipwick.FeedBatch {
 	b.Timeline = timeline
 	return b
 }
@@ -50,33 +50,33 @@
 	}{
 		"a watch from a revision that was given out again": {
 			answers: []*slipwick.FeedBatch{
-				on(1, batch(7, true, "a1", "b1")),
+				withTimeline(1, batch(7, true, "a1", "b1")),
 				// Revision 7 took b away in this timeline; the watch tells what came after.
-				on(2, batch(8, false, "c1")),
-				on(2, batch(8, true, "a1", "c1")),
+				withTimeline(2, batch(8, false, "c1")),
+				withTimeline(2, batch(8, true, "a1", "c1")),
 			},
 			want: []string{"a1", "c1"},
 		},
 		"a lower revision of a later timeline": {
 			answers: []*slipwick.FeedBatch{
-				on(1, batch(7, true, "a1", "b1")),
-				on(2, batch(4, true, "a1")),
+				withTimeline(1, batch(7, true, "a1", "b1")),
+				withTimeline(2, batch(4, true, "a1")),
 			},
 			want: []string{"a1"},
 		},
 		"a timeline that was missed, and one that comes late": {
 			answers: []*slipwick.FeedBatch{
-				on(1, batch(7, true, "a1")),
-				on(3, batch(4, true, "a3")),
-				on(2, batch(9, true, "a2")),
-				on(3, batch(5, true, "a4")),
+				withTimeline(1, batch(7, true, "a1")),
+				withTimeline(3, batch(4, true, "a3")),
+				withTimeline(2, batch(9, true, "a2")),
+				withTimeline(3, batch(5, true, "a4")),
 			},
 			want: []string{"a4"},
 		},
 		"changes of an earlier timeline, under way as the store fell back": {
 			answers: []*slipwick.FeedBatch{
-				on(2, batch(4, true, "a2")),
-				on(1, batch(9, false, "a1")),
+				withTimeline(2, batch(4, true, "a2")),
+				withTimeline(1, batch(9, false, "a1")),
 			},
 			want: []string{"a2"},
 		},
@@ -90,7 +90,7 @@
 		},
 		"a router of before, which tells none, ahead and behind": {
 			answers: []*slipwick.FeedBatch{
-				on(2, batch(7, true, "a1")),
+				withTimeline(2, batch(7, true, "a1")),
 				batch(6, true, "a0"),
 				batch(8, true, "a2"),
 			},
@@ -112,31 +112,31 @@
 	}
 }
 
-// TestCopyOfATimelineThatWasLeftIsNone has a router that slept, or was cut off, still hold the
+// TestCopyOfEarlierTimelineIsIgnored has a router that slept, or was cut off, still hold the
 // copy of an earlier timeline, with a higher revision, as the store falls silent for the others.
-func TestCopyOfATimelineThatWasLeftIsNone(t *testing.T) {
+func TestCopyOfEarlierTimelineIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		asleep := newFakeFeed(on(1, batch(50, true, "a1")))
-		store := newFakeFeed(on(2, batch(10, true, "a2")))
+		isolated := newFakeFeed(withTimeline(1, batch(50, true, "a1")))
+		store := newFakeFeed(withTimeline(2, batch(10, true, "a2")))
 		shared := &SharedFeed{
 			FeedName: "backends",
 			Store:    store,
 			Peers: &fakePeers{
 				watches: true,
 				relays: map[string]*fakeFeed{
-					"asleep": asleep,
+					"asleep": isolated,
 				},
 				order: []string{"asleep"},
 			},
-			Timing: rhythm,
+			Timing: defaultTiming,
 		}
 		state, stop := follow(t, shared)
 		defer stop()
-		time.Sleep(rhythm.WatchWait)
-		store.fail(errAway)
+		time.Sleep(defaultTiming.WatchWait)
+		store.setError(errStoreDown)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
-		go confirmAlways(ctx, asleep)
+		go keepConfirmed(ctx, isolated)
 		time.Sleep(5 * time.Second)
 		if got, want := state(), []string{"a2"}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
@@ -144,12 +144,12 @@
 	})
 }
 
-// TestMirrorServesNoTwoTimelines has routers ask a copy from other timelines than its own.
-func TestMirrorServesNoTwoTimelines(t *testing.T) {
+// TestMirrorRejectsOtherTimelines has routers ask a copy from other timelines than its own.
+func TestMirrorRejectsOtherTimelines(t *testing.T) {
 	m := NewMirror()
-	m.Apply(on(1, batch(7, true, "a1", "b1")))
-	m.Apply(on(2, batch(4, true, "a1")))
-	m.Apply(on(2, batch(8, false, "c1")))
+	m.Apply(withTimeline(1, batch(7, true, "a1", "b1")))
+	m.Apply(withTimeline(2, batch(4, true, "a1")))
+	m.Apply(withTimeline(2, batch(8, false, "c1")))
 	for name, tc := range map[string]struct {
 		after slipwick.Position
 		want  slipwick.Kind
@@ -180,5 +180,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectNames(t, "from its own timeline", got.Entries, "c1")
+	expectEntries(t, "from its own timeline", got.Entries, "c1")
 }
