--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -11,6 +11,7 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
+// listRecorder maintains the sorted IDs of the backend servers that a Backends lists.
 type listRecorder struct {
 	mu  sync.Mutex
 	ids []string
@@ -28,6 +29,7 @@
 	l.ids = slices.Compact(l.ids)
 }
 
+// backendChange returns a change that writes or removes the entry of a backend server.
 func backendChange(id string, gone bool) Change[balance.Entry] {
 	return Change[balance.Entry]{
 		Name: id,
@@ -60,8 +62,8 @@
 	})
 }
 
-// TestBackendsKeepEntriesExpiredDuringOutage has two entries lapse while the
-// store is away; one of their servers comes back, the other does not.
+// TestBackendsKeepEntriesExpiredDuringOutage has two entries expire during an outage of the store.
+// One of their servers writes its entry again in time, the other does not.
 func TestBackendsKeepEntriesExpiredDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
@@ -72,11 +74,11 @@
 		b.Failed()
 		b.Answered(0, 0)
 		b.Change([]Change[balance.Entry]{backendChange("b", true), backendChange("c", true)})
-		list.expect(t, "on return", "a", "b", "c")
+		list.expect(t, "when the store answers again", "a", "b", "c")
 		time.Sleep(time.Second)
 		b.Change([]Change[balance.Entry]{backendChange("b", false)})
 		time.Sleep(time.Second)
-		list.expect(t, "two seconds after the return", "a", "b")
+		list.expect(t, "two seconds after the store answers again", "a", "b")
 	})
 }
 
@@ -94,13 +96,13 @@
 	})
 }
 
-// TestEntriesRemovedInShortGapAreDroppedInTime has a router hear nothing for less
-// than the time after which a server that is gone gets nothing new, while the store serves
-// others: an entry may have gone as the gap began.
+// TestEntriesRemovedInShortGapAreDroppedInTime has a router receive nothing for less than Leave
+// while the store answers other routers. An entry may have been removed as early as the start of
+// the gap.
 //
-// What was seen: a server whose entry had gone got a request 3.2 s later, of 3 s allowed,
-// from one router of eighty. It had followed a router that fell behind, heard nothing for
-// 1.75 s, took that for an outage of the store, and kept the entry for 1.9 s more.
+// It guards against the following failure: one router of eighty sent a request to a removed server
+// 3.2 s after its removal, with 3 s allowed. It had followed a router that fell behind, received
+// nothing for 1.75 s, took that for an outage of the store, and kept the entry for another 1.9 s.
 func TestEntriesRemovedInShortGapAreDroppedInTime(t *testing.T) {
 	const leave = 3 * time.Second
 	for _, gap := range []time.Duration{1600 * time.Millisecond, 1750 * time.Millisecond, 2800 * time.Millisecond} {
@@ -122,10 +124,9 @@
 	}
 }
 
-// TestEntriesRemovedSinceOldCopyAreDroppedInTime has a router follow another, whose copy
-// was as old as copies may be, and then hear nothing for less than the time after which a
-// server that is gone gets nothing new: an entry may have gone as soon as the copy was
-// confirmed, before the gap.
+// TestEntriesRemovedSinceOldCopyAreDroppedInTime has a router follow another one whose copy has
+// the greatest age of a current copy, and then receive nothing for less than Leave. An entry may
+// have been removed as soon as the copy was confirmed, before the gap.
 func TestEntriesRemovedSinceOldCopyAreDroppedInTime(t *testing.T) {
 	const leave, age, gap = 3 * time.Second, 1200 * time.Millisecond, 1600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
@@ -145,9 +146,10 @@
 	})
 }
 
-// TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce has a router hear nothing for longer
-// than what counts as an outage of the store, and learn then from another that the store has
-// served all the while: nothing lapsed for it, and what vanished has left.
+// TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce has a router receive nothing for longer
+// than the threshold of an outage, and then learn from another router that the store has answered
+// in the meantime. No entry expired because of an outage, so a removed entry means that its server
+// has left.
 func TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
--- a/directory/encoding_test.go
+++ b/directory/encoding_test.go
@@ -13,7 +13,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestEncodingsRoundTrip passes drawn batches on in each encoding.
+// TestEncodingsRoundTrip encodes and decodes random batches in each encoding.
 func TestEncodingsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		want := slipwick.FeedBatch{
@@ -48,8 +48,8 @@
 	})
 }
 
-// TestOlderRoutersGetJSON has two routers ask for one copy: the one names an encoding, the
-// other none.
+// TestOlderRoutersGetJSON requests a copy with and without an Accept header. Older routers send
+// none and support JSON only.
 func TestOlderRoutersGetJSON(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(batch(3, true, "a1", "b1"))
@@ -77,7 +77,8 @@
 	}
 }
 
-// BenchmarkReadCopy reads a copy of 10,000 backend servers, as a router that starts does.
+// BenchmarkReadCopy measures how long a starting router takes to receive a copy of 10,000 backend
+// servers.
 func BenchmarkReadCopy(b *testing.B) {
 	for _, encoding := range []string{jsonType, protobufType} {
 		b.Run(encoding, func(b *testing.B) {
--- a/directory/evacuations_test.go
+++ b/directory/evacuations_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// TestEvacuationMissingFromBackupStaysInForce has the store come back from a copy that was made before
-// two evacuations; one of them is written again.
+// TestEvacuationMissingFromBackupStaysInForce has the store restored from a backup that was made
+// before two evacuations, one of which is written again afterwards.
 func TestEvacuationMissingFromBackupStaysInForce(t *testing.T) {
 	const within = 4 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -42,17 +42,17 @@
 		put("b", false)
 		put("c", false)
 		put("c", true)
-		expect("one taken back", "dc-a", "dc-b")
+		expect("one ended", "dc-a", "dc-b")
 		e.StoreRestored(time.Second)
 		put("a", true)
 		put("b", true)
-		expect("on the store's return", "dc-a", "dc-b")
+		expect("after the restore", "dc-a", "dc-b")
 		time.Sleep(within / 2)
 		put("a", false)
 		expect("one written again", "dc-a", "dc-b")
 		time.Sleep(within)
-		expect("after the time allowed", "dc-a")
+		expect("after the grace period", "dc-a")
 		put("a", true)
-		expect("taken back", []string{}...)
+		expect("ended", []string{}...)
 	})
 }
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -9,7 +9,7 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// fakeFeed is a store, or a router's copy, that can fail or hang.
+// fakeFeed is a store or another router's copy that can fail or hang.
 type fakeFeed struct {
 	*Mirror
 
@@ -18,9 +18,9 @@
 	hangs bool
 	calls int
 	lists int
-	// slow is how long each answer takes.
+	// delay is how long each answer takes.
 	delay time.Duration
-	// age is added to that of the copy.
+	// age is added to the age of each batch.
 	age time.Duration
 }
 
@@ -55,35 +55,36 @@
 	return b, err
 }
 
-// fail has all further calls fail; nil ends that.
+// setError makes all further calls fail; nil makes them succeed again.
 func (f *fakeFeed) setError(err error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.err = err
 }
 
-// hang has further calls get no answer, or ends that; those that hang stay so.
+// setHangs makes further calls block until their context ends, or ends that. Calls that already
+// hang keep hanging.
 func (f *fakeFeed) setHangs(hangs bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.hangs = hangs
 }
 
-// grow adds to the age of what it answers from now on.
+// addAge makes all further batches older by the given age.
 func (f *fakeFeed) addAge(age time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.age += age
 }
 
-// called counts the calls so far.
+// callCount returns the number of calls so far.
 func (f *fakeFeed) callCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.calls
 }
 
-// listed counts the lists so far.
+// listCount returns the number of calls of List so far.
 func (f *fakeFeed) listCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,12 +102,12 @@
 	return f.call(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.Watch(ctx, after, wait) })
 }
 
-// fakePeers are routers whose copies are fakes.
+// fakePeers provides other routers whose copies are fakes.
 type fakePeers struct {
 	watches bool
 	relays  map[string]*fakeFeed
 	order   []string
-	// turn is that of the router's place.
+	// turn is the turn of this router at the store.
 	turn int
 }
 
@@ -128,10 +129,10 @@
 
 func (p *fakePeers) Relay(id, _ string) slipwick.Feed { return p.relays[id] }
 
-// rhythm is the one that followers have by default.
+// defaultTiming has the wait times of followers without other settings.
 var defaultTiming = TimingWithin(DefaultWithin)
 
-// at is a position of a store that tells no timelines.
+// at returns a position of a store that has no timelines.
 func at(revision uint64) slipwick.Position {
 	return slipwick.Position{
 		Revision: revision,
--- a/directory/reassigned_test.go
+++ b/directory/reassigned_test.go
@@ -10,45 +10,45 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestServerLeavingAfterRestoreGetsNothing brings about the incident in which
-// backend servers got requests 2.2 to 2.9 s after the store had taken that they leave, where
-// 2 s are allowed.
+// TestServerLeavingAfterRestoreGetsNothing reproduces an incident in which backend servers got
+// requests 2.2 to 2.9 s after the store had acknowledged that they were leaving, with 2 s allowed.
 //
-// The store was away for a moment and came back from a copy some seconds old. It gave the
-// revisions since then out again, and routers went by revisions alone. They refused all its
-// answers as older than what they knew, until its revisions had caught up; took what had
-// vanished meanwhile for entries that lapsed in the outage, and kept it; and a router that
-// learnt from another got the encoded answer of the old state, as its revision was that of
-// the new one. The log proved it: refusals at all eight routers until one moment, servers
-// taken off the lists 1.90 s after it, and two routers, those that had not asked the store,
-// which took a list without the leave.
+// After a short outage the store was restored from a backup some seconds old and assigned the
+// revisions since then again, while routers compared revisions only. That had three effects. They
+// rejected all its answers as older than what they knew, until its revisions had caught up. They
+// took the entries removed in the meantime for expired in the outage and kept them. A router that
+// learnt from another one got the encoded response of the old state, which had the same revision
+// as the new one. The logs confirmed it: all eight routers rejected answers up to the same moment
+// and dropped the servers 1.90 s later, and the two routers that had not asked the store took a
+// list in which the server was not leaving.
 func TestServerLeavingAfterRestoreGetsNothing(t *testing.T) {
 	const (
 		routers = 8
-		// lost is how old the copy is, outage how long the store is away before.
+		// backupAge is how old the backup is, outage how long the store is down before the
+		// restore.
 		backupAge, outage = 3 * time.Second, 1500 * time.Millisecond
-		// quiet is the time from the store's return to the leave.
+		// restoredTime is the time from the restore until the server leaves.
 		restoredTime = 3300 * time.Millisecond
-		// writes are those whose revisions are given out again.
+		// writes is the number of writes after the backup, whose revisions are assigned again.
 		writes = 3
 	)
 	for name, tc := range map[string]struct {
 		leave func(*modelStore)
-		// after are the writes that follow the leave.
+		// after is the number of writes that follow the leave.
 		after int
 	}{
-		"its entry says so, and revisions catch up": {
+		"announced, revisions catch up": {
 			leave: func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
 			after: writes - 1,
 		},
-		"its entry goes, and revisions catch up": {
+		"entry removed, revisions catch up": {
 			leave: func(s *modelStore) { s.removeServer("a") },
 			after: writes - 1,
 		},
-		"its entry says so, and revisions stay behind": {
+		"announced, revisions stay behind": {
 			leave: func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
 		},
-		"its entry says so, and revisions overtake": {
+		"announced, revisions overtake": {
 			leave: func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
 			after: writes + 1,
 		},
@@ -85,7 +85,7 @@
 				time.Sleep(modelWithin)
 				for _, r := range f.routers {
 					if r.wouldSend("a") {
-						t.Errorf("%s would send to the server that leaves, %v after the store knew", r.self.ID, modelWithin)
+						t.Errorf("%s would send to the leaving server %v after the store had it", r.self.ID, modelWithin)
 					}
 				}
 			})
@@ -93,10 +93,10 @@
 	}
 }
 
-// TestReassignedRevisionIsEncodedAgain has a router ask another for its list, before
-// and after a store has come back from a copy and reached the same revision with other
-// changes. In the incident that TestServerLeavingAfterRestoreGetsNothing tells,
-// two routers of eight were given the answer that had been encoded before.
+// TestReassignedRevisionIsEncodedAgain has a router list from another one before and after the
+// store was restored from a backup and reached the same revision with other changes. In the
+// incident of TestServerLeavingAfterRestoreGetsNothing two routers of eight were sent the response
+// that had been encoded before the restore.
 func TestReassignedRevisionIsEncodedAgain(t *testing.T) {
 	mirror := NewMirror()
 	relay := &RelayClient{
--- a/directory/restored_test.go
+++ b/directory/restored_test.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// modelBeat is how often servers renew their entries, modelLapse after how long the
-	// store drops one that is not renewed.
+	// modelHeartbeat is how often servers renew their entries, modelExpiry the time after which
+	// the store removes an entry that is not renewed.
 	modelHeartbeat = DefaultHeartbeat
 	modelExpiry    = 3 * modelHeartbeat
-	// modelAgain is within how long of the store's return servers have written again what
-	// the copy lacks: their next renewal, somewhat late.
+	// modelRewriteTime is the time after a restore in which servers have written again what the
+	// backup lacks: with their next renewal, which may be a little late.
 	modelRewriteTime = modelHeartbeat + modelHeartbeat/4
-	// modelMoment is how long the store is away when it comes back from a copy: shorter
-	// than what routers take for an outage.
+	// modelShortOutage is how long the store is down before a restore: shorter than what routers
+	// treat as an outage.
 	modelShortOutage = 200 * time.Millisecond
 )
 
-// fallBackFleet runs eight routers before the servers a, b and c, and has the store fall
-// back to where it stood when the change had not been made.
+// newRestoredFleet runs eight routers with the servers a, b and c, applies a change, and restores
+// the store from a backup made before it.
 func newRestoredFleet(t *testing.T, change func(*modelStore)) *modelFleet {
 	t.Helper()
 	f := newModelFleet(8)
@@ -40,7 +40,7 @@
 	return f
 }
 
-// watchFor looks at all routers again and again for so long.
+// pollRouters visits all routers repeatedly during the given period.
 func (f *modelFleet) pollRouters(period time.Duration, visit func(*modelRouter)) {
 	for end := time.Now().Add(period); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 		for _, r := range f.routers {
@@ -49,8 +49,8 @@
 	}
 }
 
-// TestServerMissingFromBackupIsKept has a server start after the copy was made: it writes
-// itself again with its next renewal, and serves all the while.
+// TestServerMissingFromBackupIsKept has a server start after the backup was made. It writes its
+// entry again with its next renewal and stays in use until then.
 func TestServerMissingFromBackupIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestoredFleet(t, func(s *modelStore) { s.put(modelBackends, "d", "ready") })
@@ -62,38 +62,38 @@
 			}
 		})
 		if len(droppedBy) > 0 {
-			t.Errorf("got %d routers that gave up a server which the copy lacks, want none", len(droppedBy))
+			t.Errorf("got %d routers that dropped a server missing from the backup, want none", len(droppedBy))
 		}
 	})
 }
 
-// TestStoppedServerMissingFromBackupIsDropped has that server be gone: nothing
-// keeps it longer than what lapses in an outage.
+// TestStoppedServerMissingFromBackupIsDropped has a server that started after the backup was made
+// stop as well. It is kept no longer than an entry that expired in an outage.
 func TestStoppedServerMissingFromBackupIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestoredFleet(t, func(s *modelStore) { s.put(modelBackends, "d", "ready") })
 		time.Sleep(modelWithin)
 		if got := f.countSending("d"); got > 0 {
-			t.Errorf("got %d routers that would send to a server that is gone, %v after the store's return, want none",
+			t.Errorf("got %d routers that would send to a stopped server %v after the restore, want none",
 				got, modelWithin)
 		}
 	})
 }
 
-// TestDepartedServerInBackupGetsNothing has a server leave after the copy was made, with and
-// without a word of it: the copy says that it is ready, for as long as its server takes to
-// say again that it leaves, or the store to drop what nobody renews.
+// TestDepartedServerInBackupGetsNothing has a server leave after the backup was made, announced or
+// not. The backup lists it as ready, until the server announces again that it leaves or the store
+// removes the entry that nobody renews.
 func TestDepartedServerInBackupGetsNothing(t *testing.T) {
 	for name, tc := range map[string]struct {
 		leave, again func(*modelStore)
 		after        time.Duration
 	}{
-		"its entry says so": {
+		"announced": {
 			leave: func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
 			again: func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
 			after: modelRewriteTime,
 		},
-		"its entry is gone": {
+		"entry removed": {
 			leave: func(s *modelStore) { s.removeServer("a") },
 			again: func(s *modelStore) { s.removeServer("a") },
 			after: modelExpiry,
@@ -110,18 +110,18 @@
 					}
 				})
 				if len(senders) > 0 {
-					t.Errorf("got %d routers that would send to a server which left, want none", len(senders))
+					t.Errorf("got %d routers that would send to a departed server, want none", len(senders))
 				}
 			})
 		})
 	}
 }
 
-// TestServerBackBeforeRestoreIsUsedAgain has an entry that lapsed, and whose server
-// entered itself again, fall back to before both: what the copy lists was seen to go, and yet
-// its server lives. It is in use as soon as a dead one's entry can't be there any more: the
-// store drops it after three renewals were missed, counts them anew if it is interrupted, and
-// an interruption is noticed if it is longer than some part of a heartbeat.
+// TestServerBackBeforeRestoreIsUsedAgain has an entry expire that its server writes again, and the
+// store restored from a backup made before both. The routers saw the listed entry disappear, yet
+// its server is alive. It is in use as soon as the entry cannot be that of a stopped server: the
+// store removes an entry after three missed renewals, restarts that time if it is interrupted, and
+// an interruption is noticed if it is longer than a certain share of a heartbeat.
 func TestServerBackBeforeRestoreIsUsedAgain(t *testing.T) {
 	const within = 2*modelExpiry + time.Duration(outageShare*float64(modelHeartbeat)) + modelWithin
 	synctest.Test(t, func(t *testing.T) {
@@ -129,34 +129,35 @@
 		time.Sleep(within)
 		for _, r := range f.routers {
 			if !r.wouldSend("c") {
-				t.Errorf("%s sends nothing to a server that the store has listed for %v since its return", r.self.ID, within)
+				t.Errorf("%s sends nothing to a server that the store has listed for %v since the restore", r.self.ID, within)
 			}
 		}
 	})
 }
 
-// TestChangeIsKnownSoonAfterShortOutage has the store away for a moment, and come back from a
-// copy or with all it had. Routers must know what changed on its return in half of the time
-// allowed: the other half is for busy boxes and slow links.
+// TestChangeIsKnownSoonAfterShortOutage has the store down for a short time, with or without a
+// restore from a backup. Routers must know the next change within half of the time allowed; the
+// other half is for busy boxes and slow links.
 //
-// What was seen: routers that followed the store took each other's copies, as old as the
-// silence, for a sign that it still reached the other, and left it alone until these were too
-// old: 1.3 to 1.8 s, of 2 s allowed.
+// It guards against the following failure: routers that followed the store took each other's
+// copies, as old as the outage, as proof that the store still reached the other, and did not ask
+// it until these copies were too old. That took 1.3 to 1.8 s, with 2 s allowed.
 func TestChangeIsKnownSoonAfterShortOutage(t *testing.T) {
 	for _, routers := range []int{8, 80} {
 		for _, outage := range []time.Duration{50 * time.Millisecond, modelShortOutage, 800 * time.Millisecond} {
 			for _, isRestored := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%d routers, %v, from a copy %t", routers, outage, isRestored), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d routers, outage of %v, restored %t", routers, outage, isRestored), func(t *testing.T) {
 					for phase := range 5 {
 						synctest.Test(t, func(t *testing.T) {
 							f := newModelFleet(routers)
 							f.store.put(modelBackends, "a", "ready")
 							f.start(t)
-							// Watches of the store wait for four tenths of the time allowed.
+							// Watches of the store wait for four tenths of the time allowed; the
+							// phases cover them.
 							time.Sleep(3*time.Second + time.Duration(phase)*modelWithin/10)
 							if isRestored {
-								// The leave gets the revision of what is lost, and a watch from
-								// there waits in vain.
+								// The leave is assigned the revision of this lost write, so a
+								// watch after that revision does not return the leave.
 								f.store.put(modelTables, "main", "1")
 								time.Sleep(modelWithin / 2)
 							}
@@ -164,7 +165,7 @@
 							f.store.put(modelBackends, "a", "leaving")
 							time.Sleep(modelWithin / 2)
 							if got := f.countSending("a"); got > 0 {
-								t.Errorf("phase %d: got %d routers that do not know the leave %v after the store's return, want none",
+								t.Errorf("phase %d: got %d routers that do not know the leave %v after the outage, want none",
 									phase, got, modelWithin/2)
 							}
 						})
@@ -175,7 +176,8 @@
 	}
 }
 
-// beSilent has the store away for so long; it comes back with all that it had, or from a copy.
+// interruptStore takes the store down for the given time, and restores it from a backup if
+// isRestored.
 func (f *modelFleet) interruptStore(outage time.Duration, isRestored bool) {
 	f.store.setDown(true)
 	time.Sleep(outage)
@@ -185,7 +187,7 @@
 	}
 }
 
-// sending counts the routers that would send to a server.
+// countSending returns the number of routers that would send to a server.
 func (f *modelFleet) countSending(id string) (count int) {
 	for _, r := range f.routers {
 		if r.wouldSend(id) {
@@ -195,9 +197,9 @@
 	return count
 }
 
-// TestOlderConfigurationInBackupIsIgnored has the store come back from a copy that holds an older
-// configuration, with a key that was taken away since. A router that starts before the newest
-// is written again learns it from the others, through routers that follow the store.
+// TestOlderConfigurationInBackupIsIgnored has the store restored from a backup with an older
+// configuration, which still has a key that was revoked since. A router that starts before the
+// newest one is written again learns it from the others, through routers that follow the store.
 func TestOlderConfigurationInBackupIsIgnored(t *testing.T) {
 	const newest = "3"
 	synctest.Test(t, func(t *testing.T) {
@@ -226,7 +228,7 @@
 				t.Fatal(err)
 			}
 			if got := string(batch.Entries[0].Value); got != newest {
-				t.Errorf("%s: got version %s for others, want %s", r.self.ID, got, newest)
+				t.Errorf("%s: got version %s in the copy for other routers, want %s", r.self.ID, got, newest)
 			}
 		}
 		f.store.put(modelTables, "main", "4")
@@ -239,10 +241,13 @@
 	})
 }
 
-// TestEarlierIncarnationInBackupGetsNothing has routers start after a server was replaced under its ID, and
-// the store come back from a copy of before, which lists the life that they never knew. What
-// was seen in the soak: a server that had said in an answer that it leaves got one request more
-// of each of two gateways, as the copy named an earlier life, to which that word did not belong.
+// TestEarlierIncarnationInBackupGetsNothing has routers start after a server was replaced under
+// the same ID, and the store restored from a backup with the earlier incarnation, which they never
+// knew.
+//
+// It guards against a failure seen in the soak test: a server that had announced in a response
+// that it was leaving got one more request from each of two gateways, because the announcement did
+// not apply to the earlier incarnation named by the backup.
 func TestEarlierIncarnationInBackupGetsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newModelFleet(8)
@@ -264,11 +269,11 @@
 			}
 		})
 		if len(senders) > 0 {
-			t.Errorf("got %d routers that would send to a life which is over, want none", len(senders))
+			t.Errorf("got %d routers that would send to an ended incarnation, want none", len(senders))
 		}
 		for _, r := range f.routers {
 			if !r.wouldSendTo("a", 2) {
-				t.Errorf("%s sends nothing to the life that wrote itself again", r.self.ID)
+				t.Errorf("%s sends nothing to the incarnation that was written again", r.self.ID)
 			}
 		}
 	})
--- a/directory/simpeerfeed_test.go
+++ b/directory/simpeerfeed_test.go
@@ -8,18 +8,18 @@
 	"github.com/slipwick/slipwick"
 )
 
-// copyOf is another router's copy, a millisecond away.
+// simPeerFeed is the copy of another router of the simulated fleet, with a latency of 1 ms.
 type simPeerFeed struct {
 	from, to *simRouter
 }
 
-// reach waits as long as the way takes, or for ever.
+// reach waits for the latency, or until ctx ends if one of the two routers is unreachable.
 func (c *simPeerFeed) reach(ctx context.Context) error {
 	for _, r := range []*simRouter{c.from, c.to} {
 		r.mu.Lock()
-		silent := r.unresponsive || r.isolated
+		unreachable := r.unresponsive || r.isolated
 		r.mu.Unlock()
-		if silent {
+		if unreachable {
 			<-ctx.Done()
 			return ctx.Err()
 		}
@@ -46,7 +46,8 @@
 	return batch, errors.Join(err, ctx.Err())
 }
 
-// send sends a list beside others, or refuses it.
+// send transfers a list, whose duration allows for the other transfers on the link, or refuses it
+// if too many are under way.
 func (c *simPeerFeed) send(ctx context.Context, batch *slipwick.FeedBatch) (slipwick.FeedBatch, error) {
 	isRefused := false
 	c.to.set(func(r *simRouter) {
