--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -96,9 +96,9 @@
 	})
 }
 
-// TestEntriesRemovedInShortGapAreDroppedInTime has a router receive nothing for less than Leave
-// while the store answers other routers. An entry may have been removed as early as the start of
-// the gap.
+// TestEntriesRemovedInShortGapAreDroppedInTime has a router receive nothing for less than
+// Backends.Leave while the store answers other routers. An entry may have been removed as early as
+// the start of the gap.
 //
 // It guards against the following failure: one router of eighty sent a request to a removed server
 // 3.2 s after its removal, with 3 s allowed. It had followed a router that fell behind, received
@@ -125,8 +125,8 @@
 }
 
 // TestEntriesRemovedSinceOldCopyAreDroppedInTime has a router follow another one whose copy has
-// the greatest age of a current copy, and then receive nothing for less than Leave. An entry may
-// have been removed as soon as the copy was confirmed, before the gap.
+// the greatest age of a current copy, and then receive nothing for less than Backends.Leave. An
+// entry may have been removed as soon as the copy was confirmed, before the gap.
 func TestEntriesRemovedSinceOldCopyAreDroppedInTime(t *testing.T) {
 	const leave, age, gap = 3 * time.Second, 1200 * time.Millisecond, 1600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
--- a/directory/decodeonce_test.go
+++ b/directory/decodeonce_test.go
@@ -9,9 +9,9 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestFollowerDecodesEachValueOnce has objects change that have an order: what is read to compare
-// a value with the known one is not read again to take it. All routers of a fleet read a
-// configuration at the same moment.
+// TestFollowerDecodesEachValueOnce has objects change whose states have an order. A value that was
+// decoded to compare it with the known one must not be decoded again to apply it, because all
+// routers of a fleet decode a configuration at the same moment.
 func TestFollowerDecodesEachValueOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := newFakeFeed(&slipwick.FeedBatch{
@@ -54,7 +54,7 @@
 		}
 		for value, count := range decodeCounts {
 			if count != 1 {
-				t.Errorf("value %s: read %d times, want once", value, count)
+				t.Errorf("value %s: decoded %d times, want once", value, count)
 			}
 		}
 	})
--- a/directory/firstlist_bench_test.go
+++ b/directory/firstlist_bench_test.go
@@ -8,7 +8,8 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-// BenchmarkFirstList takes the first list of backend servers at a router that starts, read already.
+// BenchmarkFirstList measures how long a starting router takes to apply its first list of backend
+// servers once it is decoded.
 func BenchmarkFirstList(b *testing.B) {
 	for _, size := range []int{2_500, 5_000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestFleetStartsAndRestsWithFewCalls counts the calls to the store of fleets
-// that start at once and of those at rest: they must not grow with the fleet.
+// TestFleetStartsAndRestsWithFewCalls counts the calls to the store of fleets that start at once,
+// and of idle ones. They must not grow with the fleet.
 func TestFleetStartsAndRestsWithFewCalls(t *testing.T) {
 	for _, size := range []int{1, 8, 62, 295} {
 		synctest.Test(t, func(t *testing.T) {
@@ -24,36 +24,35 @@
 			f.calls.Store(0)
 			time.Sleep(20 * time.Second)
 			if got := f.calls.Load(); got > 60 {
-				t.Errorf("%d routers: got %d calls in 20 s of rest, want at most 60", size, got)
+				t.Errorf("%d routers: got %d calls in 20 idle seconds, want at most 60", size, got)
 			}
 			stop()
 		})
 	}
 }
 
-// TestChangesReachTheFleetThoughRoutersFail has the store change while routers
-// on the way are silent or cut off from the store: all others have to know in
-// time.
+// TestChangesReachTheFleetThoughRoutersFail has the store change while some routers of the relay
+// tree are unresponsive or cut off from the store. All others have to know the change in time.
 func TestChangesReachTheFleetThoughRoutersFail(t *testing.T) {
 	for name, fail := range map[string]func(f *simFleet){
-		"nobody": func(*simFleet) {},
-		"a watcher is silent": func(f *simFleet) {
+		"none": func(*simFleet) {},
+		"a watcher is unresponsive": func(f *simFleet) {
 			f.watchers()[0].set(func(r *simRouter) { r.unresponsive = true })
 		},
-		"two watchers are silent": func(f *simFleet) {
+		"two watchers are unresponsive": func(f *simFleet) {
 			for _, w := range f.watchers()[:min(2, len(f.watchers()))] {
 				w.set(func(r *simRouter) { r.unresponsive = true })
 			}
 		},
-		"a watcher is cut off from the store": func(f *simFleet) {
+		"a watcher gets no answer from the store": func(f *simFleet) {
 			f.watchers()[0].set(func(r *simRouter) { r.storeHangs = true })
 		},
-		"all watchers are cut off from the store": func(f *simFleet) {
+		"all watchers get no answer from the store": func(f *simFleet) {
 			for _, w := range f.watchers() {
 				w.set(func(r *simRouter) { r.storeHangs = true })
 			}
 		},
-		"a seventh of the routers is silent": func(f *simFleet) {
+		"a seventh of the routers is unresponsive": func(f *simFleet) {
 			for i, r := range f.routers {
 				if i%7 == 3 {
 					r.set(func(r *simRouter) { r.unresponsive = true })
@@ -66,14 +65,14 @@
 				synctest.Test(t, func(t *testing.T) {
 					f := newSimFleet(size)
 					stop := f.start(t)
-					// At any moment between two confirmations.
+					// The seeds vary the time since the latest confirmation of the copies.
 					time.Sleep(5*time.Second + time.Duration(seed)*371*time.Millisecond)
 					fail(f)
 					time.Sleep(time.Duration(seed%2) * 50 * time.Millisecond)
 					f.setValue("1")
 					time.Sleep(fleetWithin - 100*time.Millisecond)
 					if got := f.countLagging("1"); got > 0 {
-						t.Errorf("%d routers, %s, seed %d: got %d that do not know the change in time, want none", size, name, seed, got)
+						t.Errorf("%d routers, %s, seed %d: got %d without the change in time, want none", size, name, seed, got)
 					}
 					stop()
 				})
@@ -82,8 +81,8 @@
 	}
 }
 
-// TestOutageCostsFewCalls has the store refuse everyone for a while, then a third
-// of the routers, those that follow it among them.
+// TestOutageCostsFewCalls has the store refuse all routers for a while, then a third of them and
+// all watchers.
 func TestOutageCostsFewCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newSimFleet(295)
@@ -91,8 +90,8 @@
 		time.Sleep(5 * time.Second)
 		refuse := func(refused func(i int, r *simRouter) bool) {
 			for i, r := range f.routers {
-				is := refused(i, r)
-				r.set(func(r *simRouter) { r.storeRefuses = is })
+				isRefused := refused(i, r)
+				r.set(func(r *simRouter) { r.storeRefuses = isRefused })
 			}
 		}
 		refuse(func(int, *simRouter) bool { return true })
@@ -105,7 +104,7 @@
 		f.setValue("1")
 		time.Sleep(2 * time.Second)
 		if got := f.countLagging("1"); got > 0 {
-			t.Errorf("got %d routers that do not know the change 2 s after the store's return, want none", got)
+			t.Errorf("got %d routers without the change 2 s after the outage, want none", got)
 		}
 		time.Sleep(5 * time.Second)
 		refuse(func(i int, r *simRouter) bool { return i%3 == 0 || r.Place().Watches })
@@ -114,14 +113,14 @@
 		f.setValue("2")
 		time.Sleep(fleetWithin)
 		if got := f.countLagging("2"); got > 0 {
-			t.Errorf("watchers refused: got %d routers that do not know the change in time, want none", got)
+			t.Errorf("watchers refused: got %d routers without the change in time, want none", got)
 		}
 		for i := range 5 {
 			value := strings.Repeat("3", i+1)
 			f.setValue(value)
 			time.Sleep(fleetWithin)
 			if got := f.countLagging(value); got > 0 {
-				t.Errorf("watchers refused, change %d: got %d routers that do not know it in time, want none", i, got)
+				t.Errorf("watchers refused, change %d: got %d routers without it in time, want none", i, got)
 			}
 		}
 		if got := f.calls.Load(); got > 400 {
@@ -131,8 +130,8 @@
 	})
 }
 
-// TestRouterStopsActingOnceReconnected has a router of the lowest level cut off from
-// the others for a while: it follows the store itself, and the others again
+// TestRouterStopsActingOnceReconnected isolates a router of the lowest level from the other
+// routers for a while. It follows the store itself in the meantime, and other routers again
 // afterwards.
 func TestRouterStopsActingOnceReconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -154,15 +153,15 @@
 		before := calls()
 		time.Sleep(10 * time.Second)
 		if got := calls() - before; got == 0 {
-			t.Error("cut off from the others: got no call to the store, want some")
+			t.Error("isolated: got no call to the store, want some")
 		}
 		lowest.set(func(r *simRouter) { r.isolated = false })
-		// It looks whether others follow the store again every few seconds.
+		// It checks every few seconds whether the watchers have a current copy again.
 		time.Sleep(15 * time.Second)
 		before = calls()
 		time.Sleep(10 * time.Second)
 		if got := calls() - before; got > 0 {
-			t.Errorf("back among the others: got %d calls to the store in 10 s, want none", got)
+			t.Errorf("reconnected: got %d calls to the store in 10 s, want none", got)
 		}
 		stop()
 	})
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -13,7 +13,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// follow runs a follower of the feed and gives the names and values it has.
+// follow runs a follower of the feed. The returned functions return the known objects, each as its
+// name and value, and stop the follower.
 func follow(t *testing.T, feed slipwick.Feed) (state func() []string, stop func()) {
 	t.Helper()
 	var mu sync.Mutex
@@ -21,7 +22,7 @@
 	follower := NewFollower[string](feed, NewMirror())
 	follower.Decode = func(_ string, value []byte) (string, error) {
 		if string(value) == "bad" {
-			return "", errors.New("cannot be read")
+			return "", errors.New("cannot be decoded")
 		}
 		return string(value), nil
 	}
@@ -62,7 +63,7 @@
 		state, stop := follow(t, store)
 		defer stop()
 		if got, want := state(), []string{"a1", "b1"}; !slices.Equal(got, want) {
-			t.Errorf("first: got %v, want %v", got, want)
+			t.Errorf("before the outage: got %v, want %v", got, want)
 		}
 		store.setError(errors.New("down"))
 		time.Sleep(2 * defaultTiming.WatchWait)
@@ -70,11 +71,11 @@
 		time.Sleep(10 * time.Second)
 		store.setError(nil)
 		if got, want := state(), []string{"a1", "b1"}; !slices.Equal(got, want) {
-			t.Errorf("outage: got %v, want %v", got, want)
+			t.Errorf("during the outage: got %v, want %v", got, want)
 		}
 		time.Sleep(2 * maxBackoff)
 		if got, want := state(), []string{"a1", "c1"}; !slices.Equal(got, want) {
-			t.Errorf("after it: got %v, want %v", got, want)
+			t.Errorf("after the outage: got %v, want %v", got, want)
 		}
 	})
 }
@@ -98,9 +99,8 @@
 	})
 }
 
-// TestFollowerListsAfterAFailure has versions come in quick succession while
-// calls fail: what is read then has to be a list, which is bounded, and not all
-// that came since.
+// TestFollowerListsAfterAFailure has versions follow each other quickly while calls fail. The next
+// call has to be a list, whose size is bounded, and not a watch, which brings all versions since.
 func TestFollowerListsAfterAFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
@@ -119,10 +119,9 @@
 	})
 }
 
-// TestStaleCopiesDoNotCountAsStoreAnswers has a watcher whose store is away, while
-// another router still gives its old copy: calls to the store have to become
-// seldom, and the store has to count as away, so that entries which lapse
-// meanwhile are kept on its return.
+// TestStaleCopiesDoNotCountAsStoreAnswers has a watcher whose store is down while another router
+// still returns its stale copy. The calls to the store have to become rare, and the store has to
+// count as down, so that entries which expire during the outage are kept after it.
 func TestStaleCopiesDoNotCountAsStoreAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
@@ -156,23 +155,23 @@
 			t.Errorf("got %d calls in %v, want at most %d", got, outage, limit)
 		}
 		if got := answers.Load(); got > 0 {
-			t.Errorf("got %d answers of the store while it is away, want none", got)
+			t.Errorf("got %d answers of the store while it is down, want none", got)
 		}
 		store.Apply(batch(2, true, "a2"))
 		store.setError(nil)
 		time.Sleep(2 * maxBackoff)
 		synctest.Wait()
 		if answers.Load() == 0 {
-			t.Error("got no answer after the store's return")
+			t.Error("got no answer after the outage, want some")
 		}
 		cancel()
 		<-follower.Done()
 	})
 }
 
-// TestStartingRouterRetriesUnansweredList starts a router alone while the store
-// is silent: what it asked then is never answered, and it has to ask again soon
-// after the store's return.
+// TestStartingRouterRetriesUnansweredList starts a router without peers while the store does not
+// answer. The store never answers requests from during the outage, so the router has to ask again
+// soon after it.
 func TestStartingRouterRetriesUnansweredList(t *testing.T) {
 	for _, outage := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 3 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
@@ -195,7 +194,8 @@
 	}
 }
 
-// TestSlowStoreIsGivenTime has lists take longer than the first one may.
+// TestSlowStoreIsGivenTime has lists take longer than the time after which an unanswered one is
+// requested again.
 func TestSlowStoreIsGivenTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
@@ -214,7 +214,7 @@
 	})
 }
 
-// TestFollowerIgnoresOlderList has a list come from an older copy.
+// TestFollowerIgnoresOlderList has the store return a list with an earlier revision.
 func TestFollowerIgnoresOlderList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(5, true, "a5", "b5"))
@@ -248,9 +248,8 @@
 	})
 }
 
-// TestFollowerBatchesChanges has a store change forty times in a second, as when
-// many backend servers are replaced: the last change is known soon, with few
-// calls.
+// TestFollowerBatchesChanges has a store change forty times in a second, as when many backend
+// servers are replaced. The last change has to be known soon, after few calls.
 func TestFollowerBatchesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
@@ -272,7 +271,7 @@
 	})
 }
 
-// forgetful is a store that lists, and has forgotten what came since as soon as it has.
+// forgetfulFeed is a store that loses its history right after each list.
 type forgetfulFeed struct {
 	*fakeFeed
 }
@@ -281,9 +280,11 @@
 	return f.call(ctx, func() (slipwick.FeedBatch, error) { return slipwick.FeedBatch{}, timelineChangedError() })
 }
 
-// TestFollowerBacksOffWhenHistoryIsLostRepeatedly bounds the calls to a store that can't tell
-// what changed since its own list. What was found by histories of the store's model: 2,266
-// calls in a second from eight routers, as a lost history was answered by a list at once.
+// TestFollowerBacksOffWhenHistoryIsLostRepeatedly bounds the calls to a store that cannot return
+// the changes since its own list.
+//
+// Random histories of the model found the failure that it guards against: eight routers made 2,266
+// calls in a second, because each lost history was followed by a list at once.
 func TestFollowerBacksOffWhenHistoryIsLostRepeatedly(t *testing.T) {
 	const period = 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
@@ -294,8 +295,8 @@
 		_, stop := follow(t, store)
 		time.Sleep(period)
 		cancel()
-		// A list and a watch after each pause, of at least half of the longest, and those
-		// of the first second, while pauses grow.
+		// A list and a watch after each pause, which is at least half of maxBackoff, and the calls
+		// of the first second, in which the pauses grow.
 		if got, want := store.callCount(), 2*int(period/(maxBackoff/2))+20; got > want {
 			t.Errorf("got %d calls in %v, want at most %d", got, period, want)
 		}
--- a/directory/fuzz_test.go
+++ b/directory/fuzz_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-// FuzzRelayedCopies checks that no copy of another router breaks its reader, or is from
-// the future.
+// FuzzRelayedCopies checks that no copy sent by another router makes its receiver fail, or has a
+// negative age or number of hops.
 func FuzzRelayedCopies(f *testing.F) {
 	f.Add([]byte(`{"entries":[{"name":"a","text":"x"},{"name":"b","gone":true}],"whole":true,"revision":7}`),
 		jsonType, "12", "1")
@@ -32,7 +32,7 @@
 			return
 		}
 		if batch.Age < 0 || batch.Hops < 0 {
-			t.Errorf("got an age of %v after %d hops", batch.Age, batch.Hops)
+			t.Errorf("got an age of %v after %d hops, want neither negative", batch.Age, batch.Hops)
 		}
 		m := NewMirror()
 		m.Apply(&batch)
--- a/directory/invalid_test.go
+++ b/directory/invalid_test.go
@@ -14,7 +14,8 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-// servers gives entries of backend servers; those whose value is "foreign" can't be read.
+// serverBatch returns a batch of entries of backend servers, each given as name=value. The value
+// "invalid" cannot be decoded.
 func serverBatch(revision uint64, whole bool, values ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
 		Whole:    whole,
@@ -30,12 +31,13 @@
 	return b
 }
 
-// foreignWorld follows a feed of backend servers among which others write.
+// backendsFollower follows a feed of backend servers to which other programs write entries, too.
+// list has the IDs in use, errors counts failed calls.
 type backendsFollower struct {
 	store  *fakeFeed
 	list   []string
 	errors int
-	// reasons are those that objects can't be read for.
+	// reasons has the reasons of objects that cannot be decoded, by name.
 	reasons map[string]error
 }
 
@@ -48,7 +50,7 @@
 	w.reasons = make(map[string]error)
 	follower := NewFollower[balance.Entry](w.store, NewMirror())
 	follower.Decode = func(name string, value []byte) (balance.Entry, error) {
-		if string(value) == "foreign" {
+		if string(value) == "invalid" {
 			return balance.Entry{}, errors.New("no address")
 		}
 		return balance.Entry{
@@ -75,14 +77,14 @@
 	return follower
 }
 
-// TestInvalidEntriesNameNoServer has every third entry be of another writer: the others
-// serve on, and the store counts as healthy.
+// TestInvalidEntriesNameNoServer has every third entry written by another program and invalid. The
+// other entries stay in use, and the store counts as healthy.
 func TestInvalidEntriesNameNoServer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var entries, want []string
 		for i := range 30 {
 			if i%3 == 0 {
-				entries = append(entries, fmt.Sprintf("s%02d=foreign", i))
+				entries = append(entries, fmt.Sprintf("s%02d=invalid", i))
 				continue
 			}
 			entries = append(entries, fmt.Sprintf("s%02d=ready", i))
@@ -96,7 +98,7 @@
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		if !slices.Equal(w.list, want) || w.errors != 0 || len(w.reasons) != 10 {
-			t.Errorf("got %v, %d failures of the store, %d reasons; want %v, none and ten",
+			t.Errorf("got %v, %d failures of the store, %d invalid entries; want %v, none and ten",
 				w.list, w.errors, len(w.reasons), want)
 		}
 		cancel()
@@ -104,8 +106,8 @@
 	})
 }
 
-// TestEntryIsUnusedWhileInvalid changes an entry to something unreadable,
-// in calm and as the store comes back, and back.
+// TestEntryIsUnusedWhileInvalid makes a valid entry invalid and valid again, both while the store
+// answers and during an outage.
 func TestEntryIsUnusedWhileInvalid(t *testing.T) {
 	for _, isDown := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
@@ -116,21 +118,21 @@
 			follower := w.run(ctx)
 			time.Sleep(time.Second)
 			if isDown {
-				w.store.setError(errors.New("away"))
+				w.store.setError(errors.New("down"))
 				time.Sleep(10 * time.Second)
 			}
-			w.store.Apply(serverBatch(2, false, "b=foreign"))
+			w.store.Apply(serverBatch(2, false, "b=invalid"))
 			w.store.setError(nil)
 			time.Sleep(time.Second)
 			synctest.Wait()
 			if got, want := w.list, []string{"a"}; !slices.Equal(got, want) {
-				t.Errorf("away %t: got %v, want %v", isDown, got, want)
+				t.Errorf("down %t: got %v, want %v", isDown, got, want)
 			}
 			w.store.Apply(serverBatch(3, false, "b=ready"))
 			time.Sleep(time.Second)
 			synctest.Wait()
 			if got, want := w.list, []string{"a", "b"}; !slices.Equal(got, want) || len(w.reasons) > 0 {
-				t.Errorf("away %t: got %v, reasons %v; want %v and none", isDown, got, w.reasons, want)
+				t.Errorf("down %t: got %v, reasons %v; want %v and none", isDown, got, w.reasons, want)
 			}
 			cancel()
 			<-follower.Done()
--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -10,13 +10,14 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// TestLargeListsAreReadByFewRouters starts fleets whose routers take a second to know each other,
-// before a store whose list is fifty calls of 20 ms, and takes 200 ms to pass from one router
-// to another. The calls to the store must not grow with the fleet.
+// TestLargeListsAreReadByFewRouters starts fleets whose routers take a second to discover each
+// other. A list from the store takes fifty calls of 20 ms, one from another router 200 ms. The
+// calls to the store must not grow with the fleet.
 //
-// What was found at 986 routers: each that knew a few others took itself for one of those that
-// follow the store and listed it; a list that took longer than half a second was asked for
-// again beside itself, and who waited for it more than half a second listed the store too.
+// It guards against a failure found with 986 routers: each one that knew only a few others took
+// itself for a watcher and listed from the store. A list that took longer than half a second was
+// requested once more in parallel, and routers that had waited for it for half a second listed
+// from the store, too.
 func TestLargeListsAreReadByFewRouters(t *testing.T) {
 	const pages = 50
 	for _, size := range []int{62, 125, 250} {
@@ -28,7 +29,7 @@
 			if got := f.countLagging("0"); got > 0 {
 				t.Errorf("%d routers: got %d without a copy after 5 s, want none", size, got)
 			}
-			// Three routers follow the store; each lists once, and watches from then on.
+			// There are three watchers; each lists once and watches from then on.
 			if got := f.calls.Load(); got > 3*(pages+10) {
 				t.Errorf("%d routers: got %d calls at the start, want at most %d", size, got, 3*(pages+10))
 			}
@@ -37,12 +38,12 @@
 	}
 }
 
-// TestLargeListIsFoundThoughStoreFailsForWatchers has the routers that should list at a
-// start be refused, or get no answer: others take their place.
+// TestLargeListIsFoundThoughStoreFailsForWatchers has the store refuse the routers that should
+// list at a start, or not answer them. Others act in their place.
 func TestLargeListIsFoundThoughStoreFailsForWatchers(t *testing.T) {
 	for name, fail := range map[string]func(*simRouter){
-		"refused": func(r *simRouter) { r.storeRefuses = true },
-		"silent":  func(r *simRouter) { r.storeHangs = true },
+		"refused":   func(r *simRouter) { r.storeRefuses = true },
+		"no answer": func(r *simRouter) { r.storeHangs = true },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSimFleet(125)
@@ -55,15 +56,15 @@
 			stop := f.start(t)
 			time.Sleep(2*fleetWithin + time.Second)
 			if got := f.countLagging("0"); got > 0 {
-				t.Errorf("%s: got %d without a copy after twice the time allowed, want none", name, got)
+				t.Errorf("%s: got %d without a copy 1 s after twice the time allowed, want none", name, got)
 			}
 			stop()
 		})
 	}
 }
 
-// TestLoadingRoutersDoNotKeepEachOtherWaiting has routers that lack a copy tell each other of a list
-// that was under way once: it counts no longer than it was seen to be.
+// TestLoadingRoutersDoNotKeepEachOtherWaiting has routers without a copy repeat to each other that
+// a list is under way. It counts as under way no longer than when it was first noted.
 func TestLoadingRoutersDoNotKeepEachOtherWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirrors := []*Mirror{NewMirror(), NewMirror()}
@@ -80,14 +81,15 @@
 			}
 		}
 		if took := time.Since(started); took > storeRetryInterval+20*time.Millisecond {
-			t.Errorf("got routers that wait for each other for %v, want %v at most", took, storeRetryInterval)
+			t.Errorf("got routers that wait for each other for %v, want at most %v", took, storeRetryInterval)
 		}
 	})
 }
 
-// TestChangeIsKnownInHalfOfTheTimeThoughAThirdIsCutOff has the store refuse a third of the routers,
-// those that follow it among them or not, while keys are taken away: the change has to be in
-// force everywhere in half of the time allowed, as what it takes away has to stop working.
+// TestChangeIsKnownInHalfOfTheTimeThoughAThirdIsCutOff has the store refuse a third of the
+// routers, with or without watchers among them, and then change, as when keys are revoked. The
+// change has to be in force everywhere in half of the time allowed, because revoked keys have to
+// stop working.
 func TestChangeIsKnownInHalfOfTheTimeThoughAThirdIsCutOff(t *testing.T) {
 	for _, size := range []int{62, 125, 250} {
 		for seed := range 4 {
@@ -104,7 +106,7 @@
 				f.setValue("1")
 				time.Sleep(fleetWithin / 2)
 				if got := f.countLagging("1"); got > 0 {
-					t.Errorf("%d routers, seed %d: got %d that do not know the change in half of the time, want none", size, seed, got)
+					t.Errorf("%d routers, seed %d: got %d without the change in half of the time, want none", size, seed, got)
 				}
 				stop()
 			})
@@ -112,9 +114,9 @@
 	}
 }
 
-// TestRestartedHalfOfFleetListsFromOthers has more than half of the routers be without
-// power, those that follow the store among them or not, and return at once: they have their
-// lists from routers that stayed, within a part of the time that a return may take.
+// TestRestartedHalfOfFleetListsFromOthers has more than half of the routers, with or without
+// watchers among them, lose power and start again at once. They get their lists from the routers
+// that kept running, within a part of the time allowed for it.
 func TestRestartedHalfOfFleetListsFromOthers(t *testing.T) {
 	const pages = 50
 	for _, size := range []int{62, 125, 250} {
@@ -129,17 +131,17 @@
 			stop := f.start(t)
 			time.Sleep(8 * time.Second)
 			if got, want := f.countLagging("0"), len(f.poweredOff); got != want {
-				t.Errorf("%d routers: got %d without a copy before the return, want the %d without power", size, got, want)
+				t.Errorf("%d routers: got %d without a copy before the restart, want the %d without power", size, got, want)
 			}
 			f.calls.Store(0)
 			f.powerOn()
 			time.Sleep(1500 * time.Millisecond)
 			if got := f.countLagging("0"); got > 0 {
-				t.Errorf("%d routers: got %d without a copy 1.5 s after the return, want none", size, got)
+				t.Errorf("%d routers: got %d without a copy 1.5 s after the restart, want none", size, got)
 			}
-			// Those that take the place of the store's followers list it once more at most.
+			// Routers that act in place of the watchers list from the store once more at most.
 			if got := f.calls.Load(); got > 3*(pages+10) {
-				t.Errorf("%d routers: got %d calls at the return, want at most %d", size, got, 3*(pages+10))
+				t.Errorf("%d routers: got %d calls at the restart, want at most %d", size, got, 3*(pages+10))
 			}
 			stop()
 		})
--- a/directory/largeobject_test.go
+++ b/directory/largeobject_test.go
@@ -7,7 +7,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestEncodingsCarryALargeObject passes a configuration of eight megabytes on.
+// TestEncodingsCarryALargeObject encodes and decodes a configuration of eight megabytes.
 func TestEncodingsCarryALargeObject(t *testing.T) {
 	large := bytes.Repeat([]byte("x"), 8<<20)
 	for _, encoding := range []string{jsonType, protobufType} {
--- a/directory/reassigned_test.go
+++ b/directory/reassigned_test.go
@@ -85,7 +85,7 @@
 				time.Sleep(modelWithin)
 				for _, r := range f.routers {
 					if r.wouldSend("a") {
-						t.Errorf("%s would send to the leaving server %v after the store had it", r.self.ID, modelWithin)
+						t.Errorf("%s would send to the leaving server %v after its leave was stored", r.self.ID, modelWithin)
 					}
 				}
 			})
--- a/directory/restored_test.go
+++ b/directory/restored_test.go
@@ -50,7 +50,7 @@
 }
 
 // TestServerMissingFromBackupIsKept has a server start after the backup was made. It writes its
-// entry again with its next renewal and stays in use until then.
+// entry again with its next renewal and stays in use throughout.
 func TestServerMissingFromBackupIsKept(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestoredFleet(t, func(s *modelStore) { s.put(modelBackends, "d", "ready") })
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -16,47 +16,48 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// fleetWithin is the time that the fleet of the tests has for a change.
+// fleetWithin is the time in which a change has to reach all routers of a simFleet.
 const fleetWithin = 4 * time.Second
 
-// following is a fleet whose routers follow one store.
+// simFleet is a simulated fleet whose routers follow one store. All calls are function calls with
+// a latency.
 type simFleet struct {
 	store   *Mirror
 	calls   atomic.Int64
 	routers []*simRouter
 	members []slipwick.Router
 	byID    map[string]*simRouter
-	// revision is the store's.
+	// revision is the latest revision of the store.
 	revision uint64
-	// knowTime is how long a router takes to know the others, pages how many calls a list
-	// of the store takes, pageTime how long each, listTime how long a router takes to send
-	// one to another.
+	// discoveryTime is how long a router takes to discover the others. A list from the store takes
+	// pages calls of pageTime each, one from another router takes transferTime.
 	discoveryTime, pageTime, transferTime time.Duration
 	pages                                 int
-	// sends is to how many others a router sends a list at a time, which share its link; 0
-	// has all get theirs in listTime.
+	// maxSends is the number of lists that a router sends at a time; they share the capacity of
+	// its link. 0 means any number, each of which takes transferTime.
 	maxSends int
-	// off are routers without power, startOff has them start.
+	// poweredOff has routers that start does not start; powerOn starts them.
 	poweredOff []*simRouter
 	powerOn    func()
 }
 
-// followingRouter is one router, and what is wrong with it.
+// simRouter is one router of a simFleet, with its faults.
 type simRouter struct {
 	fleet    *simFleet
 	self     slipwick.Router
 	follower *Follower[string]
-	// started is when it starts; it is settled knowTime later.
+	// started is when it starts; settled is closed discoveryTime later.
 	started time.Time
 	settled chan struct{}
 
 	mu sync.Mutex
-	// silent has nothing get an answer from it, alone no other router, cut has the
-	// store give it none, refused has the store refuse it.
+	// unresponsive means that the router gets no answer from anyone and gives none, isolated the
+	// same towards the other routers only. storeHangs means that the store does not answer it,
+	// storeRefuses that the store returns errors to it.
 	unresponsive, isolated, storeHangs, storeRefuses bool
-	// calls counts its own to the store, sending the lists that it sends.
+	// calls counts its calls to the store, sending the lists that it is sending.
 	calls, sending int
-	// values are the values known here.
+	// values are the known values by object name.
 	values map[string]string
 }
 
@@ -106,7 +107,7 @@
 	return f
 }
 
-// change changes the one object of the store.
+// setValue writes the only object of the store.
 func (f *simFleet) setValue(value string) {
 	f.revision++
 	f.store.Apply(&slipwick.FeedBatch{
@@ -121,14 +122,14 @@
 	})
 }
 
-// knowTime is how long a router takes to know the others.
+// defaultDiscoveryTime is how long a router takes to discover the others, unless a test sets it.
 const defaultDiscoveryTime = 200 * time.Millisecond
 
-// start starts all routers within 0.3 s; each comes to know the others. It gives
-// what ends them.
+// start starts all routers within 0.3 s, without those that are powered off. The returned function
+// stops them.
 func (f *simFleet) start(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
-	// The store's state is always known.
+	// The store's copy is always current.
 	go func() {
 		ticker := time.NewTicker(10 * time.Millisecond)
 		defer ticker.Stop()
@@ -172,7 +173,7 @@
 	}
 }
 
-// watchers gives the routers that follow the store.
+// watchers returns the routers that follow the store.
 func (f *simFleet) watchers() []*simRouter {
 	var watchers []*simRouter
 	for _, r := range f.routers {
@@ -183,7 +184,8 @@
 	return watchers
 }
 
-// lagging counts the sound routers that do not know the value.
+// countLagging returns the number of routers that do not know the value, without those that are
+// unresponsive or that the store does not answer.
 func (f *simFleet) countLagging(value string) int {
 	n := 0
 	for _, r := range f.routers {
@@ -208,8 +210,8 @@
 	return fleet.PlaceOf(r.self, r.knownMembers())
 }
 
-// known gives the members that the router knows by now: it learns of them one
-// after the other, in an order of its own.
+// knownMembers returns the members that the router has discovered so far. Each router discovers
+// them one after the other, in its own order.
 func (r *simRouter) knownMembers() []slipwick.Router {
 	members := r.fleet.members
 	fraction := min(time.Since(r.started).Seconds()/r.fleet.discoveryTime.Seconds(), 1)
@@ -237,14 +239,17 @@
 	}
 }
 
-// tellPage tells whoever asks that an answer begins, as a connection to a store does.
+// reportFirstByte reports to the caller's trace that a response begins, as a connection to a store
+// does.
 func reportFirstByte(ctx context.Context) {
 	if trace := httptrace.ContextClientTrace(ctx); trace != nil && trace.GotFirstResponseByte != nil {
 		trace.GotFirstResponseByte()
 	}
 }
 
-func (c *simPeerFeed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
+func (c *simPeerFeed) Watch(
+	ctx context.Context, after slipwick.Position, wait time.Duration,
+) (slipwick.FeedBatch, error) {
 	if err := c.reach(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
@@ -256,7 +261,7 @@
 	return batch, err
 }
 
-// storeOf is the store as one router reaches it.
+// simStoreFeed is the store as one router reaches it.
 type simStoreFeed struct {
 	router *simRouter
 }
@@ -268,7 +273,8 @@
 	return s.awaitResponse(ctx)
 }
 
-// back is the way of an answer.
+// awaitResponse fails if the store refuses the router, or blocks until ctx ends if no response
+// arrives.
 func (s *simStoreFeed) awaitResponse(ctx context.Context) error {
 	s.router.mu.Lock()
 	hangs, refused := s.router.storeHangs || s.router.unresponsive, s.router.storeRefuses
@@ -293,7 +299,9 @@
 	return s.router.fleet.store.List(ctx)
 }
 
-func (s *simStoreFeed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
+func (s *simStoreFeed) Watch(
+	ctx context.Context, after slipwick.Position, wait time.Duration,
+) (slipwick.FeedBatch, error) {
 	if err := s.reach(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
