--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -32,7 +32,7 @@
 	return f
 }
 
-func (f *fakeFeed) call(ctx context.Context, call func() (slipwick.FeedBatch, error)) (slipwick.FeedBatch, error) {
+func (f *fakeFeed) query(ctx context.Context, query func() (slipwick.FeedBatch, error)) (slipwick.FeedBatch, error) {
 	f.mu.Lock()
 	f.calls++
 	hangs, failure, age := f.hangs, f.err, f.age
@@ -50,7 +50,7 @@
 	if failure != nil {
 		return slipwick.FeedBatch{}, failure
 	}
-	b, err := call()
+	b, err := query()
 	b.Age += age
 	return b, err
 }
@@ -95,11 +95,11 @@
 	f.mu.Lock()
 	f.lists++
 	f.mu.Unlock()
-	return f.call(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.List(ctx) })
+	return f.query(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.List(ctx) })
 }
 
 func (f *fakeFeed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
-	return f.call(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.Watch(ctx, after, wait) })
+	return f.query(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.Watch(ctx, after, wait) })
 }
 
 // fakePeers provides other routers whose copies are fakes.
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -170,7 +170,7 @@
 }
 
 // TestStartingRouterRetriesUnansweredList starts a router without peers while the store does not
-// answer. The store never answers requests from during the outage, so the router has to ask again
+// answer. The store never answers requests sent during the outage, so the router has to ask again
 // soon after it.
 func TestStartingRouterRetriesUnansweredList(t *testing.T) {
 	for _, outage := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 3 * time.Second} {
@@ -277,7 +277,7 @@
 }
 
 func (f *forgetfulFeed) Watch(ctx context.Context, _ slipwick.Position, _ time.Duration) (slipwick.FeedBatch, error) {
-	return f.call(ctx, func() (slipwick.FeedBatch, error) { return slipwick.FeedBatch{}, timelineChangedError() })
+	return f.query(ctx, func() (slipwick.FeedBatch, error) { return slipwick.FeedBatch{}, timelineChangedError() })
 }
 
 // TestFollowerBacksOffWhenHistoryIsLostRepeatedly bounds the calls to a store that cannot return
--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -63,8 +63,9 @@
 	}
 }
 
-// TestLoadingRoutersDoNotKeepEachOtherWaiting has routers without a copy repeat to each other that
-// a list is under way. It counts as under way no longer than when it was first noted.
+// TestLoadingRoutersDoNotKeepEachOtherWaiting has routers without a copy report to each other that
+// a list is under way. It has to stop counting as under way storeRetryInterval after it was first
+// noted.
 func TestLoadingRoutersDoNotKeepEachOtherWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		mirrors := []*Mirror{NewMirror(), NewMirror()}
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -10,6 +10,8 @@
 	"github.com/slipwick/slipwick"
 )
 
+// batch returns a batch whose entries are given as a name of one letter and the value. A name
+// without a value is a removal.
 func batch(revision uint64, whole bool, entries ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
 		Whole:    whole,
@@ -25,7 +27,7 @@
 	return b
 }
 
-// names gives the entries as text, removed ones with a minus.
+// entryTexts returns the entries as texts of name and value, sorted. Removals begin with a minus.
 func entryTexts(entries []slipwick.FeedEntry) []string {
 	var list []string
 	for _, e := range entries {
@@ -88,7 +90,7 @@
 		started := time.Now()
 		got, err := m.Watch(t.Context(), at(1), time.Second)
 		if err != nil || len(got.Entries) > 0 || time.Since(started) != time.Second || got.Age != time.Second {
-			t.Errorf("quiet: got %+v, %v after %v; want nothing, known a second ago", got, err, time.Since(started))
+			t.Errorf("no change: got %+v, %v after %v; want no entries, confirmed a second ago", got, err, time.Since(started))
 		}
 		time.AfterFunc(100*time.Millisecond, func() { m.Apply(batch(2, false, "a2")) })
 		got, err = m.Watch(t.Context(), at(1), time.Second)
@@ -99,7 +101,7 @@
 		time.AfterFunc(100*time.Millisecond, m.MarkUnconfirmed)
 		started = time.Now()
 		if _, err = m.Watch(t.Context(), at(2), time.Second); err == nil || time.Since(started) != 100*time.Millisecond {
-			t.Errorf("doubt: got %v after %v, want an error at once", err, time.Since(started))
+			t.Errorf("failure: got %v after %v, want an error at once", err, time.Since(started))
 		}
 	})
 }
@@ -115,17 +117,18 @@
 		t.Errorf("got %v, want history lost", err)
 	}
 	if _, _, err := m.changesSince(at(3), false); err != nil {
-		t.Errorf("after the first removal, all later ones being remembered: got %v", err)
+		t.Errorf("after the first removal, with all later ones kept: got %v, want no error", err)
 	}
 }
 
-// TestMirrorReportsHistoryLostInGap has a copy that listed again after a failure, in
-// which an object went and came back as it had been. A router that learnt from another that it
-// had gone asks for the changes since.
+// TestMirrorReportsHistoryLostInGap has a copy that was listed again after a failure, during which
+// an object was removed and written again with the same value. A router that learnt of the removal
+// from another router asks for the changes since.
 //
-// What was found by histories of the store's model: a server whose entry had lapsed and was
-// back stayed out of use at one router of five until its entry changed once more. It had
-// followed two routers in turn; the second had not seen the entry go, and told no change.
+// Random histories of the model found the failure that it guards against: a server whose entry had
+// expired and been written again stayed unused at one router of five until its entry changed once
+// more. That router had followed two routers in turn. The second one had not seen the removal and
+// returned no change.
 func TestMirrorReportsHistoryLostInGap(t *testing.T) {
 	m := NewMirror()
 	m.Apply(batch(1, true, "a1", "b1"))
@@ -142,9 +145,9 @@
 	expectEntries(t, "after the list", got.Entries, "a2")
 }
 
-// TestMirrorReturnsDifferenceAcrossGap has a copy that listed again after a failure. Those that
-// followed it know what it knew before the gap, and are told what differs: at a fleet of
-// thousands of servers a list that is lost once would else pass whole to every router.
+// TestMirrorReturnsDifferenceAcrossGap has a copy that was listed again after a failure. Its
+// followers have the state before the gap and get the difference. Otherwise one failed call would
+// make every router of a fleet with thousands of servers transfer the whole list.
 func TestMirrorReturnsDifferenceAcrossGap(t *testing.T) {
 	for _, servers := range []int{100, 200, 400} {
 		m := NewMirror()
@@ -173,7 +176,7 @@
 	}
 }
 
-// TestMirrorKeepsManyRemovals has half of a pool go at once.
+// TestMirrorKeepsManyRemovals has half of a pool removed at once.
 func TestMirrorKeepsManyRemovals(t *testing.T) {
 	const servers = 3 * minChangesKept
 	m := NewMirror()
@@ -198,7 +201,7 @@
 	}
 }
 
-// TestWatchWithoutWaitReturnsStaleChanges asks a copy that is not confirmed any more.
+// TestWatchWithoutWaitReturnsStaleChanges watches a copy that is no longer confirmed.
 func TestWatchWithoutWaitReturnsStaleChanges(t *testing.T) {
 	m := NewMirror()
 	if _, err := m.Watch(t.Context(), at(0), 0); !slipwick.IsKind(err, slipwick.KindNotCurrent) {
@@ -211,15 +214,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectEntries(t, "old copy", got.Entries, "a2")
+	expectEntries(t, "stale copy", got.Entries, "a2")
 }
 
-// TestMirrorReportsHistoryLostInGapOfPeer has a copy follow another one across a gap of
-// that one's, in which an object went and came back as it had been. A third router knows it as
-// gone, from a revision in the gap.
+// TestMirrorReportsHistoryLostInGapOfPeer has a copy follow another one across a gap of the other,
+// in which an object was removed and written again with the same value. A third router knows it as
+// removed, at a revision in the gap.
 //
-// What was found by histories of the store's model: live servers that had lapsed during a
-// silence stayed out of use at some routers until their doubts were over.
+// Random histories of the model found the failure that it guards against: live servers whose
+// entries had expired during an outage stayed unused at some routers until the entries were no
+// longer suspect.
 func TestMirrorReportsHistoryLostInGapOfPeer(t *testing.T) {
 	first, second := NewMirror(), NewMirror()
 	for _, m := range []*Mirror{first, second} {
@@ -236,8 +240,8 @@
 	}
 }
 
-// TestMirrorReportsRevertedChange has an object change and change back within one answer. A
-// router that knows it as changed is told.
+// TestMirrorReportsRevertedChange has an object change and change back within one answer. A router
+// that has the state in between gets the second change.
 func TestMirrorReportsRevertedChange(t *testing.T) {
 	first, second := NewMirror(), NewMirror()
 	for _, m := range []*Mirror{first, second} {
@@ -249,10 +253,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectEntries(t, "copy that differs in nothing", second.Apply(&difference))
+	expectEntries(t, "unchanged copy", second.Apply(&difference))
 	got, _, err := second.changesSince(at(2), false)
 	if err != nil {
 		t.Fatal(err)
 	}
-	expectEntries(t, "to a router that knows it gone", got.Entries, "a1")
+	expectEntries(t, "for a router that has the removal", got.Entries, "a1")
 }
--- a/directory/model_test.go
+++ b/directory/model_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// event is one thing that befalls a store, its servers or its routers.
+// event is one fault of the store, or an action of a server, a router or the operator.
 type event struct {
 	Kind string
 	// Target selects the server or router, Manner is how a server leaves.
@@ -23,6 +23,7 @@
 	Expires bool
 }
 
+// drawEvent draws a random event.
 func drawEvent(t *rapid.T) event {
 	e := event{
 		Kind: rapid.SampledFrom([]string{
@@ -46,7 +47,7 @@
 	return e
 }
 
-// befall has the event happen.
+// apply waits for the delay and plays the event.
 func (e *event) apply(h *history) {
 	time.Sleep(e.Delay)
 	routers := h.fleet.all()
@@ -71,7 +72,7 @@
 			}
 		}, e.Duration, true)
 	case "cut":
-		// Every second one, those that follow the store among them or not.
+		// Every second router, with or without watchers among them.
 		e.cut(routers, func(i int) bool { return i%2 == e.Target%2 })
 	case "cut all but one":
 		e.cut(routers, func(i int) bool { return i != e.Target%len(routers) })
@@ -80,7 +81,7 @@
 	}
 }
 
-// cut has the store refuse some routers for a while.
+// cut has the store refuse some routers for the duration of the event.
 func (e *event) cut(routers []*modelRouter, isCut func(int) bool) {
 	for i, r := range routers {
 		r.setCut(isCut(i))
@@ -91,8 +92,8 @@
 	}
 }
 
-// play runs a history and gives the promises that were broken, and how often the store was
-// called in a second at most.
+// runHistory plays a history and returns the violations of the promises, and the maximum number of
+// calls to the store in a second.
 func runHistory(t *testing.T, routers int, events []event) (violations []string, maxCalls int) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHistory(routers, 6)
@@ -124,15 +125,17 @@
 	return violations, maxCalls
 }
 
-// TestPromisesHoldInRandomHistories plays histories of servers and of an operator that write
-// to a store, beside all that such a store may do: be away or silent, slow, forget its history,
-// refuse some routers, and come back from copies, also several times in a row. Throughout,
-// nothing new goes to a server later than the time allowed after the store took that it leaves
-// or is gone, whenever the store has served for that long; the newest configuration is in force
-// in time; what a router knew to have left is sent nothing again; a live server is in use; and
-// the store's rate of reads is kept.
+// TestPromisesHoldInRandomHistories plays random histories of servers and an operator that write
+// to a store, while it does all that its documentation allows: it is down, does not answer, is
+// slow, loses its history, refuses some routers, and is restored from backups, also several times
+// in a row. The promises are: whenever the store has been available for the time allowed, no new
+// request goes to a server later than that time after the store acknowledged that the server
+// leaves or has gone; the newest configuration is in force in time; a router sends nothing more to
+// a server that it knew to have left; a live server is in use; and the number of reads stays
+// within the limit of the store.
 func TestPromisesHoldInRandomHistories(t *testing.T) {
-	// reads is what the platform's stores allow all routers of a small fleet together.
+	// maxReads is the reads per second that the platform's stores allow for all routers of a small
+	// fleet.
 	const maxReads = 2000
 	histories, maxCalls := 0, 0
 	rapid.Check(t, func(r *rapid.T) {
@@ -151,12 +154,13 @@
 	t.Logf("%d histories, at most %d calls in a second", histories, maxCalls)
 }
 
-// TestEntryStaysSuspectThroughInterruption has a server leave without a word, the store come back from a
-// copy that lists it, and be silent once more, too shortly to be noticed, just before it drops
-// what nobody renews: it may give that its time anew.
+// TestEntryStaysSuspectThroughInterruption has a server leave unannounced and the store restored
+// from a backup that lists it. Just before the store removes the entry that nobody renews, it does
+// not answer once more, too briefly to be noticed, and may restart the expiry time.
 //
-// What was found by one of 3,088 histories of the store's model: all routers sent to the server
-// once more, in the moment between the end of their doubt and that of the entry.
+// One of 3,088 random histories of the model found the failure that it guards against: all routers
+// sent to the server once more in the moment between the end of the suspicion and the removal of
+// the entry.
 func TestEntryStaysSuspectThroughInterruption(t *testing.T) {
 	for range 5 {
 		violations, _ := runHistory(t, 3, []event{
@@ -183,10 +187,10 @@
 	}
 }
 
-// TestLeaveIsKnownThoughOneRouterAloneReachesTheStore has a server end, and all routers but one
-// cut off from the store while its entry goes. What was seen: up to ten of eleven would send to
-// it 2.1 to 2.3 s later, 2 s allowed; the one that reaches the store is found late by those that
-// do not follow it.
+// TestLeaveIsKnownThoughOneRouterAloneReachesTheStore has a server stop, and all routers but one
+// cut off from the store while its entry expires. It guards against the following failure: up to
+// ten of eleven routers would send to the server 2.1 to 2.3 s later, with 2 s allowed, because
+// routers that do not follow the one that reaches the store find it late.
 func TestLeaveIsKnownThoughOneRouterAloneReachesTheStore(t *testing.T) {
 	for round := range 10 {
 		violations, _ := runHistory(t, 11, []event{
@@ -208,8 +212,8 @@
 	}
 }
 
-// TestLiveServerIsInUseAfterTwoRestores plays the history in which one router of ten sent nothing
-// to a live server 14.2 s after the store's return.
+// TestLiveServerIsInUseAfterTwoRestores plays a history in which one router of ten sent nothing to
+// a live server 14.2 s after the store was restored.
 func TestLiveServerIsInUseAfterTwoRestores(t *testing.T) {
 	const ms = time.Millisecond
 	for round := range 5 {
@@ -265,10 +269,10 @@
 	}
 }
 
-// TestLiveServerIsInUseAfterRestoreAndOutage plays the history in which two routers of
-// eleven sent nothing to live servers 11.7 s after the store had them, 11.6 s allowed. Their
-// entries had lapsed during a silence. A router that was told what differs from before the
-// silence told others that knew of the lapse nothing of it.
+// TestLiveServerIsInUseAfterRestoreAndOutage plays a history in which two routers of eleven sent
+// nothing to live servers 11.7 s after the store listed them, with 11.6 s allowed. Their entries
+// had expired during an outage. A router that got the difference from before the outage did not
+// pass it on to routers that knew of the expiry.
 func TestLiveServerIsInUseAfterRestoreAndOutage(t *testing.T) {
 	const ms = time.Millisecond
 	for round := range 5 {
--- a/directory/modelcut_test.go
+++ b/directory/modelcut_test.go
@@ -6,11 +6,12 @@
 )
 
 // TestLiveServersAreInUseThoughRoutersAreCutAfterTheReturn plays a history in which all routers
-// sent nothing to live servers 11.7 s after the store listed them for good. Leases ran out in an
-// interruption, so that each server counts as gone; a copy lists all of them, and what they write
-// again changes nothing, so that no event tells that they live. They are doubted for eight
-// heartbeats. Half of the routers are cut off from the store meanwhile, those that follow it for
-// others among them: nobody can tell that the store did not stop then, and the time begins anew.
+// sent nothing to live servers 11.7 s after the store listed them for good. All entries expired in
+// an outage, so every server counts as departed. The store is then restored from a backup that
+// lists all of them. What the servers write again changes nothing, so that no event shows that
+// they are alive, and their entries are suspect for eight heartbeats. Meanwhile half of the
+// routers are cut off from the store, the watchers among them: no router can tell that the store did
+// not stop during that time, and the eight heartbeats start again.
 func TestLiveServersAreInUseThoughRoutersAreCutAfterTheReturn(t *testing.T) {
 	const ms = time.Millisecond
 	for round := range 5 {
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -18,42 +18,45 @@
 )
 
 const (
+	// modelBackends and modelTables are the names of the feeds of backend servers and of
+	// configurations.
 	modelBackends = "backends"
 	modelTables   = "tables"
-	// modelLeave is the time after which a server that leaves gets nothing new, and
-	// that a new version has to be in force.
+	// modelWithin is the time after which a leaving server gets no new requests, and in which a
+	// new configuration has to be in force.
 	modelWithin = 2 * time.Second
 )
 
-// modelFleet are routers that follow a modelStore, and each other over the wire's real
-// encoding.
+// modelFleet has routers that follow a modelStore, and each other through the HTTP handlers and
+// encodings of production.
 type modelFleet struct {
 	store *modelStore
-	// ctx is that of the routers that run.
+	// ctx ends the routers that run.
 	ctx context.Context
 
 	mu      sync.Mutex
 	routers []*modelRouter
 }
 
-// modelRouter is one router's parts that follow the store.
+// modelRouter has the parts of one router that follow the store.
 type modelRouter struct {
 	fleet       *modelFleet
 	self        slipwick.Router
 	relayServer RelayServer
 	backends    *Backends
 	settled     chan struct{}
-	// followers run each feed, done tells that they ended.
+	// followers has the Run functions of the feeds' followers, done is closed when they have
+	// returned.
 	followers []func(context.Context)
 	done      []<-chan struct{}
-	// started is when it did.
+	// started is when the router was created.
 	started time.Time
 
 	mu sync.Mutex
-	// cut has the store refuse it.
+	// cut makes the store refuse the router.
 	cut bool
-	// listed are the states by ID that the balancer would go by, table the newest
-	// version.
+	// listed has the entries by server ID that the balancer would use, configVersion the newest
+	// configuration version.
 	listed        map[string]string
 	configVersion string
 }
@@ -68,7 +71,7 @@
 	return f
 }
 
-// add makes a router.
+// add adds a router, which does not run yet.
 func (f *modelFleet) add(id string) *modelRouter {
 	r := &modelRouter{
 		fleet: f,
@@ -93,14 +96,14 @@
 	return r
 }
 
-// all gives the routers so far.
+// all returns the routers so far.
 func (f *modelFleet) all() []*modelRouter {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.routers)
 }
 
-// start runs all routers until the test's end.
+// start runs all routers until the end of the test.
 func (f *modelFleet) start(t *testing.T) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -115,26 +118,28 @@
 				<-done
 			}
 		}
-		// What was asked of others last ends by its own time.
+		// The latest calls to other routers end by their own time limits.
 		time.Sleep(10 * time.Second)
 	})
 }
 
-// startOne has one more router start.
+// startRouter adds and runs one more router.
 func (f *modelFleet) startRouter(id string) {
 	f.add(id).run(f.ctx)
 }
 
+// run runs the router's followers until ctx ends.
 func (r *modelRouter) run(ctx context.Context) {
 	for _, follow := range r.followers {
 		go follow(ctx)
 	}
 }
 
-// decodeModelServer reads a server's entry: its state, and its life if that is not the first.
+// decodeModelServer decodes the entry of a server: its state, and its incarnation unless that is
+// the first.
 func decodeModelServer(name string, value []byte) (balance.Entry, error) {
 	state, incarnation, _ := strings.Cut(string(value), "@")
-	// The first life has no number.
+	// The first incarnation has no number.
 	born, _ := strconv.ParseInt(incarnation, 10, 64)
 	return balance.Entry{
 		Backend: slipwick.Backend{
@@ -145,7 +150,7 @@
 	}, nil
 }
 
-// follow makes the router's followers.
+// createFollowers creates the followers of both feeds.
 func (r *modelRouter) createFollowers() {
 	backends := newModelFollower(r, modelBackends, decodeModelServer)
 	backends.OnAnswer = func(batch *slipwick.FeedBatch) { r.backends.Answered(batch.Age, batch.Steady) }
@@ -154,13 +159,13 @@
 	}
 	backends.OnError = func(error) { r.backends.Failed() }
 	backends.OnChange = r.backends.Change
-	tables := newModelFollower(r, modelTables, func(_ string, value []byte) (string, error) { return string(value), nil })
-	tables.OnChange = r.applyConfig
-	tables.IsOutdated = func(known, received string) bool { return received < known }
-	r.followers = append(r.followers, backends.Run, tables.Run)
+	configs := newModelFollower(r, modelTables, func(_ string, value []byte) (string, error) { return string(value), nil })
+	configs.OnChange = r.applyConfig
+	configs.IsOutdated = func(known, received string) bool { return received < known }
+	r.followers = append(r.followers, backends.Run, configs.Run)
 }
 
-// followModel makes the follower of one kind of object.
+// newModelFollower returns the follower of one kind of object.
 func newModelFollower[T any](r *modelRouter, kind string, decode func(string, []byte) (T, error)) *Follower[T] {
 	timing := TimingWithin(modelWithin)
 	mirror := NewMirror()
@@ -196,7 +201,7 @@
 	}
 }
 
-// modelEntry is a server's entry.
+// modelEntry returns the value of a server's entry.
 func modelEntry(state string, incarnation int64) string {
 	if incarnation == 0 {
 		return state
@@ -208,36 +213,36 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, c := range changes {
-		// A gateway puts no older version in force.
+		// A gateway never replaces the version in force by an older one.
 		r.configVersion = max(r.configVersion, c.Value)
 	}
 }
 
-// version is that of the table in force.
+// version returns the configuration version in force.
 func (r *modelRouter) version() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.configVersion
 }
 
-// sends tells whether the router would send to the server's first life.
+// wouldSend reports whether the router would send to the first incarnation of the server.
 func (r *modelRouter) wouldSend(id string) bool { return r.wouldSendTo(id, 0) }
 
-// sendsTo tells whether it would send to a life of the server.
+// wouldSendTo reports whether the router would send to an incarnation of the server.
 func (r *modelRouter) wouldSendTo(id string, incarnation int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.listed[id] == modelEntry("ready", incarnation)
 }
 
-// setCut has the store refuse the router, or serve it again.
+// setCut makes the store refuse the router, or serve it again.
 func (r *modelRouter) setCut(cut bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cut = cut
 }
 
-// Settled, Place, Others and Relay make a router the Peers of its feeds.
+// Settled, Place, Others and Relay implement Peers.
 func (r *modelRouter) Settled() <-chan struct{} { return r.settled }
 
 func (r *modelRouter) Place() fleet.Place { return fleet.PlaceOf(r.self, r.members()) }
@@ -277,7 +282,7 @@
 	return relay
 }
 
-// directWay hands requests to a handler, a millisecond away each time.
+// handlerTransport passes requests to a handler, with a latency of 1 ms in each direction.
 type handlerTransport struct {
 	to http.Handler
 }
@@ -293,7 +298,7 @@
 	return recorder.Result(), nil
 }
 
-// reachedStore is the store as one router reaches it.
+// routerStoreFeed is the store as one router reaches it.
 type routerStoreFeed struct {
 	router *modelRouter
 	feed   slipwick.Feed
--- a/directory/modelhistory_test.go
+++ b/directory/modelhistory_test.go
@@ -7,43 +7,44 @@
 	"time"
 )
 
-// modelContact is after how long without a disturbance the store counts as sound: what it
-// takes from then on binds. Before, what lapsed may be kept for its return.
+// modelSettleTime is the time without a disturbance after which the promises apply to what the
+// store acknowledges. Before that, expired entries may stay in use.
 const modelSettleTime = 3 * time.Second
 
-// modelServer is a backend server that enters itself in the store.
+// modelServer is a backend server that writes its own entry to the store.
 type modelServer struct {
 	id          string
 	incarnation int64
 	state       string
-	// runs says that it renews its entry, listedSince is since when the store has had it
-	// as ready without a break, renewed when it wrote last.
+	// running is true while the server renews its entry. listedSince is since when the store has
+	// had the entry as ready without a break, renewed when the server wrote it last.
 	running              bool
 	listedSince, renewed time.Time
 }
 
-// modelLeft is a life that left: when the store took that first.
+// modelDeparture is the departure of an incarnation, and when the store first acknowledged it.
 type modelDeparture struct {
 	id          string
 	incarnation int64
 	at          time.Time
-	// heeded are the routers that were seen to send nothing there.
+	// droppedBy has the routers that have stopped sending to the incarnation.
 	droppedBy map[string]bool
 }
 
-// history is what befell a store, its servers and its operator, and what was promised.
+// history plays the events of a store, its servers and its operator, and checks the promises
+// meanwhile.
 type history struct {
 	fleet *modelFleet
 
 	mu         sync.Mutex
 	servers    []*modelServer
 	departures []*modelDeparture
-	// version is the newest that the store took, at when.
+	// version is the newest configuration version that the store acknowledged, versionAt is when.
 	version   int
 	versionAt time.Time
-	// disturbed is when the store was last not as it should be.
+	// disturbedAt is when the store was last disturbed.
 	disturbedAt time.Time
-	// violations are the promises that were seen broken.
+	// violations describes the broken promises.
 	violations []string
 }
 
@@ -63,13 +64,14 @@
 	return h
 }
 
-// enterLocked has a server write its state, now or, if the store is away, with a renewal.
+// registerLocked has a server write its state: now, or with a renewal if the store does not
+// answer.
 func (h *history) registerLocked(s *modelServer, state string) {
 	s.running, s.state = true, state
 	h.renewLocked(s)
 }
 
-// renewLocked has a server write its entry.
+// renewLocked has a server write its entry, unless the store does not answer.
 func (h *history) renewLocked(s *modelServer) {
 	if h.fleet.store.isUnresponsive() {
 		return
@@ -86,7 +88,7 @@
 	}
 }
 
-// leftLocked notes that the store took that the server's life left.
+// recordDepartureLocked records that the store acknowledged the incarnation's departure.
 func (h *history) recordDepartureLocked(s *modelServer) {
 	for _, l := range h.departures {
 		if l.id == s.id && l.incarnation == s.incarnation {
@@ -101,28 +103,29 @@
 	})
 }
 
-// leave has a server leave: by word, without one, or by its end.
-func (h *history) leave(which int, how string) {
+// leave has a server leave: by announcing it, by the removal of its entry, or by a crash, after
+// which the entry expires. A server that does not run starts instead.
+func (h *history) leave(target int, manner string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.servers[which%len(h.servers)]
+	s := h.servers[target%len(h.servers)]
 	switch {
 	case !s.running:
-		// One that has ended starts anew.
+		// The new incarnation replaces the earlier one.
 		s.incarnation++
 		h.registerLocked(s, "ready")
-	case how == "announced":
+	case manner == "announced":
 		h.registerLocked(s, "leaving")
-	case how == "removed" && !h.fleet.store.isUnresponsive():
+	case manner == "removed" && !h.fleet.store.isUnresponsive():
 		s.running, s.listedSince = false, time.Time{}
 		h.fleet.store.removeServer(s.id)
 		h.recordDepartureLocked(s)
-	case how == "crash":
+	case manner == "crash":
 		s.running, s.listedSince = false, time.Time{}
 	}
 }
 
-// configure has the operator write a newer version.
+// configure has the operator write a newer configuration version.
 func (h *history) configure() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -137,13 +140,14 @@
 	h.fleet.store.put(modelTables, "main", modelVersion(h.version))
 }
 
-// modelVersion is a version that sorts as it counts.
+// modelVersion returns a version as text, so that texts are in the order of their versions.
 func modelVersion(version int) string { return fmt.Sprintf("%05d", version) }
 
-// writeEvery is how often writers look whether what they wrote is still there.
+// writeInterval is the time between two rounds of writes and checks.
 const writeInterval = modelHeartbeat / 12
 
-// write goes on with what servers, the operator and the store do by themselves.
+// runWriters plays one round of what happens without events: servers renew their entries, the
+// store removes expired ones, and the operator writes the newest version again.
 func (h *history) runWriters(step int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,7 +160,8 @@
 			h.renewLocked(s)
 		}
 		if !s.renewed.IsZero() && time.Since(s.renewed) > modelExpiry && h.fleet.store.removeServer(s.id) {
-			// What nobody renews lapses; what a copy brought back was renewed on its return.
+			// The store removes what nobody renews. Entries that a restore brought back count as
+			// renewed then.
 			s.listedSince = time.Time{}
 			if !s.running {
 				h.recordDepartureLocked(s)
@@ -168,8 +173,8 @@
 	}
 }
 
-// disturb has the store be away, slow or forgetful for so long. Leases that run out
-// meanwhile lapse, or have all their time anew.
+// disturb changes how the store behaves for a period. Entries whose time runs out meanwhile expire
+// at its end, or all entries get their full time again.
 func (h *history) disturb(change func(*modelStore, bool), period time.Duration, expires bool) {
 	h.fleet.store.update(change, true)
 	time.Sleep(period)
@@ -177,7 +182,7 @@
 	h.recordRecovery(expires)
 }
 
-// fallBack has the store be away, and come back from a copy.
+// restoreStore takes the store down, and restores it from a backup.
 func (h *history) restoreStore(outage, backupAge time.Duration, expires bool) {
 	h.fleet.store.setDown(true)
 	time.Sleep(outage)
@@ -190,7 +195,7 @@
 	h.recordRecovery(expires)
 }
 
-// returned notes that the store serves again.
+// recordRecovery records that the store is available again.
 func (h *history) recordRecovery(expires bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -202,7 +207,7 @@
 	}
 }
 
-// check compares what routers would do with what was promised.
+// check compares what the routers would do with the promises.
 func (h *history) check() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -212,10 +217,11 @@
 		h.checkDeparturesLocked(r, now, undisturbed)
 		isDue := undisturbed > modelSettleTime && now.Sub(h.versionAt) > modelWithin
 		if got, want := r.version(), modelVersion(h.version); isDue && got != want {
-			h.addViolationLocked("%s has version %s in force %v after %s was taken", r.self.ID, got, now.Sub(h.versionAt), want)
+			h.addViolationLocked("%s has version %s in force %v after %s was stored", r.self.ID, got, now.Sub(h.versionAt), want)
 		}
 		for _, s := range h.servers {
-			// What a copy lists of a server that was gone before it is doubted for a while.
+			// An entry of a backup is suspect for a while if its server had left before the
+			// restore.
 			trustedAfter := expiryHeartbeats*modelHeartbeat + modelWithin
 			listed := now.Sub(s.listedSince)
 			if !s.listedSince.IsZero() && min(listed, undisturbed) > trustedAfter && !r.wouldSendTo(s.id, s.incarnation) {
@@ -225,9 +231,10 @@
 	}
 }
 
+// checkDeparturesLocked checks that a router does not send to departed incarnations.
 func (h *history) checkDeparturesLocked(r *modelRouter, now time.Time, undisturbed time.Duration) {
 	for _, l := range h.departures {
-		// A router that started since can't know a life that a copy lists once more.
+		// A router that started since cannot know an incarnation that a backup lists again.
 		if !r.started.Before(l.at) {
 			continue
 		}
@@ -236,14 +243,17 @@
 			continue
 		}
 		if l.droppedBy[r.self.ID] {
-			h.addViolationLocked("%s sends again to life %d of %s, which it knew to have left", r.self.ID, l.incarnation, l.id)
+			h.addViolationLocked("%s sends again to incarnation %d of %s, which it knew to have left",
+				r.self.ID, l.incarnation, l.id)
 		}
 		if now.Sub(l.at) > modelWithin && undisturbed > modelSettleTime+modelWithin {
-			h.addViolationLocked("%s sends to life %d of %s %v after it left", r.self.ID, l.incarnation, l.id, now.Sub(l.at))
+			h.addViolationLocked("%s sends to incarnation %d of %s %v after it left",
+				r.self.ID, l.incarnation, l.id, now.Sub(l.at))
 		}
 	}
 }
 
+// addViolationLocked records a broken promise, up to five different ones.
 func (h *history) addViolationLocked(format string, args ...any) {
 	violation := fmt.Sprintf(format, args...)
 	if len(h.violations) < 5 && !slices.Contains(h.violations, violation) {
--- a/directory/modelstore_test.go
+++ b/directory/modelstore_test.go
@@ -10,25 +10,26 @@
 	"github.com/slipwick/slipwick"
 )
 
-// modelStore is a store as its pages allow it: objects of several kinds under one counter
-// of revisions, watches, lists, and returns from a copy.
+// modelStore is a store that does what the documentation of stores allows: objects of several
+// kinds share a counter of revisions, with lists, watches and restores from backups.
 type modelStore struct {
 	mu       sync.Mutex
 	timeline uint64
 	revision uint64
-	// writes are all that this timeline holds, the oldest first.
+	// writes has all writes that the current timeline contains, oldest first.
 	writes []modelWrite
-	// away has calls fail, or get no answer if it hangs; forgets has each watch told that
-	// its history is gone, slow has answers take longer. Changed is closed at the next change of anything.
+	// down makes calls fail, hangs makes them block until their context ends. losesHistory makes
+	// each watch fail with a lost history, delay makes answers take longer. changed is closed at
+	// the next change of anything.
 	down, hangs, losesHistory bool
 	delay                     time.Duration
 
 	changed chan struct{}
-	// calls are when lists and watches came, in the latest second.
+	// recentCalls has the times of the lists and watches in the last second.
 	recentCalls []time.Time
 }
 
-// modelWrite is one change of an object.
+// modelWrite is one write or removal of an object.
 type modelWrite struct {
 	kind, name, value string
 	gone              bool
@@ -36,7 +37,7 @@
 	at                time.Time
 }
 
-var errStoreDown = errors.New("the store is away")
+var errStoreDown = errors.New("the store is down")
 
 func newModelStore() *modelStore {
 	return &modelStore{
@@ -45,7 +46,7 @@
 	}
 }
 
-// put writes an object; one that is the same already changes nothing.
+// put writes an object. If it has the value already, nothing changes.
 func (s *modelStore) put(kind, name, value string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,7 +60,7 @@
 	})
 }
 
-// callsLately counts the calls of the latest second.
+// callsInLastSecond returns the number of calls in the last second.
 func (s *modelStore) callsInLastSecond() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -67,7 +68,7 @@
 	return len(s.recentCalls)
 }
 
-// removeServer takes a server's entry away, if there is one.
+// removeServer removes a server's entry and reports whether there was one.
 func (s *modelStore) removeServer(id string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,14 +83,14 @@
 	return true
 }
 
-// isAway tells whether the store answers nobody.
+// isUnresponsive reports whether the store is down or does not answer.
 func (s *modelStore) isUnresponsive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.down || s.hangs
 }
 
-// change begins or ends a disturbance.
+// update begins or ends a disturbance.
 func (s *modelStore) update(change func(*modelStore, bool), begins bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,7 +110,7 @@
 	s.changed = make(chan struct{})
 }
 
-// setAway has the store answer nothing, or serve again.
+// setDown takes the store down, or makes it available again.
 func (s *modelStore) setDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -117,8 +118,8 @@
 	s.notifyLocked()
 }
 
-// fallBack has the store come back from a copy of the moment: what was written since is
-// gone, and its revisions are given out again.
+// restore restores the store from a backup made at the given time. Later writes are lost, and
+// their revisions are assigned again.
 func (s *modelStore) restore(to time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -132,7 +133,7 @@
 	s.notifyLocked()
 }
 
-// stateLocked gives the objects of a kind.
+// stateLocked returns the objects of a kind by name.
 func (s *modelStore) stateLocked(kind string) map[string]modelWrite {
 	state := make(map[string]modelWrite)
 	for _, w := range s.writes {
@@ -147,7 +148,7 @@
 	return state
 }
 
-// kind gives the feed of one kind of object, at the distance of the store's usual answer.
+// feed returns the feed of one kind of object.
 func (s *modelStore) feed(kind string) *modelFeed {
 	return &modelFeed{
 		store: s,
@@ -155,7 +156,7 @@
 	}
 }
 
-// modelFeed is one kind of object of a modelStore.
+// modelFeed is the feed of one kind of object of a modelStore.
 type modelFeed struct {
 	store *modelStore
 	kind  string
@@ -163,7 +164,7 @@
 
 var _ slipwick.Feed = (*modelFeed)(nil)
 
-// answerTime is how long an answer of the model takes.
+// responseTime is how long the model takes for an answer.
 const responseTime = 4 * time.Millisecond
 
 func (f *modelFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
@@ -187,7 +188,7 @@
 	return batch, nil
 }
 
-// begin takes the time of a call, and fails while the store is away.
+// startCall waits for the response time, and fails while the store is down.
 func (f *modelFeed) startCall(ctx context.Context) error {
 	s := f.store
 	s.mu.Lock()
@@ -207,8 +208,8 @@
 	return ctx.Err()
 }
 
-// Watch is told of what came after the revision, in whatever timeline the store is: it
-// knows of no other.
+// Watch returns the changes after the revision in the current timeline, whatever timeline the
+// position has, because the store does not know earlier ones.
 func (f *modelFeed) Watch(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
--- a/directory/refused_test.go
+++ b/directory/refused_test.go
@@ -12,12 +12,12 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestRefusalCostDoesNotGrowWithList asks a router for its copy that sends it to as many as it does at
-// once. What a refusal takes must not grow with the list.
+// TestRefusalCostDoesNotGrowWithList requests the copy of a router that is already sending it to
+// as many others as it may at once. The memory for a refusal must not grow with the list.
 //
-// What was seen at 986 routers before 9,999 servers: a router that had its copy first took up to
-// 162 MB after a loss of power. Each of hundreds that asked at the same moment had the list made
-// for it, and was refused then.
+// It guards against a failure seen with 986 routers and 9,999 servers: the router that had its
+// copy first after a loss of power took up to 162 MB. For each of hundreds of routers that asked
+// at the same moment it built the list, only to refuse the request then.
 func TestRefusalCostDoesNotGrowWithList(t *testing.T) {
 	for _, size := range []int{10_000, 20_000, 40_000} {
 		mirror := NewMirror()
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -24,7 +24,7 @@
 		HTTP:     http.DefaultClient,
 	}
 	if _, err := relay.List(t.Context()); !slipwick.IsKind(err, slipwick.KindNotCurrent) {
-		t.Errorf("copy that is not current: got %v, want not current", err)
+		t.Errorf("before the first copy: got %v, want not current", err)
 	}
 	mirror.Apply(batch(3, true, "a1", "b1"))
 	got, err := relay.List(t.Context())
@@ -35,7 +35,7 @@
 	time.AfterFunc(20*time.Millisecond, func() { mirror.Apply(batch(4, false, "b")) })
 	got, err = relay.Watch(t.Context(), at(3), time.Second)
 	if err != nil || got.Whole || got.Age > time.Second {
-		t.Errorf("got %+v, %v; want changes known lately", got, err)
+		t.Errorf("got %+v, %v; want recent changes", got, err)
 	}
 	expectEntries(t, "watch", got.Entries, "-b")
 	got, err = relay.Watch(t.Context(), at(1), time.Second)
--- a/directory/relayserver_test.go
+++ b/directory/relayserver_test.go
@@ -12,7 +12,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// largeBatch is a configuration of many routes.
+// largeBatch returns a configuration with many routes.
 func largeBatch(revision uint64) *slipwick.FeedBatch {
 	var text strings.Builder
 	text.WriteString(`{"routes":[`)
@@ -37,8 +37,8 @@
 	}
 }
 
-// TestCopiesFitSlowLink has 29 routers list a large configuration at once: what
-// goes over the wire has to pass a link of 10 Mbit/s in half a second.
+// TestCopiesFitSlowLink has 29 routers list a large configuration at once. The responses together
+// have to pass a link of 10 Mbit/s in half a second.
 func TestCopiesFitSlowLink(t *testing.T) {
 	const routers, maxBytes = 29, 10_000_000 / 8 / 2
 	mirror := NewMirror()
@@ -97,7 +97,8 @@
 	}
 }
 
-// TestAgeIsCurrentInCachedResponse has a router ask twice for the same copy.
+// TestAgeIsCurrentInCachedResponse lists the same copy twice. The encoded copy is reused, but its
+// age must be current.
 func TestAgeIsCurrentInCachedResponse(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(batch(3, true, "a1"))
@@ -116,14 +117,13 @@
 		time.Sleep(minAge)
 		got, err := relay.List(t.Context())
 		if err != nil || got.Age < minAge-time.Millisecond || got.Age > time.Second {
-			t.Errorf("got age %v (%v), want %v at least", got.Age, err, minAge)
+			t.Errorf("got age %v (%v), want at least %v", got.Age, err, minAge)
 		}
 	}
 }
 
-// TestOlderRoutersAreUnderstood has a question and an answer as routers ask and
-// give that do not know of waits for lists and of hops: they run beside newer ones
-// during an upgrade.
+// TestOlderRoutersAreUnderstood removes what older routers do not send, which run beside newer
+// ones during an upgrade: the wait in requests for lists, and the hops in responses.
 func TestOlderRoutersAreUnderstood(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(batch(3, true, "a1"))
@@ -156,6 +156,6 @@
 	}
 	expectEntries(t, "list", got.Entries, "a1")
 	if got.Hops != 2 {
-		t.Errorf("got %d hops, want 2 for a router that may follow a watcher", got.Hops)
+		t.Errorf("got %d hops, want 2 because the router may itself follow a watcher", got.Hops)
 	}
 }
--- a/directory/restored_test.go
+++ b/directory/restored_test.go
@@ -85,26 +85,26 @@
 // removes the entry that nobody renews.
 func TestDepartedServerInBackupGetsNothing(t *testing.T) {
 	for name, tc := range map[string]struct {
-		leave, again func(*modelStore)
-		after        time.Duration
+		leave, repeat func(*modelStore)
+		repeatAfter   time.Duration
 	}{
 		"announced": {
-			leave: func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
-			again: func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
-			after: modelRewriteTime,
+			leave:       func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
+			repeat:      func(s *modelStore) { s.put(modelBackends, "a", "leaving") },
+			repeatAfter: modelRewriteTime,
 		},
 		"entry removed": {
-			leave: func(s *modelStore) { s.removeServer("a") },
-			again: func(s *modelStore) { s.removeServer("a") },
-			after: modelExpiry,
+			leave:       func(s *modelStore) { s.removeServer("a") },
+			repeat:      func(s *modelStore) { s.removeServer("a") },
+			repeatAfter: modelExpiry,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newRestoredFleet(t, tc.leave)
-				time.AfterFunc(tc.after, func() { tc.again(f.store) })
+				time.AfterFunc(tc.repeatAfter, func() { tc.repeat(f.store) })
 				senders := make(map[string]bool)
-				f.pollRouters(tc.after+modelWithin, func(r *modelRouter) {
+				f.pollRouters(tc.repeatAfter+modelWithin, func(r *modelRouter) {
 					if r.wouldSend("a") {
 						senders[r.self.ID] = true
 					}
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -10,7 +10,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// newShared makes a router that follows routers r1 and r2 rather than the
+// newSharedFeed returns the feed of a router that follows the routers r1 and r2 instead of the
 // store.
 func newSharedFeed() (shared *SharedFeed, store *fakeFeed, peers *fakePeers) {
 	store = newFakeFeed(batch(1, true, "a1"))
@@ -45,14 +45,14 @@
 	})
 }
 
-// TestSharedNoticesAChangeThoughRoutersFail has the routers that it follows
-// fail in every way; the change at the store has to arrive within 2 s.
+// TestSharedNoticesAChangeThoughRoutersFail has the followed routers fail in several ways. A
+// change at the store has to arrive within 2 s.
 func TestSharedNoticesAChangeThoughRoutersFail(t *testing.T) {
 	for name, fail := range map[string]func(*fakeFeed){
-		"hang":       func(f *fakeFeed) { f.hangs = true },
-		"refuse":     func(f *fakeFeed) { f.err = errors.New("refused") },
-		"lag":        func(f *fakeFeed) { f.age = defaultTiming.MaxAge },
-		"are unsure": func(f *fakeFeed) { f.MarkUnconfirmed() },
+		"hang":        func(f *fakeFeed) { f.hangs = true },
+		"refuse":      func(f *fakeFeed) { f.err = errors.New("refused") },
+		"are stale":   func(f *fakeFeed) { f.age = defaultTiming.MaxAge },
+		"are failing": func(f *fakeFeed) { f.MarkUnconfirmed() },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			shared, store, peers := newSharedFeed()
@@ -65,8 +65,7 @@
 				got, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
 				switch {
 				case slipwick.IsKind(err, slipwick.KindNotCurrent):
-					// The routers answer, and know nothing either: those whose
-					// turn it is ask the store.
+					// The routers answer without a current copy, so they ask the store in turns.
 					time.Sleep(minBackoff)
 				case err != nil:
 					t.Fatalf("%s: %v", name, err)
@@ -101,8 +100,8 @@
 	})
 }
 
-// TestSharedStartsFromRoutersWhileTheStoreIsSilent is a router that restarts
-// during an outage.
+// TestSharedStartsFromRoutersWhileTheStoreIsSilent lists at a router that restarts while the store
+// does not answer.
 func TestSharedStartsFromRoutersWhileTheStoreIsSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, store, _ := newSharedFeed()
@@ -116,8 +115,8 @@
 	})
 }
 
-// TestSharedFeedStartsFromStaleCopies is a router that restarts while the store is
-// away for all: the others' copies cannot be confirmed.
+// TestSharedFeedStartsFromStaleCopies lists at a router that restarts while the store is down for
+// all, so that the copies of other routers cannot be confirmed.
 func TestSharedFeedStartsFromStaleCopies(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, store, peers := newSharedFeed()
@@ -132,7 +131,7 @@
 		}
 		expectEntries(t, "list", got.Entries, "a1")
 		if _, err := shared.Watch(t.Context(), got.Position(), defaultTiming.WatchWait); err == nil {
-			t.Error("watch of old copies: got no error, want the store tried again")
+			t.Error("watch of stale copies: got no error, want one so that the store is tried again")
 		}
 	})
 }
@@ -144,14 +143,15 @@
 		store.setError(&slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		})
-		if _, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
+		_, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
+		if !slipwick.IsKind(err, slipwick.KindHistoryLost) {
 			t.Errorf("got %v, want history lost, so that the store is listed", err)
 		}
 	})
 }
 
-// TestSharedAsksAnotherRouterBeforeTheStore has the router that is followed fall
-// silent: the next one has a current copy.
+// TestSharedAsksAnotherRouterBeforeTheStore has one followed router stop answering while the next
+// one has a current copy.
 func TestSharedAsksAnotherRouterBeforeTheStore(t *testing.T) {
 	for _, first := range []string{"r1", "r2"} {
 		synctest.Test(t, func(t *testing.T) {
@@ -172,13 +172,13 @@
 				expectEntries(t, "from a router", got.Entries, "a3")
 			}
 			if got := store.callCount() - called; got > 0 {
-				t.Errorf("%s silent: got %d calls to the store, want none while another router has a current copy", first, got)
+				t.Errorf("%s hangs: got %d calls to the store, want none while another router has a current copy", first, got)
 			}
 		})
 	}
 }
 
-// confirmAlways keeps copies current, as routers that follow the store do.
+// keepConfirmed keeps copies current until ctx ends, as routers that follow the store do.
 func keepConfirmed(ctx context.Context, copies ...*fakeFeed) {
 	for ctx.Err() == nil {
 		for _, c := range copies {
--- a/directory/spread_test.go
+++ b/directory/spread_test.go
@@ -9,8 +9,9 @@
 
 var measureSpread = flag.Bool("measure-spread", false, "measure the spread of lists at larger sizes")
 
-// spreadOf gives how long a fleet that starts at once takes, in virtual time, until nine tenths and
-// all of it have a list that takes 0.8 s to read from the store and 85 ms over a small link.
+// spreadTimes returns how long a fleet that starts at once takes, in virtual time, until nine
+// tenths and all of its routers have a list, and the number of calls to the store. The list takes
+// 0.8 s to read from the store and 85 ms to send over a slow link.
 func spreadTimes(t *testing.T, size, maxSends int) (nineTenths, all time.Duration, calls int64) {
 	t.Helper()
 	f := newSimFleet(size)
@@ -30,8 +31,8 @@
 }
 
 // TestListSpreadsInTime has all routers of a fleet start at once, as after a loss of power. With
-// -measure-spread it tells the times for up to 1,000 routers, by to how many a router sends its
-// list at a time.
+// -measure-spread it logs the times for up to 1,000 routers and several numbers of lists that a
+// router sends at a time.
 func TestListSpreadsInTime(t *testing.T) {
 	sizes, sends := []int{62, 125}, []int{maxLargeSends}
 	if *measureSpread {
@@ -44,7 +45,7 @@
 				t.Logf("%d routers, %d sends at once: nine tenths after %v, all after %v, %d calls",
 					size, sends, nineTenths, all, calls)
 				if sends == maxLargeSends && all > fleetWithin {
-					t.Errorf("%d routers: got the list at all after %v, want it within %v", size, all, fleetWithin)
+					t.Errorf("%d routers: got the list at every router after %v, want it within %v", size, all, fleetWithin)
 				}
 			})
 		}
--- a/directory/suspend_test.go
+++ b/directory/suspend_test.go
@@ -8,8 +8,8 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// TestCopiesAgeWhileBoxIsSuspended has a router sleep after it copied the store: the
-// others have to know how old its copy is.
+// TestCopiesAgeWhileBoxIsSuspended has a box suspended after its router copied the store. The age
+// that the router gives to others has to include that time.
 func TestCopiesAgeWhileBoxIsSuspended(t *testing.T) {
 	for _, suspension := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -10,13 +10,13 @@
 	"github.com/slipwick/slipwick"
 )
 
-// on gives a batch of another timeline than the first.
+// withTimeline sets the timeline of a batch.
 func withTimeline(timeline uint64, b *slipwick.FeedBatch) *slipwick.FeedBatch {
 	b.Timeline = timeline
 	return b
 }
 
-// scriptedFeed answers each call with the next batch, and waits when there is none.
+// scriptedFeed answers each call with the next batch, and blocks when there is none left.
 type scriptedFeed struct {
 	answers []*slipwick.FeedBatch
 	watches []slipwick.Position
@@ -41,17 +41,17 @@
 	return f.next(ctx)
 }
 
-// TestFollowerOrdersTimelines gives a follower what stores that come back from copies answer,
-// one call after the other.
+// TestFollowerOrdersTimelines passes the answers of stores that were restored from backups to a
+// follower, one call after the other.
 func TestFollowerOrdersTimelines(t *testing.T) {
 	for name, tc := range map[string]struct {
 		answers []*slipwick.FeedBatch
 		want    []string
 	}{
-		"a watch from a revision that was given out again": {
+		"a watch from a revision that was assigned again": {
 			answers: []*slipwick.FeedBatch{
 				withTimeline(1, batch(7, true, "a1", "b1")),
-				// Revision 7 took b away in this timeline; the watch tells what came after.
+				// Revision 7 removed b in this timeline; the watch returns only later changes.
 				withTimeline(2, batch(8, false, "c1")),
 				withTimeline(2, batch(8, true, "a1", "c1")),
 			},
@@ -64,7 +64,7 @@
 			},
 			want: []string{"a1"},
 		},
-		"a timeline that was missed, and one that comes late": {
+		"a skipped timeline that arrives late": {
 			answers: []*slipwick.FeedBatch{
 				withTimeline(1, batch(7, true, "a1")),
 				withTimeline(3, batch(4, true, "a3")),
@@ -73,14 +73,14 @@
 			},
 			want: []string{"a4"},
 		},
-		"changes of an earlier timeline, under way as the store fell back": {
+		"changes of an earlier timeline that arrive after the restore": {
 			answers: []*slipwick.FeedBatch{
 				withTimeline(2, batch(4, true, "a2")),
 				withTimeline(1, batch(9, false, "a1")),
 			},
 			want: []string{"a2"},
 		},
-		"a store that tells no timeline": {
+		"a store without timelines": {
 			answers: []*slipwick.FeedBatch{
 				batch(7, true, "a1"),
 				batch(6, true, "a0"),
@@ -88,7 +88,7 @@
 			},
 			want: []string{"a1", "b1"},
 		},
-		"a router of before, which tells none, ahead and behind": {
+		"an older router without timelines, behind and ahead": {
 			answers: []*slipwick.FeedBatch{
 				withTimeline(2, batch(7, true, "a1")),
 				batch(6, true, "a0"),
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestCopyOfEarlierTimelineIsIgnored has a router that slept, or was cut off, still hold the
-// copy of an earlier timeline, with a higher revision, as the store falls silent for the others.
+// TestCopyOfEarlierTimelineIsIgnored has a router that was suspended or cut off still hold the
+// copy of an earlier timeline, with a higher revision, when the store stops answering the others.
 func TestCopyOfEarlierTimelineIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		isolated := newFakeFeed(withTimeline(1, batch(50, true, "a1")))
@@ -124,9 +124,9 @@
 			Peers: &fakePeers{
 				watches: true,
 				relays: map[string]*fakeFeed{
-					"asleep": isolated,
+					"isolated": isolated,
 				},
-				order: []string{"asleep"},
+				order: []string{"isolated"},
 			},
 			Timing: defaultTiming,
 		}
@@ -144,7 +144,7 @@
 	})
 }
 
-// TestMirrorRejectsOtherTimelines has routers ask a copy from other timelines than its own.
+// TestMirrorRejectsOtherTimelines watches a copy from positions in other timelines than its own.
 func TestMirrorRejectsOtherTimelines(t *testing.T) {
 	m := NewMirror()
 	m.Apply(withTimeline(1, batch(7, true, "a1", "b1")))
@@ -154,14 +154,14 @@
 		after slipwick.Position
 		want  slipwick.Kind
 	}{
-		"from the timeline before": {
+		"from an earlier timeline": {
 			after: slipwick.Position{
 				Timeline: 1,
 				Revision: 7,
 			},
 			want: slipwick.KindHistoryLost,
 		},
-		"from one that the copy has yet to learn of": {
+		"from a later timeline": {
 			after: slipwick.Position{
 				Timeline: 3,
 				Revision: 2,
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -8,34 +8,34 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-// TestTimingFitsTimeAllowed has a router on the way fall silent: what remains
-// has to suffice for one call more.
+// TestTimingFitsTimeAllowed has a router on the way stop answering. The remaining time has to
+// suffice for one more call.
 func TestTimingFitsTimeAllowed(t *testing.T) {
 	for _, within := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 		r := TimingWithin(within)
 		remainder := within / 5
 		if got := r.WatchWait + r.WatchMargin + remainder; got > within {
-			t.Errorf("within %v: got %v for a silent store, want less", within, got)
+			t.Errorf("within %v: got %v for an unresponsive store and one more call, want at most that time", within, got)
 		}
 		if got := r.RelayWait + r.RelayMargin + remainder; got > within {
-			t.Errorf("within %v: got %v for a silent router, want less", within, got)
+			t.Errorf("within %v: got %v for an unresponsive router and one more call, want at most that time", within, got)
 		}
-		// A router that the store has fallen silent for still has a copy that
-		// counts as current; those that follow it list from the store after.
+		// A router that the store no longer answers still has a copy that counts as current. Its
+		// followers list from the store after that.
 		if got := r.MaxAge + remainder; got > within {
-			t.Errorf("within %v: got %v for a copy that is current no more, want less", within, got)
+			t.Errorf("within %v: got %v until a copy is stale and for one more call, want at most that time", within, got)
 		}
 		if r.MaxAge < r.WatchWait+r.WatchMargin {
-			t.Errorf("within %v: got %v for the age of a copy, want the wait of its watch at least", within, r.MaxAge)
+			t.Errorf("within %v: got a maximum age of %v, want at least the time of a watch", within, r.MaxAge)
 		}
 	}
 	if got, want := TimingWithin(0), TimingWithin(DefaultWithin); got != want {
-		t.Errorf("without a bound: got %v, want %v", got, want)
+		t.Errorf("without a time allowed: got %v, want the default %v", got, want)
 	}
 }
 
-// TestBackendsDropExpiredWithinShortBounds has entries lapse in a fleet with short bounds:
-// those of servers that do not come back are gone before the time is over.
+// TestBackendsDropExpiredWithinShortBounds has entries expire in a fleet with a short heartbeat
+// and Leave. Those of servers that do not write theirs again are dropped in time.
 func TestBackendsDropExpiredWithinShortBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
@@ -47,7 +47,7 @@
 		b.Failed()
 		b.Answered(0, 0)
 		b.Change([]Change[balance.Entry]{backendChange("b", true)})
-		list.expect(t, "on return after more than a heartbeat", "a", "b")
+		list.expect(t, "when the store answers after more than a heartbeat", "a", "b")
 		time.Sleep(960 * time.Millisecond)
 		list.expect(t, "before the time allowed", "a")
 	})
