--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -129,8 +129,8 @@
 
 func (p *fakePeers) Relay(id, _ string) slipwick.Feed { return p.relays[id] }
 
-// defaultTiming has the wait times of followers without other settings.
-var defaultTiming = TimingWithin(DefaultWithin)
+// testTiming has the wait times of followers without other settings.
+var testTiming = TimingWithin(DefaultWithin)
 
 // at returns a position of a store that has no timelines.
 func at(revision uint64) slipwick.Position {
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -66,7 +66,7 @@
 			t.Errorf("before the outage: got %v, want %v", got, want)
 		}
 		store.setError(errors.New("down"))
-		time.Sleep(2 * defaultTiming.WatchWait)
+		time.Sleep(2 * testTiming.WatchWait)
 		store.Apply(batch(2, false, "b", "c1"))
 		time.Sleep(10 * time.Second)
 		store.setError(nil)
@@ -89,10 +89,10 @@
 		store.setError(&slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		})
-		time.Sleep(2 * defaultTiming.WatchWait)
+		time.Sleep(2 * testTiming.WatchWait)
 		store.Apply(batch(9, true, "b2"))
 		store.setError(nil)
-		time.Sleep(2 * defaultTiming.WatchWait)
+		time.Sleep(2 * testTiming.WatchWait)
 		if got, want := state(), []string{"b2"}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
@@ -108,7 +108,7 @@
 		defer stop()
 		state()
 		store.setError(errors.New("not read in time"))
-		time.Sleep(2 * defaultTiming.WatchWait)
+		time.Sleep(2 * testTiming.WatchWait)
 		store.Apply(batch(2, false, "a2"))
 		store.setError(nil)
 		before := store.listCount()
@@ -145,8 +145,8 @@
 		go follower.Run(ctx)
 		synctest.Wait()
 		store.setError(errors.New("down"))
-		other.addAge(defaultTiming.MaxAge + time.Second)
-		time.Sleep(2 * defaultTiming.WatchWait)
+		other.addAge(testTiming.MaxAge + time.Second)
+		time.Sleep(2 * testTiming.WatchWait)
 		before := store.callCount()
 		answers.Store(0)
 		const outage = 10 * time.Second
@@ -222,7 +222,7 @@
 		defer stop()
 		state()
 		store.setError(errors.New("down"))
-		time.Sleep(2 * defaultTiming.WatchWait)
+		time.Sleep(2 * testTiming.WatchWait)
 		store.Mirror = NewMirror()
 		store.Apply(batch(3, true, "a3"))
 		store.setError(nil)
@@ -264,7 +264,7 @@
 		if got := store.callCount() - called; got > 20 {
 			t.Errorf("got %d calls for 40 changes in a second, want at most 20", got)
 		}
-		time.Sleep(defaultTiming.BatchDelay)
+		time.Sleep(testTiming.BatchDelay)
 		if got, want := state(), []string{"a" + string(rune('A'+39))}; !slices.Equal(got, want) {
 			t.Errorf("got %v, want %v", got, want)
 		}
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -34,7 +34,7 @@
 		defer cancel()
 		go keepConfirmed(ctx, peers.relays["r1"], peers.relays["r2"])
 		for range 10 {
-			if _, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait); err != nil {
+			if _, err := shared.Watch(t.Context(), at(1), testTiming.WatchWait); err != nil {
 				t.Fatal(err)
 			}
 		}
@@ -51,7 +51,7 @@
 	for name, fail := range map[string]func(*fakeFeed){
 		"hang":        func(f *fakeFeed) { f.hangs = true },
 		"refuse":      func(f *fakeFeed) { f.err = errors.New("refused") },
-		"are stale":   func(f *fakeFeed) { f.age = defaultTiming.MaxAge },
+		"are stale":   func(f *fakeFeed) { f.age = testTiming.MaxAge },
 		"are failing": func(f *fakeFeed) { f.MarkUnconfirmed() },
 	} {
 		synctest.Test(t, func(t *testing.T) {
@@ -62,7 +62,7 @@
 			started := time.Now()
 			store.Apply(batch(2, false, "a2"))
 			for after := uint64(1); after == 1; {
-				got, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
+				got, err := shared.Watch(t.Context(), at(1), testTiming.WatchWait)
 				switch {
 				case slipwick.IsKind(err, slipwick.KindNotCurrent):
 					// The routers answer without a current copy, so they ask the store in turns.
@@ -87,7 +87,7 @@
 		store.setError(errors.New("503"))
 		peers.relays["r1"].Apply(batch(3, false, "a3"))
 		peers.relays["r2"].Apply(batch(3, false, "a3"))
-		got, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
+		got, err := shared.Watch(t.Context(), at(1), testTiming.WatchWait)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -130,7 +130,7 @@
 			t.Fatal(err)
 		}
 		expectEntries(t, "list", got.Entries, "a1")
-		if _, err := shared.Watch(t.Context(), got.Position(), defaultTiming.WatchWait); err == nil {
+		if _, err := shared.Watch(t.Context(), got.Position(), testTiming.WatchWait); err == nil {
 			t.Error("watch of stale copies: got no error, want one so that the store is tried again")
 		}
 	})
@@ -143,8 +143,7 @@
 		store.setError(&slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		})
-		_, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
-		if !slipwick.IsKind(err, slipwick.KindHistoryLost) {
+		if _, err := shared.Watch(t.Context(), at(1), testTiming.WatchWait); !slipwick.IsKind(err, slipwick.KindHistoryLost) {
 			t.Errorf("got %v, want history lost, so that the store is listed", err)
 		}
 	})
@@ -165,7 +164,7 @@
 			go keepConfirmed(ctx, peers.relays["r1"], peers.relays["r2"])
 			called := store.callCount()
 			for range 4 {
-				got, err := shared.Watch(t.Context(), at(1), defaultTiming.WatchWait)
+				got, err := shared.Watch(t.Context(), at(1), testTiming.WatchWait)
 				if err != nil {
 					t.Fatal(err)
 				}
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -125,8 +125,8 @@
 // defaultDiscoveryTime is how long a router takes to discover the others, unless a test sets it.
 const defaultDiscoveryTime = 200 * time.Millisecond
 
-// start starts all routers within 0.3 s, without those that are powered off. The returned function
-// stops them.
+// start starts all routers within 0.3 s, without those that are powered off. Each then discovers
+// the others. The returned function stops them.
 func (f *simFleet) start(t *testing.T) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	// The store's copy is always current.
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -128,11 +128,11 @@
 				},
 				order: []string{"isolated"},
 			},
-			Timing: defaultTiming,
+			Timing: testTiming,
 		}
 		state, stop := follow(t, shared)
 		defer stop()
-		time.Sleep(defaultTiming.WatchWait)
+		time.Sleep(testTiming.WatchWait)
 		store.setError(errStoreDown)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
