--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -165,7 +165,8 @@
 	return differs
 }
 
-// MarkUnconfirmed records that the latest call did not confirm the copy, and wakes those that watch it.
+// MarkUnconfirmed records that the latest call did not confirm the copy, and wakes the watches of
+// it.
 func (m *Mirror) MarkUnconfirmed() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -93,7 +93,7 @@
 // listPeers lists from the routers in order, each limited by the timeout, until one returns a
 // current copy; otherwise it returns a stale one if there is any. While a response is being
 // received no further router is asked, because a large list takes the capacity of the link.
-func (s *SharedFeed) listPeers(ctx context.Context, ids []string, patience time.Duration) peerAnswer {
+func (s *SharedFeed) listPeers(ctx context.Context, ids []string, timeout time.Duration) peerAnswer {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	answers, begins := make(chan peerAnswer, len(ids)), make(chan struct{}, len(ids))
@@ -105,13 +105,13 @@
 		id := ids[asked]
 		asked++
 		go func() {
-			f := s.queryPeer(ctx, id, patience, func() { begins <- struct{}{} }, s.fetchFrom)
+			f := s.queryPeer(ctx, id, timeout, func() { begins <- struct{}{} }, s.fetchFrom)
 			answers <- f
 		}()
 	}
-	hedge := time.NewTicker(time.Duration(hedgeShare * float64(patience)))
+	hedge := time.NewTicker(time.Duration(hedgeShare * float64(timeout)))
 	defer hedge.Stop()
-	deadline := time.NewTimer(time.Duration(listPeersFactor * float64(patience)))
+	deadline := time.NewTimer(time.Duration(listPeersFactor * float64(timeout)))
 	defer deadline.Stop()
 	askNext()
 	var best peerAnswer
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -17,8 +17,8 @@
 
 // RelayClient is a feed that reads another router's copy over HTTP.
 type RelayClient struct {
-	// Address is the host:port at which the router serves its peers. Name is the name of the
-	// feed.
+	// Address is the host:port at which the router serves its peers. FeedName is the name of
+	// the feed.
 	Address  string
 	FeedName string
 	HTTP     *http.Client
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -20,17 +20,17 @@
 	// every discoveryInterval. If it knows none after aloneWait, it stops waiting for them.
 	discoveryInterval = 100 * time.Millisecond
 	aloneWait         = 300 * time.Millisecond
-	// newsMarginShare is the part of a watch's wait by which another router's copy has to be
+	// freshMarginShare is the part of a watch's wait by which another router's copy has to be
 	// confirmed later than the local one to count as fresher. Copies that were confirmed in the
 	// same round differ by less.
-	newsMarginShare = 0.25
+	freshMarginShare = 0.25
 )
 
-// SharedFeed is a feed that a few routers of the fleet read from the store and all others from the
-// copies of these routers, so that the load on the store does not grow with the fleet. A router
-// whose peers fail asks other ones. It reads from the store in place of the watchers if all
-// peers lack a current copy and its turn has come, or if no peer answers. Set the exported
-// fields before use.
+// SharedFeed is a feed that a few routers of the fleet, the watchers, read from the store. All
+// others read it from the copies of other routers, so that the load on the store does not grow
+// with the fleet. A router whose peers fail asks other ones. It reads from the store in place of
+// the watchers if all peers lack a current copy and its turn has come, or if no peer answers. Set
+// the exported fields before use.
 type SharedFeed struct {
 	FeedName string
 	Store    slipwick.Feed
@@ -41,10 +41,10 @@
 	// Timing has the wait times; the zero value stands for the default.
 	Timing Timing
 
-	mu       sync.Mutex
+	mu sync.Mutex
+	// failedAt is when each peer failed last, by ID.
 	failedAt map[string]time.Time
-	// failedAt is when each peer failed last, by ID. turn selects the peer to follow in
-	// rotation; keepsTurn suppresses the next advance of turn.
+	// turn selects the peer to follow in rotation. keepsTurn suppresses its next advance.
 	turn      int
 	keepsTurn bool
 	// startedAt is when this router had discovered the others. confirmedAt is when the store
@@ -271,13 +271,13 @@
 func (s *SharedFeed) isFresher(f *peerAnswer) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return f.isCurrent && clock.Now().Add(-f.batch.Age).After(s.confirmedAt.Add(s.newsMargin()))
+	return f.isCurrent && clock.Now().Add(-f.batch.Age).After(s.confirmedAt.Add(s.freshMargin()))
 }
 
-// newsMargin returns by how much a copy has to be confirmed later than the local one to count
+// freshMargin returns by how much a copy has to be confirmed later than the local one to count
 // as fresher.
-func (s *SharedFeed) newsMargin() time.Duration {
-	return time.Duration(newsMarginShare * float64(s.Timing.orDefault().WatchWait))
+func (s *SharedFeed) freshMargin() time.Duration {
+	return time.Duration(freshMarginShare * float64(s.Timing.orDefault().WatchWait))
 }
 
 // isUsable reports whether to continue with the current copy of a router that this one does not
@@ -296,7 +296,7 @@
 		return true
 	case f.batch.Age > maxAge:
 		return false
-	case now.Add(-f.batch.Age).After(s.confirmedAt.Add(s.newsMargin())):
+	case now.Add(-f.batch.Age).After(s.confirmedAt.Add(s.freshMargin())):
 		return true
 	case now.Sub(s.reusedAt) < minBackoff:
 		return false
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -36,8 +36,8 @@
 	shared *SharedFeed
 	place  *fleet.Place
 	// retriesStore is true if the store is asked again while it does not answer, since a store
-	// that had stopped answering never answers earlier requests. Whether it answers other
-	// routers by now is asked in either case.
+	// that had stopped answering never answers earlier requests. Other routers are asked in
+	// either case, because the store may answer them by now.
 	retriesStore bool
 	// suffices reports whether a copy of another router is acceptable.
 	suffices func(*peerAnswer) bool
--- a/directory/timing.go
+++ b/directory/timing.go
@@ -74,12 +74,12 @@
 	}
 }
 
-// orDefault returns the default if r is the zero value, else r.
-func (r Timing) orDefault() Timing {
-	if r == (Timing{}) {
+// orDefault returns the default if t is the zero value, else t.
+func (t Timing) orDefault() Timing {
+	if t == (Timing{}) {
 		return TimingWithin(DefaultWithin)
 	}
-	return r
+	return t
 }
 
 // maxRelayWait bounds the wait of another router's watch.
