--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -247,20 +247,6 @@
 	}
 }
 
-func (c *simPeerFeed) Watch(
-	ctx context.Context, after slipwick.Position, wait time.Duration,
-) (slipwick.FeedBatch, error) {
-	if err := c.reach(ctx); err != nil {
-		return slipwick.FeedBatch{}, err
-	}
-	batch, err := c.to.follower.Mirror.Watch(ctx, after, wait)
-	batch.Hops++
-	if failed := c.reach(ctx); failed != nil {
-		return slipwick.FeedBatch{}, failed
-	}
-	return batch, err
-}
-
 // simStoreFeed is the store as one router reaches it.
 type simStoreFeed struct {
 	router *simRouter
--- a/directory/simpeerfeed_test.go
+++ b/directory/simpeerfeed_test.go
@@ -46,6 +46,20 @@
 	return batch, errors.Join(err, ctx.Err())
 }
 
+func (c *simPeerFeed) Watch(
+	ctx context.Context, after slipwick.Position, wait time.Duration,
+) (slipwick.FeedBatch, error) {
+	if err := c.reach(ctx); err != nil {
+		return slipwick.FeedBatch{}, err
+	}
+	batch, err := c.to.follower.Mirror.Watch(ctx, after, wait)
+	batch.Hops++
+	if failed := c.reach(ctx); failed != nil {
+		return slipwick.FeedBatch{}, failed
+	}
+	return batch, err
+}
+
 // send transfers a list, whose duration allows for the other transfers on the link, or refuses it
 // if too many are under way.
 func (c *simPeerFeed) send(ctx context.Context, batch *slipwick.FeedBatch) (slipwick.FeedBatch, error) {
