--- a/rollout/order.go
+++ b/rollout/order.go
@@ -6,22 +6,22 @@
 	"github.com/pkg/errors"
 )
 
-// Order asks to move a pool's traffic to backend servers of a version.
+// Order is an operator's order to move a pool's traffic to backend servers of a version.
 type Order struct {
 	Pool    string
 	Version string
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration
-	// State is how far it is, as the store has it; StateOrdered if nobody wrote it.
+	// State is the progress recorded in the store; StatePending if none is recorded.
 	State State
-	// Revision is that of the object, which a write of the state goes by.
+	// Revision is the store's revision of the order. Writing the state is conditional on it.
 	Revision uint64
 }
 
-// State is how far a rollout is. It only ever rises to a final one.
+// State is the progress of a rollout. It never leaves a final state.
 type State string
 
-// The states. The last two are final.
+// The states of a rollout. The last two are final.
 const (
 	StateOrdered    State = ""
 	StateRunning    State = "running"
@@ -29,20 +29,20 @@
 	StateRolledBack State = "turned back"
 )
 
-// IsFinal tells whether nothing follows the state.
+// IsFinal reports whether the rollout is over in this state.
 func (s State) IsFinal() bool {
 	return s == StateCompleted || s == StateRolledBack
 }
 
-// Check tells what is wrong with an order that can't be followed.
+// Check returns an error that says what is missing if the order can't be carried out.
 func (o *Order) Check() error {
 	switch {
 	case o.Pool == "":
-		return errors.New("the order names no pool; name the service whose traffic is to move")
+		return errors.New("the rollout order names no pool; set the service whose traffic is to move")
 	case o.Version == "":
-		return errors.New("the order names no version; name the one that the traffic is to move to")
+		return errors.New("the rollout order names no version; set the version to move the traffic to")
 	case o.Duration <= 0:
-		return errors.New("the order has no time; give the seconds until its deadline")
+		return errors.New("the rollout order has no duration; set the seconds until its deadline")
 	}
 	return nil
 }
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -3,40 +3,42 @@
 import "time"
 
 const (
-	// canaryPart of the exposure allowed is what the new version gets while it is
-	// compared with the old one. The rest is for the shift at the end.
-	canaryPart = 0.25
-	// settleTime is left at the end for the state to be written and known.
-	settleTime = 300 * time.Millisecond
-	// leastShift bounds the time from the shift to the deadline, in parts of the whole.
-	leastShift = 0.01
+	// canaryFraction is the part of the allowed exposure that the new version gets while it is
+	// compared with the old one. The rest is kept for the shift at the end.
+	canaryFraction = 0.25
+	// stateWriteTime is the time reserved before the deadline to write the final state and let all
+	// routers learn it.
+	stateWriteTime = 300 * time.Millisecond
+	// minShiftFraction is the shortest time between the shift and the deadline, as a fraction of
+	// the duration.
+	minShiftFraction = 0.01
 )
 
-// Plan is how the share of a new version rises. Of all requests between the order and its
-// deadline the new version gets at most the exposure by plan: few at first, and all from a
-// moment on that is as late as this. So a version that turns bad at any time has got no more
-// than is allowed, whenever it is found out, and what runs at the old one has some time to
-// end before that one stops.
+// Plan says how the share of a new version rises. Between the order and its deadline the new
+// version gets at most Exposure of all requests: a small share first, then, from as late a moment
+// as that allows, all of them. A version that turns bad at any time has thus received no more than
+// is allowed, no matter when that is detected, and requests that run on the old version have some
+// time to end before it stops.
 type Plan struct {
 	Began    time.Time
 	Duration time.Duration
-	// Exposure is the share of all requests of the time that a bad version may get.
+	// Exposure is the largest share of all requests within Duration that a bad version may get.
 	Exposure float64
 }
 
-// canary is the share while the versions are compared.
+// canary returns the share while the versions are compared.
 func (p *Plan) canary() float64 {
-	return canaryPart * p.Exposure
+	return canaryFraction * p.Exposure
 }
 
-// ShiftAt is when the new version gets all.
+// ShiftAt returns the time from which the new version gets all requests.
 func (p *Plan) ShiftAt() time.Time {
-	// canary * t + (1 - t) is the exposure, for t in parts of the duration.
-	part := min((1-p.Exposure)/(1-p.canary()), 1-leastShift)
-	return p.Began.Add(time.Duration(part * float64(p.Duration)))
+	// The exposure is canary * t + (1 - t), with t as a fraction of the duration.
+	fraction := min((1-p.Exposure)/(1-p.canary()), 1-minShiftFraction)
+	return p.Began.Add(time.Duration(fraction * float64(p.Duration)))
 }
 
-// Share is the part of the requests that the new version gets.
+// Share returns the part of the requests that the new version gets at a time, from 0 to 1.
 func (p *Plan) Share(now time.Time) float64 {
 	if now.Before(p.ShiftAt()) {
 		return p.canary()
@@ -44,11 +46,11 @@
 	return 1
 }
 
-// IsDue tells whether a version that is as good as the old one is to be completed: as late as
-// there is time to write it, so that what the old version runs ends first.
+// IsDue reports whether a version as good as the old one is to be marked completed: as late as
+// leaves time to write the state, so that requests on the old version end first.
 func (p *Plan) IsDue(now time.Time) bool {
 	deadline := p.Began.Add(p.Duration)
-	due := deadline.Add(-settleTime)
+	due := deadline.Add(-stateWriteTime)
 	if shift := p.ShiftAt(); due.Before(shift) {
 		due = shift
 	}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Rollout is one order as one router follows it. Routers tell each other their counts, so that
-// each comes to the same verdict, and acts on it at once; whoever follows the store writes it.
+// Rollout is the state of one order at one router. Routers send each other their counts, so that
+// each reaches the same verdict and acts on it at once; those that watch the store write it there.
+// It is not safe for concurrent use.
 type Rollout struct {
 	Order      Order
 	Plan       Plan
 	comparison Comparison
-	// verdict is this router's, StateRunning before.
+	// verdict is this router's decision, StateRunning until there is one.
 	verdict State
 }
 
-// Begin makes a rollout of an order that was given so long ago.
+// New returns the rollout of an order that was given age ago.
 func Begin(order *Order, exposure float64, now time.Time, age time.Duration) *Rollout {
 	return &Rollout{
 		Order: *order,
@@ -25,9 +26,9 @@
 	}
 }
 
-// Observe takes the counts of both versions since the order, and gives the verdict. A final
-// one, of this router or in the store, stays. Only a version that was found bad before its
-// state is completed is rolled back: then the old one is gone.
+// Observe takes the counts of both versions since the order and returns the verdict. A final one,
+// from this router or the store, stays. A version is rolled back only if it is found bad before its
+// state is completed: after that the old version is gone.
 func (r *Rollout) Observe(now time.Time, old, target Counts) State {
 	switch {
 	case r.Order.State.IsFinal():
@@ -41,7 +42,7 @@
 	return r.verdict
 }
 
-// Share is the part of the pool's requests that the new version gets.
+// Share returns the part of the pool's requests that the new version gets at a time, from 0 to 1.
 func (r *Rollout) Share(now time.Time) float64 {
 	switch r.verdict {
 	case StateRolledBack:
@@ -53,7 +54,8 @@
 	}
 }
 
-// ToWrite gives the state that is to be written to the store; ok is false if it has it.
+// PendingState returns the state to write to the store; ok is false if there is nothing to write,
+// because the store has that state or a final one.
 func (r *Rollout) ToWrite() (state State, ok bool) {
 	return r.verdict, r.verdict != r.Order.State && !r.Order.State.IsFinal()
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// trial is one rollout of a fleet that sends rate requests a second, and looks at its counts
+// simulation is one rollout in a fleet that sends rate requests a second and observes its counts
 // five times a second.
-type trial struct {
+type simulation struct {
 	random   *rand.Rand
 	rate     float64
 	duration time.Duration
 	exposure float64
-	// observe is the verdict's test, that of the package if it is nil.
+	// observe replaces the package's comparison of the versions unless it is nil.
 	observe func(old, target Counts) bool
-	// oldRate and newRate are the rates of bad answers at a time, in parts of the duration.
-	oldRate, newRate func(part float64) float64
+	// oldRate and newRate return the rate of bad responses at a time, given as a fraction of the
+	// duration.
+	oldRate, newRate func(fraction float64) float64
 }
 
-// result is how it ended.
+// result is the outcome of a simulation.
 type result struct {
 	verdict State
-	// all and target count requests, all and those that the new version got; late those it
-	// got after its verdict. bad counts its bad answers.
+	// all counts all requests and target those that the new version got; bad counts its bad
+	// responses.
 	all, target, bad int
 }
 
 const (
-	lookEvery = 200 * time.Millisecond
-	exposure  = 0.1
+	observeInterval = 200 * time.Millisecond
+	exposure        = 0.1
 )
 
 func constant(rate float64) func(float64) float64 {
 	return func(float64) float64 { return rate }
 }
 
-func (t *trial) run() result {
+func (t *simulation) run() result {
 	began := time.Unix(0, 0)
 	r := Begin(&Order{
 		Pool:     "p",
@@ -45,13 +46,13 @@
 	}, t.exposure, began, 0)
 	var old, target Counts
 	out := result{}
-	for now := began; now.Sub(began) < t.duration; now = now.Add(lookEvery) {
-		part := now.Sub(began).Seconds() / t.duration.Seconds()
-		for range int(t.rate * lookEvery.Seconds()) {
+	for now := began; now.Sub(began) < t.duration; now = now.Add(observeInterval) {
+		fraction := now.Sub(began).Seconds() / t.duration.Seconds()
+		for range int(t.rate * observeInterval.Seconds()) {
 			out.all++
-			counts, rate := &old, t.oldRate(part)
+			counts, rate := &old, t.oldRate(fraction)
 			if t.random.Float64() < r.Share(now) {
-				counts, rate = &target, t.newRate(part)
+				counts, rate = &target, t.newRate(fraction)
 				out.target++
 			}
 			if t.random.Float64() < rate {
@@ -62,20 +63,20 @@
 		}
 		out.bad = target.Bad
 		if t.observe == nil {
-			out.verdict = r.Observe(now.Add(lookEvery), old, target)
+			out.verdict = r.Observe(now.Add(observeInterval), old, target)
 			continue
 		}
-		// The package's test sees nothing bad.
+		// The package's own comparison gets no counts, so it never finds a bad version.
 		if r.verdict == StateRunning && t.observe(old, target) {
 			r.verdict = StateRolledBack
 		}
-		out.verdict = r.Observe(now.Add(lookEvery), Counts{}, Counts{})
+		out.verdict = r.Observe(now.Add(observeInterval), Counts{}, Counts{})
 	}
 	return out
 }
 
-func newTrial(seed uint64, oldRate, newRate func(float64) float64) *trial {
-	return &trial{
+func newSimulation(seed uint64, oldRate, newRate func(float64) float64) *simulation {
+	return &simulation{
 		random:   rand.New(rand.NewPCG(seed, 1)),
 		rate:     540,
 		duration: 12 * time.Second,
@@ -85,12 +86,12 @@
 	}
 }
 
-// TestGoodVersionsAreCompleted counts the good versions that are turned back by chance, over
-// several rates of failures that both versions have, and a burst of them.
+// TestGoodVersionsAreCompleted guards against good versions that are rolled back by chance, for
+// several failure rates common to both versions and for a burst of failures.
 func TestGoodVersionsAreCompleted(t *testing.T) {
 	const seeds = 2000
-	burst := func(part float64) float64 {
-		if part > 0.4 && part < 0.5 {
+	burst := func(fraction float64) float64 {
+		if fraction > 0.4 && fraction < 0.5 {
 			return 0.5
 		}
 		return 0.01
@@ -101,27 +102,28 @@
 		"14 in 100":   constant(0.14),
 		"a burst":     burst,
 	} {
-		turnedBack := 0
+		rolledBack := 0
 		for seed := range uint64(seeds) {
-			if newTrial(seed, rate, rate).run().verdict != StateCompleted {
-				turnedBack++
+			if newSimulation(seed, rate, rate).run().verdict != StateCompleted {
+				rolledBack++
 			}
 		}
-		t.Logf("%s: %d of %d turned back", name, turnedBack, seeds)
-		// One in a thousand.
-		if turnedBack > seeds/1000 {
-			t.Errorf("%s: got %d of %d good versions turned back, want 1 in 1000 at most", name, turnedBack, seeds)
+		t.Logf("%s: %d of %d rolled back", name, rolledBack, seeds)
+		// The bound is one in a thousand.
+		if rolledBack > seeds/1000 {
+			t.Errorf("%s: got %d of %d good versions rolled back, want 1 in 1000 at most", name, rolledBack, seeds)
 		}
 	}
 }
 
-// TestBadVersionsAreTurnedBackWithinTheExposure has versions be bad from the start, later, or
-// under all of the load, and counts what they got.
-func TestBadVersionsAreTurnedBackWithinTheExposure(t *testing.T) {
+// TestBadVersionsAreRolledBackWithinTheExposure guards against versions that are completed though
+// bad or get more requests than allowed. They are bad from the start, later, or only under full
+// load.
+func TestBadVersionsAreRolledBackWithinTheExposure(t *testing.T) {
 	const seeds, slack = 500, 50
 	from := func(start, rate float64) func(float64) float64 {
-		return func(part float64) float64 {
-			if part < start {
+		return func(fraction float64) float64 {
+			if fraction < start {
 				return 0.01
 			}
 			return rate
@@ -135,26 +137,26 @@
 		"half fail near the end":  from(0.9, 0.5),
 		"half fail when all come": from(0.925, 0.5),
 	} {
-		missed, most, mostBad := 0, 0, 0
+		missed, most, maxBad := 0, 0, 0
 		for seed := range uint64(seeds) {
-			got := newTrial(seed, constant(0.01), bad).run()
+			got := newSimulation(seed, constant(0.01), bad).run()
 			if got.verdict != StateRolledBack {
 				missed++
 			}
-			most, mostBad = max(most, got.target), max(mostBad, got.bad)
+			most, maxBad = max(most, got.target), max(maxBad, got.bad)
 			if allowed := int(exposure*float64(got.all)) + slack; got.target > allowed {
 				t.Errorf("%s, seed %d: got %d requests at the bad version, want %d at most", name, seed, got.target, allowed)
 			}
 		}
-		t.Logf("%s: %d of %d missed, at most %d requests and %d bad answers", name, missed, seeds, most, mostBad)
+		t.Logf("%s: %d of %d missed, at most %d requests and %d bad responses", name, missed, seeds, most, maxBad)
 		if missed > 0 {
 			t.Errorf("%s: got %d of %d bad versions completed, want none", name, missed, seeds)
 		}
 	}
 }
 
-// TestExposureHoldsAtEveryMoment follows the plan of versions that show nothing: of the requests
-// since the order, by any moment, and of all until the deadline.
+// TestExposureHoldsAtEveryMoment guards against a plan that gives the new version more than the
+// allowed share of the requests between the order and its deadline. No bad version is found here.
 func TestExposureHoldsAtEveryMoment(t *testing.T) {
 	for _, duration := range []time.Duration{3 * time.Second, 12 * time.Second, time.Minute} {
 		for _, allowed := range []float64{0.02, 0.1, 0.5} {
@@ -179,7 +181,8 @@
 	}
 }
 
-// TestFinalStatesStay has the store tell other states than this router's verdict.
+// TestFinalStatesStay guards against a final state that changes when counts, the deadline or the
+// store say something else.
 func TestFinalStatesStay(t *testing.T) {
 	now := time.Unix(0, 0)
 	r := Begin(&Order{
@@ -194,7 +197,7 @@
 		t.Errorf("bad version: got %s with a share of %v", got, r.Share(now))
 	}
 	if got := r.Observe(now.Add(2*time.Second), Counts{}, Counts{Bad: 50}); got != StateRolledBack {
-		t.Errorf("after the deadline: got %s, want what it was", got)
+		t.Errorf("after the deadline: got %s, want it unchanged", got)
 	}
 	r.Order.State = StateCompleted
 	if got := r.Observe(now, Counts{}, Counts{Bad: 50}); got != StateCompleted || r.Share(now) != 1 {
