--- a/pace/doc.go
+++ b/pace/doc.go
@@ -1,4 +1,4 @@
-// Package pace learns how long things take from what was seen of them: how fast
-// engines of a pool read, how long a route's answers take to begin. What is
-// learnt follows changes within the last few dozen to hundred observations.
+// Package pace estimates durations from observed ones: how fast the engines of a pool prefill
+// prompts, and how long the responses of a route take to begin. The estimates follow changes within
+// the last few dozen to a few hundred observations.
 package pace
--- a/pace/reading.go
+++ b/pace/reading.go
@@ -2,101 +2,101 @@
 
 import "time"
 
-// Reading learns how long the engines of a pool take to the first token of an
-// answer: a base, and the time in which they read what is not cached of the
-// prompt. Requests that wait behind others take longer than both, so that low
-// quantiles of what is seen are taken. It is not safe for concurrent use.
+// PrefillEstimator estimates how long the engines of a pool take to the first token of a response:
+// a base time plus the time to prefill the tokens of the prompt that are not cached. Requests that
+// wait behind others take longer, so the estimates are low quantiles of the observed times. It is
+// not safe for concurrent use.
 type Reading struct {
-	// tokens are the sizes of what was read, short the times of requests with
-	// little to read, long the milliseconds a token of those with much.
-	tokens, short, long *Window
+	// tokens holds the numbers of tokens to prefill, shortTimes the times in milliseconds of
+	// requests with few of them, longPerToken the milliseconds per token of requests with many.
+	tokens, shortTimes, longPerToken *Window
 }
 
 const (
-	// readingWindow and longWindow are how many requests are remembered: some
-	// seconds of a pool's. Few have much to read.
-	readingWindow = 128
+	// prefillWindow and longWindow are how many requests are kept: some seconds of a pool's
+	// traffic. Few requests have many tokens to prefill.
+	prefillWindow = 128
 	longWindow    = 48
-	// readingLeast and longLeast are how many have to be seen before the start
-	// values are left.
-	readingLeast = 24
-	longLeast    = 8
-	// shortShare of the sizes seen is little to read, longFactor times that and
-	// longTokens at least is much: the base matters little beside it.
-	shortShare = 0.5
-	longFactor = 8
-	longTokens = 500
-	// undisturbed is the quantile of what an engine takes that has nothing else
-	// to read.
-	undisturbed = 0.25
+	// minShort and minLong are how many requests have to be observed before an estimate replaces
+	// the initial value.
+	minShort = 24
+	minLong  = 8
+	// A request is short if it has no more tokens to prefill than the shortQuantile of the
+	// requests. It is long with at least longFactor times that and at least minLongTokens: the base
+	// time hardly matters there.
+	shortQuantile = 0.5
+	longFactor    = 8
+	minLongTokens = 500
+	// unloadedQuantile is the quantile of the observed times that stands for an engine with nothing
+	// else to prefill.
+	unloadedQuantile = 0.25
 )
 
-// Start values, floors and ceilings of what is learnt. The start is a large
-// model on current hardware; the bounds are ten times slower than the slowest
-// and some times faster than the fastest engine that is known.
+// Initial values and bounds of the estimates. The initial values fit a large model on current
+// hardware; the bounds are ten times slower than the slowest known engine and some times faster
+// than the fastest.
 const (
-	StartPace = 100.0
-	leastPace = 2.0
-	mostPace  = 2000.0
+	StartPace               = 100.0
+	minTokensPerMillisecond = 2.0
+	maxTokensPerMillisecond = 2000.0
 
-	StartBase = 55 * time.Millisecond
-	leastBase = time.Millisecond
-	mostBase  = 2 * time.Second
+	StartBase   = 55 * time.Millisecond
+	minBaseTime = time.Millisecond
+	maxBaseTime = 2 * time.Second
 )
 
-// NewReading makes one with the start values.
+// NewPrefillEstimator returns an estimator with the initial values.
 func NewReading() *Reading {
 	return &Reading{
-		tokens: NewWindow(readingWindow),
-		short:  NewWindow(readingWindow),
-		long:   NewWindow(longWindow),
+		tokens:       NewWindow(prefillWindow),
+		shortTimes:   NewWindow(prefillWindow),
+		longPerToken: NewWindow(longWindow),
 	}
 }
 
-// Seen takes the time to the first token of a request that had so many tokens
-// to read.
+// Record adds the time to the first token of a request that had so many tokens to prefill.
 func (r *Reading) Seen(tokens int, took time.Duration) {
 	if took <= 0 || tokens < 0 {
 		return
 	}
 	r.tokens.Add(float64(tokens))
-	usual := r.tokens.Quantile(shortShare)
+	typical := r.tokens.Quantile(shortQuantile)
 	switch {
-	case float64(tokens) <= usual:
-		r.short.Add(milliseconds(took))
-	case float64(tokens) >= max(longFactor*usual, longTokens):
-		r.long.Add(max(milliseconds(took)-milliseconds(r.Base()), 0) / float64(tokens))
+	case float64(tokens) <= typical:
+		r.shortTimes.Add(milliseconds(took))
+	case float64(tokens) >= max(longFactor*typical, minLongTokens):
+		r.longPerToken.Add(max(milliseconds(took)-milliseconds(r.Base()), 0) / float64(tokens))
 	}
 }
 
-// Base is the time to the first token of a request with nothing to read.
+// BaseTime returns the time to the first token of a request with nothing to prefill.
 func (r *Reading) Base() time.Duration {
-	if r.short.Len() < readingLeast {
+	if r.shortTimes.Len() < minShort {
 		return StartBase
 	}
-	base := time.Duration(r.short.Quantile(undisturbed) * float64(time.Millisecond))
-	return min(max(base, leastBase), mostBase)
+	base := time.Duration(r.shortTimes.Quantile(unloadedQuantile) * float64(time.Millisecond))
+	return min(max(base, minBaseTime), maxBaseTime)
 }
 
-// Pace is how many tokens an engine reads in a millisecond.
+// TokensPerMillisecond returns how many tokens an engine prefills in a millisecond.
 func (r *Reading) Pace() float64 {
-	if r.long.Len() < longLeast {
+	if r.longPerToken.Len() < minLong {
 		return StartPace
 	}
-	each := r.long.Quantile(undisturbed)
-	if each <= 0 {
-		return mostPace
+	perToken := r.longPerToken.Quantile(unloadedQuantile)
+	if perToken <= 0 {
+		return maxTokensPerMillisecond
 	}
-	return min(max(1/each, leastPace), mostPace)
+	return min(max(1/perToken, minTokensPerMillisecond), maxTokensPerMillisecond)
 }
 
-// Time is how long an engine takes to the first token with so many tokens to
-// read, undisturbed.
+// PrefillTime returns how long an unloaded engine takes to the first token with so many tokens to
+// prefill.
 func (r *Reading) Time(tokens int) time.Duration {
 	return r.Base() + time.Duration(float64(tokens)/r.Pace()*float64(time.Millisecond))
 }
 
-// Tokens is what an engine reads within the time.
+// TokensWithin returns how many tokens an engine prefills in a duration.
 func (r *Reading) Tokens(within time.Duration) int {
 	return int(r.Pace() * milliseconds(within))
 }
--- a/pace/slowness.go
+++ b/pace/slowness.go
@@ -5,67 +5,67 @@
 	"time"
 )
 
-// Slowness keeps by how much longer the latest requests took than they would
-// have undisturbed. What was undisturbed is asked for anew whenever the order
-// is: what is learnt of it later holds for earlier requests too. It is not safe
-// for concurrent use.
+// SlowdownEstimator estimates by what factor requests take longer than they would on an unloaded
+// engine, from the latest ones. It calls UnloadedTime anew each time it sorts, so that a better
+// estimate applies to earlier requests too. It is not safe for concurrent use.
 type Slowness struct {
-	// Undisturbed is how long a request with so many tokens to read takes alone.
+	// UnloadedTime returns how long a request with so many tokens to prefill takes on an unloaded
+	// engine.
 	Undisturbed func(tokens int) time.Duration
 
-	seen   []request
+	latest []observation
 	next   int
 	sorted []float64
 	added  int
 }
 
-// request is one that was seen.
-type request struct {
+// observation is the time that one request took.
+type observation struct {
 	tokens int
 	took   time.Duration
 }
 
-// slownessWindow is how many requests are remembered: some seconds of a pool's.
-const slownessWindow = 256
+// slowdownWindow is how many requests are kept: some seconds of a pool's traffic.
+const slowdownWindow = 256
 
-// Seen takes a request's time.
+// Record adds the time that a request with so many tokens to prefill took.
 func (s *Slowness) Seen(tokens int, took time.Duration) {
-	latest := request{
+	o := observation{
 		tokens: tokens,
 		took:   took,
 	}
 	s.added++
-	if len(s.seen) < slownessWindow {
-		s.seen = append(s.seen, latest)
+	if len(s.latest) < slowdownWindow {
+		s.latest = append(s.latest, o)
 		return
 	}
-	s.seen[s.next] = latest
-	s.next = (s.next + 1) % slownessWindow
+	s.latest[s.next] = o
+	s.next = (s.next + 1) % slowdownWindow
 }
 
-// Len counts the requests that are remembered.
+// Len returns the number of requests that are kept.
 func (s *Slowness) Len() int {
-	return len(s.seen)
+	return len(s.latest)
 }
 
-// Within is the time that a share of requests with so many tokens to read do not
-// exceed; 0 without any request.
+// Quantile returns the time that a share, from 0 to 1, of the requests with so many tokens to
+// prefill do not exceed; 0 without observations.
 func (s *Slowness) Within(share float64, tokens int) time.Duration {
-	if len(s.seen) == 0 {
+	if len(s.latest) == 0 {
 		return 0
 	}
-	if len(s.sorted) == 0 || s.added*staleShare >= len(s.seen) {
+	if len(s.sorted) == 0 || s.added*resortDivisor >= len(s.latest) {
 		s.sort()
 	}
 	last := len(s.sorted) - 1
-	times := s.sorted[min(int(share*float64(len(s.sorted))), last)]
-	return time.Duration(times * float64(s.Undisturbed(tokens)))
+	slowdown := s.sorted[min(int(share*float64(len(s.sorted))), last)]
+	return time.Duration(slowdown * float64(s.Undisturbed(tokens)))
 }
 
 func (s *Slowness) sort() {
 	s.sorted = s.sorted[:0]
-	for _, r := range s.seen {
-		s.sorted = append(s.sorted, float64(r.took)/float64(max(s.Undisturbed(r.tokens), 1)))
+	for _, o := range s.latest {
+		s.sorted = append(s.sorted, float64(o.took)/float64(max(s.Undisturbed(o.tokens), 1)))
 	}
 	slices.Sort(s.sorted)
 	s.added = 0
--- a/pace/slowness_test.go
+++ b/pace/slowness_test.go
@@ -5,34 +5,34 @@
 	"time"
 )
 
-// TestSlownessFollowsWhatIsLearntLater has what a request takes alone become
-// known after requests were seen.
-func TestSlownessFollowsWhatIsLearntLater(t *testing.T) {
-	alone := time.Millisecond
+// TestSlowdownsFollowLaterEstimates guards against slowdowns that keep an outdated unloaded time:
+// it becomes known only after the requests were recorded.
+func TestSlowdownsFollowLaterEstimates(t *testing.T) {
+	unloaded := time.Millisecond
 	s := &Slowness{
-		Undisturbed: func(tokens int) time.Duration { return alone + time.Duration(tokens)*time.Millisecond },
+		Undisturbed: func(tokens int) time.Duration { return unloaded + time.Duration(tokens)*time.Millisecond },
 	}
 	if got := s.Within(0.5, 10); got != 0 {
-		t.Errorf("got %v of nothing, want 0", got)
+		t.Errorf("got %v without observations, want 0", got)
 	}
 	for i := range 100 {
 		s.Seen(i, 2*(100*time.Millisecond+time.Duration(i)*time.Millisecond))
 	}
-	alone = 100 * time.Millisecond
+	unloaded = 100 * time.Millisecond
 	for range 20 {
 		s.Seen(0, 200*time.Millisecond)
 	}
 	if got, want := s.Within(0.99, 50), 300*time.Millisecond; got != want {
-		t.Errorf("got %v, want twice what the request takes alone, %v", got, want)
+		t.Errorf("got %v, want twice the unloaded time, %v", got, want)
 	}
 }
 
-func TestSlownessKeepsTheLatest(t *testing.T) {
+func TestSlowdownsKeepTheLatest(t *testing.T) {
 	s := &Slowness{
 		Undisturbed: func(int) time.Duration { return time.Millisecond },
 	}
 	for _, took := range []time.Duration{time.Second, 20 * time.Millisecond} {
-		for range 2 * slownessWindow {
+		for range 2 * slowdownWindow {
 			s.Seen(0, took)
 		}
 		if got := s.Within(0.5, 0); got != took {
--- a/pace/window.go
+++ b/pace/window.go
@@ -2,30 +2,29 @@
 
 import "slices"
 
-// Window keeps the latest values of a quantity. It is not safe for concurrent
-// use.
+// Window keeps the latest values of a quantity and returns their quantiles. It is not safe for
+// concurrent use.
 type Window struct {
 	size   int
 	values []float64
 	next   int
-	// sorted are the values when they were sorted last, added counts those that
-	// came since.
+	// sorted holds the values as last sorted; added counts the values added since.
 	sorted []float64
 	added  int
 }
 
-// staleShare of the values, one in so many, may be newer than the order that
-// quantiles are read from: sorting at each one would cost more than it tells.
-const staleShare = 16
+// Up to one in resortDivisor of the values may be newer than the sorted copy that quantiles are
+// read from: sorting for each call would cost more than the fresher result is worth.
+const resortDivisor = 16
 
-// NewWindow makes a window of the latest values.
+// NewWindow returns a window that keeps the latest size values.
 func NewWindow(size int) *Window {
 	return &Window{
 		size: size,
 	}
 }
 
-// Add takes a value.
+// Add adds a value, in place of the oldest one if the window is full.
 func (w *Window) Add(value float64) {
 	w.added++
 	if len(w.values) < w.size {
@@ -36,18 +35,18 @@
 	w.next = (w.next + 1) % w.size
 }
 
-// Len counts the values that are kept.
+// Len returns the number of values in the window.
 func (w *Window) Len() int {
 	return len(w.values)
 }
 
-// Quantile gives the value that a share of the latest ones are not above; 0
-// without any.
+// Quantile returns the quantile of the values for a share from 0 to 1, which may lack the latest
+// few values; 0 without values.
 func (w *Window) Quantile(share float64) float64 {
 	if len(w.values) == 0 {
 		return 0
 	}
-	if len(w.sorted) == 0 || w.added*staleShare >= len(w.values) {
+	if len(w.sorted) == 0 || w.added*resortDivisor >= len(w.values) {
 		w.sorted = append(w.sorted[:0], w.values...)
 		slices.Sort(w.sorted)
 		w.added = 0
--- a/pace/window_test.go
+++ b/pace/window_test.go
@@ -5,7 +5,7 @@
 func TestWindowKeepsTheLatest(t *testing.T) {
 	w := NewWindow(100)
 	if got := w.Quantile(0.5); got != 0 {
-		t.Errorf("got %v of nothing, want 0", got)
+		t.Errorf("got %v of an empty window, want 0", got)
 	}
 	for i := range 1000 {
 		w.Add(float64(i))
@@ -16,8 +16,8 @@
 		0.99: 999,
 		1:    999,
 	} {
-		// The order may lack the latest few values.
-		if got := w.Quantile(share); got > want || got < want-100/staleShare-1 {
+		// The sorted copy may lack the latest few values.
+		if got := w.Quantile(share); got > want || got < want-100/resortDivisor-1 {
 			t.Errorf("quantile %v: got %v, want %v or a little less", share, got, want)
 		}
 	}
