--- a/pace/reading.go
+++ b/pace/reading.go
@@ -55,35 +55,35 @@
 }
 
 // Record adds the time to the first token of a request that had so many tokens to prefill.
-func (r *Reading) Seen(tokens int, took time.Duration) {
+func (e *Reading) Seen(tokens int, took time.Duration) {
 	if took <= 0 || tokens < 0 {
 		return
 	}
-	r.tokens.Add(float64(tokens))
-	typical := r.tokens.Quantile(shortQuantile)
+	e.tokens.Add(float64(tokens))
+	typical := e.tokens.Quantile(shortQuantile)
 	switch {
 	case float64(tokens) <= typical:
-		r.shortTimes.Add(milliseconds(took))
+		e.shortTimes.Add(milliseconds(took))
 	case float64(tokens) >= max(longFactor*typical, minLongTokens):
-		r.longPerToken.Add(max(milliseconds(took)-milliseconds(r.Base()), 0) / float64(tokens))
+		e.longPerToken.Add(max(milliseconds(took)-milliseconds(e.Base()), 0) / float64(tokens))
 	}
 }
 
 // BaseTime returns the time to the first token of a request with nothing to prefill.
-func (r *Reading) Base() time.Duration {
-	if r.shortTimes.Len() < minShort {
+func (e *Reading) Base() time.Duration {
+	if e.shortTimes.Len() < minShort {
 		return StartBase
 	}
-	base := time.Duration(r.shortTimes.Quantile(unloadedQuantile) * float64(time.Millisecond))
+	base := time.Duration(e.shortTimes.Quantile(unloadedQuantile) * float64(time.Millisecond))
 	return min(max(base, minBaseTime), maxBaseTime)
 }
 
 // TokensPerMillisecond returns how many tokens an engine prefills in a millisecond.
-func (r *Reading) Pace() float64 {
-	if r.longPerToken.Len() < minLong {
+func (e *Reading) Pace() float64 {
+	if e.longPerToken.Len() < minLong {
 		return StartPace
 	}
-	perToken := r.longPerToken.Quantile(unloadedQuantile)
+	perToken := e.longPerToken.Quantile(unloadedQuantile)
 	if perToken <= 0 {
 		return maxTokensPerMillisecond
 	}
@@ -92,13 +92,13 @@
 
 // PrefillTime returns how long an unloaded engine takes to the first token with so many tokens to
 // prefill.
-func (r *Reading) Time(tokens int) time.Duration {
-	return r.Base() + time.Duration(float64(tokens)/r.Pace()*float64(time.Millisecond))
+func (e *Reading) Time(tokens int) time.Duration {
+	return e.Base() + time.Duration(float64(tokens)/e.Pace()*float64(time.Millisecond))
 }
 
 // TokensWithin returns how many tokens an engine prefills in a duration.
-func (r *Reading) Tokens(within time.Duration) int {
-	return int(r.Pace() * milliseconds(within))
+func (e *Reading) Tokens(within time.Duration) int {
+	return int(e.Pace() * milliseconds(within))
 }
 
 func milliseconds(d time.Duration) float64 {
--- a/pace/reading_test.go
+++ b/pace/reading_test.go
@@ -29,12 +29,12 @@
 	return 50 + random.IntN(400)
 }
 
-func checkEstimates(t *testing.T, when string, r *Reading, want engine) {
+func checkEstimates(t *testing.T, when string, estimator *Reading, want engine) {
 	t.Helper()
-	if got := r.Pace(); got < want.tokensPerMillisecond*0.7 || got > want.tokensPerMillisecond*1.4 {
+	if got := estimator.Pace(); got < want.tokensPerMillisecond*0.7 || got > want.tokensPerMillisecond*1.4 {
 		t.Errorf("%s: got %.1f tokens per ms, want about %.1f", when, got, want.tokensPerMillisecond)
 	}
-	if got := r.Base(); got < want.base*8/10 || got > want.base*16/10 {
+	if got := estimator.Base(); got < want.base*8/10 || got > want.base*16/10 {
 		t.Errorf("%s: got a base time of %v, want about %v", when, got, want.base)
 	}
 }
@@ -55,12 +55,12 @@
 		},
 	} {
 		random := rand.New(rand.NewPCG(1, 2))
-		r := NewReading()
+		estimator := NewReading()
 		for range 400 {
 			n := randomTokens(random)
-			r.Seen(n, e.firstTokenTime(n, random))
+			estimator.Seen(n, e.firstTokenTime(n, random))
 		}
-		checkEstimates(t, "after 400 requests", r, e)
+		checkEstimates(t, "after 400 requests", estimator, e)
 	}
 }
 
@@ -76,13 +76,13 @@
 		base:                 200 * time.Millisecond,
 		tokensPerMillisecond: 25,
 	}
-	r := NewReading()
+	estimator := NewReading()
 	for _, e := range []engine{fast, slow, fast} {
 		for range 600 {
 			n := randomTokens(random)
-			r.Seen(n, e.firstTokenTime(n, random))
+			estimator.Seen(n, e.firstTokenTime(n, random))
 		}
-		checkEstimates(t, "after a change", r, e)
+		checkEstimates(t, "after a change", estimator, e)
 	}
 }
 
@@ -98,37 +98,37 @@
 		base:                 550 * time.Millisecond,
 		tokensPerMillisecond: 11,
 	}
-	r := NewReading()
+	estimator := NewReading()
 	for i := range 800 {
 		n, e := randomTokens(random), usual
 		if i%8 == 0 {
 			e = slow
 		}
-		r.Seen(n, e.firstTokenTime(n, random))
+		estimator.Seen(n, e.firstTokenTime(n, random))
 	}
-	checkEstimates(t, "with one slow engine", r, usual)
+	checkEstimates(t, "with one slow engine", estimator, usual)
 }
 
 func TestPrefillEstimatesHaveInitialValuesAndBounds(t *testing.T) {
-	r := NewReading()
-	if r.Pace() != StartPace || r.Base() != StartBase {
-		t.Errorf("got %v and %v at the start, want %v and %v", r.Pace(), r.Base(),
+	estimator := NewReading()
+	if estimator.Pace() != StartPace || estimator.Base() != StartBase {
+		t.Errorf("got %v and %v at the start, want %v and %v", estimator.Pace(), estimator.Base(),
 			StartPace, StartBase)
 	}
 	for range 400 {
-		r.Seen(10, time.Hour)
-		r.Seen(10000, 100*time.Hour)
+		estimator.Seen(10, time.Hour)
+		estimator.Seen(10000, 100*time.Hour)
 	}
-	if r.Pace() != minTokensPerMillisecond || r.Base() != maxBaseTime {
-		t.Errorf("got %v and %v for engines below the bounds, want %v and %v", r.Pace(), r.Base(),
+	if estimator.Pace() != minTokensPerMillisecond || estimator.Base() != maxBaseTime {
+		t.Errorf("got %v and %v for engines below the bounds, want %v and %v", estimator.Pace(), estimator.Base(),
 			minTokensPerMillisecond, maxBaseTime)
 	}
 	for range 400 {
-		r.Seen(10, time.Nanosecond)
-		r.Seen(100000, 2*time.Nanosecond)
+		estimator.Seen(10, time.Nanosecond)
+		estimator.Seen(100000, 2*time.Nanosecond)
 	}
-	if r.Pace() != maxTokensPerMillisecond || r.Base() != minBaseTime {
-		t.Errorf("got %v and %v for engines above the bounds, want %v and %v", r.Pace(), r.Base(),
+	if estimator.Pace() != maxTokensPerMillisecond || estimator.Base() != minBaseTime {
+		t.Errorf("got %v and %v for engines above the bounds, want %v and %v", estimator.Pace(), estimator.Base(),
 			maxTokensPerMillisecond, minBaseTime)
 	}
 }
