--- a/clock/clock.go
+++ b/clock/clock.go
@@ -1,5 +1,5 @@
-// Package clock tells how old something is where the box may have been suspended
-// meanwhile: the runtime's clock leaves that time out.
+// Package clock measures ages and deadlines including the time in which the box was suspended,
+// which the runtime's clock leaves out.
 package clock
 
 import (
@@ -10,81 +10,84 @@
 	"golang.org/x/sys/unix"
 )
 
-// leastSleep is the shortest suspension that is noticed: more than the two readings of
-// a comparison are apart on a busy box, and less than any age that decides.
-const leastSleep = 50 * time.Millisecond
+// minSuspension is the shortest suspension that is detected: more than the gap between the two
+// clock readings of a comparison on a busy box, and less than any age that a decision depends on.
+const minSuspension = 50 * time.Millisecond
 
 var (
-	// slept is how long the box was suspended so far, as far as it was noticed.
-	slept atomic.Int64
-	// mu guards the comparison, source and the noticed time before it was set.
-	mu     sync.Mutex
-	source = ahead
-	origin = ahead()
+	// suspended is the total suspension detected so far, in nanoseconds.
+	suspended atomic.Int64
+	// mu guards source and initialOffset, and writes to suspended. initialOffset is what source
+	// returned before the first suspension.
+	mu            sync.Mutex
+	source        = suspensionOffset
+	initialOffset = suspensionOffset()
 )
 
-// Now is the runtime's time and what the box was suspended for, as far as Notice found
-// out. Times of both kinds must not be compared, and its time of day means nothing.
+// Now returns the runtime's time plus the suspensions that DetectSuspension has found so far. It
+// must not be compared with times of the runtime, and its time of day has no meaning.
 func Now() time.Time {
-	return time.Now().Add(time.Duration(slept.Load()))
+	return time.Now().Add(time.Duration(suspended.Load()))
 }
 
-// Since is how long ago a time of Now was.
+// Since returns the time elapsed since a time returned by Now.
 func Since(t time.Time) time.Duration {
 	return Now().Sub(t)
 }
 
-// Until is how long it is until a time of Now.
+// Until returns the time left until a time based on Now.
 func Until(t time.Time) time.Duration {
 	return t.Sub(Now())
 }
 
-// Runtime turns a time of Now into the runtime's, for timers and deadlines of contexts
-// and connections.
+// ToRuntime converts a time based on Now into the runtime's time, for timers and for deadlines of
+// contexts and connections.
 func Runtime(t time.Time) time.Time {
-	return t.Add(-time.Duration(slept.Load()))
+	return t.Add(-time.Duration(suspended.Load()))
 }
 
-// Slept is for how long the box was suspended so far, as far as Notice found out.
+// Suspended returns how long the box has been suspended so far, as far as DetectSuspension has
+// found.
 func Slept() time.Duration {
-	return time.Duration(slept.Load())
+	return time.Duration(suspended.Load())
 }
 
-// Notice compares the clocks, and gives for how long the box was suspended since it was
-// called last; 0 if it was not. It takes two system calls.
+// DetectSuspension compares the clocks and returns how long the box was suspended since the last
+// call; 0 if it was not. It makes two system calls. Call it regularly: Now advances over a
+// suspension only then.
 func Notice() time.Duration {
 	mu.Lock()
 	defer mu.Unlock()
-	more := source() - origin - time.Duration(slept.Load())
-	if more < leastSleep {
+	suspension := source() - initialOffset - time.Duration(suspended.Load())
+	if suspension < minSuspension {
 		return 0
 	}
-	slept.Add(int64(more))
-	return more
+	suspended.Add(int64(suspension))
+	return suspension
 }
 
-// SetSource has Notice take from elsewhere how far the clock that counts suspensions is
-// ahead of the runtime's, and gives a function that ends that. It is for tests.
+// SetSource replaces how DetectSuspension measures the lead of the clock that counts suspensions
+// over the runtime's, and returns a function that undoes this. It is for tests.
 func SetSource(from func() time.Duration) (restore func()) {
 	mu.Lock()
 	defer mu.Unlock()
-	before, began, noticed := source, origin, slept.Load()
-	source, origin = from, from()-time.Duration(noticed)
+	oldSource, oldOffset, oldSuspended := source, initialOffset, suspended.Load()
+	source, initialOffset = from, from()-time.Duration(oldSuspended)
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
-		source, origin = before, began
-		slept.Store(noticed)
+		source, initialOffset = oldSource, oldOffset
+		suspended.Store(oldSuspended)
 	}
 }
 
-// ahead is how far the clock that counts suspensions is ahead of the one that does not.
-// Where there is none, nothing is ever noticed.
-func ahead() time.Duration {
-	var counting, steady unix.Timespec
-	err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &steady)
-	if err != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &counting) != nil {
+// suspensionOffset returns the lead of the clock that counts suspensions over the one that does
+// not. It is 0 on systems without such a clock, so that no suspension is ever detected.
+func suspensionOffset() time.Duration {
+	var bootTime, monotonic unix.Timespec
+	err := unix.ClockGettime(unix.CLOCK_MONOTONIC, &monotonic)
+	if err != nil || unix.ClockGettime(unix.CLOCK_BOOTTIME, &bootTime) != nil {
 		return 0
 	}
-	return time.Duration(counting.Nano() - steady.Nano())
+	return time.Duration(bootTime.Nano() - monotonic.Nano())
 }
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -6,51 +6,53 @@
 	"time"
 )
 
-// TestSuspensionsCount suspends the box for 1, 5 and 30 s.
-func TestSuspensionsCount(t *testing.T) {
+// TestSuspensionsCountAsElapsedTime guards against ages and deadlines that leave out the time in
+// which the box was suspended, here for 1, 5 and 30 s.
+func TestSuspensionsCountAsElapsedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ahead := 40 * time.Hour
-		defer SetSource(func() time.Duration { return ahead })()
-		for _, sleep := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
+		offset := 40 * time.Hour
+		defer SetSource(func() time.Duration { return offset })()
+		for _, suspension := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 			began, deadline := Now(), Now().Add(10*time.Second)
 			time.Sleep(time.Second)
 			if got := Notice(); got != 0 {
-				t.Errorf("got %v noticed without a suspension", got)
+				t.Errorf("got a suspension of %v, want none", got)
 			}
-			ahead += sleep
-			if got := Notice(); got != sleep {
-				t.Errorf("got %v noticed, want %v", got, sleep)
+			offset += suspension
+			if got := Notice(); got != suspension {
+				t.Errorf("got a suspension of %v, want %v", got, suspension)
 			}
 			if got := Notice(); got != 0 {
-				t.Errorf("got %v noticed again, want each once", got)
+				t.Errorf("got a suspension of %v again, want each reported once", got)
 			}
-			if got, want := Since(began), sleep+time.Second; got != want {
+			if got, want := Since(began), suspension+time.Second; got != want {
 				t.Errorf("got an age of %v, want %v", got, want)
 			}
-			if got, want := Until(deadline), 9*time.Second-sleep; got != want {
+			if got, want := Until(deadline), 9*time.Second-suspension; got != want {
 				t.Errorf("got %v left, want %v", got, want)
 			}
-			if got, want := time.Until(Runtime(deadline)), 9*time.Second-sleep; got != want {
+			if got, want := time.Until(Runtime(deadline)), 9*time.Second-suspension; got != want {
 				t.Errorf("got a timer of %v, want %v", got, want)
 			}
 		}
 	})
 }
 
-// TestJitterIsNoSuspension has the two clocks differ by what their readings are apart.
-func TestJitterIsNoSuspension(t *testing.T) {
-	ahead := time.Duration(0)
-	defer SetSource(func() time.Duration { return ahead })()
+// TestReadingJitterIsNoSuspension guards against a suspension reported because the two clocks are
+// not read at the same instant.
+func TestReadingJitterIsNoSuspension(t *testing.T) {
+	offset := time.Duration(0)
+	defer SetSource(func() time.Duration { return offset })()
 	for i := range 1000 {
-		ahead = time.Duration(i%20) * time.Millisecond
+		offset = time.Duration(i%20) * time.Millisecond
 		if got := Notice(); got != 0 {
-			t.Fatalf("got %v noticed for readings that are %v apart", got, ahead)
+			t.Fatalf("got a suspension of %v for readings %v apart, want none", got, offset)
 		}
 	}
 }
 
-func TestOwnClocksAgree(t *testing.T) {
+func TestNoSuspensionIsDetectedByDefault(t *testing.T) {
 	if got := Notice(); got != 0 {
-		t.Errorf("got %v noticed in a test that slept for nothing", got)
+		t.Errorf("got a suspension of %v on a running box, want none", got)
 	}
 }
