--- a/routing/limits.go
+++ b/routing/limits.go
@@ -2,10 +2,11 @@
 
 import "time"
 
-// Limits bound what callers may send. Zero fields set no bound.
+// Limits bound the size of request headers and bodies and the idle time of connections. A zero
+// field sets no bound.
 type Limits struct {
 	HeaderBytes int64
 	BodyBytes   int64
-	// Idle is how long a connection may rest between requests.
+	// IdleTimeout is how long a connection may stay idle between requests.
 	Idle time.Duration
 }
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -2,9 +2,9 @@
 
 import "slices"
 
-// Regions gives the regions whose backend servers may get a request of the route
-// and the workspace, which may be nil: where both name some, both bind. Nil allows
-// all, an empty list none.
+// AllowedRegions returns the regions whose backend servers may get a request of the route and the
+// workspace, which may be nil. If both list regions, only those in both lists are allowed. Nil
+// allows all regions, an empty list none.
 func Regions(route *Route, workspace *Workspace) []string {
 	switch {
 	case workspace == nil || len(workspace.Regions) == 0:
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestRegionsOfRouteAndWorkspaceBothBind(t *testing.T) {
+func TestAllowedRegionsAreInBothLists(t *testing.T) {
 	for _, test := range []struct {
 		name             string
 		route, workspace []string
@@ -13,27 +13,27 @@
 		wantAll          bool
 	}{
 		{
-			name:    "none names any",
+			name:    "no list",
 			wantAll: true,
 		},
 		{
-			name:  "the route alone",
+			name:  "only the route has a list",
 			route: []string{"a"},
 			want:  []string{"a"},
 		},
 		{
-			name:      "the workspace alone",
+			name:      "only the workspace has a list",
 			workspace: []string{"b"},
 			want:      []string{"b"},
 		},
 		{
-			name:      "both, one in common",
+			name:      "both, one region in common",
 			route:     []string{"a", "b"},
 			workspace: []string{"b", "c"},
 			want:      []string{"b"},
 		},
 		{
-			name:      "both, none in common",
+			name:      "both, no region in common",
 			route:     []string{"a"},
 			workspace: []string{"c"},
 			want:      []string{},
--- a/routing/route.go
+++ b/routing/route.go
@@ -2,59 +2,60 @@
 
 import "time"
 
-// Route says how the requests of a host and path prefix are served.
+// Route says how the requests for a host and path prefix are served.
 type Route struct {
 	Name string
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
 	Kind   Kind
-	// Timeout is the longest that a request is held.
+	// Timeout is the longest that the router spends on a request.
 	Timeout time.Duration
-	// Objective is the time to the answer, or its first event, that counts
-	// as good.
+	// ResponseObjective is the longest time to the response, or its first event, that counts as
+	// good.
 	Objective time.Duration
-	// Pause is the longest pause between events of a stream that counts as in
-	// time; 0 where none is named.
+	// PauseObjective is the longest pause between events of a stream that counts as good; 0 if none
+	// is configured.
 	Pause time.Duration
-	// Priority ranks requests, 0 first.
+	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the backend servers that may run one request.
+	// MaxAttempts bounds the number of backend servers that may run one request.
 	MaxAttempts int
-	// Anonymous says that requests need no key.
+	// AllowAnonymous says that requests need no key.
 	Anonymous bool
-	// Affinity says that requests name the parts of their prompt.
+	// Affinity says that requests name the parts of their prompt, so that they can be sent to an
+	// engine that has cached them.
 	Affinity bool
-	// Resumable says that a stream may go on at another backend server.
+	// Resumable says that an interrupted stream may continue at another backend server.
 	Resumable bool
-	// Regions are those whose backend servers may get the requests; none allows
+	// Regions lists the regions whose backend servers may get the requests; an empty list allows
 	// all.
 	Regions []string
-	// Targets are the pools that share the requests.
+	// Targets lists the pools that share the requests.
 	Targets []Target
 }
 
-// Target is a pool's share of a route.
+// Target is a pool's share of the requests of a route.
 type Target struct {
 	Pool   string
 	Weight int
 }
 
-// MayRepeat tells whether a request may run more than once.
+// MayRepeat reports whether a request may run more than once.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == KindRepeatable || r.Kind == KindStream && r.Resumable
 }
 
-// Choose gives the pool of a draw from 0 to 1; empty without targets.
+// ChoosePool returns a pool by weight, for a random number draw in [0, 1); "" without targets.
 func (r *Route) Choose(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += max(t.Weight, 0)
 	}
-	rest := draw * float64(total)
+	remaining := draw * float64(total)
 	for _, t := range r.Targets {
-		rest -= float64(max(t.Weight, 0))
-		if rest < 0 {
+		remaining -= float64(max(t.Weight, 0))
+		if remaining < 0 {
 			return t.Pool
 		}
 	}
--- a/routing/table.go
+++ b/routing/table.go
@@ -2,19 +2,21 @@
 
 import "strings"
 
-// Table is one version of the declared state.
+// Table is one version of the routing configuration. It is safe for concurrent use, as it does not
+// change.
 type Table struct {
 	Version uint64
 	Limits  Limits
 	Pools   map[string]*Pool
-	// Workspaces counts the workspaces; with none, no request needs a key.
+	// WorkspaceCount is the number of workspaces; if it is 0, no request needs a key.
 	Workspaces int
 
 	hosts map[string]map[string]*Route
 	keys  map[string]*Workspace
 }
 
-// NewTable makes a table.
+// NewTable returns a table that refers to the elements of the slices; the caller must not change
+// them after.
 func NewTable(version uint64, limits Limits, pools []Pool, routes []Route, workspaces []Workspace) *Table {
 	t := &Table{
 		Version:    version,
@@ -42,11 +44,12 @@
 	return t
 }
 
-// Route finds the route with the longest prefix of the path; nil without one.
+// Route returns the route of the host, with or without port, that has the longest prefix of the
+// path; nil if there is none.
 func (t *Table) Route(host, path string) *Route {
 	prefixes := t.hosts[strings.ToLower(host)]
 	if prefixes == nil {
-		// A host may come with its port.
+		// The host may include a port.
 		name, _, found := strings.Cut(host, ":")
 		if !found {
 			return nil
@@ -61,7 +64,7 @@
 	return nil
 }
 
-// Workspace finds the holder of a key; nil if nobody holds it.
+// Workspace returns the workspace that a key belongs to; nil for an unknown key.
 func (t *Table) Workspace(key string) *Workspace {
 	return t.keys[key]
 }
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -69,7 +69,7 @@
 	}
 }
 
-func TestRouteSharesByWeight(t *testing.T) {
+func TestRouteChoosesPoolsByWeight(t *testing.T) {
 	r := Route{
 		Targets: []Target{
 			{
--- a/routing/workspace.go
+++ b/routing/workspace.go
@@ -4,10 +4,11 @@
 type Workspace struct {
 	Name string
 	Keys []string
-	// Priority ranks the workspace's requests, 0 first; it goes before the
-	// route's. Nil leaves it to the route.
+	// Priority ranks the workspace's requests, 0 first. It takes precedence over the route's
+	// priority, which ranks requests of equal workspace priority. If it is nil, only the route's
+	// priority counts.
 	Priority *int
-	// Regions are those whose backend servers may get the workspace's requests;
-	// none allows all.
+	// Regions lists the regions whose backend servers may get the workspace's requests; an empty
+	// list allows all.
 	Regions []string
 }
