--- a/fleet/backendstate.go
+++ b/fleet/backendstate.go
@@ -1,13 +1,13 @@
 package fleet
 
-// BackendState says whether a backend server may get new work.
+// BackendState says whether a backend server may get new requests.
 type BackendState int
 
 // The states of a backend server.
 const (
 	BackendLive BackendState = iota
-	// BackendEjected is out for its errors and comes back by itself.
+	// BackendEjected servers are left out for their errors and return by themselves.
 	BackendEjected
-	// BackendLeaving is in a planned stop.
+	// BackendLeaving servers are in a planned stop, or gone.
 	BackendLeaving
 )
--- a/fleet/doc.go
+++ b/fleet/doc.go
@@ -1,3 +1,3 @@
-// Package fleet joins the configuration in force with what is known of boxes
-// into the view that placement and admission decide by.
+// Package fleet combines the configuration in force and the state of the fleet into the view that
+// placement and admission use.
 package fleet
--- a/fleet/place.go
+++ b/fleet/place.go
@@ -9,61 +9,59 @@
 )
 
 const (
-	// leastWatchers follow the store in a small fleet: one, and one more in
-	// case it is cut off. mostWatchers do in one of any size.
-	leastWatchers = 2
-	mostWatchers  = 3
-	// routersPerRelay bounds the routers that follow one, so that a large
-	// configuration, compressed, reaches all of them over a link of 10 Mbit/s
-	// within half a second.
+	// A small fleet has minWatchers routers that watch the store: one, and a second in case the
+	// first is cut off. A fleet of any size needs no more than maxWatchers.
+	minWatchers = 2
+	maxWatchers = 3
+	// routersPerRelay bounds the routers that follow one relay, so that a large configuration,
+	// compressed, reaches all of them over a link of 10 Mbit/s within half a second.
 	routersPerRelay = 32
-	// nearRelays is how many routers a router follows by turns, farRelays how
-	// many if none is in its own data centre.
-	nearRelays = 3
-	farRelays  = 3
-	// reserveFactor times the watchers, by rank, are asked when those that a
-	// router follows have no current copy; lastTurns doublings of the watchers
-	// take their place when nobody has.
+	// localRelays is how many relays a router follows in turn, remoteRelays how many if none is in
+	// its own data centre.
+	localRelays  = 3
+	remoteRelays = 3
+	// If none of its relays has a current copy, a router asks the reserves: the first reserveFactor
+	// * watchers routers by rank. If nobody has one, routers become acting watchers in at most
+	// takeoverTurns turns, each of which doubles the number of routers that watch.
 	reserveFactor = 2
-	lastTurns     = 3
+	takeoverTurns = 3
 )
 
-// Place is a router's place in the tree through which the store's changes reach
-// the fleet: a few routers follow the store, others these, and the rest, in a
-// large fleet, the others. All routers of a region that know the same of it see
-// the same tree.
+// RelayPosition is a router's position in the relay tree, through which the store's changes reach
+// the fleet: a few routers watch the store, others follow these, and in a large fleet the rest
+// follow the others. All routers of a region that know of the same routers there compute the same
+// tree.
 type Place struct {
-	// Watches says that it follows the store itself.
+	// IsWatcher says that the router watches the store itself.
 	Watches bool
-	// Relays are the IDs of the routers that it follows by turns, Reserves those
-	// that it asks when none of them has a current copy.
+	// Relays are the IDs of the routers that it follows in turn, Reserves those that it asks when
+	// none of the relays has a current copy.
 	Relays, Reserves []string
-	// Turn tells how soon it takes the store's watchers' place when no router
-	// that it asks has a current copy: a lower one is sooner. It does not at all
-	// if it is negative.
+	// TakeoverTurn says how soon the router becomes an acting watcher when no router that it asks
+	// has a current copy: the lower, the sooner; never if it is negative.
 	Turn int
 }
 
-// PlaceOf gives the place of a router among those that live, itself among them
-// or not.
+// FindRelayPosition returns the relay position of a router among the live routers, which may or may
+// not include the router itself.
 func PlaceOf(self slipwick.Router, routers []slipwick.Router) Place {
-	key, near := placement.IDHash("watch"), inRegion(self, routers)
-	size, rank := len(near), len(near)
-	if slices.ContainsFunc(near, func(r slipwick.Router) bool { return r.ID == self.ID }) {
-		rank = placement.RouterRank(key, near, self.ID)
+	key, regional := placement.IDHash("watch"), inRegion(self, routers)
+	size, rank := len(regional), len(regional)
+	if slices.ContainsFunc(regional, func(r slipwick.Router) bool { return r.ID == self.ID }) {
+		rank = placement.RouterRank(key, regional, self.ID)
 	} else {
 		size++
 	}
 	watchers := (size + routersPerRelay - 1) / routersPerRelay
-	watchers = min(max(watchers, leastWatchers), mostWatchers, size)
-	first, end := levelAbove(rank, watchers, size)
-	ranked := placement.TopRouters(key, near, max(end, reserveFactor*watchers))
-	if len(ranked) < size && len(ranked) == len(near) {
+	watchers = min(max(watchers, minWatchers), maxWatchers, size)
+	first, end := relayRanks(rank, watchers, size)
+	ranked := placement.TopRouters(key, regional, max(end, reserveFactor*watchers))
+	if len(ranked) < size && len(ranked) == len(regional) {
 		ranked = append(ranked, self)
 	}
 	p := Place{
 		Watches:  rank < watchers,
-		Turn:     turnOf(rank, watchers),
+		Turn:     takeoverTurn(rank, watchers),
 		Reserves: idsWithout(byScore(self.ID, ranked[:min(len(ranked), reserveFactor*watchers)]), self.ID),
 	}
 	if p.Watches {
@@ -74,14 +72,15 @@
 	return p
 }
 
-// byScore gives routers in the order in which one with the ID prefers them.
+// byScore returns the routers in the order in which the router with the ID prefers them.
 func byScore(id string, routers []slipwick.Router) []slipwick.Router {
 	return placement.TopRouters(placement.IDHash(id), routers, len(routers))
 }
 
-// levelAbove gives the ranks that a router may follow: the levels below the
-// watchers are as few as links carry, and as wide as has all carry the same.
-func levelAbove(rank, watchers, routers int) (first, end int) {
+// relayRanks returns the range of ranks, without end, that a router may follow: the level above its
+// own. There are as few levels below the watchers as routersPerRelay allows, and their width is
+// chosen so that relays of all levels have equally many followers.
+func relayRanks(rank, watchers, routers int) (first, end int) {
 	perWatcher, levels := float64(routers)/float64(watchers), 1.0
 	for math.Pow(routersPerRelay, levels) < perWatcher {
 		levels++
@@ -94,42 +93,43 @@
 	return first, end
 }
 
-// chooseRelays gives some of a level, near ones if there are any.
-func chooseRelays(self slipwick.Router, level []slipwick.Router) []string {
-	ranked := byScore(self.ID, level)
-	var near []slipwick.Router
+// chooseRelays returns the IDs of some candidates, from the router's own data centre if any are.
+func chooseRelays(self slipwick.Router, candidates []slipwick.Router) []string {
+	ranked := byScore(self.ID, candidates)
+	var local []slipwick.Router
 	for _, r := range ranked {
 		if r.DataCentre == self.DataCentre {
-			near = append(near, r)
+			local = append(local, r)
 		}
 	}
-	if len(near) > 0 {
-		return idsWithout(near[:min(len(near), nearRelays)], self.ID)
+	if len(local) > 0 {
+		return idsWithout(local[:min(len(local), localRelays)], self.ID)
 	}
-	return idsWithout(ranked[:min(len(ranked), farRelays)], self.ID)
+	return idsWithout(ranked[:min(len(ranked), remoteRelays)], self.ID)
 }
 
-// turnOf doubles the routers with each turn, so that a few suffice when one of
-// them reaches the store, and soon enough are asked when few do.
-func turnOf(rank, watchers int) int {
+// takeoverTurn returns the turn in which a router of the rank becomes an acting watcher; -1 for
+// never. The number of routers doubles with each turn, so that a few suffice if one of them reaches
+// the store, and enough try soon if only few can reach it.
+func takeoverTurn(rank, watchers int) int {
 	turn := 0
 	for limit := 2 * watchers; rank >= limit; limit *= 2 {
 		turn++
 	}
-	if turn >= lastTurns {
+	if turn >= takeoverTurns {
 		return -1
 	}
 	return turn
 }
 
 func inRegion(self slipwick.Router, routers []slipwick.Router) []slipwick.Router {
-	near := make([]slipwick.Router, 0, len(routers)+1)
+	regional := make([]slipwick.Router, 0, len(routers)+1)
 	for _, r := range routers {
 		if r.Region == self.Region {
-			near = append(near, r)
+			regional = append(regional, r)
 		}
 	}
-	return near
+	return regional
 }
 
 func idsWithout(routers []slipwick.Router, id string) []string {
--- a/fleet/place_bench_test.go
+++ b/fleet/place_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// BenchmarkPlaceOf finds a router's place, as at each change of a member.
-func BenchmarkPlaceOf(b *testing.B) {
+// BenchmarkFindRelayPosition measures the work that each change of a member causes.
+func BenchmarkFindRelayPosition(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			var routers []slipwick.Router
--- a/fleet/place_test.go
+++ b/fleet/place_test.go
@@ -18,8 +18,8 @@
 	return routers
 }
 
-// TestStoreWatchersAreFew counts the routers that follow the store themselves.
-func TestStoreWatchersAreFew(t *testing.T) {
+// TestFewRoutersWatchTheStore guards against a number of watchers that grows with the fleet.
+func TestFewRoutersWatchTheStore(t *testing.T) {
 	for size, want := range map[int]int{
 		1:   1,
 		8:   2,
@@ -35,7 +35,7 @@
 			}
 		}
 		if watchers != want {
-			t.Errorf("%d routers: got %d that follow the store, want %d", size, watchers, want)
+			t.Errorf("%d routers: got %d that watch the store, want %d", size, watchers, want)
 		}
 	}
 }
--- a/fleet/placeplain_test.go
+++ b/fleet/placeplain_test.go
@@ -13,7 +13,7 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// sortedByScore sorts all routers for a key, the highest score first.
+// sortedByScore returns all routers sorted by their score for a key, the highest first.
 func sortedByScore(key uint64, routers []slipwick.Router) []slipwick.Router {
 	sorted := slices.Clone(routers)
 	slices.SortFunc(sorted, func(a, b slipwick.Router) int {
@@ -22,8 +22,8 @@
 	return sorted
 }
 
-// plainPlaceOf is PlaceOf with the whole fleet sorted.
-func plainPlaceOf(self slipwick.Router, routers []slipwick.Router) Place {
+// referenceRelayPosition is FindRelayPosition with the whole fleet sorted.
+func referenceRelayPosition(self slipwick.Router, routers []slipwick.Router) Place {
 	ranked := sortedByScore(placement.IDHash("watch"), inRegion(self, routers))
 	rank := slices.IndexFunc(ranked, func(r slipwick.Router) bool { return r.ID == self.ID })
 	if rank < 0 {
@@ -31,25 +31,25 @@
 		rank = len(ranked) - 1
 	}
 	watchers := (len(ranked) + routersPerRelay - 1) / routersPerRelay
-	watchers = min(max(watchers, leastWatchers), mostWatchers, len(ranked))
+	watchers = min(max(watchers, minWatchers), maxWatchers, len(ranked))
 	reserves := sortedByScore(placement.IDHash(self.ID), ranked[:min(len(ranked), reserveFactor*watchers)])
 	p := Place{
 		Watches:  rank < watchers,
-		Turn:     turnOf(rank, watchers),
+		Turn:     takeoverTurn(rank, watchers),
 		Reserves: idsWithout(reserves, self.ID),
 	}
 	if p.Watches {
 		p.Relays = idsWithout(ranked[:watchers], self.ID)
 		return p
 	}
-	first, end := levelAbove(rank, watchers, len(ranked))
+	first, end := relayRanks(rank, watchers, len(ranked))
 	p.Relays = chooseRelays(self, ranked[first:end])
 	return p
 }
 
-// TestPlaceIsThatOfTheSortedFleet compares places in fleets of any size, of routers that know
-// themselves among the others or not.
-func TestPlaceIsThatOfTheSortedFleet(t *testing.T) {
+// TestRelayPositionMatchesReference guards against positions that differ from those in the sorted
+// fleet, for fleets of any size and routers that are in the list themselves or not.
+func TestRelayPositionMatchesReference(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.OneOf(rapid.IntRange(0, 12), rapid.IntRange(13, 1200)).Draw(r, "size")
 		var routers []slipwick.Router
@@ -65,7 +65,7 @@
 			DataCentre: "dc1",
 			Region:     "region1",
 		}
-		got, want := PlaceOf(self, routers), plainPlaceOf(self, routers)
+		got, want := PlaceOf(self, routers), referenceRelayPosition(self, routers)
 		if !reflect.DeepEqual(got, want) {
 			r.Errorf("%s of %d: got %+v, want %+v", self.ID, size, got, want)
 		}
--- a/fleet/states.go
+++ b/fleet/states.go
@@ -5,7 +5,7 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// HealthState gives what an owner found out in the words of membership.
+// MemberState returns the member state that corresponds to the health an owner found.
 func HealthState(health admission.Health) memberpb.State {
 	switch health {
 	case admission.HealthEjected:
@@ -17,7 +17,8 @@
 	}
 }
 
-// BackendStates gives what membership knows in the words of the viewer.
+// BackendStates returns the states of the backend servers that are not live, from their member
+// states, by ID. A dead member counts as leaving.
 func BackendStates(states map[string]memberpb.State) map[string]BackendState {
 	translated := make(map[string]BackendState, len(states))
 	for id, state := range states {
--- a/fleet/viewer.go
+++ b/fleet/viewer.go
@@ -10,13 +10,12 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Viewer makes a new view at each change of what it is told. Set the exported
-// fields before the first call.
+// Viewer builds a new view whenever the configuration or the fleet changes. Set the exported fields
+// before the first call. It is safe for concurrent use.
 type Viewer struct {
-	// Self is the router itself. It owns everything when it knows of no
-	// router that may.
+	// Self is this router. It owns all backend servers if no router is known that may own any.
 	Self slipwick.Router
-	// OnView is called with each new view, one call at a time.
+	// OnView is called with each new view, one call at a time, and must not call the viewer.
 	OnView func(*placement.View)
 
 	mu       sync.Mutex
@@ -25,7 +24,7 @@
 	states   map[string]BackendState
 }
 
-// SetConfiguration takes a newer version of the configuration.
+// SetConfiguration sets the configuration and calls OnView before it returns.
 func (v *Viewer) SetConfiguration(snapshot *configuration.Snapshot) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -33,8 +32,9 @@
 	v.publish()
 }
 
-// SetFleet takes the routers that may own backend servers, sorted by ID, and
-// the states of the backend servers that are not live, by ID.
+// SetFleet sets the routers that may own backend servers, sorted by ID, and the states of the
+// backend servers that are not live, by ID. If they changed and there is a configuration, it calls
+// OnView before it returns.
 func (v *Viewer) SetFleet(routers []slipwick.Router, states map[string]BackendState) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -45,7 +45,7 @@
 	v.publish()
 }
 
-// publish makes the view; v.mu is held.
+// publish builds a view and passes it to OnView. The caller holds v.mu.
 func (v *Viewer) publish() {
 	if v.snapshot == nil {
 		return
@@ -66,8 +66,8 @@
 	v.OnView(placement.NewView(pools, routers))
 }
 
-// usable gives the indexes of the backend servers that may get new work. An
-// ejected one counts again when no other is left: that beats an empty pool.
+// usable returns the indexes of the backend servers that may get new requests. Ejected servers
+// count again if no other is left: they are better than an empty pool.
 func (v *Viewer) usable(backends []slipwick.Backend) []int {
 	usable := make([]int, 0, len(backends))
 	var ejected []int
--- a/fleet/watchers.go
+++ b/fleet/watchers.go
@@ -5,25 +5,25 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// watchersPerDataCentre is how many routers of a data centre hold a watch in
-// the platform: one, and one more in case it is cut off.
+// watchersPerDataCentre is how many routers of a data centre watch the platform: one, and a second
+// in case the first is cut off.
 const watchersPerDataCentre = 2
 
-// Watches tells whether the router is among its data centre's watchers. One
-// that knows of no other always is.
+// IsPlatformWatcher reports whether the router is among its data centre's watchers of the platform.
+// It is if it knows of no other router.
 func Watches(self slipwick.Router, routers []slipwick.Router) bool {
-	var near []slipwick.Router
+	var sameDataCentre []slipwick.Router
 	for _, r := range routers {
 		if r.DataCentre == self.DataCentre {
-			near = append(near, r)
+			sameDataCentre = append(sameDataCentre, r)
 		}
 	}
 	for range watchersPerDataCentre {
-		chosen := placement.BestRouter(placement.IDHash("watch"), near)
-		if chosen < 0 || near[chosen].ID == self.ID {
+		best := placement.BestRouter(placement.IDHash("watch"), sameDataCentre)
+		if best < 0 || sameDataCentre[best].ID == self.ID {
 			return true
 		}
-		near = append(near[:chosen], near[chosen+1:]...)
+		sameDataCentre = append(sameDataCentre[:best], sameDataCentre[best+1:]...)
 	}
 	return false
 }
