--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -152,7 +152,7 @@
 		age = order.Duration + rolloutKept
 	}
 	return &followedRollout{
-		Rollout: rollout.Begin(order, r.process.Settings.Bounds.Exposure, now, age),
+		Rollout: rollout.New(order, r.process.Settings.Bounds.Exposure, now, age),
 	}
 }
 
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -14,7 +14,7 @@
 }
 
 // New returns the rollout of an order that was given age ago.
-func Begin(order *Order, exposure float64, now time.Time, age time.Duration) *Rollout {
+func New(order *Order, exposure float64, now time.Time, age time.Duration) *Rollout {
 	return &Rollout{
 		Order: *order,
 		Plan: Plan{
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -39,7 +39,7 @@
 
 func (t *simulation) run() result {
 	began := time.Unix(0, 0)
-	r := Begin(&Order{
+	r := New(&Order{
 		Pool:     "p",
 		Version:  "v2",
 		Duration: t.duration,
@@ -185,7 +185,7 @@
 // store say something else.
 func TestFinalStatesStay(t *testing.T) {
 	now := time.Unix(0, 0)
-	r := Begin(&Order{
+	r := New(&Order{
 		Pool:     "p",
 		Version:  "v2",
 		Duration: time.Second,
