--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -208,7 +208,7 @@
 		return due
 	}
 	for name, f := range r.following {
-		state, ok := f.ToWrite()
+		state, ok := f.PendingState()
 		if !ok || now.Sub(f.writtenAt) < rolloutWrite {
 			continue
 		}
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -56,6 +56,6 @@
 
 // PendingState returns the state to write to the store; ok is false if there is nothing to write,
 // because the store has that state or a final one.
-func (r *Rollout) ToWrite() (state State, ok bool) {
+func (r *Rollout) PendingState() (state State, ok bool) {
 	return r.verdict, r.verdict != r.Order.State && !r.Order.State.IsFinal()
 }
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -190,7 +190,7 @@
 		Version:  "v2",
 		Duration: time.Second,
 	}, exposure, now, 0)
-	if state, ok := r.ToWrite(); state != StateRunning || !ok {
+	if state, ok := r.PendingState(); state != StateRunning || !ok {
 		t.Errorf("at the order: got %s to write, %v; want running", state, ok)
 	}
 	if got := r.Observe(now, Counts{}, Counts{Bad: 50}); got != StateRolledBack || r.Share(now) != 0 {
@@ -203,7 +203,7 @@
 	if got := r.Observe(now, Counts{}, Counts{Bad: 50}); got != StateCompleted || r.Share(now) != 1 {
 		t.Errorf("completed by another router: got %s with a share of %v", got, r.Share(now))
 	}
-	if state, ok := r.ToWrite(); ok {
+	if state, ok := r.PendingState(); ok {
 		t.Errorf("got %s to write over a final state", state)
 	}
 }
