--- a/rollout/order.go
+++ b/rollout/order.go
@@ -23,7 +23,7 @@
 
 // The states of a rollout. The last two are final.
 const (
-	StateOrdered    State = ""
+	StatePending    State = ""
 	StateRunning    State = "running"
 	StateCompleted  State = "completed"
 	StateRolledBack State = "turned back"
