--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -183,7 +183,7 @@
 				Int("old_good", counts.Old.Good).Int("old_bad", counts.Old.Bad).
 				Int("new_good", counts.New.Good).Int("new_bad", counts.New.Bad).Send()
 		}
-		isOver := now.Sub(f.Plan.Began) > f.Plan.Duration+rolloutKept
+		isOver := now.Sub(f.Plan.Start) > f.Plan.Duration+rolloutKept
 		if verdict == rollout.StateCompleted && isOver {
 			continue
 		}
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -20,7 +20,7 @@
 // is allowed, no matter when that is detected, and requests that run on the old version have some
 // time to end before it stops.
 type Plan struct {
-	Began    time.Time
+	Start    time.Time
 	Duration time.Duration
 	// Exposure is the largest share of all requests within Duration that a bad version may get.
 	Exposure float64
@@ -35,7 +35,7 @@
 func (p *Plan) ShiftAt() time.Time {
 	// The exposure is canary * t + (1 - t), with t as a fraction of the duration.
 	fraction := min((1-p.Exposure)/(1-p.canary()), 1-minShiftFraction)
-	return p.Began.Add(time.Duration(fraction * float64(p.Duration)))
+	return p.Start.Add(time.Duration(fraction * float64(p.Duration)))
 }
 
 // Share returns the part of the requests that the new version gets at a time, from 0 to 1.
@@ -49,7 +49,7 @@
 // IsDue reports whether a version as good as the old one is to be marked completed: as late as
 // leaves time to write the state, so that requests on the old version end first.
 func (p *Plan) IsDue(now time.Time) bool {
-	deadline := p.Began.Add(p.Duration)
+	deadline := p.Start.Add(p.Duration)
 	due := deadline.Add(-stateWriteTime)
 	if shift := p.ShiftAt(); due.Before(shift) {
 		due = shift
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -18,7 +18,7 @@
 	return &Rollout{
 		Order: *order,
 		Plan: Plan{
-			Began:    now.Add(-age),
+			Start:    now.Add(-age),
 			Duration: order.Duration,
 			Exposure: exposure,
 		},
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -162,7 +162,7 @@
 		for _, allowed := range []float64{0.02, 0.1, 0.5} {
 			began := time.Unix(0, 0)
 			plan := Plan{
-				Began:    began,
+				Start:    began,
 				Duration: duration,
 				Exposure: allowed,
 			}
