--- a/balance/pace.go
+++ b/balance/pace.go
@@ -49,7 +49,7 @@
 type poolPace struct {
 	// hasPrompts says that the pool's requests have prompts.
 	hasPrompts bool
-	prefill    *pace.Reading
+	prefill    *pace.PrefillEstimator
 	// slowness has the times until responses began.
 	slowness *pace.Slowness
 	// pauses has the longest pause of each stream that completed, in nanoseconds.
--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -6,7 +6,7 @@
 // a base time plus the time to prefill the tokens of the prompt that are not cached. Requests that
 // wait behind others take longer, so the estimates are low quantiles of the observed times. It is
 // not safe for concurrent use.
-type Reading struct {
+type PrefillEstimator struct {
 	// tokens holds the numbers of tokens to prefill, shortTimes the times in milliseconds of
 	// requests with few of them, longPerToken the milliseconds per token of requests with many.
 	tokens, shortTimes, longPerToken *Window
@@ -46,8 +46,8 @@
 )
 
 // NewPrefillEstimator returns an estimator with the initial values.
-func NewReading() *Reading {
-	return &Reading{
+func NewReading() *PrefillEstimator {
+	return &PrefillEstimator{
 		tokens:       NewWindow(prefillWindow),
 		shortTimes:   NewWindow(prefillWindow),
 		longPerToken: NewWindow(longWindow),
@@ -55,7 +55,7 @@
 }
 
 // Record adds the time to the first token of a request that had so many tokens to prefill.
-func (e *Reading) Seen(tokens int, took time.Duration) {
+func (e *PrefillEstimator) Seen(tokens int, took time.Duration) {
 	if took <= 0 || tokens < 0 {
 		return
 	}
@@ -70,7 +70,7 @@
 }
 
 // BaseTime returns the time to the first token of a request with nothing to prefill.
-func (e *Reading) Base() time.Duration {
+func (e *PrefillEstimator) Base() time.Duration {
 	if e.shortTimes.Len() < minShort {
 		return StartBase
 	}
@@ -79,7 +79,7 @@
 }
 
 // TokensPerMillisecond returns how many tokens an engine prefills in a millisecond.
-func (e *Reading) Pace() float64 {
+func (e *PrefillEstimator) Pace() float64 {
 	if e.longPerToken.Len() < minLong {
 		return StartPace
 	}
@@ -92,12 +92,12 @@
 
 // PrefillTime returns how long an unloaded engine takes to the first token with so many tokens to
 // prefill.
-func (e *Reading) Time(tokens int) time.Duration {
+func (e *PrefillEstimator) Time(tokens int) time.Duration {
 	return e.Base() + time.Duration(float64(tokens)/e.Pace()*float64(time.Millisecond))
 }
 
 // TokensWithin returns how many tokens an engine prefills in a duration.
-func (e *Reading) Tokens(within time.Duration) int {
+func (e *PrefillEstimator) Tokens(within time.Duration) int {
 	return int(e.Pace() * milliseconds(within))
 }
 
--- a/pace/prefill_test.go
+++ b/pace/prefill_test.go
@@ -29,7 +29,7 @@
 	return 50 + random.IntN(400)
 }
 
-func checkEstimates(t *testing.T, when string, estimator *Reading, want engine) {
+func checkEstimates(t *testing.T, when string, estimator *PrefillEstimator, want engine) {
 	t.Helper()
 	if got := estimator.Pace(); got < want.tokensPerMillisecond*0.7 || got > want.tokensPerMillisecond*1.4 {
 		t.Errorf("%s: got %.1f tokens per ms, want about %.1f", when, got, want.tokensPerMillisecond)
