--- a/balance/pace.go
+++ b/balance/pace.go
@@ -68,7 +68,7 @@
 
 func newPoolPace() *poolPace {
 	p := &poolPace{
-		prefill: pace.NewReading(),
+		prefill: pace.NewPrefillEstimator(),
 		pauses:  pace.NewWindow(pausesWindow),
 	}
 	p.slowness = &pace.Slowness{
--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -46,7 +46,7 @@
 )
 
 // NewPrefillEstimator returns an estimator with the initial values.
-func NewReading() *PrefillEstimator {
+func NewPrefillEstimator() *PrefillEstimator {
 	return &PrefillEstimator{
 		tokens:       NewWindow(prefillWindow),
 		shortTimes:   NewWindow(prefillWindow),
--- a/pace/prefill_test.go
+++ b/pace/prefill_test.go
@@ -55,7 +55,7 @@
 		},
 	} {
 		random := rand.New(rand.NewPCG(1, 2))
-		estimator := NewReading()
+		estimator := NewPrefillEstimator()
 		for range 400 {
 			n := randomTokens(random)
 			estimator.Seen(n, e.firstTokenTime(n, random))
@@ -76,7 +76,7 @@
 		base:                 200 * time.Millisecond,
 		tokensPerMillisecond: 25,
 	}
-	estimator := NewReading()
+	estimator := NewPrefillEstimator()
 	for _, e := range []engine{fast, slow, fast} {
 		for range 600 {
 			n := randomTokens(random)
@@ -98,7 +98,7 @@
 		base:                 550 * time.Millisecond,
 		tokensPerMillisecond: 11,
 	}
-	estimator := NewReading()
+	estimator := NewPrefillEstimator()
 	for i := range 800 {
 		n, e := randomTokens(random), usual
 		if i%8 == 0 {
@@ -110,7 +110,7 @@
 }
 
 func TestPrefillEstimatesHaveInitialValuesAndBounds(t *testing.T) {
-	estimator := NewReading()
+	estimator := NewPrefillEstimator()
 	if estimator.Pace() != StartPace || estimator.Base() != StartBase {
 		t.Errorf("got %v and %v at the start, want %v and %v", estimator.Pace(), estimator.Base(),
 			StartPace, StartBase)
