--- a/balance/pace.go
+++ b/balance/pace.go
@@ -131,7 +131,7 @@
 	p.hasPrompts = p.hasPrompts || lease.hasPrompt
 	p.slowness.Seen(lease.tokensToPrefill, elapsed)
 	if lease.hasPrompt && lease.FetchFrom == "" {
-		p.prefill.Seen(lease.tokensToPrefill, elapsed)
+		p.prefill.Record(lease.tokensToPrefill, elapsed)
 	}
 }
 
--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -55,7 +55,7 @@
 }
 
 // Record adds the time to the first token of a request that had so many tokens to prefill.
-func (e *PrefillEstimator) Seen(tokens int, took time.Duration) {
+func (e *PrefillEstimator) Record(tokens int, took time.Duration) {
 	if took <= 0 || tokens < 0 {
 		return
 	}
--- a/pace/prefill_test.go
+++ b/pace/prefill_test.go
@@ -58,7 +58,7 @@
 		estimator := NewPrefillEstimator()
 		for range 400 {
 			n := randomTokens(random)
-			estimator.Seen(n, e.firstTokenTime(n, random))
+			estimator.Record(n, e.firstTokenTime(n, random))
 		}
 		checkEstimates(t, "after 400 requests", estimator, e)
 	}
@@ -80,7 +80,7 @@
 	for _, e := range []engine{fast, slow, fast} {
 		for range 600 {
 			n := randomTokens(random)
-			estimator.Seen(n, e.firstTokenTime(n, random))
+			estimator.Record(n, e.firstTokenTime(n, random))
 		}
 		checkEstimates(t, "after a change", estimator, e)
 	}
@@ -104,7 +104,7 @@
 		if i%8 == 0 {
 			e = slow
 		}
-		estimator.Seen(n, e.firstTokenTime(n, random))
+		estimator.Record(n, e.firstTokenTime(n, random))
 	}
 	checkEstimates(t, "with one slow engine", estimator, usual)
 }
@@ -116,16 +116,16 @@
 			StartPace, StartBase)
 	}
 	for range 400 {
-		estimator.Seen(10, time.Hour)
-		estimator.Seen(10000, 100*time.Hour)
+		estimator.Record(10, time.Hour)
+		estimator.Record(10000, 100*time.Hour)
 	}
 	if estimator.Pace() != minTokensPerMillisecond || estimator.Base() != maxBaseTime {
 		t.Errorf("got %v and %v for engines below the bounds, want %v and %v", estimator.Pace(), estimator.Base(),
 			minTokensPerMillisecond, maxBaseTime)
 	}
 	for range 400 {
-		estimator.Seen(10, time.Nanosecond)
-		estimator.Seen(100000, 2*time.Nanosecond)
+		estimator.Record(10, time.Nanosecond)
+		estimator.Record(100000, 2*time.Nanosecond)
 	}
 	if estimator.Pace() != maxTokensPerMillisecond || estimator.Base() != minBaseTime {
 		t.Errorf("got %v and %v for engines above the bounds, want %v and %v", estimator.Pace(), estimator.Base(),
