--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -65,12 +65,12 @@
 	case float64(tokens) <= typical:
 		e.shortTimes.Add(milliseconds(took))
 	case float64(tokens) >= max(longFactor*typical, minLongTokens):
-		e.longPerToken.Add(max(milliseconds(took)-milliseconds(e.Base()), 0) / float64(tokens))
+		e.longPerToken.Add(max(milliseconds(took)-milliseconds(e.BaseTime()), 0) / float64(tokens))
 	}
 }
 
 // BaseTime returns the time to the first token of a request with nothing to prefill.
-func (e *PrefillEstimator) Base() time.Duration {
+func (e *PrefillEstimator) BaseTime() time.Duration {
 	if e.shortTimes.Len() < minShort {
 		return StartBase
 	}
@@ -93,7 +93,7 @@
 // PrefillTime returns how long an unloaded engine takes to the first token with so many tokens to
 // prefill.
 func (e *PrefillEstimator) Time(tokens int) time.Duration {
-	return e.Base() + time.Duration(float64(tokens)/e.Pace()*float64(time.Millisecond))
+	return e.BaseTime() + time.Duration(float64(tokens)/e.Pace()*float64(time.Millisecond))
 }
 
 // TokensWithin returns how many tokens an engine prefills in a duration.
--- a/pace/prefill_test.go
+++ b/pace/prefill_test.go
@@ -34,7 +34,7 @@
 	if got := estimator.Pace(); got < want.tokensPerMillisecond*0.7 || got > want.tokensPerMillisecond*1.4 {
 		t.Errorf("%s: got %.1f tokens per ms, want about %.1f", when, got, want.tokensPerMillisecond)
 	}
-	if got := estimator.Base(); got < want.base*8/10 || got > want.base*16/10 {
+	if got := estimator.BaseTime(); got < want.base*8/10 || got > want.base*16/10 {
 		t.Errorf("%s: got a base time of %v, want about %v", when, got, want.base)
 	}
 }
@@ -111,24 +111,24 @@
 
 func TestPrefillEstimatesHaveInitialValuesAndBounds(t *testing.T) {
 	estimator := NewPrefillEstimator()
-	if estimator.Pace() != StartPace || estimator.Base() != StartBase {
-		t.Errorf("got %v and %v at the start, want %v and %v", estimator.Pace(), estimator.Base(),
+	if estimator.Pace() != StartPace || estimator.BaseTime() != StartBase {
+		t.Errorf("got %v and %v at the start, want %v and %v", estimator.Pace(), estimator.BaseTime(),
 			StartPace, StartBase)
 	}
 	for range 400 {
 		estimator.Record(10, time.Hour)
 		estimator.Record(10000, 100*time.Hour)
 	}
-	if estimator.Pace() != minTokensPerMillisecond || estimator.Base() != maxBaseTime {
-		t.Errorf("got %v and %v for engines below the bounds, want %v and %v", estimator.Pace(), estimator.Base(),
+	if estimator.Pace() != minTokensPerMillisecond || estimator.BaseTime() != maxBaseTime {
+		t.Errorf("got %v and %v for engines below the bounds, want %v and %v", estimator.Pace(), estimator.BaseTime(),
 			minTokensPerMillisecond, maxBaseTime)
 	}
 	for range 400 {
 		estimator.Record(10, time.Nanosecond)
 		estimator.Record(100000, 2*time.Nanosecond)
 	}
-	if estimator.Pace() != maxTokensPerMillisecond || estimator.Base() != minBaseTime {
-		t.Errorf("got %v and %v for engines above the bounds, want %v and %v", estimator.Pace(), estimator.Base(),
+	if estimator.Pace() != maxTokensPerMillisecond || estimator.BaseTime() != minBaseTime {
+		t.Errorf("got %v and %v for engines above the bounds, want %v and %v", estimator.Pace(), estimator.BaseTime(),
 			maxTokensPerMillisecond, minBaseTime)
 	}
 }
