--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -79,7 +79,7 @@
 }
 
 // TokensPerMillisecond returns how many tokens an engine prefills in a millisecond.
-func (e *PrefillEstimator) Pace() float64 {
+func (e *PrefillEstimator) TokensPerMillisecond() float64 {
 	if e.longPerToken.Len() < minLong {
 		return StartPace
 	}
@@ -93,12 +93,12 @@
 // PrefillTime returns how long an unloaded engine takes to the first token with so many tokens to
 // prefill.
 func (e *PrefillEstimator) Time(tokens int) time.Duration {
-	return e.BaseTime() + time.Duration(float64(tokens)/e.Pace()*float64(time.Millisecond))
+	return e.BaseTime() + time.Duration(float64(tokens)/e.TokensPerMillisecond()*float64(time.Millisecond))
 }
 
 // TokensWithin returns how many tokens an engine prefills in a duration.
 func (e *PrefillEstimator) Tokens(within time.Duration) int {
-	return int(e.Pace() * milliseconds(within))
+	return int(e.TokensPerMillisecond() * milliseconds(within))
 }
 
 func milliseconds(d time.Duration) float64 {
--- a/pace/prefill_test.go
+++ b/pace/prefill_test.go
@@ -31,7 +31,7 @@
 
 func checkEstimates(t *testing.T, when string, estimator *PrefillEstimator, want engine) {
 	t.Helper()
-	if got := estimator.Pace(); got < want.tokensPerMillisecond*0.7 || got > want.tokensPerMillisecond*1.4 {
+	if got := estimator.TokensPerMillisecond(); got < want.tokensPerMillisecond*0.7 || got > want.tokensPerMillisecond*1.4 {
 		t.Errorf("%s: got %.1f tokens per ms, want about %.1f", when, got, want.tokensPerMillisecond)
 	}
 	if got := estimator.BaseTime(); got < want.base*8/10 || got > want.base*16/10 {
@@ -111,24 +111,24 @@
 
 func TestPrefillEstimatesHaveInitialValuesAndBounds(t *testing.T) {
 	estimator := NewPrefillEstimator()
-	if estimator.Pace() != StartPace || estimator.BaseTime() != StartBase {
-		t.Errorf("got %v and %v at the start, want %v and %v", estimator.Pace(), estimator.BaseTime(),
+	if estimator.TokensPerMillisecond() != StartPace || estimator.BaseTime() != StartBase {
+		t.Errorf("got %v and %v at the start, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
 			StartPace, StartBase)
 	}
 	for range 400 {
 		estimator.Record(10, time.Hour)
 		estimator.Record(10000, 100*time.Hour)
 	}
-	if estimator.Pace() != minTokensPerMillisecond || estimator.BaseTime() != maxBaseTime {
-		t.Errorf("got %v and %v for engines below the bounds, want %v and %v", estimator.Pace(), estimator.BaseTime(),
+	if estimator.TokensPerMillisecond() != minTokensPerMillisecond || estimator.BaseTime() != maxBaseTime {
+		t.Errorf("got %v and %v for engines below the bounds, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
 			minTokensPerMillisecond, maxBaseTime)
 	}
 	for range 400 {
 		estimator.Record(10, time.Nanosecond)
 		estimator.Record(100000, 2*time.Nanosecond)
 	}
-	if estimator.Pace() != maxTokensPerMillisecond || estimator.BaseTime() != minBaseTime {
-		t.Errorf("got %v and %v for engines above the bounds, want %v and %v", estimator.Pace(), estimator.BaseTime(),
+	if estimator.TokensPerMillisecond() != maxTokensPerMillisecond || estimator.BaseTime() != minBaseTime {
+		t.Errorf("got %v and %v for engines above the bounds, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
 			maxTokensPerMillisecond, minBaseTime)
 	}
 }
