--- a/balance/pace.go
+++ b/balance/pace.go
@@ -83,7 +83,7 @@
 	if !p.hasPrompts {
 		return time.Millisecond
 	}
-	return p.prefill.Time(tokens)
+	return p.prefill.PrefillTime(tokens)
 }
 
 // responseTimeQuantile returns the time within which a fraction of the requests with as many
@@ -98,7 +98,7 @@
 // maxPrefillTime returns how long an engine prefills a prompt at most.
 func (p *poolPace) maxPrefillTime(tokens int) time.Duration {
 	base := p.prefill.BaseTime()
-	wait := baseMargin*float64(base) + prefillMargin*float64(p.prefill.Time(tokens)-base)
+	wait := baseMargin*float64(base) + prefillMargin*float64(p.prefill.PrefillTime(tokens)-base)
 	return min(time.Duration(wait), maxPrefillWait)
 }
 
@@ -173,7 +173,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	prefill := b.paceLocked(request.Pool).prefill
-	return prefill.Time(request.tokens()) - prefill.BaseTime()
+	return prefill.PrefillTime(request.tokens()) - prefill.BaseTime()
 }
 
 // MedianResponseTime returns the median time until the response to such a request of the pool
--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -92,7 +92,7 @@
 
 // PrefillTime returns how long an unloaded engine takes to the first token with so many tokens to
 // prefill.
-func (e *PrefillEstimator) Time(tokens int) time.Duration {
+func (e *PrefillEstimator) PrefillTime(tokens int) time.Duration {
 	return e.BaseTime() + time.Duration(float64(tokens)/e.TokensPerMillisecond()*float64(time.Millisecond))
 }
 
