--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -152,7 +152,7 @@
 	b.active[lease.server] = true
 	lease.server.recordSend(decay)
 	lease.server.prefillTokens += lease.pendingPrefill
-	if lease.hasPrompt && lease.pendingPrefill >= b.paceLocked(request.Pool).prefill.Tokens(longPrefillTime) {
+	if lease.hasPrompt && lease.pendingPrefill >= b.paceLocked(request.Pool).prefill.TokensWithin(longPrefillTime) {
 		b.OnLongPrefill()
 	}
 	return lease, nil
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -102,7 +102,7 @@
 	slices.SortFunc(below, func(x, y *server) int {
 		return cmp.Compare(placement.Score(prompt, y.hash), placement.Score(prompt, x.hash))
 	})
-	rankLead := b.paceLocked("p").prefill.Tokens(rankLeadTime)
+	rankLead := b.paceLocked("p").prefill.TokensWithin(rankLeadTime)
 	var best *server
 	bestCost := 0
 	for rank, s := range below {
--- a/balance/prefill.go
+++ b/balance/prefill.go
@@ -76,7 +76,7 @@
 func (b *Balancer) awaitPrefillLocked(request *Request, part uint64, lease *Lease, now time.Time) {
 	tokens := request.tokens()
 	known, p := b.prefills[part], b.paceLocked(lease.server.Pool)
-	if known == nil || known.done == nil && tokens < p.prefill.Tokens(longPrefillTime) {
+	if known == nil || known.done == nil && tokens < p.prefill.TokensWithin(longPrefillTime) {
 		// Short prefills of other routers are over before their updates arrive.
 		return
 	}
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -82,7 +82,7 @@
 		scores = append(scores, placement.Score(prompt, s.hash))
 	}
 	b.scratch.scores = scores
-	rankLead := b.paceLocked(usable[0].Pool).prefill.Tokens(rankLeadTime)
+	rankLead := b.paceLocked(usable[0].Pool).prefill.TokensWithin(rankLeadTime)
 	var best *server
 	bestCost := 0
 	// A lower rank is considered only while its lead could still make it the cheapest.
--- a/balance/update.go
+++ b/balance/update.go
@@ -177,7 +177,7 @@
 		b.prefills.start(part.Part, &prefill{
 			engine:    part.Server,
 			startedAt: now,
-			deadline:  now.Add(p.maxPrefillTime(p.prefill.Tokens(remotePrefillTime))),
+			deadline:  now.Add(p.maxPrefillTime(p.prefill.TokensWithin(remotePrefillTime))),
 		})
 	}
 	b.mu.Unlock()
--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -97,7 +97,7 @@
 }
 
 // TokensWithin returns how many tokens an engine prefills in a duration.
-func (e *PrefillEstimator) Tokens(within time.Duration) int {
+func (e *PrefillEstimator) TokensWithin(within time.Duration) int {
 	return int(e.TokensPerMillisecond() * milliseconds(within))
 }
 
