--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -36,7 +36,7 @@
 // hardware; the bounds are ten times slower than the slowest known engine and some times faster
 // than the fastest.
 const (
-	StartPace               = 100.0
+	InitialTokensPerMillisecond               = 100.0
 	minTokensPerMillisecond = 2.0
 	maxTokensPerMillisecond = 2000.0
 
@@ -81,7 +81,7 @@
 // TokensPerMillisecond returns how many tokens an engine prefills in a millisecond.
 func (e *PrefillEstimator) TokensPerMillisecond() float64 {
 	if e.longPerToken.Len() < minLong {
-		return StartPace
+		return InitialTokensPerMillisecond
 	}
 	perToken := e.longPerToken.Quantile(unloadedQuantile)
 	if perToken <= 0 {
--- a/pace/prefill_test.go
+++ b/pace/prefill_test.go
@@ -111,9 +111,9 @@
 
 func TestPrefillEstimatesHaveInitialValuesAndBounds(t *testing.T) {
 	estimator := NewPrefillEstimator()
-	if estimator.TokensPerMillisecond() != StartPace || estimator.BaseTime() != StartBase {
+	if estimator.TokensPerMillisecond() != InitialTokensPerMillisecond || estimator.BaseTime() != StartBase {
 		t.Errorf("got %v and %v at the start, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
-			StartPace, StartBase)
+			InitialTokensPerMillisecond, StartBase)
 	}
 	for range 400 {
 		estimator.Record(10, time.Hour)
