--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -40,7 +40,7 @@
 	minTokensPerMillisecond = 2.0
 	maxTokensPerMillisecond = 2000.0
 
-	StartBase   = 55 * time.Millisecond
+	InitialBaseTime   = 55 * time.Millisecond
 	minBaseTime = time.Millisecond
 	maxBaseTime = 2 * time.Second
 )
@@ -72,7 +72,7 @@
 // BaseTime returns the time to the first token of a request with nothing to prefill.
 func (e *PrefillEstimator) BaseTime() time.Duration {
 	if e.shortTimes.Len() < minShort {
-		return StartBase
+		return InitialBaseTime
 	}
 	base := time.Duration(e.shortTimes.Quantile(unloadedQuantile) * float64(time.Millisecond))
 	return min(max(base, minBaseTime), maxBaseTime)
--- a/pace/prefill_test.go
+++ b/pace/prefill_test.go
@@ -111,9 +111,9 @@
 
 func TestPrefillEstimatesHaveInitialValuesAndBounds(t *testing.T) {
 	estimator := NewPrefillEstimator()
-	if estimator.TokensPerMillisecond() != InitialTokensPerMillisecond || estimator.BaseTime() != StartBase {
+	if estimator.TokensPerMillisecond() != InitialTokensPerMillisecond || estimator.BaseTime() != InitialBaseTime {
 		t.Errorf("got %v and %v at the start, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
-			InitialTokensPerMillisecond, StartBase)
+			InitialTokensPerMillisecond, InitialBaseTime)
 	}
 	for range 400 {
 		estimator.Record(10, time.Hour)
