--- a/balance/pace.go
+++ b/balance/pace.go
@@ -51,7 +51,7 @@
 	hasPrompts bool
 	prefill    *pace.PrefillEstimator
 	// slowness has the times until responses began.
-	slowness *pace.Slowness
+	slowness *pace.SlowdownEstimator
 	// pauses has the longest pause of each stream that completed, in nanoseconds.
 	pauses *pace.Window
 }
@@ -71,7 +71,7 @@
 		prefill: pace.NewPrefillEstimator(),
 		pauses:  pace.NewWindow(pausesWindow),
 	}
-	p.slowness = &pace.Slowness{
+	p.slowness = &pace.SlowdownEstimator{
 		Undisturbed: p.unloadedTime,
 	}
 	return p
--- a/pace/slowdown.go
+++ b/pace/slowdown.go
@@ -8,7 +8,7 @@
 // SlowdownEstimator estimates by what factor requests take longer than they would on an unloaded
 // engine, from the latest ones. It calls UnloadedTime anew each time it sorts, so that a better
 // estimate applies to earlier requests too. It is not safe for concurrent use.
-type Slowness struct {
+type SlowdownEstimator struct {
 	// UnloadedTime returns how long a request with so many tokens to prefill takes on an unloaded
 	// engine.
 	Undisturbed func(tokens int) time.Duration
@@ -29,7 +29,7 @@
 const slowdownWindow = 256
 
 // Record adds the time that a request with so many tokens to prefill took.
-func (s *Slowness) Seen(tokens int, took time.Duration) {
+func (s *SlowdownEstimator) Seen(tokens int, took time.Duration) {
 	o := observation{
 		tokens: tokens,
 		took:   took,
@@ -44,13 +44,13 @@
 }
 
 // Len returns the number of requests that are kept.
-func (s *Slowness) Len() int {
+func (s *SlowdownEstimator) Len() int {
 	return len(s.latest)
 }
 
 // Quantile returns the time that a share, from 0 to 1, of the requests with so many tokens to
 // prefill do not exceed; 0 without observations.
-func (s *Slowness) Within(share float64, tokens int) time.Duration {
+func (s *SlowdownEstimator) Within(share float64, tokens int) time.Duration {
 	if len(s.latest) == 0 {
 		return 0
 	}
@@ -62,7 +62,7 @@
 	return time.Duration(slowdown * float64(s.Undisturbed(tokens)))
 }
 
-func (s *Slowness) sort() {
+func (s *SlowdownEstimator) sort() {
 	s.sorted = s.sorted[:0]
 	for _, o := range s.latest {
 		s.sorted = append(s.sorted, float64(o.took)/float64(max(s.Undisturbed(o.tokens), 1)))
--- a/pace/slowdown_test.go
+++ b/pace/slowdown_test.go
@@ -9,7 +9,7 @@
 // it becomes known only after the requests were recorded.
 func TestSlowdownsFollowLaterEstimates(t *testing.T) {
 	unloaded := time.Millisecond
-	s := &Slowness{
+	s := &SlowdownEstimator{
 		Undisturbed: func(tokens int) time.Duration { return unloaded + time.Duration(tokens)*time.Millisecond },
 	}
 	if got := s.Within(0.5, 10); got != 0 {
@@ -28,7 +28,7 @@
 }
 
 func TestSlowdownsKeepTheLatest(t *testing.T) {
-	s := &Slowness{
+	s := &SlowdownEstimator{
 		Undisturbed: func(int) time.Duration { return time.Millisecond },
 	}
 	for _, took := range []time.Duration{time.Second, 20 * time.Millisecond} {
