--- a/balance/pace.go
+++ b/balance/pace.go
@@ -72,7 +72,7 @@
 		pauses:  pace.NewWindow(pausesWindow),
 	}
 	p.slowness = &pace.SlowdownEstimator{
-		Undisturbed: p.unloadedTime,
+		UnloadedTime: p.unloadedTime,
 	}
 	return p
 }
--- a/pace/slowdown.go
+++ b/pace/slowdown.go
@@ -11,7 +11,7 @@
 type SlowdownEstimator struct {
 	// UnloadedTime returns how long a request with so many tokens to prefill takes on an unloaded
 	// engine.
-	Undisturbed func(tokens int) time.Duration
+	UnloadedTime func(tokens int) time.Duration
 
 	latest []observation
 	next   int
@@ -59,13 +59,13 @@
 	}
 	last := len(s.sorted) - 1
 	slowdown := s.sorted[min(int(share*float64(len(s.sorted))), last)]
-	return time.Duration(slowdown * float64(s.Undisturbed(tokens)))
+	return time.Duration(slowdown * float64(s.UnloadedTime(tokens)))
 }
 
 func (s *SlowdownEstimator) sort() {
 	s.sorted = s.sorted[:0]
 	for _, o := range s.latest {
-		s.sorted = append(s.sorted, float64(o.took)/float64(max(s.Undisturbed(o.tokens), 1)))
+		s.sorted = append(s.sorted, float64(o.took)/float64(max(s.UnloadedTime(o.tokens), 1)))
 	}
 	slices.Sort(s.sorted)
 	s.added = 0
--- a/pace/slowdown_test.go
+++ b/pace/slowdown_test.go
@@ -10,7 +10,7 @@
 func TestSlowdownsFollowLaterEstimates(t *testing.T) {
 	unloaded := time.Millisecond
 	s := &SlowdownEstimator{
-		Undisturbed: func(tokens int) time.Duration { return unloaded + time.Duration(tokens)*time.Millisecond },
+		UnloadedTime: func(tokens int) time.Duration { return unloaded + time.Duration(tokens)*time.Millisecond },
 	}
 	if got := s.Within(0.5, 10); got != 0 {
 		t.Errorf("got %v without observations, want 0", got)
@@ -29,7 +29,7 @@
 
 func TestSlowdownsKeepTheLatest(t *testing.T) {
 	s := &SlowdownEstimator{
-		Undisturbed: func(int) time.Duration { return time.Millisecond },
+		UnloadedTime: func(int) time.Duration { return time.Millisecond },
 	}
 	for _, took := range []time.Duration{time.Second, 20 * time.Millisecond} {
 		for range 2 * slowdownWindow {
