--- a/balance/pace.go
+++ b/balance/pace.go
@@ -129,7 +129,7 @@
 		lease.isSlow = elapsed > slowFactor*typical
 	}
 	p.hasPrompts = p.hasPrompts || lease.hasPrompt
-	p.slowness.Seen(lease.tokensToPrefill, elapsed)
+	p.slowness.Record(lease.tokensToPrefill, elapsed)
 	if lease.hasPrompt && lease.FetchFrom == "" {
 		p.prefill.Record(lease.tokensToPrefill, elapsed)
 	}
--- a/pace/slowdown.go
+++ b/pace/slowdown.go
@@ -29,7 +29,7 @@
 const slowdownWindow = 256
 
 // Record adds the time that a request with so many tokens to prefill took.
-func (s *SlowdownEstimator) Seen(tokens int, took time.Duration) {
+func (s *SlowdownEstimator) Record(tokens int, took time.Duration) {
 	o := observation{
 		tokens: tokens,
 		took:   took,
--- a/pace/slowdown_test.go
+++ b/pace/slowdown_test.go
@@ -16,11 +16,11 @@
 		t.Errorf("got %v without observations, want 0", got)
 	}
 	for i := range 100 {
-		s.Seen(i, 2*(100*time.Millisecond+time.Duration(i)*time.Millisecond))
+		s.Record(i, 2*(100*time.Millisecond+time.Duration(i)*time.Millisecond))
 	}
 	unloaded = 100 * time.Millisecond
 	for range 20 {
-		s.Seen(0, 200*time.Millisecond)
+		s.Record(0, 200*time.Millisecond)
 	}
 	if got, want := s.Within(0.99, 50), 300*time.Millisecond; got != want {
 		t.Errorf("got %v, want twice the unloaded time, %v", got, want)
@@ -33,7 +33,7 @@
 	}
 	for _, took := range []time.Duration{time.Second, 20 * time.Millisecond} {
 		for range 2 * slowdownWindow {
-			s.Seen(0, took)
+			s.Record(0, took)
 		}
 		if got := s.Within(0.5, 0); got != took {
 			t.Errorf("got %v, want %v", got, took)
