--- a/balance/pace.go
+++ b/balance/pace.go
@@ -92,7 +92,7 @@
 	if p.slowness.Len() < minSlownessSamples {
 		return 0
 	}
-	return p.slowness.Within(quantile, tokens)
+	return p.slowness.Quantile(quantile, tokens)
 }
 
 // maxPrefillTime returns how long an engine prefills a prompt at most.
--- a/pace/slowdown.go
+++ b/pace/slowdown.go
@@ -50,7 +50,7 @@
 
 // Quantile returns the time that a share, from 0 to 1, of the requests with so many tokens to
 // prefill do not exceed; 0 without observations.
-func (s *SlowdownEstimator) Within(share float64, tokens int) time.Duration {
+func (s *SlowdownEstimator) Quantile(share float64, tokens int) time.Duration {
 	if len(s.latest) == 0 {
 		return 0
 	}
--- a/pace/slowdown_test.go
+++ b/pace/slowdown_test.go
@@ -12,7 +12,7 @@
 	s := &SlowdownEstimator{
 		UnloadedTime: func(tokens int) time.Duration { return unloaded + time.Duration(tokens)*time.Millisecond },
 	}
-	if got := s.Within(0.5, 10); got != 0 {
+	if got := s.Quantile(0.5, 10); got != 0 {
 		t.Errorf("got %v without observations, want 0", got)
 	}
 	for i := range 100 {
@@ -22,7 +22,7 @@
 	for range 20 {
 		s.Record(0, 200*time.Millisecond)
 	}
-	if got, want := s.Within(0.99, 50), 300*time.Millisecond; got != want {
+	if got, want := s.Quantile(0.99, 50), 300*time.Millisecond; got != want {
 		t.Errorf("got %v, want twice the unloaded time, %v", got, want)
 	}
 }
@@ -35,7 +35,7 @@
 		for range 2 * slowdownWindow {
 			s.Record(0, took)
 		}
-		if got := s.Within(0.5, 0); got != took {
+		if got := s.Quantile(0.5, 0); got != took {
 			t.Errorf("got %v, want %v", got, took)
 		}
 	}
