--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -171,7 +171,7 @@
 	}
 	c.key = quarantine.KeyOf(c.workspaceName(), r.Method, r.RequestURI, body)
 	c.selection.Pool = c.pool
-	c.selection.Regions = routing.Regions(route, workspace)
+	c.selection.Regions = routing.AllowedRegions(route, workspace)
 	if route.Affinity {
 		c.selection.Prompt, c.selection.UniqueTokens = promptParts(r.Header.Get(g.Headers.Prompt))
 	}
--- a/routing/regions.go
+++ b/routing/regions.go
@@ -5,7 +5,7 @@
 // AllowedRegions returns the regions whose backend servers may get a request of the route and the
 // workspace, which may be nil. If both list regions, only those in both lists are allowed. Nil
 // allows all regions, an empty list none.
-func Regions(route *Route, workspace *Workspace) []string {
+func AllowedRegions(route *Route, workspace *Workspace) []string {
 	switch {
 	case workspace == nil || len(workspace.Regions) == 0:
 		return nilIfEmpty(route.Regions)
--- a/routing/regions_test.go
+++ b/routing/regions_test.go
@@ -40,7 +40,7 @@
 		},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			got := Regions(&Route{
+			got := AllowedRegions(&Route{
 				Regions: test.route,
 			}, &Workspace{
 				Regions: test.workspace,
