--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -151,7 +151,7 @@
 		Kind:        routing.KindRepeatable,
 		Affinity:    true,
 		MaxAttempts: 1,
-		Objective:   200 * time.Millisecond,
+		ResponseObjective:   200 * time.Millisecond,
 	},
 	{
 		Name:        "affine-again",
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -94,8 +94,8 @@
 	if !balancer.Switches.WaitForHomes {
 		limit = min(limit, balancer.PrefillTime(&c.selection))
 	}
-	if c.route.Objective > 0 {
-		limit = min(limit, c.route.Objective-balancer.MaxPrefillTime(&c.selection))
+	if c.route.ResponseObjective > 0 {
+		limit = min(limit, c.route.ResponseObjective-balancer.MaxPrefillTime(&c.selection))
 	}
 	return limit
 }
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -56,7 +56,7 @@
 		OnTimeout: h.onTimeout,
 	}
 	if timeouts.FirstByte == 0 {
-		timeouts.FirstByte = max(objectiveFactor*c.route.Objective, defaultFirstByteTimeout)
+		timeouts.FirstByte = max(objectiveFactor*c.route.ResponseObjective, defaultFirstByteTimeout)
 	}
 	if h.mayRetry {
 		left := time.Duration((1 - retryTimeShare) * float64(clock.Until(c.deadline)))
--- a/routing/route.go
+++ b/routing/route.go
@@ -13,7 +13,7 @@
 	Timeout time.Duration
 	// ResponseObjective is the longest time to the response, or its first event, that counts as
 	// good.
-	Objective time.Duration
+	ResponseObjective time.Duration
 	// PauseObjective is the longest pause between events of a stream that counts as good; 0 if none
 	// is configured.
 	Pause time.Duration
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -170,7 +170,7 @@
 		Prefix:      r.Prefix,
 		Kind:        routing.Kind(r.Kind),
 		Timeout:     time.Duration(r.Timeout),
-		Objective:   time.Duration(r.Objective),
+		ResponseObjective:   time.Duration(r.Objective),
 		Pause:       time.Duration(r.Pause),
 		Priority:    r.Priority,
 		MaxAttempts: max(r.MaxAttempts, 1),
