--- a/routing/route.go
+++ b/routing/route.go
@@ -16,7 +16,7 @@
 	ResponseObjective time.Duration
 	// PauseObjective is the longest pause between events of a stream that counts as good; 0 if none
 	// is configured.
-	Pause time.Duration
+	PauseObjective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
 	// MaxAttempts bounds the number of backend servers that may run one request.
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -171,7 +171,7 @@
 		Kind:        routing.Kind(r.Kind),
 		Timeout:     time.Duration(r.Timeout),
 		ResponseObjective:   time.Duration(r.Objective),
-		Pause:       time.Duration(r.Pause),
+		PauseObjective:       time.Duration(r.Pause),
 		Priority:    r.Priority,
 		MaxAttempts: max(r.MaxAttempts, 1),
 		Anonymous:   r.Anonymous,
