--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -164,7 +164,7 @@
 		Name:        "open",
 		Prefix:      "/open/",
 		Kind:        routing.KindRepeatable,
-		Anonymous:   true,
+		AllowAnonymous:   true,
 		MaxAttempts: 1,
 	},
 }
--- a/routing/route.go
+++ b/routing/route.go
@@ -22,7 +22,7 @@
 	// MaxAttempts bounds the number of backend servers that may run one request.
 	MaxAttempts int
 	// AllowAnonymous says that requests need no key.
-	Anonymous bool
+	AllowAnonymous bool
 	// Affinity says that requests name the parts of their prompt, so that they can be sent to an
 	// engine that has cached them.
 	Affinity bool
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -174,7 +174,7 @@
 		PauseObjective:       time.Duration(r.Pause),
 		Priority:    r.Priority,
 		MaxAttempts: max(r.MaxAttempts, 1),
-		Anonymous:   r.Anonymous,
+		AllowAnonymous:   r.Anonymous,
 		Affinity:    r.Affinity,
 		Resumable:   r.Resumable,
 		Regions:     r.Regions,
