--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -162,7 +162,7 @@
 		request:   r,
 		table:     table,
 		route:     route,
-		pool:      route.Choose(rand.Float64()),
+		pool:      route.ChoosePool(rand.Float64()),
 		workspace: workspace,
 		id:        r.Header.Get(g.Headers.RequestID),
 		body:      body,
--- a/routing/route.go
+++ b/routing/route.go
@@ -47,7 +47,7 @@
 }
 
 // ChoosePool returns a pool by weight, for a random number draw in [0, 1); "" without targets.
-func (r *Route) Choose(draw float64) string {
+func (r *Route) ChoosePool(draw float64) string {
 	total := 0
 	for _, t := range r.Targets {
 		total += max(t.Weight, 0)
--- a/routing/table_test.go
+++ b/routing/table_test.go
@@ -88,7 +88,7 @@
 		0.901: "b",
 		0.999: "b",
 	} {
-		if got := r.Choose(draw); got != want {
+		if got := r.ChoosePool(draw); got != want {
 			t.Errorf("draw %v: got %q, want %q", draw, got, want)
 		}
 	}
--- a/tablefile/feed_test.go
+++ b/tablefile/feed_test.go
@@ -57,7 +57,7 @@
 func checkTable(t *testing.T, table *routing.Table) {
 	t.Helper()
 	r := table.Route("a.example", "/x/y")
-	if r == nil || r.Kind != routing.KindStream || !r.MayRepeat() || r.Timeout != 8*time.Second || r.Choose(0) != "p" {
+	if r == nil || r.Kind != routing.KindStream || !r.MayRepeat() || r.Timeout != 8*time.Second || r.ChoosePool(0) != "p" {
 		t.Errorf("got route %+v", r)
 	}
 	if table.Version != 3 || table.Limits.Idle != 15*time.Second || table.Workspace("a-long-key") == nil {
