--- a/cmd/internal/gatewayd/crashing_test.go
+++ b/cmd/internal/gatewayd/crashing_test.go
@@ -132,7 +132,7 @@
 	feeds := f.world.feeds()
 	feeds.DecodeTable = func(string, []byte) (*routing.Table, error) {
 		return routing.NewTable(1, routing.Limits{
-			Idle: f.idle,
+			IdleTimeout: f.idle,
 		}, nil, []routing.Route{
 			{
 				Name:        "chat",
--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -104,7 +104,7 @@
 				return nil, err
 			}
 			return routing.NewTable(version, routing.Limits{
-				Idle: w.idle,
+				IdleTimeout: w.idle,
 			}, nil, []routing.Route{
 				{
 					Name:        "r",
--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -258,7 +258,7 @@
 // idleLimit is how long callers' connections may rest.
 func (p *Process) idleLimit() time.Duration {
 	if table := p.gateway.Table(); table != nil {
-		return table.Limits.Idle
+		return table.Limits.IdleTimeout
 	}
 	return 0
 }
--- a/cmd/internal/gatewayd/notices_test.go
+++ b/cmd/internal/gatewayd/notices_test.go
@@ -152,7 +152,7 @@
 	feeds := f.world.feeds()
 	feeds.DecodeTable = func(string, []byte) (*routing.Table, error) {
 		return routing.NewTable(1, routing.Limits{
-			Idle: f.idle,
+			IdleTimeout: f.idle,
 		}, nil, []routing.Route{
 			{
 				Name:        "chat",
--- a/routing/limits.go
+++ b/routing/limits.go
@@ -8,5 +8,5 @@
 	HeaderBytes int64
 	BodyBytes   int64
 	// IdleTimeout is how long a connection may stay idle between requests.
-	Idle time.Duration
+	IdleTimeout time.Duration
 }
--- a/tablefile/feed_test.go
+++ b/tablefile/feed_test.go
@@ -60,7 +60,7 @@
 	if r == nil || r.Kind != routing.KindStream || !r.MayRepeat() || r.Timeout != 8*time.Second || r.ChoosePool(0) != "p" {
 		t.Errorf("got route %+v", r)
 	}
-	if table.Version != 3 || table.Limits.Idle != 15*time.Second || table.Workspace("a-long-key") == nil {
+	if table.Version != 3 || table.Limits.IdleTimeout != 15*time.Second || table.Workspace("a-long-key") == nil {
 		t.Errorf("got table %+v", table)
 	}
 }
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -152,7 +152,7 @@
 	return routing.NewTable(f.Version, routing.Limits{
 		HeaderBytes: f.Limits.HeaderBytes,
 		BodyBytes:   f.Limits.BodyBytes,
-		Idle:        time.Duration(f.Limits.Idle),
+		IdleTimeout:        time.Duration(f.Limits.Idle),
 	}, pools, routes, workspaces)
 }
 
