--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -77,7 +77,7 @@
 			continue
 		}
 		limit := balance.ColdLimit{
-			MaxPerSecond: b.ColdFactor*pool.Cold.PerSecond + b.ColdSlack,
+			MaxPerSecond: b.ColdFactor*pool.Cold.RequestsPerSecond + b.ColdSlack,
 		}
 		if !entersItself {
 			limit.NewServerTime = pool.Cold.Time
--- a/cmd/internal/gatewayd/cold_test.go
+++ b/cmd/internal/gatewayd/cold_test.go
@@ -38,7 +38,7 @@
 		{
 			Name: "p",
 			Cold: &routing.Cold{
-				PerSecond: 13,
+				RequestsPerSecond: 13,
 				Time:      3 * time.Second,
 			},
 		},
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -19,7 +19,7 @@
 type Cold struct {
 	// RequestsPerSecond bounds the requests that a cold backend server gets from all routers
 	// together.
-	PerSecond float64
+	RequestsPerSecond float64
 	// Duration is how long a backend server is cold after a start.
 	Time time.Duration
 }
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -134,7 +134,7 @@
 		}
 		if cold := f.Pools[i].Cold; cold != nil {
 			pool.Cold = &routing.Cold{
-				PerSecond: cold.PerSecond,
+				RequestsPerSecond: cold.PerSecond,
 				Time:      time.Duration(cold.Time),
 			}
 		}
