--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -80,7 +80,7 @@
 			MaxPerSecond: b.ColdFactor*pool.Cold.RequestsPerSecond + b.ColdSlack,
 		}
 		if !entersItself {
-			limit.NewServerTime = pool.Cold.Time
+			limit.NewServerTime = pool.Cold.Duration
 		}
 		limits[name] = limit
 	}
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -21,7 +21,7 @@
 	// together.
 	RequestsPerSecond float64
 	// Duration is how long a backend server is cold after a start.
-	Time time.Duration
+	Duration time.Duration
 }
 
 // Engine says what the model engines of a pool support.
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -135,7 +135,7 @@
 		if cold := f.Pools[i].Cold; cold != nil {
 			pool.Cold = &routing.Cold{
 				RequestsPerSecond: cold.PerSecond,
-				Time:      time.Duration(cold.Time),
+				Duration:      time.Duration(cold.Time),
 			}
 		}
 		pools = append(pools, pool)
