--- a/routing/pool.go
+++ b/routing/pool.go
@@ -27,5 +27,5 @@
 // Engine says what the model engines of a pool support.
 type Engine struct {
 	// CanFetchPrompts says that an engine can fetch cached prompts from another.
-	Fetches bool
+	CanFetchPrompts bool
 }
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -129,7 +129,7 @@
 		}
 		if f.Pools[i].Engine {
 			pool.Engine = &routing.Engine{
-				Fetches: f.Pools[i].Fetches,
+				CanFetchPrompts: f.Pools[i].Fetches,
 			}
 		}
 		if cold := f.Pools[i].Cold; cold != nil {
