--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -142,7 +142,7 @@
 	if key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); ok {
 		workspace = table.Workspace(key)
 	}
-	if workspace == nil && !route.AllowAnonymous && table.Workspaces > 0 {
+	if workspace == nil && !route.AllowAnonymous && table.WorkspaceCount > 0 {
 		return nil, refuseNoKey(table.Version)
 	}
 	if limit := table.Limits.HeaderBytes; limit > 0 && headerBytes(r) > limit {
--- a/routing/table.go
+++ b/routing/table.go
@@ -9,7 +9,7 @@
 	Limits  Limits
 	Pools   map[string]*Pool
 	// WorkspaceCount is the number of workspaces; if it is 0, no request needs a key.
-	Workspaces int
+	WorkspaceCount int
 
 	hosts map[string]map[string]*Route
 	keys  map[string]*Workspace
@@ -22,7 +22,7 @@
 		Version:    version,
 		Limits:     limits,
 		Pools:      make(map[string]*Pool, len(pools)),
-		Workspaces: len(workspaces),
+		WorkspaceCount: len(workspaces),
 		hosts:      make(map[string]map[string]*Route),
 		keys:       make(map[string]*Workspace),
 	}
