--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -19,7 +19,7 @@
 
 	mu sync.Mutex
 	// place is that among the routers of members, nil before the first.
-	place   fleet.Place
+	place   fleet.RelayPosition
 	members []slipwick.Router
 }
 
@@ -32,7 +32,7 @@
 
 // Place gives whom this router follows. It is worked out anew when the fleet has changed,
 // not at each of its followers' calls.
-func (p *peers) Place() fleet.Place {
+func (p *peers) Place() fleet.RelayPosition {
 	routers := p.node.Routers()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -117,8 +117,8 @@
 	return settled
 }
 
-func (p *fakePeers) Place() fleet.Place {
-	return fleet.Place{
+func (p *fakePeers) Place() fleet.RelayPosition {
+	return fleet.RelayPosition{
 		Watches: p.watches,
 		Relays:  p.order,
 		Turn:    p.turn,
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -31,7 +31,7 @@
 // then the reserves, both without those that failed lately unless all did; then some random
 // ones. The preferred ones may all be cut off from the store while others reach it. A router
 // that finds one of these by chance is in turn found by others.
-func (s *SharedFeed) candidates(place *fleet.Place) []string {
+func (s *SharedFeed) candidates(place *fleet.RelayPosition) []string {
 	return s.withRandomPeers(s.preferredPeers(place))
 }
 
@@ -51,7 +51,7 @@
 }
 
 // preferredPeers returns the routers that this one's position in the relay tree names.
-func (s *SharedFeed) preferredPeers(place *fleet.Place) []string {
+func (s *SharedFeed) preferredPeers(place *fleet.RelayPosition) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.keepsTurn {
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -12,7 +12,7 @@
 	// discovered the others or found none.
 	Settled() <-chan struct{}
 	// Place returns this router's position in the relay tree: which routers it follows.
-	Place() fleet.Place
+	Place() fleet.RelayPosition
 	// Others returns the IDs of all other live routers.
 	Others() []string
 	// Relay returns the copy of the named feed at the router with the ID.
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -215,7 +215,7 @@
 // the position, which a slow link may not carry in time when versions follow each other
 // quickly. A list has the newest version only.
 func (s *SharedFeed) watchPeers(
-	ctx context.Context, place *fleet.Place, after slipwick.Position,
+	ctx context.Context, place *fleet.RelayPosition, after slipwick.Position,
 ) (slipwick.FeedBatch, error) {
 	timing := s.Timing.orDefault()
 	candidates := s.candidates(place)
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -206,7 +206,7 @@
 
 func (r *simRouter) Settled() <-chan struct{} { return r.settled }
 
-func (r *simRouter) Place() fleet.Place {
+func (r *simRouter) Place() fleet.RelayPosition {
 	return fleet.PlaceOf(r.self, r.knownMembers())
 }
 
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -34,7 +34,7 @@
 // fails or is slow.
 type storeList struct {
 	shared *SharedFeed
-	place  *fleet.Place
+	place  *fleet.RelayPosition
 	// retriesStore is true if the store is asked again while it does not answer, since a store
 	// that had stopped answering never answers earlier requests. Other routers are asked in
 	// either case, because the store may answer them by now.
@@ -54,7 +54,7 @@
 // listStore lists from the store, and from other routers if the store fails or is slow. It
 // returns the first usable answer.
 func (s *SharedFeed) listStore(
-	ctx context.Context, place *fleet.Place, retriesStore bool, suffices func(*peerAnswer) bool,
+	ctx context.Context, place *fleet.RelayPosition, retriesStore bool, suffices func(*peerAnswer) bool,
 ) listResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -23,7 +23,7 @@
 // current copy. If none answered at all, it is cut off from the others and need not wait. If
 // some answered, they have no current copy either, perhaps because the store is down for all,
 // and routers ask it in turns.
-func (s *SharedFeed) mayTakeOver(place *fleet.Place, answered bool) bool {
+func (s *SharedFeed) mayTakeOver(place *fleet.RelayPosition, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	timing := s.Timing.orDefault()
@@ -43,7 +43,7 @@
 
 // takeOver lists from the store in place of the watchers, unless one of them gets a current
 // copy in the meantime.
-func (s *SharedFeed) takeOver(ctx context.Context, place *fleet.Place) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) takeOver(ctx context.Context, place *fleet.RelayPosition) (slipwick.FeedBatch, error) {
 	timing := s.Timing.orDefault()
 	s.mu.Lock()
 	s.triedAt = clock.Now()
@@ -62,7 +62,7 @@
 
 // usesStore reports whether this router calls the store itself. A router that acts in place of
 // the watchers checks from time to time whether these have a current copy again.
-func (s *SharedFeed) usesStore(ctx context.Context, place *fleet.Place) bool {
+func (s *SharedFeed) usesStore(ctx context.Context, place *fleet.RelayPosition) bool {
 	s.mu.Lock()
 	now := clock.Now()
 	watches, acting := place.Watches && now.After(s.avoidStoreUntil), s.acting
@@ -114,7 +114,7 @@
 
 // avoidIfOthersReachIt makes a watcher avoid the store for a long time once it learns that the
 // store has answered other routers since it failed here.
-func (s *SharedFeed) avoidIfOthersReachIt(place *fleet.Place, batch *slipwick.FeedBatch) {
+func (s *SharedFeed) avoidIfOthersReachIt(place *fleet.RelayPosition, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
 	othersReachIt := place.Watches && !s.storeFailedAt.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailedAt)
 	s.mu.Unlock()
@@ -125,7 +125,7 @@
 
 // boundRelayWait limits the wait at another router to the time at which this router, if it is a
 // watcher, asks the store again.
-func (s *SharedFeed) boundRelayWait(place *fleet.Place, wait time.Duration) time.Duration {
+func (s *SharedFeed) boundRelayWait(place *fleet.RelayPosition, wait time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if left := s.avoidStoreUntil.Sub(clock.Now()); place.Watches && left > 0 {
--- a/fleet/relayposition.go
+++ b/fleet/relayposition.go
@@ -31,7 +31,7 @@
 // the fleet: a few routers watch the store, others follow these, and in a large fleet the rest
 // follow the others. All routers of a region that know of the same routers there compute the same
 // tree.
-type Place struct {
+type RelayPosition struct {
 	// IsWatcher says that the router watches the store itself.
 	Watches bool
 	// Relays are the IDs of the routers that it follows in turn, Reserves those that it asks when
@@ -44,7 +44,7 @@
 
 // FindRelayPosition returns the relay position of a router among the live routers, which may or may
 // not include the router itself.
-func PlaceOf(self slipwick.Router, routers []slipwick.Router) Place {
+func PlaceOf(self slipwick.Router, routers []slipwick.Router) RelayPosition {
 	key, regional := placement.IDHash("watch"), inRegion(self, routers)
 	size, rank := len(regional), len(regional)
 	if slices.ContainsFunc(regional, func(r slipwick.Router) bool { return r.ID == self.ID }) {
@@ -59,7 +59,7 @@
 	if len(ranked) < size && len(ranked) == len(regional) {
 		ranked = append(ranked, self)
 	}
-	p := Place{
+	p := RelayPosition{
 		Watches:  rank < watchers,
 		Turn:     takeoverTurn(rank, watchers),
 		Reserves: idsWithout(byScore(self.ID, ranked[:min(len(ranked), reserveFactor*watchers)]), self.ID),
--- a/fleet/relayposition_reference_test.go
+++ b/fleet/relayposition_reference_test.go
@@ -23,7 +23,7 @@
 }
 
 // referenceRelayPosition is FindRelayPosition with the whole fleet sorted.
-func referenceRelayPosition(self slipwick.Router, routers []slipwick.Router) Place {
+func referenceRelayPosition(self slipwick.Router, routers []slipwick.Router) RelayPosition {
 	ranked := sortedByScore(placement.IDHash("watch"), inRegion(self, routers))
 	rank := slices.IndexFunc(ranked, func(r slipwick.Router) bool { return r.ID == self.ID })
 	if rank < 0 {
@@ -33,7 +33,7 @@
 	watchers := (len(ranked) + routersPerRelay - 1) / routersPerRelay
 	watchers = min(max(watchers, minWatchers), maxWatchers, len(ranked))
 	reserves := sortedByScore(placement.IDHash(self.ID), ranked[:min(len(ranked), reserveFactor*watchers)])
-	p := Place{
+	p := RelayPosition{
 		Watches:  rank < watchers,
 		Turn:     takeoverTurn(rank, watchers),
 		Reserves: idsWithout(reserves, self.ID),
