--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -37,7 +37,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.members == nil || !slices.Equal(routers, p.members) {
-		p.place, p.members = fleet.PlaceOf(p.self, routers), routers
+		p.place, p.members = fleet.FindRelayPosition(p.self, routers), routers
 	}
 	return p.place
 }
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -207,7 +207,7 @@
 func (r *simRouter) Settled() <-chan struct{} { return r.settled }
 
 func (r *simRouter) Place() fleet.RelayPosition {
-	return fleet.PlaceOf(r.self, r.knownMembers())
+	return fleet.FindRelayPosition(r.self, r.knownMembers())
 }
 
 // knownMembers returns the members that the router has discovered so far. Each router discovers
--- a/fleet/relayposition.go
+++ b/fleet/relayposition.go
@@ -44,7 +44,7 @@
 
 // FindRelayPosition returns the relay position of a router among the live routers, which may or may
 // not include the router itself.
-func PlaceOf(self slipwick.Router, routers []slipwick.Router) RelayPosition {
+func FindRelayPosition(self slipwick.Router, routers []slipwick.Router) RelayPosition {
 	key, regional := placement.IDHash("watch"), inRegion(self, routers)
 	size, rank := len(regional), len(regional)
 	if slices.ContainsFunc(regional, func(r slipwick.Router) bool { return r.ID == self.ID }) {
--- a/fleet/relayposition_bench_test.go
+++ b/fleet/relayposition_bench_test.go
@@ -19,7 +19,7 @@
 				})
 			}
 			for b.Loop() {
-				PlaceOf(routers[7], routers)
+				FindRelayPosition(routers[7], routers)
 			}
 		})
 	}
--- a/fleet/relayposition_reference_test.go
+++ b/fleet/relayposition_reference_test.go
@@ -65,7 +65,7 @@
 			DataCentre: "dc1",
 			Region:     "region1",
 		}
-		got, want := PlaceOf(self, routers), referenceRelayPosition(self, routers)
+		got, want := FindRelayPosition(self, routers), referenceRelayPosition(self, routers)
 		if !reflect.DeepEqual(got, want) {
 			r.Errorf("%s of %d: got %+v, want %+v", self.ID, size, got, want)
 		}
