--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -204,7 +204,7 @@
 // dueLocked gives what this router is to write.
 func (r *rollouts) dueLocked(now time.Time) map[string]dueWrite {
 	due := make(map[string]dueWrite)
-	if !r.process.Feeds.Private && !r.process.peers.Place().Watches {
+	if !r.process.Feeds.Private && !r.process.peers.Place().IsWatcher {
 		return due
 	}
 	for name, f := range r.following {
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -119,7 +119,7 @@
 
 func (p *fakePeers) Place() fleet.RelayPosition {
 	return fleet.RelayPosition{
-		Watches: p.watches,
+		IsWatcher: p.watches,
 		Relays:  p.order,
 		Turn:    p.turn,
 	}
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -107,7 +107,7 @@
 			t.Errorf("got %d routers without the change 2 s after the outage, want none", got)
 		}
 		time.Sleep(5 * time.Second)
-		refuse(func(i int, r *simRouter) bool { return i%3 == 0 || r.Place().Watches })
+		refuse(func(i int, r *simRouter) bool { return i%3 == 0 || r.Place().IsWatcher })
 		f.calls.Store(0)
 		time.Sleep(time.Second)
 		f.setValue("2")
--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -49,7 +49,7 @@
 			f := newSimFleet(125)
 			f.discoveryTime, f.pages, f.pageTime, f.transferTime = time.Second, 50, 20*time.Millisecond, 200*time.Millisecond
 			for _, r := range f.routers {
-				if fleet.FindRelayPosition(r.self, f.members).Watches {
+				if fleet.FindRelayPosition(r.self, f.members).IsWatcher {
 					r.set(fail)
 				}
 			}
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -177,7 +177,7 @@
 func (f *simFleet) watchers() []*simRouter {
 	var watchers []*simRouter
 	for _, r := range f.routers {
-		if r.Place().Watches {
+		if r.Place().IsWatcher {
 			watchers = append(watchers, r)
 		}
 	}
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -65,7 +65,7 @@
 func (s *SharedFeed) usesStore(ctx context.Context, place *fleet.RelayPosition) bool {
 	s.mu.Lock()
 	now := clock.Now()
-	watches, acting := place.Watches && now.After(s.avoidStoreUntil), s.acting
+	watches, acting := place.IsWatcher && now.After(s.avoidStoreUntil), s.acting
 	isDue := now.Sub(s.checkedAt) > time.Duration(checkFactor*float64(s.Timing.orDefault().MaxAge))
 	if acting && isDue {
 		s.checkedAt = now
@@ -116,7 +116,7 @@
 // store has answered other routers since it failed here.
 func (s *SharedFeed) avoidIfOthersReachIt(place *fleet.RelayPosition, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
-	othersReachIt := place.Watches && !s.storeFailedAt.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailedAt)
+	othersReachIt := place.IsWatcher && !s.storeFailedAt.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailedAt)
 	s.mu.Unlock()
 	if othersReachIt {
 		s.avoidStore(true)
@@ -128,7 +128,7 @@
 func (s *SharedFeed) boundRelayWait(place *fleet.RelayPosition, wait time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if left := s.avoidStoreUntil.Sub(clock.Now()); place.Watches && left > 0 {
+	if left := s.avoidStoreUntil.Sub(clock.Now()); place.IsWatcher && left > 0 {
 		return min(wait, left)
 	}
 	return wait
--- a/fleet/relayposition.go
+++ b/fleet/relayposition.go
@@ -33,7 +33,7 @@
 // tree.
 type RelayPosition struct {
 	// IsWatcher says that the router watches the store itself.
-	Watches bool
+	IsWatcher bool
 	// Relays are the IDs of the routers that it follows in turn, Reserves those that it asks when
 	// none of the relays has a current copy.
 	Relays, Reserves []string
@@ -60,11 +60,11 @@
 		ranked = append(ranked, self)
 	}
 	p := RelayPosition{
-		Watches:  rank < watchers,
+		IsWatcher:  rank < watchers,
 		Turn:     takeoverTurn(rank, watchers),
 		Reserves: idsWithout(byScore(self.ID, ranked[:min(len(ranked), reserveFactor*watchers)]), self.ID),
 	}
-	if p.Watches {
+	if p.IsWatcher {
 		p.Relays = idsWithout(ranked[:watchers], self.ID)
 		return p
 	}
--- a/fleet/relayposition_reference_test.go
+++ b/fleet/relayposition_reference_test.go
@@ -34,11 +34,11 @@
 	watchers = min(max(watchers, minWatchers), maxWatchers, len(ranked))
 	reserves := sortedByScore(placement.IDHash(self.ID), ranked[:min(len(ranked), reserveFactor*watchers)])
 	p := RelayPosition{
-		Watches:  rank < watchers,
+		IsWatcher:  rank < watchers,
 		Turn:     takeoverTurn(rank, watchers),
 		Reserves: idsWithout(reserves, self.ID),
 	}
-	if p.Watches {
+	if p.IsWatcher {
 		p.Relays = idsWithout(ranked[:watchers], self.ID)
 		return p
 	}
--- a/fleet/relayposition_test.go
+++ b/fleet/relayposition_test.go
@@ -30,7 +30,7 @@
 		routers := testRouters(size)
 		watchers := 0
 		for _, r := range routers {
-			if FindRelayPosition(r, routers).Watches {
+			if FindRelayPosition(r, routers).IsWatcher {
 				watchers++
 			}
 		}
