--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -121,7 +121,7 @@
 	return fleet.RelayPosition{
 		IsWatcher: p.watches,
 		Relays:  p.order,
-		Turn:    p.turn,
+		TakeoverTurn:    p.turn,
 	}
 }
 
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -140,7 +140,7 @@
 		time.Sleep(5 * time.Second)
 		var lowest *simRouter
 		for _, r := range f.routers {
-			if r.Place().Turn < 0 {
+			if r.Place().TakeoverTurn < 0 {
 				lowest = r
 			}
 		}
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -35,10 +35,10 @@
 	if !answered {
 		return !s.confirmedAt.IsZero() || now.Sub(since) >= first
 	}
-	if place.Turn < 0 || now.Sub(s.triedAt) < timing.MaxAge {
+	if place.TakeoverTurn < 0 || now.Sub(s.triedAt) < timing.MaxAge {
 		return false
 	}
-	return now.Sub(since) >= first+time.Duration(place.Turn)*step
+	return now.Sub(since) >= first+time.Duration(place.TakeoverTurn)*step
 }
 
 // takeOver lists from the store in place of the watchers, unless one of them gets a current
@@ -77,7 +77,7 @@
 	found := s.listPeers(ctx, place.Relays, peerTimeout)
 	// The routers whose turn is first keep acting until a watcher follows the store again; the
 	// others may follow these.
-	if !found.isCurrent || place.Turn == 0 && found.batch.Hops > 1 {
+	if !found.isCurrent || place.TakeoverTurn == 0 && found.batch.Hops > 1 {
 		return true
 	}
 	s.mu.Lock()
--- a/fleet/relayposition.go
+++ b/fleet/relayposition.go
@@ -39,7 +39,7 @@
 	Relays, Reserves []string
 	// TakeoverTurn says how soon the router becomes an acting watcher when no router that it asks
 	// has a current copy: the lower, the sooner; never if it is negative.
-	Turn int
+	TakeoverTurn int
 }
 
 // FindRelayPosition returns the relay position of a router among the live routers, which may or may
@@ -61,7 +61,7 @@
 	}
 	p := RelayPosition{
 		IsWatcher:  rank < watchers,
-		Turn:     takeoverTurn(rank, watchers),
+		TakeoverTurn:     takeoverTurn(rank, watchers),
 		Reserves: idsWithout(byScore(self.ID, ranked[:min(len(ranked), reserveFactor*watchers)]), self.ID),
 	}
 	if p.IsWatcher {
--- a/fleet/relayposition_reference_test.go
+++ b/fleet/relayposition_reference_test.go
@@ -35,7 +35,7 @@
 	reserves := sortedByScore(placement.IDHash(self.ID), ranked[:min(len(ranked), reserveFactor*watchers)])
 	p := RelayPosition{
 		IsWatcher:  rank < watchers,
-		Turn:     takeoverTurn(rank, watchers),
+		TakeoverTurn:     takeoverTurn(rank, watchers),
 		Reserves: idsWithout(reserves, self.ID),
 	}
 	if p.IsWatcher {
