--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -76,7 +76,7 @@
 	if r.joined.Load() {
 		r.claims.SetRouters(change.Routers)
 	}
-	r.watches.Store(fleet.Watches(r.self(), change.Routers))
+	r.watches.Store(fleet.IsPlatformWatcher(r.self(), change.Routers))
 	for _, id := range change.Died {
 		events.RouterDied.On(&r.Log).Str("died", id).Send()
 		r.coordinator.HandleRouterFailure(id)
--- a/emulation/follow.go
+++ b/emulation/follow.go
@@ -49,7 +49,7 @@
 	r.mu.Lock()
 	view := r.view
 	r.mu.Unlock()
-	return view == nil || fleet.Watches(r.Self, view.Routers)
+	return view == nil || fleet.IsPlatformWatcher(r.Self, view.Routers)
 }
 
 func (r *Router) followed() *following {
--- a/fleet/watchers.go
+++ b/fleet/watchers.go
@@ -11,7 +11,7 @@
 
 // IsPlatformWatcher reports whether the router is among its data centre's watchers of the platform.
 // It is if it knows of no other router.
-func Watches(self slipwick.Router, routers []slipwick.Router) bool {
+func IsPlatformWatcher(self slipwick.Router, routers []slipwick.Router) bool {
 	var sameDataCentre []slipwick.Router
 	for _, r := range routers {
 		if r.DataCentre == self.DataCentre {
