--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -52,7 +52,7 @@
 			return
 		case news := <-r.health:
 			r.logHealth(news)
-			r.node.SetBackend(news.backend, fleet.HealthState(news.health))
+			r.node.SetBackend(news.backend, fleet.MemberState(news.health))
 		}
 	}
 }
--- a/emulation/router.go
+++ b/emulation/router.go
@@ -64,7 +64,7 @@
 	}
 	r.Coordinator.OnHealth = func(backend string, health admission.Health) {
 		// The coordinator must not be called back from here.
-		go r.Node.SetBackend(backend, fleet.HealthState(health))
+		go r.Node.SetBackend(backend, fleet.MemberState(health))
 	}
 	r.Node.Observe(boxes)
 	r.Viewer.SetConfiguration(snapshot)
--- a/fleet/states.go
+++ b/fleet/states.go
@@ -6,7 +6,7 @@
 )
 
 // MemberState returns the member state that corresponds to the health an owner found.
-func HealthState(health admission.Health) memberpb.State {
+func MemberState(health admission.Health) memberpb.State {
 	switch health {
 	case admission.HealthEjected:
 		return memberpb.State_STATE_EJECTED
