--- a/balance/suspension_test.go
+++ b/balance/suspension_test.go
@@ -26,7 +26,7 @@
 			}
 			time.Sleep(100 * time.Millisecond)
 			suspended += sleep
-			clock.Notice()
+			clock.DetectSuspension()
 			if b.hasAllUpdatesLocked(clock.Now()) {
 				t.Errorf("after %v: got counts in use that are older than a second", sleep)
 			}
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -55,7 +55,7 @@
 // DetectSuspension compares the clocks and returns how long the box was suspended since the last
 // call; 0 if it was not. It makes two system calls. Call it regularly: Now advances over a
 // suspension only then.
-func Notice() time.Duration {
+func DetectSuspension() time.Duration {
 	mu.Lock()
 	defer mu.Unlock()
 	suspension := source() - initialOffset - time.Duration(suspended.Load())
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -15,14 +15,14 @@
 		for _, suspension := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 			began, deadline := Now(), Now().Add(10*time.Second)
 			time.Sleep(time.Second)
-			if got := Notice(); got != 0 {
+			if got := DetectSuspension(); got != 0 {
 				t.Errorf("got a suspension of %v, want none", got)
 			}
 			offset += suspension
-			if got := Notice(); got != suspension {
+			if got := DetectSuspension(); got != suspension {
 				t.Errorf("got a suspension of %v, want %v", got, suspension)
 			}
-			if got := Notice(); got != 0 {
+			if got := DetectSuspension(); got != 0 {
 				t.Errorf("got a suspension of %v again, want each reported once", got)
 			}
 			if got, want := Since(began), suspension+time.Second; got != want {
@@ -45,14 +45,14 @@
 	defer SetSource(func() time.Duration { return offset })()
 	for i := range 1000 {
 		offset = time.Duration(i%20) * time.Millisecond
-		if got := Notice(); got != 0 {
+		if got := DetectSuspension(); got != 0 {
 			t.Fatalf("got a suspension of %v for readings %v apart, want none", got, offset)
 		}
 	}
 }
 
 func TestNoSuspensionIsDetectedByDefault(t *testing.T) {
-	if got := Notice(); got != 0 {
+	if got := DetectSuspension(); got != 0 {
 		t.Errorf("got a suspension of %v on a running box, want none", got)
 	}
 }
--- a/cmd/internal/gatewayd/sleep.go
+++ b/cmd/internal/gatewayd/sleep.go
@@ -20,7 +20,7 @@
 func (p *Process) noticeSleep(ctx context.Context) {
 	known := clock.Slept()
 	for sleep(ctx, noticeEvery) {
-		clock.Notice()
+		clock.DetectSuspension()
 		slept := clock.Slept()
 		if slept == known {
 			continue
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -183,14 +183,14 @@
 // during the call, that time is added to the answer's age, since the sender could not know of
 // it.
 func (f *Follower[T]) callFeed(ctx context.Context) (batch slipwick.FeedBatch, err error) {
-	clock.Notice()
+	clock.DetectSuspension()
 	slept := clock.Slept()
 	if f.listed {
 		batch, err = f.Feed.Watch(ctx, f.position, f.Timing.WatchWait)
 	} else {
 		batch, err = f.Feed.List(ctx)
 	}
-	clock.Notice()
+	clock.DetectSuspension()
 	batch.Age += clock.Slept() - slept
 	return batch, err
 }
--- a/directory/suspend_test.go
+++ b/directory/suspend_test.go
@@ -19,7 +19,7 @@
 			m.Apply(batch(1, true, "a1"))
 			time.Sleep(100 * time.Millisecond)
 			ahead += suspension
-			clock.Notice()
+			clock.DetectSuspension()
 			got, err := m.List(t.Context())
 			if want := suspension + 100*time.Millisecond; err != nil || got.Age != want {
 				t.Errorf("got an age of %v, %v; want %v", got.Age, err, want)
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -95,7 +95,7 @@
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	clock.Notice()
+	clock.DetectSuspension()
 	arrived := clock.Now()
 	// Clear the write deadline that an earlier request on the same connection set. An error means
 	// that the writer does not support deadlines, so that there is none to clear.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -113,7 +113,7 @@
 
 // noRetryReason returns why the request must not be sent again, or the empty string if it may.
 func (c *call) noRetryReason(outcome result) string {
-	clock.Notice()
+	clock.DetectSuspension()
 	switch {
 	case c.request.Context().Err() != nil:
 		return "left"
--- a/retry/sleep_test.go
+++ b/retry/sleep_test.go
@@ -24,7 +24,7 @@
 				b.CountRequest("p")
 			}
 			ahead += sleep
-			clock.Notice()
+			clock.DetectSuspension()
 			if got := b.Allows("p"); got != want {
 				t.Errorf("after %v: got a retry allowed %t, want %t", sleep, got, want)
 			}
