--- a/clock/clock.go
+++ b/clock/clock.go
@@ -48,7 +48,7 @@
 
 // Suspended returns how long the box has been suspended so far, as far as DetectSuspension has
 // found.
-func Slept() time.Duration {
+func Suspended() time.Duration {
 	return time.Duration(suspended.Load())
 }
 
--- a/cmd/internal/gatewayd/sleep.go
+++ b/cmd/internal/gatewayd/sleep.go
@@ -18,10 +18,10 @@
 // time, by itself; who lives is asked of another router, as members tell each other
 // changes once and this one was not there to hear them.
 func (p *Process) noticeSleep(ctx context.Context) {
-	known := clock.Slept()
+	known := clock.Suspended()
 	for sleep(ctx, noticeEvery) {
 		clock.DetectSuspension()
-		slept := clock.Slept()
+		slept := clock.Suspended()
 		if slept == known {
 			continue
 		}
