--- a/clock/clock.go
+++ b/clock/clock.go
@@ -42,7 +42,7 @@
 
 // ToRuntime converts a time based on Now into the runtime's time, for timers and for deadlines of
 // contexts and connections.
-func Runtime(t time.Time) time.Time {
+func ToRuntime(t time.Time) time.Time {
 	return t.Add(-time.Duration(suspended.Load()))
 }
 
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -31,7 +31,7 @@
 			if got, want := Until(deadline), 9*time.Second-suspension; got != want {
 				t.Errorf("got %v left, want %v", got, want)
 			}
-			if got, want := time.Until(Runtime(deadline)), 9*time.Second-suspension; got != want {
+			if got, want := time.Until(ToRuntime(deadline)), 9*time.Second-suspension; got != want {
 				t.Errorf("got a timer of %v, want %v", got, want)
 			}
 		}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -114,8 +114,8 @@
 		return
 	}
 	// A caller that does not read its response must not keep the router busy after the deadline.
-	_ = http.NewResponseController(w).SetWriteDeadline(clock.Runtime(c.deadline.Add(writeGrace)))
-	ctx, cancel := context.WithDeadline(r.Context(), clock.Runtime(c.deadline))
+	_ = http.NewResponseController(w).SetWriteDeadline(clock.ToRuntime(c.deadline.Add(writeGrace)))
+	ctx, cancel := context.WithDeadline(r.Context(), clock.ToRuntime(c.deadline))
 	defer cancel()
 	c.ctx = ctx
 	if refusal := c.checkQuarantine(); refusal != nil {
