--- a/cmd/internal/gatewayd/cold_test.go
+++ b/cmd/internal/gatewayd/cold_test.go
@@ -39,7 +39,7 @@
 			Name: "p",
 			Cold: &routing.Cold{
 				RequestsPerSecond: 13,
-				Duration:      3 * time.Second,
+				Duration:          3 * time.Second,
 			},
 		},
 	}, nil, nil)
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -119,9 +119,9 @@
 
 func (p *fakePeers) Place() fleet.RelayPosition {
 	return fleet.RelayPosition{
-		IsWatcher: p.watches,
-		Relays:  p.order,
-		TakeoverTurn:    p.turn,
+		IsWatcher:    p.watches,
+		Relays:       p.order,
+		TakeoverTurn: p.turn,
 	}
 }
 
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -245,7 +245,9 @@
 // Settled, Place, Others and Relay implement Peers.
 func (r *modelRouter) Settled() <-chan struct{} { return r.settled }
 
-func (r *modelRouter) Place() fleet.RelayPosition { return fleet.FindRelayPosition(r.self, r.members()) }
+func (r *modelRouter) Place() fleet.RelayPosition {
+	return fleet.FindRelayPosition(r.self, r.members())
+}
 
 func (r *modelRouter) members() []slipwick.Router {
 	var members []slipwick.Router
--- a/fleet/relayposition.go
+++ b/fleet/relayposition.go
@@ -60,9 +60,9 @@
 		ranked = append(ranked, self)
 	}
 	p := RelayPosition{
-		IsWatcher:  rank < watchers,
-		TakeoverTurn:     takeoverTurn(rank, watchers),
-		Reserves: idsWithout(byScore(self.ID, ranked[:min(len(ranked), reserveFactor*watchers)]), self.ID),
+		IsWatcher:    rank < watchers,
+		TakeoverTurn: takeoverTurn(rank, watchers),
+		Reserves:     idsWithout(byScore(self.ID, ranked[:min(len(ranked), reserveFactor*watchers)]), self.ID),
 	}
 	if p.IsWatcher {
 		p.Relays = idsWithout(ranked[:watchers], self.ID)
--- a/fleet/relayposition_reference_test.go
+++ b/fleet/relayposition_reference_test.go
@@ -34,9 +34,9 @@
 	watchers = min(max(watchers, minWatchers), maxWatchers, len(ranked))
 	reserves := sortedByScore(placement.IDHash(self.ID), ranked[:min(len(ranked), reserveFactor*watchers)])
 	p := RelayPosition{
-		IsWatcher:  rank < watchers,
-		TakeoverTurn:     takeoverTurn(rank, watchers),
-		Reserves: idsWithout(reserves, self.ID),
+		IsWatcher:    rank < watchers,
+		TakeoverTurn: takeoverTurn(rank, watchers),
+		Reserves:     idsWithout(reserves, self.ID),
 	}
 	if p.IsWatcher {
 		p.Relays = idsWithout(ranked[:watchers], self.ID)
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -83,7 +83,8 @@
 	if c.route.Affinity {
 		header.Set(names.Priority, strconv.Itoa(c.priority()))
 	}
-	if pool := c.table.Pools[c.pool]; lease.FetchFrom != "" && pool != nil && pool.Engine != nil && pool.Engine.CanFetchPrompts {
+	if pool := c.table.Pools[c.pool]; lease.FetchFrom != "" &&
+		pool != nil && pool.Engine != nil && pool.Engine.CanFetchPrompts {
 		header.Set(names.FetchFrom, lease.FetchFrom)
 	}
 	if c.progress.lastID != "" {
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -146,12 +146,12 @@
 		MaxAttempts: 1,
 	},
 	{
-		Name:        "soon",
-		Prefix:      "/soon/",
-		Kind:        routing.KindRepeatable,
-		Affinity:    true,
-		MaxAttempts: 1,
-		ResponseObjective:   200 * time.Millisecond,
+		Name:              "soon",
+		Prefix:            "/soon/",
+		Kind:              routing.KindRepeatable,
+		Affinity:          true,
+		MaxAttempts:       1,
+		ResponseObjective: 200 * time.Millisecond,
 	},
 	{
 		Name:        "affine-again",
@@ -161,11 +161,11 @@
 		MaxAttempts: 2,
 	},
 	{
-		Name:        "open",
-		Prefix:      "/open/",
-		Kind:        routing.KindRepeatable,
-		AllowAnonymous:   true,
-		MaxAttempts: 1,
+		Name:           "open",
+		Prefix:         "/open/",
+		Kind:           routing.KindRepeatable,
+		AllowAnonymous: true,
+		MaxAttempts:    1,
 	},
 }
 
--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -36,13 +36,13 @@
 // hardware; the bounds are ten times slower than the slowest known engine and some times faster
 // than the fastest.
 const (
-	InitialTokensPerMillisecond               = 100.0
-	minTokensPerMillisecond = 2.0
-	maxTokensPerMillisecond = 2000.0
+	InitialTokensPerMillisecond = 100.0
+	minTokensPerMillisecond     = 2.0
+	maxTokensPerMillisecond     = 2000.0
 
-	InitialBaseTime   = 55 * time.Millisecond
-	minBaseTime = time.Millisecond
-	maxBaseTime = 2 * time.Second
+	InitialBaseTime = 55 * time.Millisecond
+	minBaseTime     = time.Millisecond
+	maxBaseTime     = 2 * time.Second
 )
 
 // NewPrefillEstimator returns an estimator with the initial values.
--- a/pace/prefill_test.go
+++ b/pace/prefill_test.go
@@ -31,7 +31,8 @@
 
 func checkEstimates(t *testing.T, when string, estimator *PrefillEstimator, want engine) {
 	t.Helper()
-	if got := estimator.TokensPerMillisecond(); got < want.tokensPerMillisecond*0.7 || got > want.tokensPerMillisecond*1.4 {
+	if got := estimator.TokensPerMillisecond(); got < want.tokensPerMillisecond*0.7 ||
+		got > want.tokensPerMillisecond*1.4 {
 		t.Errorf("%s: got %.1f tokens per ms, want about %.1f", when, got, want.tokensPerMillisecond)
 	}
 	if got := estimator.BaseTime(); got < want.base*8/10 || got > want.base*16/10 {
@@ -112,7 +113,7 @@
 func TestPrefillEstimatesHaveInitialValuesAndBounds(t *testing.T) {
 	estimator := NewPrefillEstimator()
 	if estimator.TokensPerMillisecond() != InitialTokensPerMillisecond || estimator.BaseTime() != InitialBaseTime {
-		t.Errorf("got %v and %v at the start, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
+		t.Errorf("got %v and %v initially, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
 			InitialTokensPerMillisecond, InitialBaseTime)
 	}
 	for range 400 {
@@ -120,15 +121,15 @@
 		estimator.Record(10000, 100*time.Hour)
 	}
 	if estimator.TokensPerMillisecond() != minTokensPerMillisecond || estimator.BaseTime() != maxBaseTime {
-		t.Errorf("got %v and %v for engines below the bounds, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
-			minTokensPerMillisecond, maxBaseTime)
+		t.Errorf("got %v and %v for engines below the bounds, want %v and %v",
+			estimator.TokensPerMillisecond(), estimator.BaseTime(), minTokensPerMillisecond, maxBaseTime)
 	}
 	for range 400 {
 		estimator.Record(10, time.Nanosecond)
 		estimator.Record(100000, 2*time.Nanosecond)
 	}
 	if estimator.TokensPerMillisecond() != maxTokensPerMillisecond || estimator.BaseTime() != minBaseTime {
-		t.Errorf("got %v and %v for engines above the bounds, want %v and %v", estimator.TokensPerMillisecond(), estimator.BaseTime(),
-			maxTokensPerMillisecond, minBaseTime)
+		t.Errorf("got %v and %v for engines above the bounds, want %v and %v",
+			estimator.TokensPerMillisecond(), estimator.BaseTime(), maxTokensPerMillisecond, minBaseTime)
 	}
 }
--- a/routing/table.go
+++ b/routing/table.go
@@ -19,12 +19,12 @@
 // them after.
 func NewTable(version uint64, limits Limits, pools []Pool, routes []Route, workspaces []Workspace) *Table {
 	t := &Table{
-		Version:    version,
-		Limits:     limits,
-		Pools:      make(map[string]*Pool, len(pools)),
+		Version:        version,
+		Limits:         limits,
+		Pools:          make(map[string]*Pool, len(pools)),
 		WorkspaceCount: len(workspaces),
-		hosts:      make(map[string]map[string]*Route),
-		keys:       make(map[string]*Workspace),
+		hosts:          make(map[string]map[string]*Route),
+		keys:           make(map[string]*Workspace),
 	}
 	for i := range pools {
 		t.Pools[pools[i].Name] = &pools[i]
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -135,7 +135,7 @@
 		if cold := f.Pools[i].Cold; cold != nil {
 			pool.Cold = &routing.Cold{
 				RequestsPerSecond: cold.PerSecond,
-				Duration:      time.Duration(cold.Time),
+				Duration:          time.Duration(cold.Time),
 			}
 		}
 		pools = append(pools, pool)
@@ -152,7 +152,7 @@
 	return routing.NewTable(f.Version, routing.Limits{
 		HeaderBytes: f.Limits.HeaderBytes,
 		BodyBytes:   f.Limits.BodyBytes,
-		IdleTimeout:        time.Duration(f.Limits.Idle),
+		IdleTimeout: time.Duration(f.Limits.Idle),
 	}, pools, routes, workspaces)
 }
 
@@ -165,20 +165,20 @@
 		})
 	}
 	return routing.Route{
-		Name:        r.Name,
-		Host:        r.Host,
-		Prefix:      r.Prefix,
-		Kind:        routing.Kind(r.Kind),
-		Timeout:     time.Duration(r.Timeout),
-		ResponseObjective:   time.Duration(r.Objective),
-		PauseObjective:       time.Duration(r.Pause),
-		Priority:    r.Priority,
-		MaxAttempts: max(r.MaxAttempts, 1),
-		AllowAnonymous:   r.Anonymous,
-		Affinity:    r.Affinity,
-		Resumable:   r.Resumable,
-		Regions:     r.Regions,
-		Targets:     targets,
+		Name:              r.Name,
+		Host:              r.Host,
+		Prefix:            r.Prefix,
+		Kind:              routing.Kind(r.Kind),
+		Timeout:           time.Duration(r.Timeout),
+		ResponseObjective: time.Duration(r.Objective),
+		PauseObjective:    time.Duration(r.Pause),
+		Priority:          r.Priority,
+		MaxAttempts:       max(r.MaxAttempts, 1),
+		AllowAnonymous:    r.Anonymous,
+		Affinity:          r.Affinity,
+		Resumable:         r.Resumable,
+		Regions:           r.Regions,
+		Targets:           targets,
 	}
 }
 
