--- a/membership/bytes.go
+++ b/membership/bytes.go
@@ -17,8 +17,8 @@
 	return 0
 }
 
-// IDSeed gives a seed for a router's random choices that differs from that of
-// other routers.
+// IDSeed returns a seed for a router's random choices, derived from its ID so that routers choose
+// differently.
 func IDSeed(id string) uint64 {
 	return xxhash.Sum64String(id)
 }
--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -13,69 +13,68 @@
 )
 
 const (
-	// catchUpPause lies between two questions of a router that has just started:
-	// some round trips. Those that start together know more with each.
-	catchUpPause = 25 * time.Millisecond
-	// catchUpTime bounds how long it takes to know the others, loneTime how long it
-	// waits for any to turn up. Until lateTime it goes on to ask every latePause:
-	// routers that start with it may start later.
-	catchUpTime = 2 * time.Second
-	loneTime    = 300 * time.Millisecond
-	lateTime    = time.Second
-	latePause   = 2 * catchUpPause
-	// sameAnswers in a row, from others that know just the same, tell it that it
-	// knows the fleet. Routers that die leave some that know otherwise for
-	// seconds: after quietTime quietAnswers that brought nothing new will do.
-	sameAnswers  = 2
-	quietAnswers = 3
-	quietTime    = 200 * time.Millisecond
-	// knownInPacket is how many fingerprints fit into one packet beside the
-	// rest; with more the boxes are asked for by shards. Beside knownBesideNews
-	// there is room for news as in other packets.
-	knownInPacket   = 300
-	knownBesideNews = 120
-	// newsInAnswer is how many boxes are told in one packet, packetsInAnswer how
-	// many packets an answer has at most: enough for the fleet designed for. A
-	// router that starts wants earlyPackets alone and asks elsewhere for the rest:
-	// when many do, the few that all start with are asked by nearly all.
-	newsInAnswer    = 14
-	packetsInAnswer = 24
-	earlyPackets    = 2
+	// catchUpInterval is the time between two sync requests of a router that has just started: a
+	// few round trips. Routers that start together know more with each.
+	catchUpInterval = 25 * time.Millisecond
+	// maxCatchUpTime bounds the catch-up; maxWaitForRouter is how long to wait for any other router
+	// to appear. Until startupTime the router sends further requests every slowCatchUpInterval,
+	// because routers that start with it may start a little later.
+	maxCatchUpTime      = 2 * time.Second
+	maxWaitForRouter    = 300 * time.Millisecond
+	startupTime         = time.Second
+	slowCatchUpInterval = 2 * catchUpInterval
+	// The fleet counts as known after minMatchingResponses consecutive responses with the digest of
+	// this node. Routers that die leave some routers with a different digest for seconds, so after
+	// quietTime minQuietResponses responses without anything new suffice.
+	minMatchingResponses = 2
+	minQuietResponses    = 3
+	quietTime            = 200 * time.Millisecond
+	// maxKnownInPacket is how many fingerprints fit into one packet with the other fields; a node
+	// that knows more boxes asks for one shard of them at a time. Up to maxKnownWithNews
+	// fingerprints leave room for as many updates as in other packets.
+	maxKnownInPacket = 300
+	maxKnownWithNews = 120
+	// maxNewsInResponse bounds the updates in one packet of a response, and maxResponsePackets the
+	// packets of a response: enough for the largest supported fleet. A starting router requests
+	// only startupPackets and asks other routers for the rest: when many routers start at once,
+	// nearly all of them ask the few seeds.
+	maxNewsInResponse  = 14
+	maxResponsePackets = 24
+	startupPackets     = 2
 )
 
-// Settled is closed when a router that has started knows the others, or has
-// found none.
+// FleetKnown returns a channel that is closed once a started router knows the fleet, or has found
+// no other router.
 func (n *Node) Settled() <-chan struct{} {
-	return n.settled
+	return n.fleetKnown
 }
 
-// Alone says that there is no other router to wait for.
+// FinishCatchUp ends the catch-up: there is no other router to wait for.
 func (n *Node) Alone() {
-	n.locked(n.settle)
+	n.locked(n.finishCatchUp)
 }
 
-func (n *Node) settle() {
-	if !n.isSettled() {
-		close(n.settled)
+func (n *Node) finishCatchUp() {
+	if !n.isFleetKnown() {
+		close(n.fleetKnown)
 		n.changed = true
 	}
 }
 
-func (n *Node) isSettled() bool {
+func (n *Node) isFleetKnown() bool {
 	select {
-	case <-n.settled:
+	case <-n.fleetKnown:
 		return true
 	default:
 		return false
 	}
 }
 
-// catchUp asks one router after the other, chosen by chance, for what this one
-// does not know yet. Routers that start together would else learn of each other
-// within seconds only, as news passes.
+// catchUp sends sync requests to random routers, one at a time, for what this router does not know
+// yet. Without it, routers that start together would take seconds to learn of each other by gossip.
 func (n *Node) catchUp(ctx context.Context) {
-	pause := catchUpPause
-	for n.isEarly() {
+	pause := catchUpInterval
+	for n.isStarting() {
 		timer := time.NewTimer(pause)
 		select {
 		case <-ctx.Done():
@@ -83,57 +82,59 @@
 			return
 		case <-timer.C:
 		}
-		n.locked(n.askAnother)
-		if n.isSettled() {
-			pause = latePause
+		n.locked(n.syncWithRandom)
+		if n.isFleetKnown() {
+			pause = slowCatchUpInterval
 		}
 	}
 }
 
-// isEarly tells whether others may start at the same time, or are not known yet.
-func (n *Node) isEarly() bool {
-	return !n.isSettled() || time.Since(n.startedAt) < lateTime
+// isStarting reports whether the fleet is not known yet, or routers may still be starting together
+// with this one.
+func (n *Node) isStarting() bool {
+	return !n.isFleetKnown() || time.Since(n.startedAt) < startupTime
 }
 
-// askAnother asks another router, if there is any and time is left.
-func (n *Node) askAnother() {
-	others := n.choose(1, "")
+// syncWithRandom sends a sync request to a random router, or ends the catch-up if there is none or
+// time is up.
+func (n *Node) syncWithRandom() {
+	others := n.randomMembers(1, "")
 	waited := time.Since(n.startedAt)
-	if len(others) == 0 && waited >= loneTime || waited >= catchUpTime {
-		n.settle()
+	if len(others) == 0 && waited >= maxWaitForRouter || waited >= maxCatchUpTime {
+		n.finishCatchUp()
 		return
 	}
 	for _, m := range others {
-		n.ask(m.news.GetAddress(), earlyPackets)
+		n.requestSync(m.news.GetAddress(), startupPackets)
 	}
 }
 
-// askBack asks a router that asked, if this one has just started too, now and
-// then: so each learns what the other knows.
-func (n *Node) askBack(address string, question *memberpb.Packet) {
+// syncBack sends a sync request to a router that has just sent one, if this router is starting too,
+// at most once per catchUpInterval: thus both learn what the other knows.
+func (n *Node) syncBack(address string, request *memberpb.Packet) {
 	if !n.CatchUp {
 		return
 	}
 	now := time.Now()
-	isDue := now.Sub(n.askedBackAt) >= catchUpPause
-	if isDue && n.isEarly() && !question.GetBack() && question.GetDigest() != n.digest {
-		n.askedBackAt = now
-		n.send(address, n.question(earlyPackets, true))
+	isDue := now.Sub(n.syncedBackAt) >= catchUpInterval
+	if isDue && n.isStarting() && !request.GetBack() && request.GetDigest() != n.digest {
+		n.syncedBackAt = now
+		n.send(address, n.syncRequest(startupPackets, true))
 	}
 }
 
-// wanted is how many packets of an answer a router wants that asks once.
-func (n *Node) wanted() uint32 {
-	if n.isEarly() {
-		return earlyPackets
+// wantedPackets returns how many response packets to request outside the catch-up.
+func (n *Node) wantedPackets() uint32 {
+	if n.isStarting() {
+		return startupPackets
 	}
-	return packetsInAnswer
+	return maxResponsePackets
 }
 
-// ask asks a router at the address for what it knows and this one does not.
-func (n *Node) ask(address string, packets uint32) {
+// requestSync asks the router at the address for what it knows and this one does not.
+func (n *Node) requestSync(address string, packets uint32) {
 	if n.CatchUp {
-		n.send(address, n.question(packets, false))
+		n.send(address, n.syncRequest(packets, false))
 		return
 	}
 	packet := n.packet(memberpb.Kind_KIND_SYNC, 0)
@@ -141,18 +142,18 @@
 	n.send(address, packet)
 }
 
-func (n *Node) question(packets uint32, back bool) *memberpb.Packet {
-	n.questions++
+func (n *Node) syncRequest(packets uint32, back bool) *memberpb.Packet {
+	n.requests++
 	boxes := len(n.members) + len(n.backends)
-	shards := uint64(boxes+knownInPacket-1) / knownInPacket
+	shards := uint64(boxes+maxKnownInPacket-1) / maxKnownInPacket
 	packet := &memberpb.Packet{
 		Kind:          memberpb.Kind_KIND_SYNC,
-		Sequence:      n.questions,
+		Sequence:      n.requests,
 		From:          n.Self.ID,
 		Digest:        n.digest,
 		Configuration: n.version,
 		News:          []*memberpb.News{n.self().news},
-		Shard:         uint32(n.questions % shards),
+		Shard:         uint32(n.requests % shards),
 		Shards:        uint32(shards),
 		Packets:       packets,
 		Back:          back,
@@ -160,19 +161,19 @@
 	for _, m := range n.shard(packet) {
 		packet.Known = append(packet.Known, uint32(m.fingerprint()))
 	}
-	if len(packet.Known) <= knownBesideNews {
-		packet.News = append(packet.News, n.rumours.take(n.Policy.NewsPerPacket, len(n.members))...)
+	if len(packet.Known) <= maxKnownWithNews {
+		packet.News = append(packet.News, n.queue.take(n.Policy.NewsPerPacket, len(n.members))...)
 	}
 	return packet
 }
 
-// shard gives the boxes that a question is about.
-func (n *Node) shard(question *memberpb.Packet) []*member {
-	shards := uint64(max(question.GetShards(), 1))
+// shard returns the boxes that a sync request is about.
+func (n *Node) shard(request *memberpb.Packet) []*member {
+	shards := uint64(max(request.GetShards(), 1))
 	var boxes []*member
 	for _, known := range []map[string]*member{n.members, n.backends} {
 		for id, m := range known {
-			if xxhash.Sum64String(id)%shards == uint64(question.GetShard()) {
+			if xxhash.Sum64String(id)%shards == uint64(request.GetShard()) {
 				boxes = append(boxes, m)
 			}
 		}
@@ -180,62 +181,64 @@
 	return boxes
 }
 
-// answer tells a router that asked what it does not know, in packets of bounded
-// size. There is always one: its digest tells whether both know the same.
-func (n *Node) answer(address string, question *memberpb.Packet) {
-	if question.GetPackets() == 0 {
+// respond sends the boxes that the requester does not know, in packets of bounded size. At least
+// one packet is sent: its digest tells the requester whether both know the same.
+func (n *Node) respond(address string, request *memberpb.Packet) {
+	if request.GetPackets() == 0 {
 		n.sendAll(address)
 		return
 	}
-	known := make(map[uint32]bool, len(question.GetKnown()))
-	for _, fingerprint := range question.GetKnown() {
+	known := make(map[uint32]bool, len(request.GetKnown()))
+	for _, fingerprint := range request.GetKnown() {
 		known[fingerprint] = true
 	}
-	var lacking []*memberpb.News
-	for _, m := range n.shard(question) {
+	var missing []*memberpb.News
+	for _, m := range n.shard(request) {
 		if !known[uint32(m.fingerprint())] {
-			lacking = append(lacking, m.news)
+			missing = append(missing, m.news)
 		}
 	}
-	// Routers that are asked by many tell them different boxes first.
-	slices.SortFunc(lacking, func(a, b *memberpb.News) int { return strings.Compare(a.GetId(), b.GetId()) })
-	n.Random.Shuffle(len(lacking), func(i, j int) { lacking[i], lacking[j] = lacking[j], lacking[i] })
-	for i := range min(question.GetPackets(), packetsInAnswer) {
-		count := min(len(lacking), newsInAnswer)
+	// Shuffled, so that routers that receive many requests send different boxes first. Sorted
+	// before, because map order would make the shuffle irreproducible.
+	slices.SortFunc(missing, func(a, b *memberpb.News) int { return strings.Compare(a.GetId(), b.GetId()) })
+	n.Random.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
+	for i := range min(request.GetPackets(), maxResponsePackets) {
+		count := min(len(missing), maxNewsInResponse)
 		if count == 0 && i > 0 {
 			return
 		}
 		n.send(address, &memberpb.Packet{
 			Kind:          memberpb.Kind_KIND_NEWS,
-			Sequence:      question.GetSequence(),
+			Sequence:      request.GetSequence(),
 			From:          n.Self.ID,
 			Digest:        n.digest,
 			Configuration: n.version,
-			News:          lacking[:count],
+			News:          missing[:count],
 		})
-		lacking = lacking[count:]
+		missing = missing[count:]
 	}
 }
 
-// answered takes an answer to a question of this router, after its news.
-func (n *Node) answered(packet *memberpb.Packet) {
+// receiveResponse counts a response to a sync request of this router, after its updates were
+// applied.
+func (n *Node) receiveResponse(packet *memberpb.Packet) {
 	switch {
 	case packet.GetSequence() == 0:
 		return
 	case packet.GetDigest() == n.digest:
-		n.same++
+		n.matchingResponses++
 	case len(packet.GetNews()) == 0:
-		n.quiet++
+		n.quietResponses++
 	default:
-		n.same, n.quiet = 0, 0
+		n.matchingResponses, n.quietResponses = 0, 0
 	}
 	late := time.Since(n.startedAt) >= quietTime
-	if n.same >= sameAnswers || late && n.same+n.quiet >= quietAnswers {
-		n.settle()
+	if n.matchingResponses >= minMatchingResponses || late && n.matchingResponses+n.quietResponses >= minQuietResponses {
+		n.finishCatchUp()
 	}
 }
 
-// sendAll tells all that this router knows, in packets of bounded size.
+// sendAll sends all that this router knows, in packets of bounded size.
 func (n *Node) sendAll(address string) {
 	const newsPerPacket = 16
 	var all []*memberpb.News
--- a/membership/change.go
+++ b/membership/change.go
@@ -5,11 +5,12 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// Change is what a router knows after something changed.
+// Change describes the fleet after a change.
 type Change struct {
-	// Routers are those that may own backend servers, by ID. The list must not be changed.
+	// Routers may own backend servers. They are sorted by ID; the slice is shared and must not be
+	// modified.
 	Routers []slipwick.Router
-	// Died lists routers that died since the change before.
+	// Died holds the IDs of routers that died since the previous Change.
 	Died []string
 	// Backends holds the states of backend servers that are not live, by ID.
 	Backends map[string]memberpb.State
--- a/membership/doc.go
+++ b/membership/doc.go
@@ -1,6 +1,6 @@
-// Package membership finds out which routers live, leave or died, and spreads
-// that and the states of backend servers. Each router probes one other in each
-// period, asks a few to probe for it before it suspects anyone, and passes news
-// on with its probes, so that its traffic does not grow with the fleet. The
-// platform's list, which lags, only seeds it.
+// Package membership tracks which routers are live, leaving or dead, and distributes that and the
+// states of backend servers by gossip. In each period a router probes one other router, and asks a
+// few others to probe it before suspecting it. Updates travel with the probes, so the traffic per
+// router does not grow with the fleet. The platform's listing lags behind and is used only to find
+// the first routers.
 package membership
--- a/membership/member.go
+++ b/membership/member.go
@@ -10,23 +10,24 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// member is one box as this router knows it.
+// member is the local record of one box.
 type member struct {
 	news *memberpb.News
-	// suspectedAt is when this router began to suspect it; zero if not.
+	// suspectedAt is when this router began to suspect the box; zero if it does not.
 	suspectedAt time.Time
 	diedAt      time.Time
-	// retriedAt is when a dead member was probed last, in case it is back.
-	retriedAt time.Time
-	// penalty grows with each death and halves with time.
+	// lastProbedDeadAt is when the box was last contacted while dead, to find out whether it is
+	// reachable again.
+	lastProbedDeadAt time.Time
+	// penalty grows by one with each death and decays exponentially.
 	penalty   float64
 	penaltyAt time.Time
-	// sum is the box's part of the node's digest.
-	sum uint64
+	// digestPart is what the box contributes to the node's digest.
+	digestPart uint64
 }
 
-// newer tells whether a says more than b on the same box.
-func newer(a, b *memberpb.News) bool {
+// newer reports whether a supersedes b, an update on the same box.
+func supersedes(a, b *memberpb.News) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
 	}
@@ -46,7 +47,7 @@
 	return m.news.GetState() == memberpb.State_STATE_DEAD
 }
 
-// mayOwn tells whether the router is neither leaving, dead nor flapping.
+// mayOwn reports whether the router is neither leaving, dead nor flapping.
 func (m *member) mayOwn(policy *Policy, now time.Time) bool {
 	state := m.news.GetState()
 	alive := state == memberpb.State_STATE_LIVE || state == memberpb.State_STATE_SUSPECT
@@ -60,13 +61,13 @@
 	return m.penalty * math.Exp2(-float64(now.Sub(m.penaltyAt))/float64(policy.FlapHalfLife))
 }
 
-func (m *member) punish(policy *Policy, now time.Time) {
+func (m *member) addPenalty(policy *Policy, now time.Time) {
 	m.penalty = m.penaltyNow(policy, now) + 1
 	m.penaltyAt = now
 }
 
-// digest hashes what matters of the box; a dead router counts as unknown, since
-// it is forgotten sooner or later.
+// digest returns what the box contributes to the node's digest. A dead router contributes nothing,
+// as if unknown, because nodes forget dead routers at different times.
 func (m *member) digest() uint64 {
 	if m.dead() {
 		return 0
@@ -74,7 +75,7 @@
 	return m.fingerprint()
 }
 
-// fingerprint hashes the box's state; a suspect counts as live.
+// fingerprint hashes the box's ID, kind, state and incarnation; a suspect counts as live.
 func (m *member) fingerprint() uint64 {
 	state := m.news.GetState()
 	if state == memberpb.State_STATE_SUSPECT {
--- a/membership/news.go
+++ b/membership/news.go
@@ -6,10 +6,10 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// pushDelay gathers news that arrives together into one packet.
+// pushDelay batches updates that arrive close together into one packet.
 const pushDelay = 20 * time.Millisecond
 
-// apply takes news; what is no news is ignored.
+// apply merges an update; one that does not supersede the known state is ignored.
 func (n *Node) apply(news *memberpb.News) {
 	if news.GetId() == n.Self.ID && !news.GetBackend() {
 		n.refute(news)
@@ -20,7 +20,7 @@
 		known = n.backends
 	}
 	m := known[news.GetId()]
-	if m != nil && !newer(news, m.news) {
+	if m != nil && !supersedes(news, m.news) {
 		return
 	}
 	if m == nil {
@@ -31,10 +31,10 @@
 		known[news.GetId()] = m
 	}
 	n.replace(m, news)
-	n.spread(news)
+	n.broadcast(news)
 }
 
-// replace puts news in the place of older news.
+// replace replaces a member's state by a newer update.
 func (n *Node) replace(m *member, news *memberpb.News) {
 	wasDead := m.news != nil && m.dead()
 	now := time.Now()
@@ -47,68 +47,68 @@
 		m.suspectedAt = now
 	case news.GetState() == memberpb.State_STATE_DEAD && !wasDead:
 		m.diedAt = now
-		m.punish(&n.Policy, now)
+		m.addPenalty(&n.Policy, now)
 		n.died = append(n.died, news.GetId())
 		n.changed = true
 	}
 }
 
-// set gives a box its news, and keeps the digest and the lists of routers.
+// set stores a member's update, and adjusts the digest and the router lists.
 func (n *Node) set(m *member, news *memberpb.News) {
 	m.news = news
 	if !news.GetBackend() {
-		n.live.keep(m.router(), !m.dead())
-		n.keepOwner(m)
+		n.live.set(m.router(), !m.dead())
+		n.updateOwner(m)
 	}
-	n.digest ^= m.sum
-	m.sum = m.digest()
-	n.digest ^= m.sum
+	n.digest ^= m.digestPart
+	m.digestPart = m.digest()
+	n.digest ^= m.digestPart
 }
 
-// keepOwner has a router among those that may own backend servers, or not.
-func (n *Node) keepOwner(m *member) {
-	if n.owners.keep(m.router(), m.mayOwn(&n.Policy, time.Now())) {
+// updateOwner adds the router to the possible owners of backend servers or removes it from them.
+func (n *Node) updateOwner(m *member) {
+	if n.owners.set(m.router(), m.mayOwn(&n.Policy, time.Now())) {
 		n.changed = true
 	}
 }
 
-// refute answers news of this router's own death or suspicion.
+// refute answers a report that this router is suspect or dead with a higher incarnation.
 func (n *Node) refute(news *memberpb.News) {
 	own := n.self()
-	if news.GetIncarnation() < own.news.GetIncarnation() || !newer(news, own.news) {
+	if news.GetIncarnation() < own.news.GetIncarnation() || !supersedes(news, own.news) {
 		return
 	}
-	again := newsOf(n.Self)
-	again.State = own.news.GetState()
-	again.Incarnation = news.GetIncarnation() + 1
-	n.set(own, again)
-	n.spread(again)
+	refutation := newsOf(n.Self)
+	refutation.State = own.news.GetState()
+	refutation.Incarnation = news.GetIncarnation() + 1
+	n.set(own, refutation)
+	n.broadcast(refutation)
 }
 
-// spread passes news on with the next packets, and to a few routers at once.
-func (n *Node) spread(news *memberpb.News) {
-	n.rumours.add(news)
-	n.pushLater()
+// broadcast queues an update for the next packets, and schedules a push to a few routers.
+func (n *Node) broadcast(news *memberpb.News) {
+	n.queue.add(news)
+	n.schedulePush()
 }
 
-// pushLater has a few routers told at once.
-func (n *Node) pushLater() {
-	if n.pushing {
+// schedulePush pushes to a few routers after pushDelay, unless a push is pending.
+func (n *Node) schedulePush() {
+	if n.pushPending {
 		return
 	}
-	n.pushing = true
+	n.pushPending = true
 	time.AfterFunc(pushDelay, func() {
 		n.locked(func() {
-			n.pushing = false
+			n.pushPending = false
 			n.push()
 		})
 	})
 }
 
-// push sends the news to a few routers at once.
+// push sends queued updates to a few random routers.
 func (n *Node) push() {
 	packet := n.packet(memberpb.Kind_KIND_NEWS, 0)
-	for _, m := range n.choose(n.Policy.Fanout, "") {
+	for _, m := range n.randomMembers(n.Policy.Fanout, "") {
 		n.send(m.news.GetAddress(), packet)
 	}
 }
--- a/membership/node.go
+++ b/membership/node.go
@@ -10,79 +10,79 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// Node is one router's part in membership. Set the exported fields before Run.
+// Node is one router's member of the gossip protocol. Set the exported fields before Run.
 type Node struct {
 	Self   slipwick.Router
 	Wire   Wire
 	Policy Policy
-	// Random chooses whom to probe.
+	// Random chooses whom to probe and to send updates to.
 	Random *rand.Rand
-	// CatchUp has a router that starts ask others for what it lacks until it knows
-	// the fleet, and tell of changes from then on: each packet until then brings some
-	// of the fleet. Without it Settled is closed at once, and questions are answered
-	// with all that is known.
+	// CatchUp makes a starting router request what it lacks from others until it knows the fleet.
+	// OnChange is called only from then on, because each packet before brings only a part of the
+	// fleet. Without CatchUp, FleetKnown is closed at once, and sync requests ask for all that the
+	// other router knows.
 	CatchUp bool
-	// OnVersion is told of a higher version of the configuration that another
-	// router has in force. It must not call back.
+	// OnVersion is called when another router has a higher version of the configuration in force.
+	// It runs under the node's lock and must not call the node.
 	OnVersion func(router string, version uint64)
-	// OnChange is told of each change, one call at a time. It must not call
-	// back.
+	// OnChange is called for each change, one call at a time. It runs under the node's lock and
+	// must not call the node.
 	OnChange func(Change)
 
 	mu      sync.Mutex
 	members map[string]*member
-	// live are those that are not dead, owners those that may own backend servers.
+	// live holds the routers that are not dead, owners those that may own backend servers.
 	live, owners roster
 	backends     map[string]*member
-	// version is that of the configuration in force.
+	// version is the version of the configuration in force.
 	version uint64
-	// listed is what the platform\'s list said last of backend servers.
+	// listed holds the state of each backend server in the platform's latest listing.
 	listed map[string]slipwick.BoxState
-	// digest hashes all that the node knows: the sums of all boxes.
+	// digest is the XOR of the digest parts of all boxes.
 	digest   uint64
-	rumours  rumours
+	queue    updateQueue
 	probes   map[uint64]*probe
 	sequence uint64
-	// round holds the routers still to be probed in this round.
-	round    []string
-	differed int
-	syncedAt time.Time
-	// metAt is when a router that was not known was asked last.
-	metAt   time.Time
-	pushing bool
-	died    []string
-	// changed says that OnChange is due.
+	// probeRound holds the routers still to be probed in this round.
+	probeRound       []string
+	digestMismatches int
+	syncedAt         time.Time
+	// unknownSyncedAt is when a sync request was last sent to an unknown router.
+	unknownSyncedAt time.Time
+	pushPending     bool
+	died            []string
+	// changed is set when OnChange has to be called.
 	changed bool
-	// startedAt is when Run began. questions counts those to other routers, same
-	// and quiet the answers since news came last: from routers that know just
-	// the same, and from others that know nothing more.
-	startedAt   time.Time
-	askedBackAt time.Time
-	questions   uint64
-	same, quiet int
-	settled     chan struct{}
-	done        chan struct{}
+	// startedAt is when Run began; requests counts the sync requests to other routers.
+	// matchingResponses and quietResponses count the responses since the last one that brought
+	// something new: those with the digest of this node, and others without updates.
+	startedAt                         time.Time
+	syncedBackAt                      time.Time
+	requests                          uint64
+	matchingResponses, quietResponses int
+	fleetKnown                        chan struct{}
+	done                              chan struct{}
 }
 
-// NewNode makes a node that knows itself alone.
-func NewNode(self slipwick.Router, wire Wire, policy Policy, random *rand.Rand) *Node {
+// NewNode returns a node that knows only itself.
+func NewNode(self slipwick.Router, transport Wire, policy Policy, random *rand.Rand) *Node {
 	n := &Node{
-		Self:      self,
-		Wire:      wire,
-		Policy:    policy,
-		Random:    random,
-		OnChange:  func(Change) {},
-		OnVersion: func(string, uint64) {},
-		members:   make(map[string]*member),
-		backends:  make(map[string]*member),
-		probes:    make(map[uint64]*probe),
-		listed:    make(map[string]slipwick.BoxState),
-		startedAt: time.Now(),
-		settled:   make(chan struct{}),
-		done:      make(chan struct{}),
+		Self:       self,
+		Wire:       transport,
+		Policy:     policy,
+		Random:     random,
+		OnChange:   func(Change) {},
+		OnVersion:  func(string, uint64) {},
+		members:    make(map[string]*member),
+		backends:   make(map[string]*member),
+		probes:     make(map[uint64]*probe),
+		listed:     make(map[string]slipwick.BoxState),
+		startedAt:  time.Now(),
+		fleetKnown: make(chan struct{}),
+		done:       make(chan struct{}),
 	}
 	news := newsOf(self)
-	// A restarted router is newer than its earlier life.
+	// The start time makes a restarted router's incarnation higher than its previous one.
 	news.Incarnation = uint64(time.Now().UnixMilli())
 	n.members[self.ID] = &member{}
 	n.set(n.members[self.ID], news)
@@ -98,24 +98,24 @@
 	}
 }
 
-// Run probes until ctx ends.
+// Run probes other routers, and blocks until ctx ends.
 func (n *Node) Run(ctx context.Context) {
 	defer close(n.done)
 	var wait time.Duration
 	n.locked(func() {
 		n.startedAt = time.Now()
 		n.changed = true
-		n.spread(n.self().news)
-		// Routers that start together do not probe together.
+		n.broadcast(n.self().news)
+		// A random first delay keeps routers that start together from probing at the same time.
 		wait = time.Duration(n.Random.Int64N(int64(n.Policy.Period)))
 	})
-	var parts sync.WaitGroup
+	var tasks sync.WaitGroup
 	if n.CatchUp {
-		parts.Go(func() { n.catchUp(ctx) })
+		tasks.Go(func() { n.catchUp(ctx) })
 	} else {
 		n.Alone()
 	}
-	defer parts.Wait()
+	defer tasks.Wait()
 	first := time.NewTimer(wait)
 	defer first.Stop()
 	select {
@@ -135,22 +135,22 @@
 	}
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has ended.
 func (n *Node) Done() <-chan struct{} {
 	return n.done
 }
 
-// locked runs a step and tells of what it changed.
+// locked runs a step under the lock and reports what it changed to OnChange.
 func (n *Node) locked(step func()) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	step()
-	n.tell()
+	n.notify()
 }
 
-// tell calls OnChange if something changed that others act on.
-func (n *Node) tell() {
-	if !n.changed || n.CatchUp && !n.isSettled() {
+// notify calls OnChange if there is a change to report.
+func (n *Node) notify() {
+	if !n.changed || n.CatchUp && !n.isFleetKnown() {
 		return
 	}
 	change := n.snapshot()
@@ -176,42 +176,42 @@
 	return n.members[n.Self.ID]
 }
 
-// Leave tells the others that this router leaves: it owns nothing any more.
+// Leave announces that this router is leaving and may no longer own backend servers.
 func (n *Node) Leave() {
-	n.locked(func() { n.declare(memberpb.State_STATE_LEAVING) })
+	n.locked(func() { n.announceState(memberpb.State_STATE_LEAVING) })
 }
 
-// Stop tells the others that this router is gone.
+// Stop announces that this router has stopped, and sends that to a few routers at once.
 func (n *Node) Stop() {
 	n.locked(func() {
-		n.declare(memberpb.State_STATE_DEAD)
+		n.announceState(memberpb.State_STATE_DEAD)
 		n.push()
 	})
 }
 
-// declare gives this router a new state of its own.
-func (n *Node) declare(state memberpb.State) {
+// announceState broadcasts a new state of this router.
+func (n *Node) announceState(state memberpb.State) {
 	news := newsOf(n.Self)
 	news.State = state
 	news.Incarnation = n.self().news.GetIncarnation() + 1
 	n.set(n.self(), news)
 	n.changed = true
-	n.spread(news)
+	n.broadcast(news)
 }
 
-// SetVersion tells other routers, a few at once and the rest with each packet,
-// which version of the configuration is in force here.
+// SetVersion announces the version of the configuration in force here: to a few routers at once, to
+// the others with each packet. Lower versions are ignored.
 func (n *Node) SetVersion(version uint64) {
 	n.locked(func() {
 		if version <= n.version {
 			return
 		}
 		n.version = version
-		n.pushLater()
+		n.schedulePush()
 	})
 }
 
-// SetBackend spreads the state of a backend server that this router owns.
+// SetBackend broadcasts the state of a backend server that this router owns.
 func (n *Node) SetBackend(id string, state memberpb.State) {
 	n.locked(func() {
 		known := n.backends[id]
@@ -231,26 +231,27 @@
 	})
 }
 
-// Observe takes the platform's list of boxes. It adds routers not known yet
-// and marks what leaves; what is missing from it, or live, proves nothing.
+// MergeListing merges the platform's listing of boxes: it adds unknown routers and marks boxes that
+// leave. Because the listing lags, a box that is missing from it changes nothing, and neither does
+// one listed as live unless a backend server was listed as leaving before.
 func (n *Node) Observe(boxes []slipwick.Box) {
 	n.locked(func() {
 		for i := range boxes {
-			n.observe(&boxes[i])
+			n.mergeBox(&boxes[i])
 		}
 	})
 }
 
-func (n *Node) observe(box *slipwick.Box) {
+func (n *Node) mergeBox(box *slipwick.Box) {
 	switch {
 	case box.Kind == slipwick.BoxBackend:
-		n.observeBackend(box)
+		n.mergeBackend(box)
 	case box.ID != n.Self.ID:
-		n.observeRouter(box)
+		n.mergeRouter(box)
 	}
 }
 
-func (n *Node) observeRouter(box *slipwick.Box) {
+func (n *Node) mergeRouter(box *slipwick.Box) {
 	news := &memberpb.News{
 		Id:         box.ID,
 		Address:    box.Address,
@@ -269,9 +270,9 @@
 	n.apply(news)
 }
 
-// observeBackend acts on what changed in the list since it was read last: as it
-// lags, what it goes on saying may be older than what an owner found out.
-func (n *Node) observeBackend(box *slipwick.Box) {
+// mergeBackend acts only on differences from the previous listing: because listings lag, a repeated
+// state may be older than what the owner has found out.
+func (n *Node) mergeBackend(box *slipwick.Box) {
 	last := n.listed[box.ID]
 	n.listed[box.ID] = box.State
 	known := n.backends[box.ID]
@@ -294,7 +295,7 @@
 	n.apply(news)
 }
 
-// Address gives where a router listens; empty if it is not known or dead.
+// Address returns the address of a router; empty if it is unknown or dead.
 func (n *Node) Address(router string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -304,8 +305,8 @@
 	return ""
 }
 
-// Routers gives the routers that are not dead, by ID. The list is shared: it must not be
-// changed.
+// Routers returns the routers that are not dead, sorted by ID. The slice is shared and must not be
+// modified.
 func (n *Node) Routers() []slipwick.Router {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -12,25 +12,25 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// discard sends nothing anywhere.
-type discard struct{}
+// discardTransport drops all packets.
+type discardTransport struct{}
 
-func (discard) Send(string, []byte) {}
+func (discardTransport) Send(string, []byte) {}
 
-func lonely() *Node {
+func newTestNode() *Node {
 	return NewNode(slipwick.Router{
 		ID:      "self",
 		Address: "10.0.0.1:1",
-	}, discard{}, DefaultPolicy(), rand.New(rand.NewPCG(1, 1)))
+	}, discardTransport{}, DefaultPolicy(), rand.New(rand.NewPCG(1, 1)))
 }
 
-func (n *Node) tellNews(news *memberpb.News) {
+func (n *Node) applyNews(news *memberpb.News) {
 	n.locked(func() { n.apply(news) })
 }
 
 func TestOlderNewsIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := lonely()
+		n := newTestNode()
 		for _, step := range []struct {
 			state       memberpb.State
 			incarnation uint64
@@ -62,7 +62,7 @@
 				want:        memberpb.State_STATE_LIVE,
 			},
 		} {
-			n.tellNews(&memberpb.News{
+			n.applyNews(&memberpb.News{
 				Id:          "other",
 				Address:     "10.0.0.2:1",
 				State:       step.state,
@@ -76,27 +76,27 @@
 	})
 }
 
-// sentTo keeps the addresses and kinds of what was sent.
-type sentTo struct {
+// recordingTransport records the kinds of packets sent to each address.
+type recordingTransport struct {
 	packets map[string][]memberpb.Kind
 }
 
-func (s *sentTo) Send(address string, encoded []byte) {
+func (s *recordingTransport) Send(address string, encoded []byte) {
 	packet := &memberpb.Packet{}
 	if proto.Unmarshal(encoded, packet) == nil {
 		s.packets[address] = append(s.packets[address], packet.GetKind())
 	}
 }
 
-// TestRestartedRouterAsksWhoProbesIt has a router without seeds probed by one
-// that knew its earlier life.
-func TestRestartedRouterAsksWhoProbesIt(t *testing.T) {
+// TestRestartedRouterSyncsWithUnknownProber has a router without seeds probed by one that knew its
+// previous incarnation: it must send that router one sync request.
+func TestRestartedRouterSyncsWithUnknownProber(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := lonely()
-		wire := &sentTo{
+		n := newTestNode()
+		transport := &recordingTransport{
 			packets: make(map[string][]memberpb.Kind),
 		}
-		n.Wire = wire
+		n.Wire = transport
 		probe, err := proto.Marshal(&memberpb.Packet{
 			Kind: memberpb.Kind_KIND_PROBE,
 			From: "other",
@@ -104,30 +104,30 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		// A third would ask for a difference in what they know.
+		// A third packet would lead to a sync request because the digests differ.
 		for range 2 {
 			n.Receive("10.0.0.2:1", probe)
 		}
-		asked := 0
-		for _, kind := range wire.packets["10.0.0.2:1"] {
+		syncRequests := 0
+		for _, kind := range transport.packets["10.0.0.2:1"] {
 			if kind == memberpb.Kind_KIND_SYNC {
-				asked++
+				syncRequests++
 			}
 		}
-		if asked != 1 {
-			t.Errorf("got %d requests for all that the other knows, want 1", asked)
+		if syncRequests != 1 {
+			t.Errorf("got %d sync requests, want 1", syncRequests)
 		}
 		time.Sleep(time.Second)
 	})
 }
 
-// TestDeathIsRefuted checks that a live router answers news of its own death
-// with a newer incarnation.
+// TestDeathIsRefuted checks that a live router answers a report of its own death with a higher
+// incarnation.
 func TestDeathIsRefuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := lonely()
+		n := newTestNode()
 		before := n.self().news.GetIncarnation()
-		n.tellNews(&memberpb.News{
+		n.applyNews(&memberpb.News{
 			Id:          "self",
 			State:       memberpb.State_STATE_DEAD,
 			Incarnation: before + 7,
@@ -140,11 +140,11 @@
 	})
 }
 
-// TestListOfBackends checks that the list's changes count and its repetitions do
-// not, as an owner may know better meanwhile.
-func TestListOfBackends(t *testing.T) {
+// TestOnlyChangesOfListingCount checks that a changed state in the platform's listing is applied,
+// and that a repeated one is not, because the owner may have a newer state.
+func TestOnlyChangesOfListingCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := lonely()
+		n := newTestNode()
 		list := func(state slipwick.BoxState) {
 			n.Observe([]slipwick.Box{
 				{
@@ -168,7 +168,7 @@
 		list(slipwick.BoxLeaving)
 		n.SetBackend("service", memberpb.State_STATE_LIVE)
 		list(slipwick.BoxLeaving)
-		want("the owner knows better", memberpb.State_STATE_LIVE)
+		want("set live by the owner, listed leaving again", memberpb.State_STATE_LIVE)
 		n.SetBackend("service", memberpb.State_STATE_EJECTED)
 		list(slipwick.BoxLive)
 		want("ejected, listed live", memberpb.State_STATE_EJECTED)
@@ -176,11 +176,11 @@
 	})
 }
 
-// TestFlappingIsDamped checks that a router that dies again and again may own
-// nothing for a while, and may later.
-func TestFlappingIsDamped(t *testing.T) {
+// TestFlappingRouterOwnsNothing checks that a router that died repeatedly may not own backend
+// servers at once, but may after its penalty has decayed.
+func TestFlappingRouterOwnsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := lonely()
+		n := newTestNode()
 		owns := func() bool {
 			for _, r := range n.snapshot().Routers {
 				if r.ID == "other" {
@@ -191,7 +191,7 @@
 		}
 		for i := range 3 {
 			for _, state := range []memberpb.State{memberpb.State_STATE_LIVE, memberpb.State_STATE_DEAD} {
-				n.tellNews(&memberpb.News{
+				n.applyNews(&memberpb.News{
 					Id:          "other",
 					Address:     "10.0.0.2:1",
 					State:       state,
@@ -199,24 +199,23 @@
 				})
 			}
 		}
-		n.tellNews(&memberpb.News{
+		n.applyNews(&memberpb.News{
 			Id:          "other",
 			Address:     "10.0.0.2:1",
 			Incarnation: 9,
 		})
 		if owns() {
-			t.Error("a router that died three times may own at once")
+			t.Error("a router that died three times may own backend servers at once")
 		}
 		time.Sleep(2 * time.Minute)
 		n.locked(n.tick)
 		if !owns() {
-			t.Error("a router that stayed for two minutes may still not own")
+			t.Error("a router may not own backend servers after two minutes without a death")
 		}
 	})
 }
 
-// FuzzReceive checks that no packet breaks a node or makes it think itself
-// dead.
+// FuzzReceive checks that no packet makes a node panic or consider itself dead.
 func FuzzReceive(f *testing.F) {
 	seed, _ := proto.Marshal(&memberpb.Packet{
 		Kind: memberpb.Kind_KIND_SYNC,
@@ -230,10 +229,10 @@
 	})
 	f.Add(seed)
 	f.Fuzz(func(t *testing.T, packet []byte) {
-		n := lonely()
+		n := newTestNode()
 		n.Receive("10.0.0.9:1", packet)
 		if n.self().dead() {
-			t.Error("the node thinks itself dead")
+			t.Error("the node considers itself dead")
 		}
 	})
 }
--- a/membership/packet.go
+++ b/membership/packet.go
@@ -16,7 +16,7 @@
 		Digest:   n.digest,
 
 		Configuration: n.version,
-		News:          n.rumours.take(n.Policy.NewsPerPacket, len(n.members)),
+		News:          n.queue.take(n.Policy.NewsPerPacket, len(n.members)),
 	}
 }
 
@@ -28,8 +28,7 @@
 	n.Wire.Send(address, encoded)
 }
 
-// Receive takes a packet; address is where answers go. What can't be read is
-// dropped.
+// Receive handles a packet; responses go to address. Packets that cannot be decoded are dropped.
 func (n *Node) Receive(address string, encoded []byte) {
 	packet := &memberpb.Packet{}
 	if proto.Unmarshal(encoded, packet) != nil {
@@ -39,7 +38,7 @@
 }
 
 func (n *Node) receive(address string, packet *memberpb.Packet) {
-	n.meet(address, packet.GetFrom())
+	n.syncWithUnknown(address, packet.GetFrom())
 	for _, news := range packet.GetNews() {
 		n.apply(news)
 	}
@@ -48,46 +47,46 @@
 	}
 	switch packet.GetKind() {
 	case memberpb.Kind_KIND_PROBE:
-		n.compare(address, packet)
-		n.accuse(packet.GetFrom())
+		n.checkDigest(address, packet)
+		n.queueForRefutation(packet.GetFrom())
 		n.send(address, n.packet(memberpb.Kind_KIND_ACK, packet.GetSequence()))
 	case memberpb.Kind_KIND_ACK:
-		n.acked(packet)
-		n.compare(address, packet)
+		n.receiveAck(packet)
+		n.checkDigest(address, packet)
 	case memberpb.Kind_KIND_PROBE_FOR:
 		n.probeFor(address, packet)
 	case memberpb.Kind_KIND_NEWS:
-		n.answered(packet)
+		n.receiveResponse(packet)
 	case memberpb.Kind_KIND_SYNC:
-		n.answer(address, packet)
-		n.askBack(address, packet)
+		n.respond(address, packet)
+		n.syncBack(address, packet)
 	}
 }
 
-// meetEvery bounds how often a router asks others that it does not know.
-const meetEvery = 100 * time.Millisecond
+// unknownSyncInterval is the minimum time between sync requests to unknown routers.
+const unknownSyncInterval = 100 * time.Millisecond
 
-// meet asks a router that is not known here for all it knows. A router that
-// restarts at the same address is still probed by those that knew it: so it
-// finds the fleet though none of its seeds is up.
-func (n *Node) meet(address, from string) {
+// syncWithUnknown sends a sync request to a sender that is not known here. A router that restarts
+// at the same address is still probed by those that knew it, and so finds the fleet even if none of
+// its seeds is up.
+func (n *Node) syncWithUnknown(address, from string) {
 	now := time.Now()
-	if from == "" || n.members[from] != nil || now.Sub(n.metAt) < meetEvery {
+	if from == "" || n.members[from] != nil || now.Sub(n.unknownSyncedAt) < unknownSyncInterval {
 		return
 	}
-	n.metAt = now
-	n.ask(address, n.wanted())
+	n.unknownSyncedAt = now
+	n.requestSync(address, n.wantedPackets())
 }
 
-// accuse tells a router that probes, though it counts as dead or suspect here,
-// what is said of it, so that it refutes.
-func (n *Node) accuse(id string) {
+// queueForRefutation queues the state of a probing router that counts as dead or suspect here, so
+// that the reply carries it and the router refutes it.
+func (n *Node) queueForRefutation(id string) {
 	if m := n.members[id]; m != nil && (m.dead() || m.news.GetState() == memberpb.State_STATE_SUSPECT) {
-		n.rumours.add(m.news)
+		n.queue.add(m.news)
 	}
 }
 
-func (n *Node) acked(packet *memberpb.Packet) {
+func (n *Node) receiveAck(packet *memberpb.Packet) {
 	p := n.probes[packet.GetSequence()]
 	if p == nil {
 		return
@@ -102,7 +101,7 @@
 	}
 }
 
-// probeFor probes a target for another router.
+// probeFor probes a target on behalf of another router.
 func (n *Node) probeFor(address string, packet *memberpb.Packet) {
 	n.sequence++
 	sequence := n.sequence
@@ -115,22 +114,22 @@
 	time.AfterFunc(n.Policy.Period, func() { n.locked(func() { delete(n.probes, sequence) }) })
 }
 
-// compare asks for everything when the other router keeps knowing otherwise.
-func (n *Node) compare(address string, packet *memberpb.Packet) {
+// checkDigest sends a sync request after SyncAfter packets in a row with a different digest.
+func (n *Node) checkDigest(address string, packet *memberpb.Packet) {
 	if packet.GetDigest() == n.digest {
-		n.differed = 0
+		n.digestMismatches = 0
 		return
 	}
-	n.differed++
+	n.digestMismatches++
 	now := time.Now()
-	if n.differed < n.Policy.SyncAfter || now.Sub(n.syncedAt) < n.Policy.SyncEvery {
+	if n.digestMismatches < n.Policy.SyncAfter || now.Sub(n.syncedAt) < n.Policy.SyncEvery {
 		return
 	}
-	n.differed, n.syncedAt = 0, now
-	n.ask(address, n.wanted())
+	n.digestMismatches, n.syncedAt = 0, now
+	n.requestSync(address, n.wantedPackets())
 }
 
-// Join asks a router at the address for what it knows.
+// Join sends a sync request to the router at the address.
 func (n *Node) Join(address string) {
-	n.locked(func() { n.ask(address, earlyPackets) })
+	n.locked(func() { n.requestSync(address, startupPackets) })
 }
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -2,34 +2,34 @@
 
 import "time"
 
-// Policy holds the figures of probing.
+// Policy holds the parameters of the failure detector and of the gossip.
 type Policy struct {
-	// Period is the time between two probes by one router.
+	// ProbeInterval is the time between two probes by one router.
 	Period time.Duration
-	// AckTimeout is the wait for an ack before others are asked to probe.
+	// AckTimeout is how long to wait for an ack before other routers are asked to probe the target.
 	AckTimeout time.Duration
-	// Helpers is how many others are asked.
+	// IndirectProbes is how many routers are asked to probe the target.
 	Helpers int
-	// Suspicion is how long a suspect has to answer before it counts as dead.
+	// SuspicionTimeout is how long a suspect has to refute before it counts as dead.
 	Suspicion time.Duration
-	// Fanout is how many routers are told news at once.
+	// Fanout is how many routers a push goes to.
 	Fanout int
-	// NewsPerPacket bounds the news in one packet.
+	// NewsPerPacket bounds the updates in one packet.
 	NewsPerPacket int
-	// SyncAfter is how many packets in a row have to show a differing digest
-	// before everything is asked for, and SyncEvery the least time between.
+	// SyncAfter is how many packets in a row must have a different digest before a sync request is
+	// sent; MinSyncInterval is the minimum time between such requests.
 	SyncAfter int
 	SyncEvery time.Duration
-	// Forget is how long the dead are remembered, and probed now and then in
-	// case they were only cut off: longer than regions lose each other.
+	// DeadRetention is how long dead routers are remembered and still contacted from time to time,
+	// in case they were only partitioned: longer than regions lose contact with each other.
 	Forget time.Duration
-	// FlapLimit is the penalty, one for each death and halved every
-	// FlapHalfLife, from which on a router may own nothing.
+	// FlapLimit is the penalty from which on a router may not own backend servers. A death adds 1
+	// to the penalty, which halves every FlapHalfLife.
 	FlapLimit    float64
 	FlapHalfLife time.Duration
 }
 
-// DefaultPolicy gives the figures in use.
+// DefaultPolicy returns the default parameters.
 func DefaultPolicy() Policy {
 	return Policy{
 		Period:        time.Second,
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -10,32 +10,32 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// probe is one that has not been answered.
+// probe is a probe that has not been acked.
 type probe struct {
 	target string
-	// forAddress and forSequence say whom to tell of the ack, if the probe
-	// is on behalf of another router.
+	// forAddress and forSequence identify the probe of another router on whose behalf this one was
+	// sent; the ack is forwarded there.
 	forAddress  string
 	forSequence uint64
 }
 
-// tick probes the next router, and looks after suspects and the dead.
+// tick probes the next router, expires suspects and dead routers, and contacts dead ones again.
 func (n *Node) tick() {
 	now := time.Now()
 	for id, m := range n.members {
 		if m.penalty > 0 {
-			// It decays, so that the router may come to own again.
-			n.keepOwner(m)
+			// The penalty decays, so the router may be allowed to own again.
+			n.updateOwner(m)
 		}
 		switch {
 		case id == n.Self.ID:
 		case m.dead() && now.Sub(m.diedAt) > n.Policy.Forget:
-			n.digest ^= m.sum
+			n.digest ^= m.digestPart
 			delete(n.members, id)
 		case m.dead():
-			n.retry(m, now)
+			n.probeDead(m, now)
 		case !m.suspectedAt.IsZero() && now.Sub(m.suspectedAt) >= n.Policy.Suspicion:
-			n.bury(m)
+			n.markDead(m)
 		}
 	}
 	if target := n.nextTarget(); target != nil {
@@ -43,49 +43,49 @@
 	}
 }
 
-// retryEvery is how often a dead router is probed, in case it was only cut off.
-const retryEvery = 10 * time.Second
+// deadProbeInterval is how often a dead router is contacted, in case it was only partitioned.
+const deadProbeInterval = 10 * time.Second
 
-func (n *Node) retry(m *member, now time.Time) {
-	if now.Sub(m.retriedAt) < retryEvery {
+func (n *Node) probeDead(m *member, now time.Time) {
+	if now.Sub(m.lastProbedDeadAt) < deadProbeInterval {
 		return
 	}
-	m.retriedAt = now
-	// The packet says that the receiver counts as dead, so that it refutes.
+	m.lastProbedDeadAt = now
+	// The packet carries the receiver's state as dead, so that the receiver refutes it.
 	packet := n.packet(memberpb.Kind_KIND_NEWS, 0)
 	packet.News = append(packet.News, m.news)
 	n.send(m.news.GetAddress(), packet)
 }
 
-func (n *Node) bury(m *member) {
+func (n *Node) markDead(m *member) {
 	news := proto.Clone(m.news).(*memberpb.News)
 	news.State = memberpb.State_STATE_DEAD
 	n.apply(news)
 }
 
-// nextTarget gives the next router in a shuffled round, or nil.
+// nextTarget returns the next router of a shuffled round, or nil.
 func (n *Node) nextTarget() *member {
 	for range 2 {
-		for len(n.round) > 0 {
-			m := n.members[n.round[0]]
-			n.round = n.round[1:]
+		for len(n.probeRound) > 0 {
+			m := n.members[n.probeRound[0]]
+			n.probeRound = n.probeRound[1:]
 			if m != nil && !m.dead() {
 				return m
 			}
 		}
-		for _, m := range n.choose(len(n.members), "") {
-			n.round = append(n.round, m.news.GetId())
+		for _, m := range n.randomMembers(len(n.members), "") {
+			n.probeRound = append(n.probeRound, m.news.GetId())
 		}
 	}
 	return nil
 }
 
-// choose gives up to count other routers that are not dead, at random. A few are drawn without
-// a look at all.
-func (n *Node) choose(count int, except string) []*member {
+// randomMembers returns up to count random routers, neither dead nor this one nor except. Few of
+// many are drawn without building a candidate list.
+func (n *Node) randomMembers(count int, except string) []*member {
 	live := n.live.routers
-	if count*fewShare < len(live) {
-		return n.drawFew(live, count, except)
+	if count*sparseSampleRatio < len(live) {
+		return n.sampleMembers(live, count, except)
 	}
 	candidates := make([]*member, 0, len(live))
 	for i := range live {
@@ -100,14 +100,14 @@
 	return candidates[:min(count, len(candidates))]
 }
 
-// fewShare is how many times as many routers there are at least as are drawn one by one: a
-// draw that gives one twice is repeated.
-const fewShare = 4
+// sparseSampleRatio is the ratio of routers to draws above which members are drawn one at a time
+// and duplicates drawn again.
+const sparseSampleRatio = 4
 
-func (n *Node) drawFew(live []slipwick.Router, count int, except string) []*member {
+func (n *Node) sampleMembers(live []slipwick.Router, count int, except string) []*member {
 	drawn := make([]*member, 0, count)
-	// Of more than four times as many, this router and the one left out among them, some
-	// are left.
+	// The list has more than sparseSampleRatio times count routers, so count others remain without
+	// this router and except.
 	for len(drawn) < min(count, len(live)-2) {
 		id := live[n.Random.IntN(len(live))].ID
 		m := n.members[id]
@@ -125,12 +125,13 @@
 		target: target.news.GetId(),
 	}
 	n.send(target.news.GetAddress(), n.packet(memberpb.Kind_KIND_PROBE, sequence))
-	time.AfterFunc(n.Policy.AckTimeout, func() { n.locked(func() { n.askHelpers(sequence) }) })
-	time.AfterFunc(n.Policy.Period, func() { n.locked(func() { n.unanswered(sequence) }) })
+	time.AfterFunc(n.Policy.AckTimeout, func() { n.locked(func() { n.requestIndirectProbes(sequence) }) })
+	time.AfterFunc(n.Policy.Period, func() { n.locked(func() { n.probeTimedOut(sequence) }) })
 }
 
-// askHelpers has others probe the target: the way to it may be what fails.
-func (n *Node) askHelpers(sequence uint64) {
+// requestIndirectProbes asks other routers to probe the target, because only the path from here may
+// have failed.
+func (n *Node) requestIndirectProbes(sequence uint64) {
 	p := n.probes[sequence]
 	if p == nil || n.members[p.target] == nil {
 		return
@@ -138,13 +139,13 @@
 	packet := n.packet(memberpb.Kind_KIND_PROBE_FOR, sequence)
 	packet.Target = p.target
 	packet.TargetAddress = n.members[p.target].news.GetAddress()
-	for _, helper := range n.choose(n.Policy.Helpers, p.target) {
+	for _, helper := range n.randomMembers(n.Policy.Helpers, p.target) {
 		n.send(helper.news.GetAddress(), packet)
 	}
 }
 
-// unanswered suspects the target of a probe that nobody acked.
-func (n *Node) unanswered(sequence uint64) {
+// probeTimedOut suspects the target of a probe that was not acked, directly or indirectly.
+func (n *Node) probeTimedOut(sequence uint64) {
 	p := n.probes[sequence]
 	if p == nil {
 		return
--- a/membership/roster_test.go
+++ b/membership/roster_test.go
@@ -13,12 +13,12 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// TestRosterIsThatOfThePlainWay compares the list with one that is sorted anew, and looks
-// whether lists given out stay as they were.
-func TestRosterIsThatOfThePlainWay(t *testing.T) {
+// TestRosterMatchesReference compares the roster with a reference, a list that is sorted anew after each step,
+// and checks that slices shared out by share do not change.
+func TestRosterMatchesReference(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
-		list, plain := roster{}, make(map[string]slipwick.Router)
-		var given, copies [][]slipwick.Router
+		list, byID := roster{}, make(map[string]slipwick.Router)
+		var shared, copies [][]slipwick.Router
 		for range rapid.IntRange(1, 60).Draw(r, "steps") {
 			router := slipwick.Router{
 				ID:      fmt.Sprint("r", rapid.IntRange(0, 12).Draw(r, "router")),
@@ -27,35 +27,35 @@
 			switch rapid.IntRange(0, 3).Draw(r, "step") {
 			case 0:
 				list.remove(router.ID)
-				delete(plain, router.ID)
+				delete(byID, router.ID)
 			case 1:
-				shared := list.share()
-				given, copies = append(given, shared), append(copies, slices.Clone(shared))
+				routers := list.share()
+				shared, copies = append(shared, routers), append(copies, slices.Clone(routers))
 			default:
 				list.put(router)
-				plain[router.ID] = router
+				byID[router.ID] = router
 			}
-			want := slices.SortedFunc(maps.Values(plain), func(a, b slipwick.Router) int { return strings.Compare(a.ID, b.ID) })
+			want := slices.SortedFunc(maps.Values(byID), func(a, b slipwick.Router) int { return strings.Compare(a.ID, b.ID) })
 			if !slices.Equal(list.routers, want) {
 				r.Fatalf("got %v, want %v", list.routers, want)
 			}
 		}
-		for i := range given {
-			if !slices.Equal(given[i], copies[i]) {
-				r.Errorf("a list given out: got %v, want %v as before", given[i], copies[i])
+		for i := range shared {
+			if !slices.Equal(shared[i], copies[i]) {
+				r.Errorf("a shared slice: got %v, want %v as before", shared[i], copies[i])
 			}
 		}
 	})
 }
 
-// BenchmarkRouterDiesAndReturns takes the death of one router of a fleet and its return, and
-// chooses after each whom to tell, as a router does all the time while boxes restart.
+// BenchmarkRouterDiesAndReturns applies the death and the return of one router, and draws the
+// receivers of a push after each, as happens all the time while boxes restart.
 func BenchmarkRouterDiesAndReturns(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := lonely()
+			n := newTestNode()
 			for i := range size {
-				n.tellNews(&memberpb.News{
+				n.applyNews(&memberpb.News{
 					Id: fmt.Sprint("r", i),
 				})
 			}
@@ -69,22 +69,22 @@
 						State:       state,
 						Incarnation: incarnation,
 					})
-					n.choose(3, "")
+					n.randomMembers(3, "")
 				}
 			}
 		})
 	}
 }
 
-// BenchmarkTellOfRouter tells of one router's death and of its return.
+// BenchmarkTellOfRouter reports one router's death and its return to OnChange.
 func BenchmarkTellOfRouter(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			n := lonely()
-			told := 0
-			n.OnChange = func(Change) { told++ }
+			n := newTestNode()
+			notified := 0
+			n.OnChange = func(Change) { notified++ }
 			for i := range size {
-				n.tellNews(&memberpb.News{
+				n.applyNews(&memberpb.News{
 					Id: fmt.Sprint("r", i),
 				})
 			}
@@ -99,7 +99,7 @@
 						Incarnation: incarnation,
 					})
 					n.changed = true
-					n.tell()
+					n.notify()
 				}
 			}
 		})
--- a/membership/routers_test.go
+++ b/membership/routers_test.go
@@ -8,12 +8,12 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// TestRoutersAreListedAnewWhenTheyChange asks for the list between changes: it is made once for
-// each, however often it is asked for.
-func TestRoutersAreListedAnewWhenTheyChange(t *testing.T) {
-	n := lonely()
-	told := func(id string, state memberpb.State) {
-		n.tellNews(&memberpb.News{
+// TestRouterListIsCopiedOnlyOnChange checks that Routers follows each change, and returns the same
+// slice as long as nothing changes.
+func TestRouterListIsCopiedOnlyOnChange(t *testing.T) {
+	n := newTestNode()
+	apply := func(id string, state memberpb.State) {
+		n.applyNews(&memberpb.News{
 			Id:          id,
 			State:       state,
 			Incarnation: 1,
@@ -38,23 +38,24 @@
 			want:  2,
 		},
 	} {
-		told(step.id, step.state)
+		apply(step.id, step.state)
 		routers := n.Routers()
 		if got := len(routers); got != step.want {
 			t.Errorf("%s %v: got %d routers, want %d", step.id, step.state, got, step.want)
 		}
 		if again := n.Routers(); &again[0] != &routers[0] {
-			t.Error("got a list made anew, want the same one while nothing changes")
+			t.Error("got a new slice, want the same one while nothing changes")
 		}
 	}
 }
 
-// TestChoiceIsEvenAndOfOthers draws a few routers of fleets of several sizes again and again.
-func TestChoiceIsEvenAndOfOthers(t *testing.T) {
+// TestRandomMembersAreUniform draws a few routers from fleets of several sizes many times: never
+// this router or the excluded one, and the others about equally often.
+func TestRandomMembersAreUniform(t *testing.T) {
 	for _, size := range []int{2, 3, 5, 20, 200} {
-		n := lonely()
+		n := newTestNode()
 		for i := range size {
-			n.tellNews(&memberpb.News{
+			n.applyNews(&memberpb.News{
 				Id: fmt.Sprint("r", i),
 			})
 		}
@@ -62,7 +63,7 @@
 		drawn := make(map[string]int)
 		for range draws {
 			var members []*member
-			n.locked(func() { members = n.choose(count, "r0") })
+			n.locked(func() { members = n.randomMembers(count, "r0") })
 			if want := min(count, size-1); len(members) != want {
 				t.Fatalf("%d others: got %d, want %d", size, len(members), want)
 			}
@@ -71,7 +72,7 @@
 			}
 		}
 		if drawn["r0"] > 0 || drawn["self"] > 0 {
-			t.Errorf("%d others: got itself or the one left out", size)
+			t.Errorf("%d others: got this router or the excluded one", size)
 		}
 		mean := float64(draws*min(count, size-1)) / float64(size-1)
 		for id, times := range drawn {
@@ -82,25 +83,25 @@
 	}
 }
 
-// TestStartingRouterTellsOfTheFleetOnce hears of fleets of several sizes one router after the
-// other: what acts on the fleet is told when it is known, and of each change from then on.
-func TestStartingRouterTellsOfTheFleetOnce(t *testing.T) {
+// TestStartingRouterReportsFleetOnce applies updates for fleets of several sizes one router at a
+// time: OnChange is called once when the fleet is known, and for each change from then on.
+func TestStartingRouterReportsFleetOnce(t *testing.T) {
 	for _, size := range []int{50, 100, 200} {
-		n := lonely()
+		n := newTestNode()
 		n.CatchUp = true
-		var told []int
-		n.OnChange = func(change Change) { told = append(told, len(change.Routers)) }
+		var reported []int
+		n.OnChange = func(change Change) { reported = append(reported, len(change.Routers)) }
 		for i := range size {
-			n.tellNews(&memberpb.News{
+			n.applyNews(&memberpb.News{
 				Id: fmt.Sprint("r", i),
 			})
 		}
 		n.Alone()
-		n.tellNews(&memberpb.News{
+		n.applyNews(&memberpb.News{
 			Id: "late",
 		})
-		if want := []int{size + 1, size + 2}; !slices.Equal(told, want) {
-			t.Errorf("got told of %v routers, want %v", told, want)
+		if want := []int{size + 1, size + 2}; !slices.Equal(reported, want) {
+			t.Errorf("got changes with %v routers, want %v", reported, want)
 		}
 	}
 }
--- a/membership/rumours.go
+++ b/membership/rumours.go
@@ -7,36 +7,36 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// rumour is news that is still to be passed on.
-type rumour struct {
+// queuedUpdate is an update that is still to be sent.
+type queuedUpdate struct {
 	news *memberpb.News
 	sent int
 }
 
-// rumours holds news until each was passed on often enough to have reached
-// everyone: a few times the logarithm of the fleet's size.
-type rumours struct {
-	byID map[string]*rumour
-	// bySent are the rumours by how often they were sent, with some that were replaced
-	// since. A fleet that starts has as many as routers, which wait for minutes: to take a
-	// packet's news costs by these and the logarithm of all.
-	bySent []rumourHeap
+// updateQueue holds each update until it was sent often enough to have reached all routers: a few
+// times the logarithm of the fleet's size.
+type updateQueue struct {
+	byID map[string]*queuedUpdate
+	// bySent holds the updates by how often they were sent, including some that were replaced
+	// since. When a fleet starts there is one for each router, and they stay queued for minutes:
+	// filling a packet costs the number of its updates times the logarithm of the queue.
+	bySent []updateHeap
 }
 
-// rumourHeap gives rumours by the ID of their box: all routers pass on the same ones first, so
-// that these reach everyone soon.
-type rumourHeap []*rumour
+// updateHeap orders updates by the ID of their box: all routers send the same ones first, so that
+// these reach all routers soon.
+type updateHeap []*queuedUpdate
 
-// Len, Less, Swap, Push and Pop make it a heap.
-func (h rumourHeap) Len() int { return len(h) }
+// Len, Less, Swap, Push and Pop implement heap.Interface.
+func (h updateHeap) Len() int { return len(h) }
 
-func (h rumourHeap) Less(i, j int) bool { return h[i].news.GetId() < h[j].news.GetId() }
+func (h updateHeap) Less(i, j int) bool { return h[i].news.GetId() < h[j].news.GetId() }
 
-func (h rumourHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
+func (h updateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
-func (h *rumourHeap) Push(x any) { *h = append(*h, x.(*rumour)) }
+func (h *updateHeap) Push(x any) { *h = append(*h, x.(*queuedUpdate)) }
 
-func (h *rumourHeap) Pop() any {
+func (h *updateHeap) Pop() any {
 	last := len(*h) - 1
 	popped := (*h)[last]
 	(*h)[last] = nil
@@ -44,36 +44,36 @@
 	return popped
 }
 
-// rumourFactor is how many times the logarithm each rumour is sent.
-const rumourFactor = 3
+// sendFactor times the logarithm of the fleet's size is how often each update is sent.
+const sendFactor = 3
 
-func (r *rumours) add(news *memberpb.News) {
-	if r.byID == nil {
-		r.byID = make(map[string]*rumour)
+func (q *updateQueue) add(news *memberpb.News) {
+	if q.byID == nil {
+		q.byID = make(map[string]*queuedUpdate)
 	}
-	added := &rumour{
+	added := &queuedUpdate{
 		news: news,
 	}
-	r.byID[news.GetId()] = added
-	r.queue(added)
+	q.byID[news.GetId()] = added
+	q.push(added)
 }
 
-// queue has a rumour wait among those that were sent as often.
-func (r *rumours) queue(waiting *rumour) {
-	for len(r.bySent) <= waiting.sent {
-		r.bySent = append(r.bySent, nil)
+// push queues an update with those that were sent as often.
+func (q *updateQueue) push(waiting *queuedUpdate) {
+	for len(q.bySent) <= waiting.sent {
+		q.bySent = append(q.bySent, nil)
 	}
-	heap.Push(&r.bySent[waiting.sent], waiting)
+	heap.Push(&q.bySent[waiting.sent], waiting)
 }
 
-// take gives up to count rumours, the least often sent first.
-func (r *rumours) take(count, members int) []*memberpb.News {
-	limit := rumourFactor * int(math.Ceil(math.Log2(float64(members+2))))
-	taken := make([]*rumour, 0, min(count, len(r.byID)))
-	for sent := range r.bySent {
-		waiting := &r.bySent[sent]
+// take returns up to count updates, the least often sent first, and counts them as sent.
+func (q *updateQueue) take(count, members int) []*memberpb.News {
+	limit := sendFactor * int(math.Ceil(math.Log2(float64(members+2))))
+	taken := make([]*queuedUpdate, 0, min(count, len(q.byID)))
+	for sent := range q.bySent {
+		waiting := &q.bySent[sent]
 		for waiting.Len() > 0 && len(taken) < count {
-			if next := heap.Pop(waiting).(*rumour); r.byID[next.news.GetId()] == next {
+			if next := heap.Pop(waiting).(*queuedUpdate); q.byID[next.news.GetId()] == next {
 				taken = append(taken, next)
 			}
 		}
@@ -82,10 +82,10 @@
 	for _, next := range taken {
 		news = append(news, next.news)
 		if next.sent++; next.sent >= limit {
-			delete(r.byID, next.news.GetId())
+			delete(q.byID, next.news.GetId())
 			continue
 		}
-		r.queue(next)
+		q.push(next)
 	}
 	return news
 }
--- a/membership/rumours_bench_test.go
+++ b/membership/rumours_bench_test.go
@@ -7,21 +7,21 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// BenchmarkRumours takes the news of one packet while those of a whole fleet that has started
-// wait.
+// BenchmarkRumours takes the updates of one packet while the queue holds one for each router of a
+// fleet that has just started.
 func BenchmarkRumours(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			var r rumours
+			var q updateQueue
 			for i := 0; b.Loop(); i++ {
 				if i%size == 0 {
 					for n := range size {
-						r.add(&memberpb.News{
+						q.add(&memberpb.News{
 							Id: fmt.Sprint("r", n),
 						})
 					}
 				}
-				r.take(8, size)
+				q.take(8, size)
 			}
 		})
 	}
--- a/membership/rumours_test.go
+++ b/membership/rumours_test.go
@@ -7,13 +7,13 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// TestRumoursAreSentTheLeastOftenFirst passes on the news of a fleet, with newer news of one box
-// in between, until nothing is left.
-func TestRumoursAreSentTheLeastOftenFirst(t *testing.T) {
+// TestQueueSendsLeastSentUpdatesFirst empties a queue with updates of several boxes, one of which
+// is replaced by a newer update meanwhile.
+func TestQueueSendsLeastSentUpdatesFirst(t *testing.T) {
 	const boxes, perPacket = 20, 8
-	var r rumours
+	var q updateQueue
 	for i := range boxes {
-		r.add(&memberpb.News{
+		q.add(&memberpb.News{
 			Id: fmt.Sprint("r", i),
 		})
 	}
@@ -23,15 +23,15 @@
 		Incarnation: 1,
 	}
 	takes := 0
-	for ; len(r.byID) > 0; takes++ {
+	for ; len(q.byID) > 0; takes++ {
 		if takes == 1 {
-			r.add(newer)
+			q.add(newer)
 			sent["r3"] = 0
 		}
 		least, most := boxes*perPacket, 0
-		for _, news := range r.take(perPacket, boxes) {
+		for _, news := range q.take(perPacket, boxes) {
 			if news.GetId() == "r3" && takes >= 1 && news != newer {
-				t.Error("got older news of a box than was added")
+				t.Error("got an older update of a box than the one added last")
 			}
 			sent[news.GetId()]++
 		}
@@ -40,36 +40,36 @@
 			least, most = min(least, n), max(most, n)
 		}
 		if most-least > 2 {
-			t.Errorf("take %d: got news sent %d times before other news was %d times", takes, most, least)
+			t.Errorf("take %d: got an update sent %d times while another was sent %d times", takes, most, least)
 		}
 	}
-	limit := rumourFactor * 5
+	limit := sendFactor * 5
 	for id, n := range sent {
 		if n != limit {
 			t.Errorf("%s: got %d times sent, want %d", id, n, limit)
 		}
 	}
-	if got := r.take(perPacket, boxes); len(got) > 0 {
-		t.Errorf("got %d more, want none", len(got))
+	if got := q.take(perPacket, boxes); len(got) > 0 {
+		t.Errorf("got %d more updates, want none", len(got))
 	}
 }
 
-// TestTakingRumoursCostsByThePacket counts what a packet's news allocate while those of fleets of
-// several sizes wait.
-func TestTakingRumoursCostsByThePacket(t *testing.T) {
+// TestTakeAllocationsDoNotGrowWithQueue counts the allocations of filling a packet from queues of
+// several sizes.
+func TestTakeAllocationsDoNotGrowWithQueue(t *testing.T) {
 	var costs []float64
 	for _, size := range []int{250, 500, 1000} {
-		var r rumours
+		var q updateQueue
 		for i := range size {
-			r.add(&memberpb.News{
+			q.add(&memberpb.News{
 				Id: fmt.Sprint("r", i),
 			})
 		}
-		costs = append(costs, testing.AllocsPerRun(20, func() { r.take(8, size) }))
+		costs = append(costs, testing.AllocsPerRun(20, func() { q.take(8, size) }))
 	}
 	for _, cost := range costs {
 		if cost > costs[0]+2 {
-			t.Errorf("got %v allocations at 250, 500 and 1000 rumours, want the same", costs)
+			t.Errorf("got %v allocations with 250, 500 and 1000 queued updates, want the same", costs)
 		}
 	}
 }
--- a/membership/start_bench_test.go
+++ b/membership/start_bench_test.go
@@ -9,18 +9,18 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// BenchmarkLearnFleet hears of a fleet as a router that starts does, a packet after the other,
-// some of them twice.
+// BenchmarkLearnFleet receives the packets that tell a starting router of a fleet, each of them
+// twice.
 func BenchmarkLearnFleet(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			var packets [][]byte
-			for first := 0; first < size; first += newsInAnswer {
+			for first := 0; first < size; first += maxNewsInResponse {
 				packet := &memberpb.Packet{
 					Kind: memberpb.Kind_KIND_NEWS,
 					From: "r0",
 				}
-				for i := first; i < min(first+newsInAnswer, size); i++ {
+				for i := first; i < min(first+maxNewsInResponse, size); i++ {
 					packet.News = append(packet.News, &memberpb.News{
 						Id:         fmt.Sprintf("frontend-dc-%d", i),
 						Address:    "10.1.0.9:7020",
@@ -31,7 +31,7 @@
 				packets = append(packets, encoded)
 			}
 			for b.Loop() {
-				n := lonely()
+				n := newTestNode()
 				n.CatchUp = true
 				for _, packet := range packets {
 					n.Receive("10.1.0.9:7020", packet)
--- a/membership/udp.go
+++ b/membership/udp.go
@@ -14,28 +14,28 @@
 var _ Wire = (*UDP)(nil)
 
 const (
-	// maxPacket is the largest packet taken.
+	// maxPacket is the largest packet accepted, in bytes.
 	maxPacket = 64 << 10
-	// headerBytes are those of IPv4 and UDP.
+	// headerBytes is the size of the IPv4 and UDP headers.
 	headerBytes = 28
 )
 
-// UDP carries packets over UDP. Set the exported fields before Run.
+// UDP is a Transport over UDP. Set the exported fields before Run.
 type UDP struct {
 	Conn *net.UDPConn
-	// Secret signs packets; those signed with another are dropped. Without
-	// it packets are taken from anyone.
+	// Secret signs packets; packets signed with another secret are dropped. If it is empty, packets
+	// are accepted from anyone.
 	Secret []byte
-	// OnReceive takes packets, with the address that answers go to.
+	// OnReceive handles a packet; responses go to address.
 	OnReceive func(address string, packet []byte)
 
-	// Sent and Received count bytes with their headers.
+	// Sent and Received count bytes, including headers.
 	Sent, Received atomic.Int64
 
 	done chan struct{}
 }
 
-// NewUDP makes a wire over the connection.
+// NewUDP returns a transport over the connection.
 func NewUDP(connection *net.UDPConn) *UDP {
 	return &UDP{
 		Conn: connection,
@@ -43,7 +43,7 @@
 	}
 }
 
-// Send sends a packet; what fails is lost.
+// Send sends a packet; errors are ignored, the packet is then lost.
 func (u *UDP) Send(address string, packet []byte) {
 	to, err := netip.ParseAddrPort(address)
 	if err != nil {
@@ -55,7 +55,7 @@
 	}
 }
 
-// Run receives packets until ctx ends, and closes the connection.
+// Run receives packets, blocks until ctx ends, and closes the connection.
 func (u *UDP) Run(ctx context.Context) error {
 	defer close(u.done)
 	stop := context.AfterFunc(ctx, func() { _ = u.Conn.Close() })
@@ -77,7 +77,7 @@
 	}
 }
 
-// signatureBytes is how much of a signature is sent.
+// signatureBytes is the length to which signatures are truncated.
 const signatureBytes = 16
 
 func (u *UDP) signature(packet []byte) []byte {
@@ -108,7 +108,7 @@
 	return packet, hmac.Equal(signed[len(packet):], u.signature(packet))
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has ended.
 func (u *UDP) Done() <-chan struct{} {
 	return u.done
 }
--- a/membership/udp_test.go
+++ b/membership/udp_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestPacketsOfStrangersAreDropped(t *testing.T) {
+func TestPacketsWithWrongSignatureAreDropped(t *testing.T) {
 	fleet := &UDP{
 		Secret: []byte("the fleet's secret"),
 	}
@@ -20,12 +20,12 @@
 		want   bool
 	}{
 		{
-			name:   "of the fleet",
+			name:   "signed by the fleet",
 			signed: signed,
 			want:   true,
 		},
 		{
-			name:   "of a stranger",
+			name:   "signed with another secret",
 			signed: stranger.sign(packet),
 		},
 		{
--- a/membership/wire.go
+++ b/membership/wire.go
@@ -1,7 +1,7 @@
 package membership
 
-// Wire carries packets between routers. Send does not block and may lose,
-// double or reorder packets.
+// Transport sends packets to other routers. Send does not block and may lose, duplicate or reorder
+// packets.
 type Wire interface {
 	Send(address string, packet []byte)
 }
