--- a/peer/conversation.go
+++ b/peer/conversation.go
@@ -11,26 +11,25 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// sender is either side's end of a stream.
+// sender is the sending half of a stream; clients and servers both have it.
 type sender interface {
 	Send(envelope *peerpb.Envelope) error
 }
 
-// conversation is the way to one other router: a stream that either opened.
-type conversation struct {
+// peerConn is the connection to one other router: a queue, and a stream that either router opened.
+type peerConn struct {
 	mesh   *Mesh
 	router string
 	queue  chan *peerpb.Envelope
 
 	mu sync.Mutex
-	// stream is the one in use, nil if there is none; close ends one that
-	// this router opened.
+	// stream is the stream in use, nil if there is none; close closes one that this router opened.
 	stream sender
 	close  func()
 }
 
-// attach takes a stream that the other router opened.
-func (c *conversation) attach(stream sender) {
+// attach uses a stream that the other router opened, unless there is one.
+func (c *peerConn) attach(stream sender) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stream == nil {
@@ -38,8 +37,8 @@
 	}
 }
 
-// detach forgets a stream that ended.
-func (c *conversation) detach(stream sender) {
+// detach removes a stream that ended.
+func (c *peerConn) detach(stream sender) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stream == stream {
@@ -47,9 +46,9 @@
 	}
 }
 
-// run sends what waits until ctx ends; an idle stream is closed.
-func (c *conversation) run(ctx context.Context) {
-	defer c.hangUp()
+// run sends queued envelopes until ctx ends, and closes the stream when it is idle.
+func (c *peerConn) run(ctx context.Context) {
+	defer c.closeOwn()
 	idle := time.NewTimer(idleTimeout)
 	defer idle.Stop()
 	for {
@@ -57,40 +56,40 @@
 		case <-ctx.Done():
 			return
 		case <-idle.C:
-			c.hangUp()
+			c.closeOwn()
 		case envelope := <-c.queue:
 			idle.Reset(idleTimeout)
-			c.send(ctx, c.join(envelope))
+			c.send(ctx, c.mergeQueued(envelope))
 		}
 	}
 }
 
-// join puts all that waits into one envelope. The first is not changed, as
-// others may have got it as well.
-func (c *conversation) join(first *peerpb.Envelope) *peerpb.Envelope {
-	var joined *peerpb.Envelope
+// mergeQueued merges all queued envelopes into one. The first is copied before, because other
+// connections may be sending it too.
+func (c *peerConn) mergeQueued(first *peerpb.Envelope) *peerpb.Envelope {
+	var merged *peerpb.Envelope
 	for {
 		select {
 		case next := <-c.queue:
-			if joined == nil {
-				joined = &peerpb.Envelope{}
-				proto.Merge(joined, first)
+			if merged == nil {
+				merged = &peerpb.Envelope{}
+				proto.Merge(merged, first)
 			}
-			proto.Merge(joined, next)
+			proto.Merge(merged, next)
 		default:
-			if joined == nil {
+			if merged == nil {
 				return first
 			}
-			return joined
+			return merged
 		}
 	}
 }
 
-// send tries the stream in use, and a new one when that is broken. An envelope
-// that may have arrived is sent again only if its stream said that it ended.
-func (c *conversation) send(ctx context.Context, envelope *peerpb.Envelope) {
-	const tries = 2
-	for range tries {
+// send sends an envelope on the stream in use, and on a new one if that is broken. It sends again
+// only after the stream reported its end, because the envelope may have arrived.
+func (c *peerConn) send(ctx context.Context, envelope *peerpb.Envelope) {
+	const attempts = 2
+	for range attempts {
 		stream, err := c.open(ctx)
 		if err != nil {
 			return
@@ -102,8 +101,8 @@
 	}
 }
 
-// open gives the stream in use, or opens one.
-func (c *conversation) open(ctx context.Context) (sender, error) {
+// open returns the stream in use, or opens one.
+func (c *peerConn) open(ctx context.Context) (sender, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.stream != nil {
@@ -113,19 +112,19 @@
 	if address == "" {
 		return nil, errUnknownRouter
 	}
-	connection, err := c.mesh.connect(address)
+	connection, err := c.mesh.dialRouter(address)
 	if err != nil {
 		return nil, err
 	}
-	named := metadata.AppendToOutgoingContext(ctx, routerKey, c.mesh.Self)
-	stream, err := peerpb.NewPeerClient(connection).Exchange(named)
+	outgoing := metadata.AppendToOutgoingContext(ctx, routerKey, c.mesh.Self)
+	stream, err := peerpb.NewPeerClient(connection).Exchange(outgoing)
 	if err != nil {
 		_ = connection.Close()
 		return nil, err
 	}
 	c.stream = stream
 	c.close = func() { _ = connection.Close() }
-	c.mesh.parts.Go(func() {
+	c.mesh.tasks.Go(func() {
 		_ = c.mesh.receive(c.router, stream)
 		c.detach(stream)
 		_ = connection.Close()
@@ -133,8 +132,8 @@
 	return stream, nil
 }
 
-// hangUp closes the stream if this router opened it.
-func (c *conversation) hangUp() {
+// closeOwn closes the stream if this router opened it.
+func (c *peerConn) closeOwn() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.close != nil {
--- a/peer/counting.go
+++ b/peer/counting.go
@@ -13,7 +13,7 @@
 	mesh *Mesh
 }
 
-// Accept accepts a connection.
+// Accept returns the next connection, wrapped to count its bytes.
 func (l *countingListener) Accept() (net.Conn, error) {
 	connection, err := l.Listener.Accept()
 	if err != nil {
--- a/peer/doc.go
+++ b/peer/doc.go
@@ -1,4 +1,4 @@
-// Package peer carries envelopes between routers over grpc-go: one long-lived
-// stream for each pair of routers that have work for each other, opened at need
-// and closed when idle. What waits for a router goes out in one message.
+// Package peer carries envelopes between routers over gRPC: one long-lived stream for each pair of
+// routers that have something to send, opened when needed and closed when idle. All envelopes
+// queued for a router are merged into one message.
 package peer
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -20,21 +20,19 @@
 var _ admission.Transport = (*Mesh)(nil)
 
 const (
-	// routerKey names the calling router in a stream's metadata.
+	// routerKey is the metadata key for the ID of the router that opens a stream.
 	routerKey = "slipwick-router"
 
-	// Small and shared buffers: a router may have streams with hundreds of
-	// others.
+	// The buffers are small because a router may have streams with hundreds of others.
 	bufferBytes = 2 << 10
-	// A fixed window needs no pings to find its size.
+	// A fixed window avoids the pings of gRPC's bandwidth estimation.
 	windowBytes = 256 << 10
 	queueLength = 1024
 	dialTimeout = 2 * time.Second
 	idleTimeout = 5 * time.Minute
 )
 
-// Mesh is one router's streams with the others. Set the exported fields before
-// Run.
+// Mesh holds a router's streams with the other routers. Set the exported fields before Run.
 type Mesh struct {
 	peerpb.UnimplementedPeerServer
 
@@ -42,36 +40,37 @@
 	Self string
 	// Listener accepts streams of other routers.
 	Listener net.Listener
-	// Address gives where another router listens; empty if it is not known.
+	// Address returns the address of another router; empty if it is not known.
 	Address func(router string) string
-	// OnReceive takes the envelopes that arrive.
+	// OnReceive handles the envelopes that arrive; it may be called for several routers at the same
+	// time.
 	OnReceive func(from string, envelope *peerpb.Envelope)
-	// Accepting and Connecting secure the streams that this router accepts
-	// and opens; nil leaves them plain.
+	// ServerCredentials and ClientCredentials secure the streams that this router accepts and
+	// opens; nil leaves them unencrypted.
 	Accepting, Connecting credentials.TransportCredentials
 
-	// Sent and Received count bytes above TCP.
+	// Sent and Received count the bytes written to and read from TCP connections.
 	Sent, Received atomic.Int64
 
 	mu      sync.Mutex
-	peers   map[string]*conversation
+	peers   map[string]*peerConn
 	running context.Context
 	stopped bool
-	parts   sync.WaitGroup
+	tasks   sync.WaitGroup
 	done    chan struct{}
 }
 
-// NewMesh makes a mesh without streams.
+// NewMesh returns a mesh without streams.
 func NewMesh(self string, listener net.Listener) *Mesh {
 	return &Mesh{
 		Self:     self,
 		Listener: listener,
-		peers:    make(map[string]*conversation),
+		peers:    make(map[string]*peerConn),
 		done:     make(chan struct{}),
 	}
 }
 
-// Run accepts streams until ctx ends.
+// Run accepts streams, and blocks until ctx ends.
 func (m *Mesh) Run(ctx context.Context) error {
 	defer close(m.done)
 	m.mu.Lock()
@@ -94,26 +93,26 @@
 		Listener: m.Listener,
 		mesh:     m,
 	})
-	// Nothing is begun after this, so that the wait sees all parts.
+	// No goroutine starts after this, so Wait covers all of them.
 	m.mu.Lock()
 	m.stopped = true
 	m.mu.Unlock()
-	m.parts.Wait()
+	m.tasks.Wait()
 	if ctx.Err() != nil {
 		return nil
 	}
 	return errors.Wrap(err, "serve routers")
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has ended.
 func (m *Mesh) Done() <-chan struct{} {
 	return m.done
 }
 
-// Send has the envelope go out with what else waits for the router. It is lost
-// when too much waits, or when the router can't be reached.
+// Send queues an envelope for a router and does not block. The envelope is dropped if the queue is
+// full or the router cannot be reached.
 func (m *Mesh) Send(router string, envelope *peerpb.Envelope) {
-	if c := m.conversation(router); c != nil {
+	if c := m.connTo(router); c != nil {
 		select {
 		case c.queue <- envelope:
 		default:
@@ -121,9 +120,9 @@
 	}
 }
 
-// conversation gives that with the router, beginning it if need be; it is nil
-// before Run and after its end.
-func (m *Mesh) conversation(router string) *conversation {
+// connTo returns the connection to a router, and starts it if there is none; nil before Run and
+// after its end.
+func (m *Mesh) connTo(router string) *peerConn {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.running == nil || m.stopped || m.running.Err() != nil {
@@ -131,24 +130,24 @@
 	}
 	c := m.peers[router]
 	if c == nil {
-		c = &conversation{
+		c = &peerConn{
 			mesh:   m,
 			router: router,
 			queue:  make(chan *peerpb.Envelope, queueLength),
 		}
 		m.peers[router] = c
-		m.parts.Go(func() { c.run(m.running) })
+		m.tasks.Go(func() { c.run(m.running) })
 	}
 	return c
 }
 
-// Exchange serves a stream that another router opened.
+// Exchange serves a stream that another router opened. It blocks until the stream ends.
 func (m *Mesh) Exchange(stream grpc.BidiStreamingServer[peerpb.Envelope, peerpb.Envelope]) error {
 	names := metadata.ValueFromIncomingContext(stream.Context(), routerKey)
 	if len(names) != 1 {
-		return errors.New("the stream names no router; set " + routerKey + " in its metadata")
+		return errors.New("the stream does not name its router; set " + routerKey + " in its metadata")
 	}
-	c := m.conversation(names[0])
+	c := m.connTo(names[0])
 	if c == nil {
 		return errors.New("this router is stopping; use another")
 	}
@@ -157,7 +156,7 @@
 	return m.receive(names[0], stream)
 }
 
-// receiver is either side's end of a stream.
+// receiver is the receiving half of a stream; clients and servers both have it.
 type receiver interface {
 	Recv() (*peerpb.Envelope, error)
 }
@@ -172,14 +171,14 @@
 	}
 }
 
-// connect makes a connection to another router.
-func (m *Mesh) connect(address string) (*grpc.ClientConn, error) {
-	secured := m.Connecting
-	if secured == nil {
-		secured = insecure.NewCredentials()
+// dialRouter returns a gRPC client connection to another router; gRPC dials on first use.
+func (m *Mesh) dialRouter(address string) (*grpc.ClientConn, error) {
+	creds := m.Connecting
+	if creds == nil {
+		creds = insecure.NewCredentials()
 	}
 	connection, err := grpc.NewClient("passthrough:///"+address,
-		grpc.WithTransportCredentials(secured),
+		grpc.WithTransportCredentials(creds),
 		grpc.WithContextDialer(m.dial),
 		grpc.WithReadBufferSize(bufferBytes),
 		grpc.WithWriteBufferSize(bufferBytes),
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -17,17 +17,17 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// directory tells meshes where the others listen.
-type directory struct {
+// addressBook maps router IDs to addresses.
+type addressBook struct {
 	sync.Mutex
 
 	addresses map[string]string
 }
 
-func (d *directory) address(router string) string {
-	d.Lock()
-	defer d.Unlock()
-	return d.addresses[router]
+func (ab *addressBook) address(router string) string {
+	ab.Lock()
+	defer ab.Unlock()
+	return ab.addresses[router]
 }
 
 type received struct {
@@ -35,18 +35,18 @@
 	envelope *peerpb.Envelope
 }
 
-// startMesh runs a mesh on a loopback port; stop ends it.
-func startMesh(t *testing.T, d *directory, id string) (mesh *Mesh, arrived chan received, stop func()) {
+// startMesh runs a mesh on a loopback port until stop is called.
+func startMesh(t *testing.T, ab *addressBook, id string) (mesh *Mesh, arrived chan received, stop func()) {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Lock()
-	d.addresses[id] = listener.Addr().String()
-	d.Unlock()
+	ab.Lock()
+	ab.addresses[id] = listener.Addr().String()
+	ab.Unlock()
 	mesh = NewMesh(id, listener)
-	mesh.Address = d.address
+	mesh.Address = ab.address
 	arrived = make(chan received, 10_000)
 	mesh.OnReceive = func(from string, envelope *peerpb.Envelope) {
 		arrived <- received{
@@ -60,7 +60,7 @@
 	stop = func() {
 		cancel()
 		if err := <-failed; err != nil {
-			t.Errorf("got %v, want no error after a stop", err)
+			t.Errorf("got error %v after a stop, want none", err)
 		}
 	}
 	waitRunning(mesh)
@@ -93,13 +93,13 @@
 	}
 }
 
-func TestMeshCarriesBothWaysInOrder(t *testing.T) {
-	d := &directory{
+func TestMeshDeliversBothWaysInOrder(t *testing.T) {
+	ab := &addressBook{
 		addresses: make(map[string]string),
 	}
-	a, toA, stopA := startMesh(t, d, "a")
+	a, toA, stopA := startMesh(t, ab, "a")
 	defer stopA()
-	b, toB, stopB := startMesh(t, d, "b")
+	b, toB, stopB := startMesh(t, ab, "b")
 	defer stopB()
 	const count = 500
 	go func() {
@@ -139,18 +139,18 @@
 	}
 }
 
-// TestMeshReachesARestartedRouter checks that a broken stream is opened anew.
+// TestMeshReachesARestartedRouter checks that a broken stream is opened again.
 func TestMeshReachesARestartedRouter(t *testing.T) {
-	d := &directory{
+	ab := &addressBook{
 		addresses: make(map[string]string),
 	}
-	a, _, stopA := startMesh(t, d, "a")
+	a, _, stopA := startMesh(t, ab, "a")
 	defer stopA()
-	_, toB, stopB := startMesh(t, d, "b")
+	_, toB, stopB := startMesh(t, ab, "b")
 	a.Send("b", request(1))
 	<-toB
 	stopB()
-	_, toB, stopB = startMesh(t, d, "b")
+	_, toB, stopB = startMesh(t, ab, "b")
 	defer stopB()
 	deadline := time.After(10 * time.Second)
 	for {
@@ -159,17 +159,17 @@
 		case <-toB:
 			return
 		case <-deadline:
-			t.Fatal("nothing reached the restarted router")
+			t.Fatal("no envelope reached the restarted router")
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
 }
 
-func TestMeshDropsWhatGoesNowhere(t *testing.T) {
-	d := &directory{
+func TestMeshDropsEnvelopesForUnknownRouters(t *testing.T) {
+	ab := &addressBook{
 		addresses: make(map[string]string),
 	}
-	a, _, stop := startMesh(t, d, "a")
+	a, _, stop := startMesh(t, ab, "a")
 	for i := range 2 * queueLength {
 		a.Send("unknown", request(uint64(i)))
 	}
@@ -177,15 +177,15 @@
 	a.Send("b", request(1))
 }
 
-// TestStreamFraming measures what a small message costs on a real TCP
-// connection, above TCP, as a message of a stream and as a call of its own.
+// TestStreamFraming compares the overhead of a small message above TCP, on a real connection, as a
+// message of a stream and as a unary call.
 func TestStreamFraming(t *testing.T) {
-	d := &directory{
+	ab := &addressBook{
 		addresses: make(map[string]string),
 	}
-	a, _, stopA := startMesh(t, d, "a")
+	a, _, stopA := startMesh(t, ab, "a")
 	defer stopA()
-	_, toB, stopB := startMesh(t, d, "b")
+	_, toB, stopB := startMesh(t, ab, "b")
 	defer stopB()
 	const count = 300
 	send := func(id uint64) {
@@ -210,7 +210,7 @@
 	}
 }
 
-// callFraming measures a call with an almost empty request and answer.
+// callFraming measures the overhead of a call with an almost empty request and response.
 func callFraming(t *testing.T, count int) float64 {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -230,11 +230,11 @@
 	defer func() { _ = connection.Close() }()
 	client := healthpb.NewHealthClient(connection)
 	check := func() int {
-		answer, err := client.Check(t.Context(), &healthpb.HealthCheckRequest{})
+		response, err := client.Check(t.Context(), &healthpb.HealthCheckRequest{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return proto.Size(answer)
+		return proto.Size(response)
 	}
 	check()
 	before := counter.Sent.Load() + counter.Received.Load()
