--- a/claims/claim.go
+++ b/claims/claim.go
@@ -9,15 +9,15 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// Claim is a key that this router claimed for one request.
+// Claim is a key that this router has claimed for one request.
 type Claim struct {
 	key      Key
 	claimant uint64
 }
 
-// Claim makes the key's claim durable, so that the request may be sent, once.
-// Otherwise the error's Outcome says what is known: not-run when nothing was
-// claimed, else how the key's earlier request ended.
+// Claim claims the key durably, so that the request may be sent once. It blocks until the holder of
+// the journal has responded, or for WriteTimeout and AnswerTimeout at most. The Outcome of an error
+// is OutcomeNotRun if nothing was claimed, else the outcome of the key's earlier request.
 func (c *Claims) Claim(ctx context.Context, key Key) (Claim, error) {
 	claim := Claim{
 		key:      key,
@@ -25,25 +25,26 @@
 	}
 	answers := make(chan *peerpb.ClaimAnswer, 1)
 	c.mu.Lock()
-	c.asks[claim.claimant] = answers
+	c.answers[claim.claimant] = answers
 	c.mu.Unlock()
-	err := c.ask(ctx, claim, answers)
+	err := c.requestClaim(ctx, claim, answers)
 	c.mu.Lock()
-	delete(c.asks, claim.claimant)
+	delete(c.answers, claim.claimant)
 	c.mu.Unlock()
 	if err == nil {
 		c.Stats.Claims.Add(1)
 		return claim, nil
 	}
 	if failure, ok := slipwick.AsError(err); ok && failure.Kind != slipwick.KindKeyUsed {
-		// An ask may have been heard. Nothing was sent and nothing will be.
+		// The holder may have received the request. The request was not sent and will not be, so
+		// the claim is released.
 		c.End(claim, slipwick.OutcomeNotRun)
 	}
 	return Claim{}, err
 }
 
-// ask asks the journal's holder until it answers or time is up.
-func (c *Claims) ask(ctx context.Context, claim Claim, answers <-chan *peerpb.ClaimAnswer) error {
+// requestClaim asks the journal's holder until it responds or time is up.
+func (c *Claims) requestClaim(ctx context.Context, claim Claim, answers <-chan *peerpb.ClaimAnswer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Policy.WriteTimeout+c.Policy.AnswerTimeout)
 	defer cancel()
 	for {
@@ -56,7 +57,7 @@
 				},
 			},
 		})
-		answer, err := c.wait(ctx, answers)
+		answer, err := c.awaitAnswer(ctx, answers)
 		if err != nil {
 			return err
 		}
@@ -64,29 +65,29 @@
 		case peerpb.ClaimResult_CLAIM_GRANTED:
 			return nil
 		case peerpb.ClaimResult_CLAIM_TAKEN:
-			return taken(answer.GetState())
+			return keyUsedError(answer.GetState())
 		case peerpb.ClaimResult_CLAIM_UNAVAILABLE:
-			return unavailable("the platform does not take claims of request keys now")
+			return unavailableError("request keys cannot be claimed now, because the platform does not accept writes")
 		case peerpb.ClaimResult_CLAIM_FULL:
-			return unavailable("the journal of request keys is full for now")
+			return unavailableError("the journal of this request key is full")
 		default:
-			if !sleep(ctx, askAgain) {
-				return unavailable("no router holds the journal of this request key yet")
+			if !sleep(ctx, holderRetryDelay) {
+				return unavailableError("no router holds the journal of this request key yet")
 			}
 		}
 	}
 }
 
-// wait gives the next answer; after a while without any it gives one that has
-// the holder asked again.
-func (c *Claims) wait(ctx context.Context, answers <-chan *peerpb.ClaimAnswer) (*peerpb.ClaimAnswer, error) {
+// awaitAnswer returns the next answer. After AnswerTimeout without any it returns CLAIM_MOVED, so
+// that the holder is asked again.
+func (c *Claims) awaitAnswer(ctx context.Context, answers <-chan *peerpb.ClaimAnswer) (*peerpb.ClaimAnswer, error) {
 	timer := time.NewTimer(c.Policy.AnswerTimeout)
 	defer timer.Stop()
 	select {
 	case answer := <-answers:
 		return answer, nil
 	case <-ctx.Done():
-		return nil, unavailable("the journal of this request key gave no answer in time")
+		return nil, unavailableError("the router that holds the journal of this request key did not respond in time")
 	case <-timer.C:
 		return &peerpb.ClaimAnswer{
 			Result: peerpb.ClaimResult_CLAIM_MOVED,
@@ -94,9 +95,9 @@
 	}
 }
 
-// End records how the claim's request ended. An unknown ending leaves the key
-// claimed; one that was not run frees it. It is sent once: should it be lost,
-// the key stays claimed and its ending unknown.
+// RecordOutcome records the outcome of the claim's request. An unknown outcome leaves the key
+// claimed; OutcomeNotRun releases it. The message is sent once: if it is lost, the key stays
+// claimed and its outcome unknown.
 func (c *Claims) End(claim Claim, outcome slipwick.Outcome) {
 	states := map[slipwick.Outcome]peerpb.ClaimState{
 		slipwick.OutcomeCompleted: peerpb.ClaimState_CLAIM_COMPLETED,
@@ -118,7 +119,7 @@
 	})
 }
 
-// send sends to the holder of the claim's journal.
+// send sends an envelope to the holder of the claim's journal.
 func (c *Claims) send(claim Claim, envelope *peerpb.Envelope) {
 	c.mu.Lock()
 	holder := c.holder(claim.key.journal(c.Policy.Journals))
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -14,14 +14,13 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Link carries envelopes to other routers. Send does not block and may lose
-// what it is given.
+// Transport sends envelopes to other routers. Send does not block and may drop envelopes.
 type Link interface {
 	Send(router string, envelope *peerpb.Envelope)
 }
 
-// Claims is one router's part in claims: it asks holders of journals, and
-// holds the journals that fall to it. Set the exported fields before Run.
+// Claims claims keys for the requests of one router, and holds the journals assigned to it. Set the
+// exported fields before Run.
 type Claims struct {
 	// Self is the router's ID.
 	Self   string
@@ -34,82 +33,82 @@
 	running context.Context
 	stopped bool
 	routers []slipwick.Router
-	held    map[int]*holding
-	asks    map[uint64]chan *peerpb.ClaimAnswer
-	parts   sync.WaitGroup
+	held    map[int]*heldJournal
+	answers map[uint64]chan *peerpb.ClaimAnswer
+	tasks   sync.WaitGroup
 	done    chan struct{}
 }
 
-// holding is a journal that this router writes.
-type holding struct {
+// heldJournal is a journal that this router writes, and the function that stops it.
+type heldJournal struct {
 	journal *journal
 	cancel  context.CancelFunc
 }
 
-// inboxLength bounds the claims that wait for one journal.
+// inboxLength bounds the messages queued for one journal.
 const inboxLength = 4096
 
-// New makes a router's part that Run starts.
-func New(self string, store slipwick.Store, link Link, policy Policy) *Claims {
+// New returns a Claims; Run starts it.
+func New(self string, store slipwick.Store, transport Link, policy Policy) *Claims {
 	return &Claims{
-		Self:   self,
-		Store:  store,
-		Link:   link,
-		Policy: policy,
-		held:   make(map[int]*holding),
-		asks:   make(map[uint64]chan *peerpb.ClaimAnswer),
-		done:   make(chan struct{}),
+		Self:    self,
+		Store:   store,
+		Link:    transport,
+		Policy:  policy,
+		held:    make(map[int]*heldJournal),
+		answers: make(map[uint64]chan *peerpb.ClaimAnswer),
+		done:    make(chan struct{}),
 	}
 }
 
-// Run holds journals until ctx ends.
+// Run holds the journals assigned to this router, and blocks until ctx ends.
 func (c *Claims) Run(ctx context.Context) {
 	defer close(c.done)
 	c.mu.Lock()
 	c.running = ctx
-	c.share()
+	c.reassign()
 	c.mu.Unlock()
 	<-ctx.Done()
-	// Nothing is begun after this, so that the wait sees all parts.
+	// No goroutine starts after this, so Wait covers all of them.
 	c.mu.Lock()
 	c.stopped = true
 	c.mu.Unlock()
-	c.parts.Wait()
+	c.tasks.Wait()
 }
 
-// Done is closed when Run has ended.
+// Done returns a channel that is closed when Run has ended.
 func (c *Claims) Done() <-chan struct{} {
 	return c.done
 }
 
-// SetRouters takes the routers among which journals are shared.
+// SetRouters sets the routers among which journals are distributed.
 func (c *Claims) SetRouters(routers []slipwick.Router) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.routers = routers
-	c.share()
+	c.reassign()
 }
 
-// share begins to hold what falls to this router, and stops holding the rest;
-// c.mu is held.
-func (c *Claims) share() {
+// reassign starts the journals that are now assigned to this router, and stops the others; c.mu
+// must be held.
+func (c *Claims) reassign() {
 	if c.running == nil || c.stopped {
 		return
 	}
 	for number := range c.Policy.Journals {
-		mine := c.holder(number) == c.Self
+		isAssigned := c.holder(number) == c.Self
 		held := c.held[number]
 		switch {
-		case mine && held == nil:
-			c.hold(number)
-		case !mine && held != nil:
+		case isAssigned && held == nil:
+			c.startJournal(number)
+		case !isAssigned && held != nil:
 			held.cancel()
 			delete(c.held, number)
 		}
 	}
 }
 
-// holder gives the router that a journal falls to; empty without any.
+// holder returns the ID of the router that a journal is assigned to; empty if there are no routers.
 func (c *Claims) holder(number int) string {
 	index := placement.BestRouter(placement.IDHash(fmt.Sprintf("journal/%d", number)), c.routers)
 	if index < 0 {
@@ -118,9 +117,9 @@
 	return c.routers[index].ID
 }
 
-func (c *Claims) hold(number int) {
+func (c *Claims) startJournal(number int) {
 	ctx, cancel := context.WithCancel(c.running)
-	h := &holding{
+	h := &heldJournal{
 		journal: &journal{
 			number:    number,
 			policy:    &c.Policy,
@@ -128,18 +127,18 @@
 			limiter:   rate.NewLimiter(rate.Limit(c.Policy.WritesPerSecond/float64(c.Policy.Journals)), 1),
 			answer:    c.answer,
 			writeBase: rand.Uint64(),
-			inbox:     make(chan work, inboxLength),
+			inbox:     make(chan message, inboxLength),
 			stats:     &c.Stats,
 		},
 		cancel: cancel,
 	}
 	c.held[number] = h
-	c.parts.Go(func() {
+	c.tasks.Go(func() {
 		h.journal.run(ctx)
 	})
 }
 
-// Held lists the journals that this router holds.
+// HeldJournals returns the numbers of the journals that this router holds, in ascending order.
 func (c *Claims) Held() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -152,30 +151,30 @@
 	return held
 }
 
-// Receive takes what of an envelope concerns claims.
+// Receive handles the parts of an envelope that concern claims.
 func (c *Claims) Receive(from string, envelope *peerpb.Envelope) {
 	for _, request := range envelope.GetClaimRequests() {
-		c.onWork(work{
+		c.enqueue(message{
 			from:  from,
 			claim: request,
 		})
 	}
 	for _, ending := range envelope.GetClaimEndings() {
-		c.onWork(work{
+		c.enqueue(message{
 			from:   from,
 			ending: ending,
 		})
 	}
 	for _, answer := range envelope.GetClaimAnswers() {
-		c.onAnswer(answer)
+		c.receiveAnswer(answer)
 	}
 }
 
-// onWork gives a message to its journal, or says at once why it can't.
-func (c *Claims) onWork(w work) {
-	raw := w.claim.GetKey()
-	if w.ending != nil {
-		raw = w.ending.GetKey()
+// enqueue queues a message for its journal, or responds at once if that is not possible.
+func (c *Claims) enqueue(m message) {
+	raw := m.claim.GetKey()
+	if m.ending != nil {
+		raw = m.ending.GetKey()
 	}
 	if len(raw) != keyBytes {
 		return
@@ -187,18 +186,18 @@
 	c.mu.Unlock()
 	result := peerpb.ClaimResult_CLAIM_MOVED
 	if held != nil {
-		if w.claim == nil || !held.journal.failing.Load() {
+		if m.claim == nil || !held.journal.storeFailing.Load() {
 			select {
-			case held.journal.inbox <- w:
+			case held.journal.inbox <- m:
 				return
 			default:
 			}
 		}
 		result = peerpb.ClaimResult_CLAIM_UNAVAILABLE
 	}
-	if w.claim != nil {
-		c.answer(w.from, &peerpb.ClaimAnswer{
-			Claimant: w.claim.GetClaimant(),
+	if m.claim != nil {
+		c.answer(m.from, &peerpb.ClaimAnswer{
+			Claimant: m.claim.GetClaimant(),
 			Result:   result,
 		})
 	}
@@ -206,7 +205,7 @@
 
 func (c *Claims) answer(router string, answer *peerpb.ClaimAnswer) {
 	if router == c.Self {
-		c.onAnswer(answer)
+		c.receiveAnswer(answer)
 		return
 	}
 	c.Link.Send(router, &peerpb.Envelope{
@@ -214,19 +213,19 @@
 	})
 }
 
-func (c *Claims) onAnswer(answer *peerpb.ClaimAnswer) {
+func (c *Claims) receiveAnswer(answer *peerpb.ClaimAnswer) {
 	c.mu.Lock()
-	ask := c.asks[answer.GetClaimant()]
+	answers := c.answers[answer.GetClaimant()]
 	c.mu.Unlock()
-	if ask == nil {
+	if answers == nil {
 		return
 	}
 	select {
-	case ask <- answer:
+	case answers <- answer:
 	default:
-		// Answers to asks that were repeated say the same.
+		// Answers to repeated requests are the same.
 	}
 }
 
-// askAgain is the pause before a holder that moved is looked for again.
-const askAgain = 50 * time.Millisecond
+// holderRetryDelay is the pause before a claim is sent again after the journal's holder changed.
+const holderRetryDelay = 50 * time.Millisecond
--- a/claims/doc.go
+++ b/claims/doc.go
@@ -1,6 +1,5 @@
-// Package claims makes requests with a key run at most once, through whatever
-// router they are sent again. A claim is durable in the platform before its
-// request is sent. Keys hash to journals; each is written by one router at a
-// time, in batches, and fenced by conditional updates: a paused writer whose
-// successor has written can't add to it.
+// Package claims makes each request with a key run at most once, whichever routers its retries go
+// through. A claim is durable in the platform's store before its request is sent. Keys hash to
+// journals. Each journal is written in batches by one router at a time, its holder, and fenced by
+// conditional updates: a paused holder can no longer write once its successor has written.
 package claims
--- a/claims/entry.go
+++ b/claims/entry.go
@@ -7,7 +7,7 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// entry is what a journal knows of one key.
+// entry is the latest entry of a key in its journal.
 type entry struct {
 	claimant uint64
 	state    peerpb.ClaimState
@@ -31,8 +31,8 @@
 	x[key] = entryOf(e)
 }
 
-// forget drops what has expired.
-func (x index) forget(now time.Time) {
+// removeExpired deletes expired entries.
+func (x index) removeExpired(now time.Time) {
 	for key, e := range x {
 		if now.After(e.expires) {
 			delete(x, key)
--- a/claims/errors.go
+++ b/claims/errors.go
@@ -7,18 +7,18 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// taken is the ending of a request whose key was claimed before.
-func taken(state peerpb.ClaimState) error {
+// keyUsedError returns the error for a request whose key was claimed before.
+func keyUsedError(state peerpb.ClaimState) error {
 	failure := &slipwick.Error{
 		Kind:    slipwick.KindKeyUsed,
-		Message: "a request with this key was sent before, and how it ended is not known",
-		Remedy:  "find out in the backend server; do not send it with a new key before",
+		Message: "a request with this key was sent before, and its outcome is not known",
+		Remedy:  "check in the backend server whether it ran; do not send it with a new key before that",
 		Outcome: slipwick.OutcomeUnknown,
 	}
 	switch state {
 	case peerpb.ClaimState_CLAIM_COMPLETED:
 		failure.Message = "a request with this key was run before, and completed"
-		failure.Remedy = "nothing is left to do; its answer is not kept"
+		failure.Remedy = "nothing has to be done; its response is not stored"
 		failure.Outcome = slipwick.OutcomeCompleted
 	case peerpb.ClaimState_CLAIM_FAILED:
 		failure.Message = "a request with this key was run before, and failed"
@@ -29,14 +29,14 @@
 	return failure
 }
 
-// unavailable is the ending of a request whose key can't be claimed now.
-func unavailable(message string) error {
+// unavailableError returns the error for a request whose key cannot be claimed now.
+func unavailableError(message string) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindUnavailable,
 		Message: message,
-		Remedy:  "send it again later with the same key",
+		Remedy:  "retry later with the same key",
 		Outcome: slipwick.OutcomeNotRun,
-		// Outages last; many callers coming back at once do not help.
+		// Outages last a while, and many callers that retry at the same time make them longer.
 		RetryAfter: 5 * time.Second,
 	}
 }
--- a/claims/fakestore_test.go
+++ b/claims/fakestore_test.go
@@ -11,22 +11,22 @@
 	"github.com/slipwick/slipwick"
 )
 
-// fakeStore is the platform in memory, with faults.
+// fakeStore is a store in memory with injected faults.
 type fakeStore struct {
 	mu      sync.Mutex
 	random  *rand.Rand
 	objects map[string]slipwick.Object
 	last    slipwick.Version
 	outage  bool
-	// slow delays calls; loseAnswer and late are shares of writes that take
-	// effect without an answer, at once or later.
+	// slow delays calls. loseAnswer and late are shares of writes that take effect although the
+	// caller gets an error, at once or later.
 	slow             time.Duration
 	loseAnswer, late float64
 	writes, bytes    int
 
-	// Planted faults: writes that are acknowledged before they are kept,
-	// and writes that ignore the version.
-	forgets, unfenced bool
+	// Faults of the store itself: it acknowledges writes that it does not store, or ignores the
+	// version of writes.
+	dropsWrites, ignoresVersion bool
 }
 
 func newFakeStore(seed uint64) *fakeStore {
@@ -36,7 +36,7 @@
 	}
 }
 
-func down() error {
+func errDown() error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindUnavailable,
 		Message: "the platform is down",
@@ -44,7 +44,7 @@
 	}
 }
 
-// pause is how long a call takes.
+// pause sleeps for the duration of a call.
 func (f *fakeStore) pause() {
 	f.mu.Lock()
 	length := time.Millisecond + time.Duration(f.random.Int64N(int64(4*time.Millisecond)+int64(f.slow)))
@@ -59,7 +59,7 @@
 	object, ok := f.objects[key]
 	switch {
 	case f.outage:
-		return slipwick.Object{}, down()
+		return slipwick.Object{}, errDown()
 	case !ok:
 		return slipwick.Object{}, &slipwick.Error{
 			Kind: slipwick.KindNotFound,
@@ -80,29 +80,29 @@
 	defer f.mu.Unlock()
 	f.writes++
 	f.bytes += len(value)
-	fate := f.random.Float64()
+	draw := f.random.Float64()
 	switch {
 	case f.outage:
-		return 0, down()
-	case fate < f.late:
+		return 0, errDown()
+	case draw < f.late:
 		later := time.Duration(f.random.Int64N(int64(500 * time.Millisecond)))
 		time.AfterFunc(later, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			_, _ = f.put(key, value, version)
 		})
-		return 0, down()
-	case fate < f.late+f.loseAnswer:
+		return 0, errDown()
+	case draw < f.late+f.loseAnswer:
 		_, _ = f.put(key, value, version)
-		return 0, down()
-	case f.forgets && fate > 0.5:
+		return 0, errDown()
+	case f.dropsWrites && draw > 0.5:
 		return f.last + 1, nil
 	}
 	return f.put(key, value, version)
 }
 
 func (f *fakeStore) put(key string, value []byte, version slipwick.Version) (slipwick.Version, error) {
-	if f.objects[key].Version != version && !f.unfenced {
+	if f.objects[key].Version != version && !f.ignoresVersion {
 		return 0, &slipwick.Error{
 			Kind: slipwick.KindConflict,
 		}
@@ -117,7 +117,7 @@
 }
 
 func (f *fakeStore) Watch(context.Context, string, slipwick.Version) (slipwick.Object, error) {
-	return slipwick.Object{}, down()
+	return slipwick.Object{}, errDown()
 }
 
 func (f *fakeStore) List(_ context.Context, prefix string) ([]slipwick.Object, error) {
@@ -125,7 +125,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.outage {
-		return nil, down()
+		return nil, errDown()
 	}
 	var objects []slipwick.Object
 	for key, object := range f.objects {
--- a/claims/fleet_test.go
+++ b/claims/fleet_test.go
@@ -13,7 +13,7 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// fleet is a few routers with claims, over links with faults.
+// fleet is a few routers with claims, connected by links with faults.
 type fleet struct {
 	store *fakeStore
 
@@ -26,7 +26,7 @@
 	delay  time.Duration
 }
 
-// node is one router; paused, its messages and its calls to the platform wait.
+// node is one router. While it is paused, its messages and its calls to the store wait.
 type node struct {
 	*fakeStore
 
@@ -79,7 +79,7 @@
 		id:        id,
 		resumed:   closed(),
 	}
-	n.claims = New(id, n, &fleetLink{
+	n.claims = New(id, n, &fleetTransport{
 		fleet: f,
 		from:  n,
 	}, policy)
@@ -103,7 +103,7 @@
 	return f.nodes[id]
 }
 
-func (n *node) awake() {
+func (n *node) waitWhilePaused() {
 	n.mu.Lock()
 	resumed := n.resumed
 	n.mu.Unlock()
@@ -134,23 +134,23 @@
 
 // Update waits before and after the call while the router is paused.
 func (n *node) Update(ctx context.Context, key string, value []byte, v slipwick.Version) (slipwick.Version, error) {
-	n.awake()
-	defer n.awake()
+	n.waitWhilePaused()
+	defer n.waitWhilePaused()
 	return n.fakeStore.Update(ctx, key, value, v)
 }
 
-// Create is an update of nothing.
+// Create calls Update with version 0.
 func (n *node) Create(ctx context.Context, key string, value []byte) (slipwick.Version, error) {
 	return n.Update(ctx, key, value, 0)
 }
 
-// fleetLink carries envelopes from one router.
-type fleetLink struct {
+// fleetTransport sends the envelopes of one router.
+type fleetTransport struct {
 	fleet *fleet
 	from  *node
 }
 
-func (l *fleetLink) Send(router string, envelope *peerpb.Envelope) {
+func (l *fleetTransport) Send(router string, envelope *peerpb.Envelope) {
 	f := l.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -165,8 +165,8 @@
 	for range times {
 		after := time.Millisecond + time.Duration(f.random.Int64N(int64(2*time.Millisecond+f.delay)))
 		time.AfterFunc(after, func() {
-			l.from.awake()
-			to.awake()
+			l.from.waitWhilePaused()
+			to.waitWhilePaused()
 			if !to.isKilled() {
 				to.claims.Receive(l.from.id, envelope)
 			}
@@ -186,7 +186,7 @@
 	}
 }
 
-// newKey makes a caller's key at the test clock's time.
+// newKey returns a UUIDv7 with the time of the test clock.
 func newKey(random *rand.Rand) string {
 	var id uuid.UUID
 	ms := uint64(time.Now().UnixMilli())
--- a/claims/history_test.go
+++ b/claims/history_test.go
@@ -13,20 +13,19 @@
 	"github.com/slipwick/slipwick"
 )
 
-// attempt is one sending of a keyed request by a caller.
+// attempt is one sending of a request with a key by a caller.
 type attempt struct {
 	key string
 	id  int
 }
 
-// ending is what the caller was told. Earlier says that it tells of an
-// earlier sending.
-type ending struct {
-	outcome slipwick.Outcome
-	earlier bool
+// result is what the caller got; fromEarlier means that it is the outcome of an earlier attempt.
+type result struct {
+	outcome     slipwick.Outcome
+	fromEarlier bool
 }
 
-// history records what callers were told and what ran.
+// history records what callers got and what ran.
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
@@ -42,30 +41,30 @@
 	h.runs[a.key]++
 }
 
-func (h *history) add(a attempt, began time.Time, told ending) {
+func (h *history) add(a attempt, began time.Time, got result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.operations = append(h.operations, porcupine.Operation{
 		ClientId: a.id,
 		Input:    a,
 		Call:     began.Sub(h.started).Nanoseconds(),
-		Output:   told,
+		Output:   got,
 		Return:   time.Since(h.started).Nanoseconds(),
 	})
 }
 
-// told counts the operations by outcome.
-func (h *history) told() map[slipwick.Outcome]int {
+// outcomes counts the operations by outcome.
+func (h *history) outcomes() map[slipwick.Outcome]int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	counts := make(map[slipwick.Outcome]int)
 	for _, operation := range h.operations {
-		counts[operation.Output.(ending).outcome]++
+		counts[operation.Output.(result).outcome]++
 	}
 	return counts
 }
 
-// violations checks the engines' own record, and the history as a whole.
+// violations checks the record of what ran, and that the history is linearizable.
 func (h *history) violations() []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,9 +75,9 @@
 		}
 	}
 	for _, operation := range h.operations {
-		a, told := operation.Input.(attempt), operation.Output.(ending)
-		if told.outcome == slipwick.OutcomeNotRun && h.ran[a.id] > 0 {
-			found = append(found, fmt.Sprintf("attempt %d was told not-run and ran", a.id))
+		a, got := operation.Input.(attempt), operation.Output.(result)
+		if got.outcome == slipwick.OutcomeNotRun && h.ran[a.id] > 0 {
+			found = append(found, fmt.Sprintf("attempt %d got not-run although it ran", a.id))
 		}
 	}
 	if !porcupine.CheckOperations(model.ToModel(), h.operations) {
@@ -87,14 +86,14 @@
 	return found
 }
 
-// keyState is what a key's request has come to.
+// keyState is the state of a key's request.
 type keyState struct {
 	ran     bool
 	outcome slipwick.Outcome
 }
 
-// model says what callers may be told of one key, in some order of the
-// attempts that fits their times.
+// model defines which results callers may get for one key, in some order of the attempts that is
+// consistent with their times.
 var model = porcupine.NondeterministicModel{
 	Partition: func(operations []porcupine.Operation) [][]porcupine.Operation {
 		byKey := make(map[string][]porcupine.Operation)
@@ -110,76 +109,76 @@
 	},
 	Init: func() []any { return []any{keyState{}} },
 	Step: func(state, _, output any) []any {
-		return step(state.(keyState), output.(ending))
+		return step(state.(keyState), output.(result))
 	},
 }
 
-func step(state keyState, told ending) []any {
+func step(state keyState, got result) []any {
 	after := keyState{
 		ran:     true,
-		outcome: told.outcome,
+		outcome: got.outcome,
 	}
 	switch {
-	case told.outcome == slipwick.OutcomeNotRun:
+	case got.outcome == slipwick.OutcomeNotRun:
 		return []any{state}
-	case told.outcome == slipwick.OutcomeUnknown && state.ran:
+	case got.outcome == slipwick.OutcomeUnknown && state.ran:
 		return []any{state}
-	case told.outcome == slipwick.OutcomeUnknown:
+	case got.outcome == slipwick.OutcomeUnknown:
 		return []any{state, after}
-	case told.earlier && state.ran && state.outcome == told.outcome:
+	case got.fromEarlier && state.ran && state.outcome == got.outcome:
 		return []any{state}
-	case !told.earlier && !state.ran:
+	case !got.fromEarlier && !state.ran:
 		return []any{after}
 	default:
 		return nil
 	}
 }
 
-// TestRandomSchedules checks that nothing a random schedule does makes a key
-// run twice, or makes a caller be told what is not true.
+// TestRandomSchedules checks that no random schedule makes a key run twice or gives a caller a
+// wrong outcome.
 func TestRandomSchedules(t *testing.T) {
 	schedules := 0
-	told := make(map[slipwick.Outcome]int)
+	outcomes := make(map[slipwick.Outcome]int)
 	rapid.Check(t, func(r *rapid.T) {
 		violations, counts := drawSchedule(r).run(t)
 		schedules++
 		for outcome, count := range counts {
-			told[outcome] += count
+			outcomes[outcome] += count
 		}
 		if len(violations) > 0 {
 			r.Fatal(strings.Join(violations, "\n"))
 		}
 	})
-	t.Logf("%d schedules, operations by what was told: %v, no violation", schedules, told)
-	if schedules >= 1000 && told[slipwick.OutcomeCompleted] < schedules {
-		t.Errorf("got %d completed in %d schedules: too few for the checks to mean anything",
-			told[slipwick.OutcomeCompleted], schedules)
+	t.Logf("%d schedules, operations by outcome: %v, no violation", schedules, outcomes)
+	if schedules >= 1000 && outcomes[slipwick.OutcomeCompleted] < schedules {
+		t.Errorf("got %d completed operations in %d schedules, want at least one per schedule for meaningful checks",
+			outcomes[slipwick.OutcomeCompleted], schedules)
 	}
 }
 
-// TestCheckerFindsPlantedFaults checks that the checks above find each of the
-// faults that claims are there to prevent.
-func TestCheckerFindsPlantedFaults(t *testing.T) {
+// TestCheckerFindsInjectedFaults checks that the checks above detect each fault that claims have to
+// prevent.
+func TestCheckerFindsInjectedFaults(t *testing.T) {
 	const most = 300
 	for _, tc := range []struct {
-		name  string
-		plant func(*schedule)
+		name   string
+		inject func(*schedule)
 	}{
 		{
 			name: "sent before the claim is durable",
-			plant: func(s *schedule) {
-				s.plant = func(f *fleet) { f.store.set(func(store *fakeStore) { store.forgets = true }) }
+			inject: func(s *schedule) {
+				s.inject = func(f *fleet) { f.store.set(func(store *fakeStore) { store.dropsWrites = true }) }
 			},
 		},
 		{
-			name: "no fence",
-			plant: func(s *schedule) {
-				s.plant = func(f *fleet) { f.store.set(func(store *fakeStore) { store.unfenced = true }) }
+			name: "no fencing",
+			inject: func(s *schedule) {
+				s.inject = func(f *fleet) { f.store.set(func(store *fakeStore) { store.ignoresVersion = true }) }
 			},
 		},
 		{
-			name:  "not-run after bytes were sent",
-			plant: func(s *schedule) { s.misreport = true },
+			name:   "not-run after bytes were sent",
+			inject: func(s *schedule) { s.misreport = true },
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
@@ -192,13 +191,13 @@
 					pauses:  2,
 					views:   4,
 				}
-				tc.plant(&s)
+				tc.inject(&s)
 				if violations, _ := s.run(t); len(violations) > 0 {
-					t.Logf("found by schedule %d: %s", seed, violations[0])
+					t.Logf("found with seed %d: %s", seed, violations[0])
 					return
 				}
 			}
-			t.Errorf("got no violation in %d schedules, want the fault to be found", most)
+			t.Errorf("got no violation in %d schedules, want one", most)
 		})
 	}
 }
--- a/claims/journal.go
+++ b/claims/journal.go
@@ -15,22 +15,22 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// journal is one journal as its holder writes it. Its fields belong to the
-// goroutine of run.
+// journal is a journal that this router holds. Its fields belong to the goroutine of run, except
+// inbox and storeFailing.
 type journal struct {
 	number  int
 	policy  *Policy
 	store   slipwick.Store
 	limiter *rate.Limiter
-	// answer sends an answer to the asking router.
+	// answer sends an answer to the router that sent the request.
 	answer func(router string, answer *peerpb.ClaimAnswer)
-	// writeBase makes the numbers of writes unique among routers.
+	// writeBase is a random offset that makes write numbers unique among routers.
 	writeBase uint64
 
-	inbox chan work
-	// failing says that the platform does not take writes.
-	failing atomic.Bool
-	stats   *Stats
+	inbox chan message
+	// storeFailing is set while the platform does not accept writes.
+	storeFailing atomic.Bool
+	stats        *Stats
 
 	writes uint64
 	slots  map[uint64]*segment
@@ -38,82 +38,82 @@
 	index  index
 }
 
-// work is one message to a journal.
-type work struct {
+// message is a claim request or ending for a journal.
+type message struct {
 	from   string
 	claim  *peerpb.ClaimRequest
 	ending *peerpb.ClaimEnding
 }
 
-// pending is a claim that the next write makes durable.
-type pending struct {
+// pendingClaim is a claim that is granted once the next write is durable.
+type pendingClaim struct {
 	from     string
 	claimant uint64
 }
 
-// run writes the journal until ctx ends: it takes it over, then adds what
-// arrives. Losing it to another writer ends run as well.
+// run takes the journal over and writes what arrives, until ctx ends. When another router takes the
+// journal over, run tries to take it back after a pause.
 func (j *journal) run(ctx context.Context) {
 	wait := newBackOff(j.policy)
 	for ctx.Err() == nil {
 		err := j.takeOver(ctx)
 		if err == nil {
-			j.setFailing(false)
+			j.setStoreFailing(false)
 			wait.Reset()
 			err = j.serve(ctx)
 		}
 		switch {
 		case errors.Is(err, errFull):
-			j.refuseAll(peerpb.ClaimResult_CLAIM_FULL)
+			j.rejectAll(peerpb.ClaimResult_CLAIM_FULL)
 		case slipwick.IsKind(err, slipwick.KindUnavailable):
-			j.setFailing(true)
-			j.refuseAll(peerpb.ClaimResult_CLAIM_UNAVAILABLE)
+			j.setStoreFailing(true)
+			j.rejectAll(peerpb.ClaimResult_CLAIM_UNAVAILABLE)
 		default:
-			// The other writer goes on if it is the holder by its view;
-			// if this one still is, it tries again a little later.
-			j.refuseAll(peerpb.ClaimResult_CLAIM_MOVED)
+			// The other writer continues if it is the holder in its view of the fleet; if this
+			// router still is, it takes the journal over again after the pause.
+			j.rejectAll(peerpb.ClaimResult_CLAIM_MOVED)
 		}
 		sleep(ctx, wait.NextBackOff())
 	}
-	j.refuseAll(peerpb.ClaimResult_CLAIM_MOVED)
+	j.rejectAll(peerpb.ClaimResult_CLAIM_MOVED)
 }
 
-// serve adds what arrives, one write at a time: all that arrives meanwhile
-// joins the next.
+// serve writes what arrives, one write at a time: all messages that arrive meanwhile go into the
+// next one.
 func (j *journal) serve(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case first := <-j.inbox:
-			if err := j.batch(ctx, first); err != nil {
+			if err := j.writeBatch(ctx, first); err != nil {
 				return err
 			}
 		}
 	}
 }
 
-// batch makes one write of all that waits.
-func (j *journal) batch(ctx context.Context, first work) error {
-	// The wait for the platform's rate lets more join.
+// writeBatch writes all queued messages at once, up to maxBatch entries.
+func (j *journal) writeBatch(ctx context.Context, first message) error {
+	// The wait for the rate limit lets more messages join the batch.
 	reservation := j.limiter.Reserve()
 	delay := reservation.Delay()
 	reservation.Cancel()
 	sleep(ctx, delay)
 	now := time.Now()
-	j.index.forget(now)
+	j.index.removeExpired(now)
 	var entries []*claimspb.Entry
-	var waiting []pending
-	take := func(w work) {
-		entry, granted := j.decide(w)
+	var waiting []pendingClaim
+	take := func(m message) {
+		entry, granted := j.process(m)
 		if entry != nil {
 			entries = append(entries, entry)
 			j.index.apply(entry)
 		}
 		if granted {
-			waiting = append(waiting, pending{
-				from:     w.from,
-				claimant: w.claim.GetClaimant(),
+			waiting = append(waiting, pendingClaim{
+				from:     m.from,
+				claimant: m.claim.GetClaimant(),
 			})
 		}
 	}
@@ -136,9 +136,9 @@
 // maxBatch bounds the entries of one write.
 const maxBatch = 500
 
-// commit writes the entries and then grants the claims among them.
-func (j *journal) commit(ctx context.Context, entries []*claimspb.Entry, waiting []pending) error {
-	late := time.AfterFunc(j.policy.WriteTimeout, func() { j.setFailing(true) })
+// commit writes the entries and then answers the claims among them.
+func (j *journal) commit(ctx context.Context, entries []*claimspb.Entry, waiting []pendingClaim) error {
+	late := time.AfterFunc(j.policy.WriteTimeout, func() { j.setStoreFailing(true) })
 	defer late.Stop()
 	err := j.add(ctx, entries)
 	result := peerpb.ClaimResult_CLAIM_GRANTED
@@ -148,7 +148,7 @@
 	case err != nil:
 		result = peerpb.ClaimResult_CLAIM_MOVED
 	default:
-		j.setFailing(false)
+		j.setStoreFailing(false)
 	}
 	for _, p := range waiting {
 		j.reply(p.from, p.claimant, result, 0)
@@ -156,16 +156,16 @@
 	return err
 }
 
-// add writes the entries to the open segment, or to the one after it.
+// add writes the entries to the open segment, or to the next one if it is sealed.
 func (j *journal) add(ctx context.Context, entries []*claimspb.Entry) error {
 	open := j.open
 	if open.content.GetSealed() {
 		var err error
-		if open, err = j.following(open, j.slots); err != nil {
+		if open, err = j.nextSegment(open, j.slots); err != nil {
 			return err
 		}
 	}
-	content := open.with(entries, j.nextWrite(), j.policy.SegmentBytes)
+	content := open.withEntries(entries, j.nextWrite(), j.policy.SegmentBytes)
 	version, err := j.write(ctx, j.slotOf(content), content, open.version)
 	if err != nil {
 		return err
@@ -182,34 +182,34 @@
 	j.slots[j.slotOf(content)] = j.open
 }
 
-// decide gives the entry that a message adds, and whether a grant follows its
-// write; what needs no write is answered at once.
-func (j *journal) decide(w work) (added *claimspb.Entry, granted bool) {
-	if w.ending != nil {
-		return j.end(w.ending), false
+// process returns the entry that a message adds, and whether its claim is granted after the write.
+// Messages that need no write are answered at once.
+func (j *journal) process(m message) (added *claimspb.Entry, granted bool) {
+	if m.ending != nil {
+		return j.endingEntry(m.ending), false
 	}
 	var key [keyBytes]byte
-	copy(key[:], w.claim.GetKey())
+	copy(key[:], m.claim.GetKey())
 	known, ok := j.index[key]
 	switch {
 	case !ok || known.state == peerpb.ClaimState_CLAIM_FREED:
 		return &claimspb.Entry{
-			Key:       w.claim.GetKey(),
-			Claimant:  w.claim.GetClaimant(),
-			ExpiresMs: w.claim.GetExpiresMs(),
+			Key:       m.claim.GetKey(),
+			Claimant:  m.claim.GetClaimant(),
+			ExpiresMs: m.claim.GetExpiresMs(),
 		}, true
-	case known.claimant == w.claim.GetClaimant() && known.state == peerpb.ClaimState_CLAIM_OPEN:
-		// The claim was asked for again; it may be in this very batch, so
-		// the answer follows the write.
-		return j.again(w.claim), true
+	case known.claimant == m.claim.GetClaimant() && known.state == peerpb.ClaimState_CLAIM_OPEN:
+		// The request was repeated. Its claim may be in this same batch, so the answer has to
+		// follow the write.
+		return j.repeatedEntry(m.claim), true
 	default:
-		j.reply(w.from, w.claim.GetClaimant(), peerpb.ClaimResult_CLAIM_TAKEN, known.state)
+		j.reply(m.from, m.claim.GetClaimant(), peerpb.ClaimResult_CLAIM_TAKEN, known.state)
 		return nil, false
 	}
 }
 
-// again repeats a claim that its claimant asked for once more.
-func (j *journal) again(claim *peerpb.ClaimRequest) *claimspb.Entry {
+// repeatedEntry returns the entry of a claim that its claimant has requested again.
+func (j *journal) repeatedEntry(claim *peerpb.ClaimRequest) *claimspb.Entry {
 	return &claimspb.Entry{
 		Key:       claim.GetKey(),
 		Claimant:  claim.GetClaimant(),
@@ -217,9 +217,9 @@
 	}
 }
 
-// end gives the entry that records how a claimed request ended; only its own
-// claimant may say so.
-func (j *journal) end(ending *peerpb.ClaimEnding) *claimspb.Entry {
+// endingEntry returns the entry for the outcome of a claimed request, or nil if the message is not
+// from the key's claimant.
+func (j *journal) endingEntry(ending *peerpb.ClaimEnding) *claimspb.Entry {
 	var key [keyBytes]byte
 	copy(key[:], ending.GetKey())
 	known, ok := j.index[key]
@@ -242,13 +242,13 @@
 	})
 }
 
-// refuseAll answers all that waits.
-func (j *journal) refuseAll(result peerpb.ClaimResult) {
+// rejectAll answers all queued claim requests with the result.
+func (j *journal) rejectAll(result peerpb.ClaimResult) {
 	for {
 		select {
-		case w := <-j.inbox:
-			if w.claim != nil {
-				j.reply(w.from, w.claim.GetClaimant(), result, 0)
+		case m := <-j.inbox:
+			if m.claim != nil {
+				j.reply(m.from, m.claim.GetClaimant(), result, 0)
 			}
 		default:
 			return
@@ -261,16 +261,16 @@
 	return j.writeBase + j.writes
 }
 
-func (j *journal) setFailing(failing bool) {
-	j.failing.Store(failing)
+func (j *journal) setStoreFailing(failing bool) {
+	j.storeFailing.Store(failing)
 }
 
-func (j *journal) counted(bytes int) {
+func (j *journal) countWrite(bytes int) {
 	j.stats.Writes.Add(1)
 	j.stats.Bytes.Add(int64(bytes))
 }
 
-func inOrder(slots map[uint64]*segment) []*segment {
+func sortedBySequence(slots map[uint64]*segment) []*segment {
 	ordered := make([]*segment, 0, len(slots))
 	for _, s := range slots {
 		ordered = append(ordered, s)
--- a/claims/key.go
+++ b/claims/key.go
@@ -9,25 +9,24 @@
 	"github.com/slipwick/slipwick"
 )
 
-// keyBytes is how much of a key's hash is kept.
+// keyBytes is the length to which a key's hash is truncated.
 const keyBytes = 16
 
-// Key is a caller's request key, made ready to be claimed.
+// Key is a caller's request key, validated and hashed.
 type Key struct {
 	hash    [keyBytes]byte
 	expires time.Time
 }
 
-// ParseKey reads a workspace's key, a UUIDv7 whose time says when the key was
-// made. A key beyond the window is refused as unknown, since its claim may
-// have been forgotten.
+// ParseKey parses a key of a workspace: a UUIDv7, whose time is when the key was made. A key older
+// than KeyLifetime is refused with OutcomeUnknown, because its claim may have been forgotten.
 func (p *Policy) ParseKey(workspace, text string, now time.Time) (Key, error) {
 	id, err := uuid.Parse(text)
 	if err != nil || id.Version() != 7 {
 		return Key{}, &slipwick.Error{
 			Kind:    slipwick.KindInvalidRequest,
-			Message: "the request key is no UUIDv7",
-			Remedy:  "make a UUIDv7 for each request and send it again with each resend",
+			Message: "the request key is not a UUIDv7",
+			Remedy:  "generate a UUIDv7 for each request, and send the same one with each retry",
 			Outcome: slipwick.OutcomeNotRun,
 		}
 	}
@@ -35,21 +34,21 @@
 	if made.After(now.Add(p.Skew)) {
 		return Key{}, &slipwick.Error{
 			Kind:    slipwick.KindInvalidRequest,
-			Message: "the request key's time lies in the future",
-			Remedy:  "set the clock that makes the keys",
+			Message: "the time in the request key is in the future",
+			Remedy:  "correct the clock that the keys are generated with",
 			Outcome: slipwick.OutcomeNotRun,
 		}
 	}
 	if now.After(made.Add(p.Window)) {
 		return Key{}, &slipwick.Error{
 			Kind:    slipwick.KindKeyExpired,
-			Message: "the request key is too old to know whether it was used",
-			Remedy:  "find out in the backend server whether the request ran; make a new key if it did not",
+			Message: "the request key is too old to tell whether it was used",
+			Remedy:  "check in the backend server whether the request ran; generate a new key if it did not",
 			Outcome: slipwick.OutcomeUnknown,
 		}
 	}
 	key := Key{
-		// Another router's clock may still take the key by twice the skew.
+		// Another router may still accept the key, because clocks differ by up to twice the skew.
 		expires: made.Add(p.Window + 2*p.Skew),
 	}
 	digest := sha256.New()
@@ -60,7 +59,7 @@
 	return key, nil
 }
 
-// journal gives the journal that the key belongs to.
+// journal returns the number of the journal that the key belongs to.
 func (k *Key) journal(journals int) int {
 	return int(k.hash[0]) % journals
 }
--- a/claims/measure_test.go
+++ b/claims/measure_test.go
@@ -14,8 +14,8 @@
 
 var measure = flag.Bool("measure", false, "run and print the measurements")
 
-// TestMeasure prints, in the format of benchmarks, what claims cost at several
-// rates, and how long a successor takes.
+// TestMeasure prints, in the format of benchmarks, the cost of claims at several rates and the
+// duration of takeovers.
 func TestMeasure(t *testing.T) {
 	if !*measure {
 		t.Skip("make measure runs it")
@@ -26,7 +26,7 @@
 	synctest.Test(t, measureTakeover)
 }
 
-// measureRate has claims arrive evenly through 8 routers for half a minute.
+// measureRate makes claims at an even rate through 8 routers for half a minute.
 func measureRate(t *testing.T, perSecond int) {
 	const routers, length = 8, 30 * time.Second
 	f := newFleet(1, routers, DefaultPolicy())
@@ -34,14 +34,14 @@
 	writes, bytes := f.store.cost()
 	latency := hdrhistogram.New(1, 100_000, 3)
 	var mu sync.Mutex
-	var parts sync.WaitGroup
+	var tasks sync.WaitGroup
 	random := rand.New(rand.NewPCG(1, 1))
 	refused := 0
 	count := perSecond * int(length/time.Second)
 	for range count {
 		time.Sleep(time.Second / time.Duration(perSecond))
 		key, n := newKey(random), f.node(f.ids[random.IntN(routers)])
-		parts.Go(func() {
+		tasks.Go(func() {
 			began := time.Now()
 			parsed, err := n.claims.Policy.ParseKey("w", key, began)
 			if err == nil {
@@ -56,7 +56,7 @@
 			_ = latency.RecordValue(max(1, time.Since(began).Milliseconds()))
 		})
 	}
-	parts.Wait()
+	tasks.Wait()
 	writesAfter, bytesAfter := f.store.cost()
 	f.stop()
 	fmt.Printf("BenchmarkClaims/%d-per-second 1 %d p50-ms %d p99-ms %.1f writes/s %.3f writes/claim %.0f bytes/claim "+
@@ -67,7 +67,7 @@
 		float64(refused)/float64(count))
 }
 
-// measureTakeover kills the holder of a journal and claims until a successor
+// measureTakeover removes a random router from the views of the others, and claims until a router
 // grants.
 func measureTakeover(t *testing.T) {
 	const runs = 50
@@ -81,13 +81,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		asker := f.node(others(f.ids, out)[0])
+		requester := f.node(others(f.ids, out)[0])
 		began := time.Now()
 		for _, id := range others(f.ids, out) {
 			f.node(id).claims.SetRouters(routersOf(others(f.ids, out)))
 		}
 		for {
-			if _, err := asker.claims.Claim(t.Context(), key); err == nil {
+			if _, err := requester.claims.Claim(t.Context(), key); err == nil {
 				break
 			}
 		}
--- a/claims/policy.go
+++ b/claims/policy.go
@@ -2,32 +2,31 @@
 
 import "time"
 
-// Policy holds the figures of claims; all routers of a fleet need the same.
+// Policy holds the parameters of claims. All routers of a fleet must have the same ones.
 type Policy struct {
-	// Journals is how many journals share the keys.
+	// Journals is the number of journals that the keys are distributed over.
 	Journals int
-	// WritesPerSecond bounds the writes to the platform of all journals
-	// together.
+	// WritesPerSecond bounds the writes to the platform, of all journals together.
 	WritesPerSecond float64
-	// SegmentBytes is the size from which on a segment is sealed. Each write
-	// sends the open segment whole.
+	// SegmentBytes is the size above which a segment is sealed. Each write sends the whole open
+	// segment.
 	SegmentBytes int
-	// Segments bounds a journal; they are used again after expiry.
+	// MaxSegments bounds the segments of a journal; expired ones are reused.
 	Segments int
-	// Window is how long a key is good, from the time in it.
+	// KeyLifetime is how long a key is valid, from the time in it.
 	Window time.Duration
-	// Skew is how far the clocks of callers and routers may be apart.
+	// MaxClockSkew is how far the clocks of callers and routers may differ.
 	Skew time.Duration
-	// AnswerTimeout is the wait for a holder before it is asked again.
+	// AnswerTimeout is how long to wait for a holder before it is asked again.
 	AnswerTimeout time.Duration
-	// WriteTimeout bounds how long claims wait for the platform, with all
-	// tries of one write; then they are refused.
+	// WriteTimeout bounds how long claims wait for the platform, including retries of a write;
+	// after that they are refused.
 	WriteTimeout time.Duration
-	// FirstRetry and MaxRetry bound the wait between tries of a write.
+	// FirstRetry and MaxRetry bound the pause between attempts of a write.
 	FirstRetry, MaxRetry time.Duration
 }
 
-// DefaultPolicy gives the figures in use.
+// DefaultPolicy returns the default parameters.
 func DefaultPolicy() Policy {
 	const journals, writesPerSecond, segments = 8, 40, 1024
 	return Policy{
--- a/claims/schedule_test.go
+++ b/claims/schedule_test.go
@@ -13,7 +13,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// schedule is one random run.
+// schedule describes one random run.
 type schedule struct {
 	seed                   uint64
 	routers, keys, resends int
@@ -21,9 +21,9 @@
 	outage, slow           bool
 	lostAnswers, lateWrite float64
 	lose, double           float64
-	// plant puts a fault in.
-	plant func(f *fleet)
-	// misreport has a router say not-run after it sent the request.
+	// inject puts a fault in at the start, for the whole run.
+	inject func(f *fleet)
+	// misreport makes routers report not-run after they sent the request.
 	misreport bool
 }
 
@@ -46,8 +46,9 @@
 	}
 }
 
-// run runs the schedule on virtual time and gives what it broke.
-func (s schedule) run(t *testing.T) (violations []string, told map[slipwick.Outcome]int) {
+// run runs the schedule on virtual time, and returns the violations and the number of operations by
+// outcome.
+func (s schedule) run(t *testing.T) (violations []string, outcomes map[slipwick.Outcome]int) {
 	synctest.Test(t, func(*testing.T) {
 		f := newFleet(s.seed, s.routers, testPolicy())
 		h := &history{
@@ -64,20 +65,20 @@
 		f.mu.Lock()
 		f.lose, f.double, f.delay = s.lose, s.double, 20*time.Millisecond
 		f.mu.Unlock()
-		if s.plant != nil {
-			s.plant(f)
+		if s.inject != nil {
+			s.inject(f)
 		}
 		random := rand.New(rand.NewPCG(s.seed, 11))
-		var parts sync.WaitGroup
-		s.disturb(f, random, &parts)
-		s.call(f, h, random, &parts)
-		parts.Wait()
+		var tasks sync.WaitGroup
+		s.disturb(f, random, &tasks)
+		s.call(f, h, random, &tasks)
+		tasks.Wait()
 		f.stop()
-		// Late writes and messages come to nothing before the end.
+		// Delayed writes and messages arrive before the synctest bubble ends.
 		time.Sleep(time.Minute)
-		violations, told = h.violations(), h.told()
+		violations, outcomes = h.violations(), h.outcomes()
 	})
-	return violations, told
+	return violations, outcomes
 }
 
 const scheduleLength = 8 * time.Second
@@ -86,12 +87,12 @@
 	return time.Duration(random.Int64N(int64(scheduleLength)))
 }
 
-// disturb has routers paused, killed and at odds on who they are, and the
-// platform down.
-func (s schedule) disturb(f *fleet, random *rand.Rand, parts *sync.WaitGroup) {
+// disturb pauses and kills routers, gives them different views of the fleet, and makes the store
+// unavailable.
+func (s schedule) disturb(f *fleet, random *rand.Rand, tasks *sync.WaitGroup) {
 	later := func(do func()) {
 		after := anyTime(random)
-		parts.Go(func() {
+		tasks.Go(func() {
 			time.Sleep(after)
 			do()
 		})
@@ -132,16 +133,15 @@
 	return kept
 }
 
-// call has callers send each key several times, through any router, some at
-// the same time.
-func (s schedule) call(f *fleet, h *history, random *rand.Rand, parts *sync.WaitGroup) {
+// call has callers send each key several times, through any router, sometimes through two at once.
+func (s schedule) call(f *fleet, h *history, random *rand.Rand, tasks *sync.WaitGroup) {
 	id := 0
 	for range s.keys {
 		after := anyTime(random)
 		seed := random.Uint64()
 		first := id
 		id += s.resends * 2
-		parts.Go(func() {
+		tasks.Go(func() {
 			time.Sleep(after)
 			own := rand.New(rand.NewPCG(seed, 1))
 			key := newKey(own)
@@ -154,11 +154,11 @@
 				b := a
 				b.id++
 				routers := own.Perm(len(f.ids))
-				fates := [2]float64{own.Float64(), own.Float64()}
+				draws := [2]float64{own.Float64(), own.Float64()}
 				var pair sync.WaitGroup
-				pair.Go(func() { s.send(f, h, a, f.ids[routers[0]], fates[0]) })
+				pair.Go(func() { s.send(f, h, a, f.ids[routers[0]], draws[0]) })
 				if doubled {
-					pair.Go(func() { s.send(f, h, b, f.ids[routers[1]], fates[1]) })
+					pair.Go(func() { s.send(f, h, b, f.ids[routers[1]], draws[1]) })
 				}
 				pair.Wait()
 				time.Sleep(time.Duration(own.Int64N(int64(2 * time.Second))))
@@ -167,8 +167,8 @@
 	}
 }
 
-// send is a router's part in one attempt: claim, run, tell.
-func (s schedule) send(f *fleet, h *history, a attempt, router string, fate float64) {
+// send is what a router does for one attempt: claim the key, run the request, report the outcome.
+func (s schedule) send(f *fleet, h *history, a attempt, router string, draw float64) {
 	n := f.node(router)
 	if n.isKilled() {
 		return
@@ -181,38 +181,38 @@
 	}
 	if err != nil {
 		failure, _ := slipwick.AsError(err)
-		h.add(a, began, ending{
-			outcome: failure.Outcome,
-			earlier: failure.Kind == slipwick.KindKeyUsed,
+		h.add(a, began, result{
+			outcome:     failure.Outcome,
+			fromEarlier: failure.Kind == slipwick.KindKeyUsed,
 		})
 		return
 	}
-	n.awake()
-	outcome := s.dispatch(h, a, fate)
+	n.waitWhilePaused()
+	outcome := s.dispatch(h, a, draw)
 	if !n.isKilled() {
 		n.claims.End(claim, outcome)
 	}
-	h.add(a, began, ending{
+	h.add(a, began, result{
 		outcome: outcome,
 	})
 }
 
-// dispatch sends the request to a backend server that may refuse it, fail, or
-// lose the connection before or after it runs.
-func (s schedule) dispatch(h *history, a attempt, fate float64) slipwick.Outcome {
+// dispatch simulates a backend server that may refuse the request, fail, or lose the connection
+// before or after it runs.
+func (s schedule) dispatch(h *history, a attempt, draw float64) slipwick.Outcome {
 	time.Sleep(20 * time.Millisecond)
 	switch {
-	case fate < 0.2:
+	case draw < 0.2:
 		return slipwick.OutcomeNotRun
-	case fate < 0.3:
+	case draw < 0.3:
 		return slipwick.OutcomeUnknown
-	case fate < 0.4:
+	case draw < 0.4:
 		h.run(a)
 		if s.misreport {
 			return slipwick.OutcomeNotRun
 		}
 		return slipwick.OutcomeUnknown
-	case fate < 0.5:
+	case draw < 0.5:
 		h.run(a)
 		return slipwick.OutcomeFailed
 	default:
--- a/claims/segment.go
+++ b/claims/segment.go
@@ -13,20 +13,20 @@
 // segment is one object of a journal as its holder knows it.
 type segment struct {
 	content *claimspb.Segment
-	// version is the object's, 0 if it does not exist.
+	// version is the version of the stored object, 0 if it does not exist.
 	version slipwick.Version
 }
 
-// prefixOf is that of a journal's objects.
-func prefixOf(journal int) string {
+// keyPrefix returns the common prefix of the keys of a journal's objects.
+func keyPrefix(journal int) string {
 	return fmt.Sprintf("slipwick/claims/%02d/", journal)
 }
 
-func keyOf(journal int, slot uint64) string {
-	return fmt.Sprintf("%s%04d", prefixOf(journal), slot)
+func objectKey(journal int, slot uint64) string {
+	return fmt.Sprintf("%s%04d", keyPrefix(journal), slot)
 }
 
-// expires is when nothing in the segment matters any more.
+// expires returns when the last entry of the segment expires.
 func (s *segment) expires() time.Time {
 	var last uint64
 	for _, e := range s.content.GetEntries() {
@@ -35,8 +35,9 @@
 	return time.UnixMilli(int64(last))
 }
 
-// with gives a copy with more entries and a write's number.
-func (s *segment) with(entries []*claimspb.Entry, write uint64, sealAbove int) *claimspb.Segment {
+// withEntries returns a copy with further entries and the number of the write. It is sealed if it
+// is larger than sealAbove, in bytes.
+func (s *segment) withEntries(entries []*claimspb.Entry, write uint64, sealAbove int) *claimspb.Segment {
 	next := &claimspb.Segment{
 		Sequence: s.content.GetSequence(),
 		Write:    write,
--- a/claims/segments_test.go
+++ b/claims/segments_test.go
@@ -19,9 +19,9 @@
 	return err
 }
 
-// TestSegmentsAreUsedAgain checks that a journal stays within its segments,
-// refuses while none has expired, and goes on afterwards.
-func TestSegmentsAreUsedAgain(t *testing.T) {
+// TestExpiredSegmentsAreReused checks that a journal stays within its segments, refuses claims
+// while none has expired, and accepts them afterwards.
+func TestExpiredSegmentsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := testPolicy()
 		policy.Journals, policy.Segments = 1, 3
@@ -39,14 +39,14 @@
 			case failure.Outcome == slipwick.OutcomeNotRun:
 				refused++
 			default:
-				t.Fatalf("got %v, want a grant or a refusal as not run", err)
+				t.Fatalf("got %v, want a granted claim or a refusal with outcome not-run", err)
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
 		if got := len(f.store.objects); got > policy.Segments {
 			t.Errorf("got %d objects, want at most %d", got, policy.Segments)
 		}
-		// Three segments hold a few dozen claims; 400 need them many times.
+		// Three segments hold a few dozen claims, so 400 claims need each of them many times.
 		if granted < 100 || refused == 0 {
 			t.Errorf("got %d granted and %d refused, want both", granted, refused)
 		}
@@ -54,8 +54,8 @@
 	})
 }
 
-// TestKeysOutOfTime checks keys from the past, from the future and malformed.
-func TestKeysOutOfTime(t *testing.T) {
+// TestParseKeyChecksTimeAndFormat checks keys from the past, from the future and malformed ones.
+func TestParseKeyChecksTimeAndFormat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := DefaultPolicy()
 		random := rand.New(rand.NewPCG(1, 1))
@@ -90,7 +90,7 @@
 				want: slipwick.OutcomeUnknown,
 			},
 			{
-				name: "no UUIDv7",
+				name: "not a UUIDv7",
 				key:  "9b2d2ef6-4f0e-4a36-8f6e-0d7a3c1b5a10",
 				at:   now,
 				want: slipwick.OutcomeNotRun,
--- a/claims/stats.go
+++ b/claims/stats.go
@@ -2,10 +2,10 @@
 
 import "sync/atomic"
 
-// Stats counts what claims cost.
+// Stats counts claims and what they cost.
 type Stats struct {
-	// Writes and Bytes are those sent to the platform.
+	// Writes and Bytes count the writes sent to the platform, and their size.
 	Writes, Bytes atomic.Int64
-	// Claims counts those granted to this router.
+	// Claims counts the claims granted to this router.
 	Claims atomic.Int64
 }
--- a/claims/store.go
+++ b/claims/store.go
@@ -13,13 +13,12 @@
 	"github.com/slipwick/slipwick/claims/claimspb"
 )
 
-// errLost says that another router writes the journal now.
-var errLost = errors.New("another router holds the journal; ask that one")
+// errLost means that another router writes the journal now.
+var errLost = errors.New("another router holds the journal; send the request to that one")
 
-// write replaces the object of one segment, which has to have the version. A
-// write without an answer is tried again with the same content and version: at
-// most one of the tries can take effect, and a conflict is told from a lost
-// answer by reading the content back.
+// write replaces the object of a segment if it still has the version. A write without a response is
+// retried with the same content and version, so at most one attempt can take effect. A conflict on
+// a retry may stem from an earlier attempt whose response was lost; reading the content back tells.
 func (j *journal) write(
 	ctx context.Context, slot uint64, content *claimspb.Segment, version slipwick.Version,
 ) (slipwick.Version, error) {
@@ -48,7 +47,7 @@
 			return 0, err
 		}
 		tried = true
-		j.setFailing(true)
+		j.setStoreFailing(true)
 		if !sleep(ctx, wait.NextBackOff()) {
 			return 0, ctx.Err()
 		}
@@ -58,16 +57,17 @@
 func (j *journal) put(
 	ctx context.Context, slot uint64, value []byte, version slipwick.Version,
 ) (slipwick.Version, error) {
-	j.counted(len(value))
+	j.countWrite(len(value))
 	if version == 0 {
-		return j.store.Create(ctx, keyOf(j.number, slot), value)
+		return j.store.Create(ctx, objectKey(j.number, slot), value)
 	}
-	return j.store.Update(ctx, keyOf(j.number, slot), value, version)
+	return j.store.Update(ctx, objectKey(j.number, slot), value, version)
 }
 
-// readBack tells whether an earlier try of the write took effect.
+// readBack returns the version that an earlier attempt of the write has made, or errLost if the
+// content is another.
 func (j *journal) readBack(ctx context.Context, slot uint64, value []byte) (slipwick.Version, error) {
-	object, err := j.store.Get(ctx, keyOf(j.number, slot))
+	object, err := j.store.Get(ctx, objectKey(j.number, slot))
 	if err != nil {
 		return 0, err
 	}
--- a/claims/takeover.go
+++ b/claims/takeover.go
@@ -11,11 +11,11 @@
 	"github.com/slipwick/slipwick/claims/claimspb"
 )
 
-// takeOver reads the journal and fences off its last writer, whether or not
-// that one still runs: it writes the open segment, or makes the one that
-// follows a sealed segment, so that the last writer's next write conflicts.
+// takeOver reads the journal and fences off its last writer, whether or not that is still running:
+// it rewrites the open segment, or creates the one that follows a sealed segment, so that the last
+// writer's next write conflicts.
 func (j *journal) takeOver(ctx context.Context) error {
-	objects, err := j.store.List(ctx, prefixOf(j.number))
+	objects, err := j.store.List(ctx, keyPrefix(j.number))
 	if err != nil {
 		return errors.Wrap(err, "read journal")
 	}
@@ -29,12 +29,12 @@
 			content: &claimspb.Segment{},
 		}
 	} else if open.content.GetSealed() {
-		if open, err = j.following(open, slots); err != nil {
+		if open, err = j.nextSegment(open, slots); err != nil {
 			return err
 		}
 	}
-	content := open.with(nil, j.nextWrite(), j.policy.SegmentBytes)
-	// An open segment is sealed by a write with entries alone.
+	content := open.withEntries(nil, j.nextWrite(), j.policy.SegmentBytes)
+	// Only a write with entries seals a segment.
 	content.Sealed = false
 	version, err := j.write(ctx, j.slotOf(content), content, open.version)
 	if err != nil {
@@ -42,7 +42,7 @@
 	}
 	j.slots = slots
 	j.index = make(index)
-	for _, s := range inOrder(slots) {
+	for _, s := range sortedBySequence(slots) {
 		for _, e := range s.content.GetEntries() {
 			j.index.apply(e)
 		}
@@ -55,14 +55,14 @@
 	slots := make(map[uint64]*segment, len(objects))
 	byKey := make(map[string]uint64, len(objects))
 	for slot := range uint64(len(objects)) {
-		byKey[keyOf(number, slot)] = slot
+		byKey[objectKey(number, slot)] = slot
 	}
 	for _, object := range objects {
 		content := &claimspb.Segment{}
 		if err := proto.Unmarshal(object.Value, content); err != nil {
-			return nil, errors.Wrapf(err, "object %s is no segment; move it away", object.Key)
+			return nil, errors.Wrapf(err, "object %s is not a journal segment; move it out of the prefix", object.Key)
 		}
-		// Slots fill from 0 on without holes.
+		// Slots are filled from 0 on without gaps.
 		slots[byKey[object.Key]] = &segment{
 			content: content,
 			version: object.Version,
@@ -81,11 +81,12 @@
 	return found
 }
 
-// errFull says that the journal's oldest segment has not expired.
-var errFull = errors.New("the journal is full; raise its segments or lower the window")
+// errFull means that the journal's oldest segment has not expired.
+var errFull = errors.New("the journal is full; raise MaxSegments or lower KeyLifetime")
 
-// following gives the segment after a sealed one, in a new or an expired slot.
-func (j *journal) following(sealed *segment, slots map[uint64]*segment) (*segment, error) {
+// nextSegment returns the segment after a sealed one, in a new slot or in one whose segment has
+// expired.
+func (j *journal) nextSegment(sealed *segment, slots map[uint64]*segment) (*segment, error) {
 	next := &segment{
 		content: &claimspb.Segment{
 			Sequence: sealed.content.GetSequence() + 1,
