--- a/membership/node.go
+++ b/membership/node.go
@@ -13,7 +13,7 @@
 // Node is one router's member of the gossip protocol. Set the exported fields before Run.
 type Node struct {
 	Self   slipwick.Router
-	Wire   Wire
+	Wire   Transport
 	Policy Policy
 	// Random chooses whom to probe and to send updates to.
 	Random *rand.Rand
@@ -65,7 +65,7 @@
 }
 
 // NewNode returns a node that knows only itself.
-func NewNode(self slipwick.Router, transport Wire, policy Policy, random *rand.Rand) *Node {
+func NewNode(self slipwick.Router, transport Transport, policy Policy, random *rand.Rand) *Node {
 	n := &Node{
 		Self:       self,
 		Wire:       transport,
--- a/membership/udp.go
+++ b/membership/udp.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-var _ Wire = (*UDP)(nil)
+var _ Transport = (*UDP)(nil)
 
 const (
 	// maxPacket is the largest packet accepted, in bytes.
