--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -96,7 +96,7 @@
 		transport := &recordingTransport{
 			packets: make(map[string][]memberpb.Kind),
 		}
-		n.Wire = transport
+		n.Transport = transport
 		probe, err := proto.Marshal(&memberpb.Packet{
 			Kind: memberpb.Kind_KIND_PROBE,
 			From: "other",
--- a/membership/packet.go
+++ b/membership/packet.go
@@ -25,7 +25,7 @@
 	if err != nil || address == "" {
 		return
 	}
-	n.Wire.Send(address, encoded)
+	n.Transport.Send(address, encoded)
 }
 
 // Receive handles a packet; responses go to address. Packets that cannot be decoded are dropped.
