--- a/cmd/internal/gatewayd/cold.go
+++ b/cmd/internal/gatewayd/cold.go
@@ -18,7 +18,7 @@
 // it sends nothing to cold servers.
 func (p *Process) tellRouters(routers []slipwick.Router) {
 	select {
-	case <-p.node.Settled():
+	case <-p.node.FleetKnown():
 	default:
 		return
 	}
@@ -33,7 +33,7 @@
 func (p *Process) tellFirstRouters(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-p.node.Settled():
+	case <-p.node.FleetKnown():
 		p.tellRouters(p.node.Routers())
 	}
 }
--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -51,7 +51,7 @@
 	r.Routers = p.node.Routers
 	r.Pools = p.enginePools
 	r.DataCentre = p.Settings.DataCentre
-	r.FleetKnown = p.node.Settled()
+	r.FleetKnown = p.node.FleetKnown()
 	r.QueryRouter = func(
 		ctx context.Context, router slipwick.Router, q *balance.CacheQuery,
 	) (*balance.CacheSnapshot, error) {
--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -27,7 +27,7 @@
 
 // Settled is closed once this router knows the others.
 func (p *peers) Settled() <-chan struct{} {
-	return p.node.Settled()
+	return p.node.FleetKnown()
 }
 
 // Place gives whom this router follows. It is worked out anew when the fleet has changed,
--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -45,7 +45,7 @@
 
 // FleetKnown returns a channel that is closed once a started router knows the fleet, or has found
 // no other router.
-func (n *Node) Settled() <-chan struct{} {
+func (n *Node) FleetKnown() <-chan struct{} {
 	return n.fleetKnown
 }
 
--- a/membership/catchup_test.go
+++ b/membership/catchup_test.go
@@ -126,7 +126,7 @@
 		n.CatchUp = true
 		go n.Run(ctx)
 		started := time.Now()
-		<-n.Settled()
+		<-n.FleetKnown()
 		if took := time.Since(started); took > 350*time.Millisecond {
 			t.Errorf("got %v until it found that there is no other router, want at most 350 ms", took)
 		}
