--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -201,7 +201,7 @@
 // join finds the other routers through the seeds.
 func (p *Process) join(ctx context.Context) {
 	if p.hasNoSeeds() {
-		p.node.Alone()
+		p.node.FinishCatchUp()
 	}
 	first := rand.IntN(math.MaxInt16)
 	for tries := 0; ; tries++ {
--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -50,7 +50,7 @@
 }
 
 // FinishCatchUp ends the catch-up: there is no other router to wait for.
-func (n *Node) Alone() {
+func (n *Node) FinishCatchUp() {
 	n.locked(n.finishCatchUp)
 }
 
--- a/membership/node.go
+++ b/membership/node.go
@@ -113,7 +113,7 @@
 	if n.CatchUp {
 		tasks.Go(func() { n.catchUp(ctx) })
 	} else {
-		n.Alone()
+		n.FinishCatchUp()
 	}
 	defer tasks.Wait()
 	first := time.NewTimer(wait)
--- a/membership/routers_test.go
+++ b/membership/routers_test.go
@@ -96,7 +96,7 @@
 				Id: fmt.Sprint("r", i),
 			})
 		}
-		n.Alone()
+		n.FinishCatchUp()
 		n.applyNews(&memberpb.News{
 			Id: "late",
 		})
