--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -92,7 +92,7 @@
 		if err != nil && ctx.Err() == nil {
 			r.platformFailed(err)
 		}
-		r.node.Observe(boxes)
+		r.node.MergeListing(boxes)
 		if !asked && err == nil {
 			asked = true
 			r.join(boxes)
--- a/emulation/router.go
+++ b/emulation/router.go
@@ -66,7 +66,7 @@
 		// The coordinator must not be called back from here.
 		go r.Node.SetBackend(backend, fleet.MemberState(health))
 	}
-	r.Node.Observe(boxes)
+	r.Node.MergeListing(boxes)
 	r.Viewer.SetConfiguration(snapshot)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
--- a/membership/node.go
+++ b/membership/node.go
@@ -234,7 +234,7 @@
 // MergeListing merges the platform's listing of boxes: it adds unknown routers and marks boxes that
 // leave. Because the listing lags, a box that is missing from it changes nothing, and neither does
 // one listed as live unless a backend server was listed as leaving before.
-func (n *Node) Observe(boxes []slipwick.Box) {
+func (n *Node) MergeListing(boxes []slipwick.Box) {
 	n.locked(func() {
 		for i := range boxes {
 			n.mergeBox(&boxes[i])
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -146,7 +146,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newTestNode()
 		list := func(state slipwick.BoxState) {
-			n.Observe([]slipwick.Box{
+			n.MergeListing([]slipwick.Box{
 				{
 					ID:    "service",
 					Kind:  slipwick.BoxBackend,
