--- a/membership/node.go
+++ b/membership/node.go
@@ -107,7 +107,7 @@
 		n.changed = true
 		n.broadcast(n.self().news)
 		// A random first delay keeps routers that start together from probing at the same time.
-		wait = time.Duration(n.Random.Int64N(int64(n.Policy.Period)))
+		wait = time.Duration(n.Random.Int64N(int64(n.Policy.ProbeInterval)))
 	})
 	var tasks sync.WaitGroup
 	if n.CatchUp {
@@ -123,7 +123,7 @@
 		return
 	case <-first.C:
 	}
-	ticker := time.NewTicker(n.Policy.Period)
+	ticker := time.NewTicker(n.Policy.ProbeInterval)
 	defer ticker.Stop()
 	for {
 		n.locked(n.tick)
--- a/membership/packet.go
+++ b/membership/packet.go
@@ -111,7 +111,7 @@
 		forSequence: packet.GetSequence(),
 	}
 	n.send(packet.GetTargetAddress(), n.packet(memberpb.Kind_KIND_PROBE, sequence))
-	time.AfterFunc(n.Policy.Period, func() { n.locked(func() { delete(n.probes, sequence) }) })
+	time.AfterFunc(n.Policy.ProbeInterval, func() { n.locked(func() { delete(n.probes, sequence) }) })
 }
 
 // checkDigest sends a sync request after SyncAfter packets in a row with a different digest.
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -5,7 +5,7 @@
 // Policy holds the parameters of the failure detector and of the gossip.
 type Policy struct {
 	// ProbeInterval is the time between two probes by one router.
-	Period time.Duration
+	ProbeInterval time.Duration
 	// AckTimeout is how long to wait for an ack before other routers are asked to probe the target.
 	AckTimeout time.Duration
 	// IndirectProbes is how many routers are asked to probe the target.
@@ -32,7 +32,7 @@
 // DefaultPolicy returns the default parameters.
 func DefaultPolicy() Policy {
 	return Policy{
-		Period:        time.Second,
+		ProbeInterval:        time.Second,
 		AckTimeout:    300 * time.Millisecond,
 		Helpers:       3,
 		Suspicion:     2 * time.Second,
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -126,7 +126,7 @@
 	}
 	n.send(target.news.GetAddress(), n.packet(memberpb.Kind_KIND_PROBE, sequence))
 	time.AfterFunc(n.Policy.AckTimeout, func() { n.locked(func() { n.requestIndirectProbes(sequence) }) })
-	time.AfterFunc(n.Policy.Period, func() { n.locked(func() { n.probeTimedOut(sequence) }) })
+	time.AfterFunc(n.Policy.ProbeInterval, func() { n.locked(func() { n.probeTimedOut(sequence) }) })
 }
 
 // requestIndirectProbes asks other routers to probe the target, because only the path from here may
