--- a/membership/policy.go
+++ b/membership/policy.go
@@ -9,7 +9,7 @@
 	// AckTimeout is how long to wait for an ack before other routers are asked to probe the target.
 	AckTimeout time.Duration
 	// IndirectProbes is how many routers are asked to probe the target.
-	Helpers int
+	IndirectProbes int
 	// SuspicionTimeout is how long a suspect has to refute before it counts as dead.
 	Suspicion time.Duration
 	// Fanout is how many routers a push goes to.
@@ -34,7 +34,7 @@
 	return Policy{
 		ProbeInterval:        time.Second,
 		AckTimeout:    300 * time.Millisecond,
-		Helpers:       3,
+		IndirectProbes:       3,
 		Suspicion:     2 * time.Second,
 		Fanout:        3,
 		NewsPerPacket: 8,
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -139,7 +139,7 @@
 	packet := n.packet(memberpb.Kind_KIND_PROBE_FOR, sequence)
 	packet.Target = p.target
 	packet.TargetAddress = n.members[p.target].news.GetAddress()
-	for _, helper := range n.randomMembers(n.Policy.Helpers, p.target) {
+	for _, helper := range n.randomMembers(n.Policy.IndirectProbes, p.target) {
 		n.send(helper.news.GetAddress(), packet)
 	}
 }
