--- a/membership/policy.go
+++ b/membership/policy.go
@@ -11,7 +11,7 @@
 	// IndirectProbes is how many routers are asked to probe the target.
 	IndirectProbes int
 	// SuspicionTimeout is how long a suspect has to refute before it counts as dead.
-	Suspicion time.Duration
+	SuspicionTimeout time.Duration
 	// Fanout is how many routers a push goes to.
 	Fanout int
 	// NewsPerPacket bounds the updates in one packet.
@@ -35,7 +35,7 @@
 		ProbeInterval:        time.Second,
 		AckTimeout:    300 * time.Millisecond,
 		IndirectProbes:       3,
-		Suspicion:     2 * time.Second,
+		SuspicionTimeout:     2 * time.Second,
 		Fanout:        3,
 		NewsPerPacket: 8,
 		SyncAfter:     3,
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -34,7 +34,7 @@
 			delete(n.members, id)
 		case m.dead():
 			n.probeDead(m, now)
-		case !m.suspectedAt.IsZero() && now.Sub(m.suspectedAt) >= n.Policy.Suspicion:
+		case !m.suspectedAt.IsZero() && now.Sub(m.suspectedAt) >= n.Policy.SuspicionTimeout:
 			n.markDead(m)
 		}
 	}
