--- a/membership/packet.go
+++ b/membership/packet.go
@@ -122,7 +122,7 @@
 	}
 	n.digestMismatches++
 	now := time.Now()
-	if n.digestMismatches < n.Policy.SyncAfter || now.Sub(n.syncedAt) < n.Policy.SyncEvery {
+	if n.digestMismatches < n.Policy.SyncAfter || now.Sub(n.syncedAt) < n.Policy.MinSyncInterval {
 		return
 	}
 	n.digestMismatches, n.syncedAt = 0, now
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -19,7 +19,7 @@
 	// SyncAfter is how many packets in a row must have a different digest before a sync request is
 	// sent; MinSyncInterval is the minimum time between such requests.
 	SyncAfter int
-	SyncEvery time.Duration
+	MinSyncInterval time.Duration
 	// DeadRetention is how long dead routers are remembered and still contacted from time to time,
 	// in case they were only partitioned: longer than regions lose contact with each other.
 	Forget time.Duration
@@ -39,7 +39,7 @@
 		Fanout:        3,
 		NewsPerPacket: 8,
 		SyncAfter:     3,
-		SyncEvery:     5 * time.Second,
+		MinSyncInterval:     5 * time.Second,
 		Forget:        2 * time.Hour,
 		FlapLimit:     2.5,
 		FlapHalfLife:  time.Minute,
