--- a/membership/policy.go
+++ b/membership/policy.go
@@ -22,7 +22,7 @@
 	MinSyncInterval time.Duration
 	// DeadRetention is how long dead routers are remembered and still contacted from time to time,
 	// in case they were only partitioned: longer than regions lose contact with each other.
-	Forget time.Duration
+	DeadRetention time.Duration
 	// FlapLimit is the penalty from which on a router may not own backend servers. A death adds 1
 	// to the penalty, which halves every FlapHalfLife.
 	FlapLimit    float64
@@ -40,7 +40,7 @@
 		NewsPerPacket: 8,
 		SyncAfter:     3,
 		MinSyncInterval:     5 * time.Second,
-		Forget:        2 * time.Hour,
+		DeadRetention:        2 * time.Hour,
 		FlapLimit:     2.5,
 		FlapHalfLife:  time.Minute,
 	}
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -29,7 +29,7 @@
 		}
 		switch {
 		case id == n.Self.ID:
-		case m.dead() && now.Sub(m.diedAt) > n.Policy.Forget:
+		case m.dead() && now.Sub(m.diedAt) > n.Policy.DeadRetention:
 			n.digest ^= m.digestPart
 			delete(n.members, id)
 		case m.dead():
