--- a/cmd/internal/daemon/secure.go
+++ b/cmd/internal/daemon/secure.go
@@ -26,7 +26,7 @@
 		if err != nil {
 			return errors.Wrap(err, "tls.peers")
 		}
-		r.mesh.Accepting = credentials.NewTLS(loader.Server())
+		r.mesh.ServerCredentials = credentials.NewTLS(loader.Server())
 		r.mesh.Connecting = credentials.NewTLS(loader.Client())
 	}
 	if settings.Secret == "" {
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -47,7 +47,7 @@
 	OnReceive func(from string, envelope *peerpb.Envelope)
 	// ServerCredentials and ClientCredentials secure the streams that this router accepts and
 	// opens; nil leaves them unencrypted.
-	Accepting, Connecting credentials.TransportCredentials
+	ServerCredentials, Connecting credentials.TransportCredentials
 
 	// Sent and Received count the bytes written to and read from TCP connections.
 	Sent, Received atomic.Int64
@@ -82,8 +82,8 @@
 		grpc.StaticStreamWindowSize(windowBytes),
 		grpc.StaticConnWindowSize(windowBytes),
 	}
-	if m.Accepting != nil {
-		options = append(options, grpc.Creds(m.Accepting))
+	if m.ServerCredentials != nil {
+		options = append(options, grpc.Creds(m.ServerCredentials))
 	}
 	server := grpc.NewServer(options...)
 	peerpb.RegisterPeerServer(server, m)
