--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -47,7 +47,7 @@
 	OnReceive func(from string, envelope *peerpb.Envelope)
 	// ServerCredentials and ClientCredentials secure the streams that this router accepts and
 	// opens; nil leaves them unencrypted.
-	ServerCredentials, Connecting credentials.TransportCredentials
+	ServerCredentials, ClientCredentials credentials.TransportCredentials
 
 	// Sent and Received count the bytes written to and read from TCP connections.
 	Sent, Received atomic.Int64
@@ -173,7 +173,7 @@
 
 // dialRouter returns a gRPC client connection to another router; gRPC dials on first use.
 func (m *Mesh) dialRouter(address string) (*grpc.ClientConn, error) {
-	creds := m.Connecting
+	creds := m.ClientCredentials
 	if creds == nil {
 		creds = insecure.NewCredentials()
 	}
