--- a/claims/claims.go
+++ b/claims/claims.go
@@ -15,7 +15,7 @@
 )
 
 // Transport sends envelopes to other routers. Send does not block and may drop envelopes.
-type Link interface {
+type Transport interface {
 	Send(router string, envelope *peerpb.Envelope)
 }
 
@@ -25,7 +25,7 @@
 	// Self is the router's ID.
 	Self   string
 	Store  slipwick.Store
-	Link   Link
+	Link   Transport
 	Policy Policy
 	Stats  Stats
 
@@ -49,7 +49,7 @@
 const inboxLength = 4096
 
 // New returns a Claims; Run starts it.
-func New(self string, store slipwick.Store, transport Link, policy Policy) *Claims {
+func New(self string, store slipwick.Store, transport Transport, policy Policy) *Claims {
 	return &Claims{
 		Self:    self,
 		Store:   store,
