--- a/claims/claim.go
+++ b/claims/claim.go
@@ -129,6 +129,6 @@
 	case c.Self:
 		c.Receive(c.Self, envelope)
 	default:
-		c.Link.Send(holder, envelope)
+		c.Transport.Send(holder, envelope)
 	}
 }
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -25,7 +25,7 @@
 	// Self is the router's ID.
 	Self   string
 	Store  slipwick.Store
-	Link   Transport
+	Transport   Transport
 	Policy Policy
 	Stats  Stats
 
@@ -53,7 +53,7 @@
 	return &Claims{
 		Self:    self,
 		Store:   store,
-		Link:    transport,
+		Transport:    transport,
 		Policy:  policy,
 		held:    make(map[int]*heldJournal),
 		answers: make(map[uint64]chan *peerpb.ClaimAnswer),
@@ -208,7 +208,7 @@
 		c.receiveAnswer(answer)
 		return
 	}
-	c.Link.Send(router, &peerpb.Envelope{
+	c.Transport.Send(router, &peerpb.Envelope{
 		ClaimAnswers: []*peerpb.ClaimAnswer{answer},
 	})
 }
