--- a/claims/claims.go
+++ b/claims/claims.go
@@ -139,7 +139,7 @@
 }
 
 // HeldJournals returns the numbers of the journals that this router holds, in ascending order.
-func (c *Claims) Held() []int {
+func (c *Claims) HeldJournals() []int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	held := make([]int, 0, len(c.held))
--- a/cmd/internal/daemon/status.go
+++ b/cmd/internal/daemon/status.go
@@ -32,7 +32,7 @@
 		PlatformCalls: r.platform.Calls(),
 		ControlBytes:  r.ControlBytes(),
 		Owned:         r.coordinator.Status(),
-		Journals:      r.claims.Held(),
+		Journals:      r.claims.HeldJournals(),
 	}
 	for _, member := range r.node.Routers() {
 		status.Members = append(status.Members, member.ID)
