--- a/claims/claim.go
+++ b/claims/claim.go
@@ -38,7 +38,7 @@
 	if failure, ok := slipwick.AsError(err); ok && failure.Kind != slipwick.KindKeyUsed {
 		// The holder may have received the request. The request was not sent and will not be, so
 		// the claim is released.
-		c.End(claim, slipwick.OutcomeNotRun)
+		c.RecordOutcome(claim, slipwick.OutcomeNotRun)
 	}
 	return Claim{}, err
 }
@@ -98,7 +98,7 @@
 // RecordOutcome records the outcome of the claim's request. An unknown outcome leaves the key
 // claimed; OutcomeNotRun releases it. The message is sent once: if it is lost, the key stays
 // claimed and its outcome unknown.
-func (c *Claims) End(claim Claim, outcome slipwick.Outcome) {
+func (c *Claims) RecordOutcome(claim Claim, outcome slipwick.Outcome) {
 	states := map[slipwick.Outcome]peerpb.ClaimState{
 		slipwick.OutcomeCompleted: peerpb.ClaimState_CLAIM_COMPLETED,
 		slipwick.OutcomeFailed:    peerpb.ClaimState_CLAIM_FAILED,
--- a/claims/schedule_test.go
+++ b/claims/schedule_test.go
@@ -190,7 +190,7 @@
 	n.waitWhilePaused()
 	outcome := s.dispatch(h, a, draw)
 	if !n.isKilled() {
-		n.claims.End(claim, outcome)
+		n.claims.RecordOutcome(claim, outcome)
 	}
 	h.add(a, began, result{
 		outcome: outcome,
--- a/cmd/internal/daemon/keyed.go
+++ b/cmd/internal/daemon/keyed.go
@@ -63,5 +63,5 @@
 	if err != nil {
 		outcome = asFailure(err).Outcome
 	}
-	k.claims.End(k.claim, outcome)
+	k.claims.RecordOutcome(k.claim, outcome)
 }
