--- a/claims/policy.go
+++ b/claims/policy.go
@@ -12,7 +12,7 @@
 	// segment.
 	SegmentBytes int
 	// MaxSegments bounds the segments of a journal; expired ones are reused.
-	Segments int
+	MaxSegments int
 	// KeyLifetime is how long a key is valid, from the time in it.
 	Window time.Duration
 	// MaxClockSkew is how far the clocks of callers and routers may differ.
@@ -33,7 +33,7 @@
 		Journals:        journals,
 		WritesPerSecond: writesPerSecond,
 		SegmentBytes:    4 << 10,
-		Segments:        segments,
+		MaxSegments:        segments,
 		Window:          10 * time.Minute,
 		Skew:            5 * time.Second,
 		AnswerTimeout:   500 * time.Millisecond,
--- a/claims/segments_test.go
+++ b/claims/segments_test.go
@@ -24,7 +24,7 @@
 func TestExpiredSegmentsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := testPolicy()
-		policy.Journals, policy.Segments = 1, 3
+		policy.Journals, policy.MaxSegments = 1, 3
 		policy.Window, policy.Skew = 20*time.Second, time.Second
 		f := newFleet(1, 1, policy)
 		f.random = rand.New(rand.NewPCG(1, 1))
@@ -43,8 +43,8 @@
 			}
 			time.Sleep(500 * time.Millisecond)
 		}
-		if got := len(f.store.objects); got > policy.Segments {
-			t.Errorf("got %d objects, want at most %d", got, policy.Segments)
+		if got := len(f.store.objects); got > policy.MaxSegments {
+			t.Errorf("got %d objects, want at most %d", got, policy.MaxSegments)
 		}
 		// Three segments hold a few dozen claims, so 400 claims need each of them many times.
 		if granted < 100 || refused == 0 {
--- a/claims/takeover.go
+++ b/claims/takeover.go
@@ -102,5 +102,5 @@
 }
 
 func (j *journal) slotOf(content *claimspb.Segment) uint64 {
-	return content.GetSequence() % uint64(j.policy.Segments)
+	return content.GetSequence() % uint64(j.policy.MaxSegments)
 }
