--- a/claims/key.go
+++ b/claims/key.go
@@ -39,7 +39,7 @@
 			Outcome: slipwick.OutcomeNotRun,
 		}
 	}
-	if now.After(made.Add(p.Window)) {
+	if now.After(made.Add(p.KeyLifetime)) {
 		return Key{}, &slipwick.Error{
 			Kind:    slipwick.KindKeyExpired,
 			Message: "the request key is too old to tell whether it was used",
@@ -49,7 +49,7 @@
 	}
 	key := Key{
 		// Another router may still accept the key, because clocks differ by up to twice the skew.
-		expires: made.Add(p.Window + 2*p.Skew),
+		expires: made.Add(p.KeyLifetime + 2*p.Skew),
 	}
 	digest := sha256.New()
 	_, _ = digest.Write([]byte(workspace))
--- a/claims/policy.go
+++ b/claims/policy.go
@@ -14,7 +14,7 @@
 	// MaxSegments bounds the segments of a journal; expired ones are reused.
 	MaxSegments int
 	// KeyLifetime is how long a key is valid, from the time in it.
-	Window time.Duration
+	KeyLifetime time.Duration
 	// MaxClockSkew is how far the clocks of callers and routers may differ.
 	Skew time.Duration
 	// AnswerTimeout is how long to wait for a holder before it is asked again.
@@ -34,7 +34,7 @@
 		WritesPerSecond: writesPerSecond,
 		SegmentBytes:    4 << 10,
 		MaxSegments:        segments,
-		Window:          10 * time.Minute,
+		KeyLifetime:          10 * time.Minute,
 		Skew:            5 * time.Second,
 		AnswerTimeout:   500 * time.Millisecond,
 		WriteTimeout:    2 * time.Second,
--- a/claims/segments_test.go
+++ b/claims/segments_test.go
@@ -25,7 +25,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		policy := testPolicy()
 		policy.Journals, policy.MaxSegments = 1, 3
-		policy.Window, policy.Skew = 20*time.Second, time.Second
+		policy.KeyLifetime, policy.Skew = 20*time.Second, time.Second
 		f := newFleet(1, 1, policy)
 		f.random = rand.New(rand.NewPCG(1, 1))
 		n := f.node(f.ids[0])
@@ -86,7 +86,7 @@
 			{
 				name: "too old",
 				key:  key,
-				at:   now.Add(policy.Window + time.Second),
+				at:   now.Add(policy.KeyLifetime + time.Second),
 				want: slipwick.OutcomeUnknown,
 			},
 			{
