--- a/claims/key.go
+++ b/claims/key.go
@@ -31,7 +31,7 @@
 		}
 	}
 	made := time.Unix(id.Time().UnixTime())
-	if made.After(now.Add(p.Skew)) {
+	if made.After(now.Add(p.MaxClockSkew)) {
 		return Key{}, &slipwick.Error{
 			Kind:    slipwick.KindInvalidRequest,
 			Message: "the time in the request key is in the future",
@@ -49,7 +49,7 @@
 	}
 	key := Key{
 		// Another router may still accept the key, because clocks differ by up to twice the skew.
-		expires: made.Add(p.KeyLifetime + 2*p.Skew),
+		expires: made.Add(p.KeyLifetime + 2*p.MaxClockSkew),
 	}
 	digest := sha256.New()
 	_, _ = digest.Write([]byte(workspace))
--- a/claims/policy.go
+++ b/claims/policy.go
@@ -16,7 +16,7 @@
 	// KeyLifetime is how long a key is valid, from the time in it.
 	KeyLifetime time.Duration
 	// MaxClockSkew is how far the clocks of callers and routers may differ.
-	Skew time.Duration
+	MaxClockSkew time.Duration
 	// AnswerTimeout is how long to wait for a holder before it is asked again.
 	AnswerTimeout time.Duration
 	// WriteTimeout bounds how long claims wait for the platform, including retries of a write;
@@ -35,7 +35,7 @@
 		SegmentBytes:    4 << 10,
 		MaxSegments:        segments,
 		KeyLifetime:          10 * time.Minute,
-		Skew:            5 * time.Second,
+		MaxClockSkew:            5 * time.Second,
 		AnswerTimeout:   500 * time.Millisecond,
 		WriteTimeout:    2 * time.Second,
 		FirstRetry:      50 * time.Millisecond,
--- a/claims/segments_test.go
+++ b/claims/segments_test.go
@@ -25,7 +25,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		policy := testPolicy()
 		policy.Journals, policy.MaxSegments = 1, 3
-		policy.KeyLifetime, policy.Skew = 20*time.Second, time.Second
+		policy.KeyLifetime, policy.MaxClockSkew = 20*time.Second, time.Second
 		f := newFleet(1, 1, policy)
 		f.random = rand.New(rand.NewPCG(1, 1))
 		n := f.node(f.ids[0])
@@ -75,12 +75,12 @@
 			{
 				name: "within the skew",
 				key:  key,
-				at:   now.Add(-policy.Skew),
+				at:   now.Add(-policy.MaxClockSkew),
 			},
 			{
 				name: "from the future",
 				key:  key,
-				at:   now.Add(-policy.Skew - time.Second),
+				at:   now.Add(-policy.MaxClockSkew - time.Second),
 				want: slipwick.OutcomeNotRun,
 			},
 			{
