--- a/jsonfile/document.go
+++ b/jsonfile/document.go
@@ -10,22 +10,22 @@
 	"github.com/tailscale/hujson"
 )
 
-// rootPath is shown for the whole document, whose JSON pointer is empty.
+// rootPath stands for the whole document in mistakes, as its JSON pointer is empty.
 const rootPath = "/"
 
-// Document is one parsed file.
+// Document is a parsed file.
 type Document struct {
-	// File names the document in mistakes.
+	// File is the name of the document in mistakes.
 	File string
 
 	source []byte
 	root   hujson.Value
 }
 
-// syntaxLine finds the line in hujson's message on malformed input.
+// syntaxLine matches the line number in hujson's message for malformed input.
 var syntaxLine = regexp.MustCompile(`line (\d+)`)
 
-// Parse reads the source. The error, if any, is Mistakes.
+// Parse parses the source. The error, if any, is Mistakes.
 func Parse(file string, source []byte) (*Document, error) {
 	root, err := hujson.Parse(source)
 	if err == nil {
@@ -45,27 +45,28 @@
 			Line:    line,
 			Path:    rootPath,
 			Message: "not JSON with comments: " + err.Error(),
-			Remedy:  "mend the syntax at that place",
+			Remedy:  "correct the syntax there",
 		},
 	}
 }
 
-// Decode fills target, a pointer to a struct, and gives every mistake: unknown
-// fields, wrong types, and values that the validate tags refuse.
+// Decode decodes the document into target, a pointer to a struct, and returns all
+// mistakes: unknown fields, duplicate fields and wrong types, or, if there are none
+// of these, values that violate the validate tags.
 func (d *Document) Decode(target any) Mistakes {
-	mistakes := d.checkShape(target)
+	mistakes := d.checkTypes(target)
 	if len(mistakes) > 0 {
 		return mistakes
 	}
 	standard := d.root.Clone()
 	standard.Standardize()
 	if err := json.Unmarshal(standard.Pack(), target); err != nil {
-		return Mistakes{d.Mistake("", err.Error(), "mend the value")}
+		return Mistakes{d.Mistake("", err.Error(), "correct the value")}
 	}
 	return d.checkValues(target)
 }
 
-// Mistake makes a mistake at the JSON pointer, with its line looked up.
+// Mistake returns a mistake at the JSON pointer, with the line of the value there.
 func (d *Document) Mistake(pointer, message, remedy string) Mistake {
 	path := pointer
 	if path == "" {
@@ -80,8 +81,8 @@
 	}
 }
 
-// Line gives the line of the value at the JSON pointer, or of the closest
-// enclosing one that exists.
+// Line returns the line of the value at the JSON pointer, or of the closest
+// enclosing value that exists.
 func (d *Document) Line(pointer string) int {
 	for {
 		if found := d.root.Find(pointer); found != nil {
--- a/jsonfile/document_test.go
+++ b/jsonfile/document_test.go
@@ -43,7 +43,7 @@
 		want   []string
 	}{
 		{
-			name:   "shape",
+			name:   "fields and types",
 			source: "{\n\"sizes\": 3,\n\"entries\": [{\"name\": 4}, 7,\n{\"wait\": \"soon\", \"x\": 1}]}",
 			want:   []string{"2 /sizes", "3 /entries/0/name", "3 /entries/1", "4 /entries/2/wait", "4 /entries/2/x"},
 		},
@@ -53,7 +53,7 @@
 			want:   []string{"2 /size", "4 /entries/0/name"},
 		},
 		{
-			name:   "twice",
+			name:   "duplicate field",
 			source: "{\"size\": 1,\n\"size\": 2}",
 			want:   []string{"1 /size"},
 		},
--- a/jsonfile/mistake.go
+++ b/jsonfile/mistake.go
@@ -5,10 +5,10 @@
 	"strings"
 )
 
-// Mistake is one thing wrong in a file.
+// Mistake is one error in a file, with its place and what to do about it.
 type Mistake struct {
 	File string `json:"file"`
-	// Line counts from 1; 0 when the place is not known.
+	// Line counts from 1; it is 0 if the line is not known.
 	Line int `json:"line"`
 	// Path is the JSON pointer of the value.
 	Path    string `json:"path"`
@@ -16,15 +16,15 @@
 	Remedy  string `json:"remedy"`
 }
 
-// String gives the mistake on one line, in the form FILE:LINE: PATH: ….
+// String returns the mistake on one line: FILE:LINE: PATH: MESSAGE; REMEDY.
 func (m Mistake) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s; %s", m.File, m.Line, m.Path, m.Message, m.Remedy)
 }
 
-// Mistakes is an error that lists all mistakes.
+// Mistakes is an error that lists all mistakes of one or more files.
 type Mistakes []Mistake
 
-// Error gives a line for each mistake.
+// Error returns one line for each mistake.
 func (m Mistakes) Error() string {
 	lines := make([]string, 0, len(m))
 	for _, mistake := range m {
--- a/jsonfile/shape.go
+++ b/jsonfile/shape.go
@@ -11,112 +11,112 @@
 	"github.com/tailscale/hujson"
 )
 
-// shape walks a document beside a Go type.
-type shape struct {
+// typeChecker compares the values of a document with the Go types that they are decoded into.
+type typeChecker struct {
 	document *Document
 	mistakes Mistakes
 }
 
-func (d *Document) checkShape(target any) Mistakes {
-	s := shape{
+func (d *Document) checkTypes(target any) Mistakes {
+	c := typeChecker{
 		document: d,
 	}
-	s.value("", &d.root, reflect.TypeOf(target).Elem())
-	return s.mistakes
+	c.checkValue("", &d.root, reflect.TypeOf(target).Elem())
+	return c.mistakes
 }
 
-func (s *shape) add(pointer, message, remedy string) {
-	s.mistakes = append(s.mistakes, s.document.Mistake(pointer, message, remedy))
+func (c *typeChecker) add(pointer, message, remedy string) {
+	c.mistakes = append(c.mistakes, c.document.Mistake(pointer, message, remedy))
 }
 
-func (s *shape) value(pointer string, value *hujson.Value, kind reflect.Type) {
-	if kind.Kind() == reflect.Pointer {
-		s.value(pointer, value, kind.Elem())
+func (c *typeChecker) checkValue(pointer string, value *hujson.Value, goType reflect.Type) {
+	if goType.Kind() == reflect.Pointer {
+		c.checkValue(pointer, value, goType.Elem())
 		return
 	}
-	if _, ok := reflect.New(kind).Interface().(encoding.TextUnmarshaler); ok {
-		s.literal(pointer, value, kind)
+	if _, ok := reflect.New(goType).Interface().(encoding.TextUnmarshaler); ok {
+		c.checkLiteral(pointer, value, goType)
 		return
 	}
-	switch kind.Kind() {
+	switch goType.Kind() {
 	case reflect.Struct:
-		s.object(pointer, value, kind)
+		c.checkObject(pointer, value, goType)
 	case reflect.Map:
-		s.mapping(pointer, value, kind)
+		c.checkMap(pointer, value, goType)
 	case reflect.Slice:
-		s.array(pointer, value, kind)
+		c.checkArray(pointer, value, goType)
 	default:
-		s.literal(pointer, value, kind)
+		c.checkLiteral(pointer, value, goType)
 	}
 }
 
-func (s *shape) object(pointer string, value *hujson.Value, kind reflect.Type) {
+func (c *typeChecker) checkObject(pointer string, value *hujson.Value, goType reflect.Type) {
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
-		s.add(pointer, "not an object", "write { … }")
+		c.add(pointer, "not an object", "write { … }")
 		return
 	}
-	fields := fieldsOf(kind)
+	fields := fieldsOf(goType)
 	seen := make(map[string]bool, len(object.Members))
 	for i := range object.Members {
 		member := &object.Members[i]
 		name := member.Name.Value.(hujson.Literal).String()
 		below := pointer + "/" + escape(name)
 		if seen[name] {
-			s.add(below, "field given twice", "keep one of them")
+			c.add(below, "field given twice", "keep one of them")
 		}
 		seen[name] = true
 		field, known := fields[name]
 		if !known {
-			s.add(below, "unknown field", "remove it, or use one of "+names(fields))
+			c.add(below, "unknown field", "remove it, or use one of "+names(fields))
 			continue
 		}
-		s.value(below, &member.Value, field)
+		c.checkValue(below, &member.Value, field)
 	}
 }
 
-func (s *shape) mapping(pointer string, value *hujson.Value, kind reflect.Type) {
+func (c *typeChecker) checkMap(pointer string, value *hujson.Value, goType reflect.Type) {
 	object, ok := value.Value.(*hujson.Object)
 	if !ok {
-		s.add(pointer, "not an object", "write { … }")
+		c.add(pointer, "not an object", "write { … }")
 		return
 	}
 	for i := range object.Members {
 		member := &object.Members[i]
 		name := member.Name.Value.(hujson.Literal).String()
-		s.value(pointer+"/"+escape(name), &member.Value, kind.Elem())
+		c.checkValue(pointer+"/"+escape(name), &member.Value, goType.Elem())
 	}
 }
 
-func (s *shape) array(pointer string, value *hujson.Value, kind reflect.Type) {
+func (c *typeChecker) checkArray(pointer string, value *hujson.Value, goType reflect.Type) {
 	array, ok := value.Value.(*hujson.Array)
 	if !ok {
-		s.add(pointer, "not a list", "write [ … ]")
+		c.add(pointer, "not a list", "write [ … ]")
 		return
 	}
 	for i := range array.Elements {
-		s.value(fmt.Sprintf("%s/%d", pointer, i), &array.Elements[i], kind.Elem())
+		c.checkValue(fmt.Sprintf("%s/%d", pointer, i), &array.Elements[i], goType.Elem())
 	}
 }
 
-func (s *shape) literal(pointer string, value *hujson.Value, kind reflect.Type) {
+func (c *typeChecker) checkLiteral(pointer string, value *hujson.Value, goType reflect.Type) {
 	literal, ok := value.Value.(hujson.Literal)
 	if !ok {
-		s.add(pointer, "not a single value", "write a "+describe(kind))
+		c.add(pointer, "not a single value", "write a "+describe(goType))
 		return
 	}
-	if err := json.Unmarshal(literal, reflect.New(kind).Interface()); err != nil {
-		s.add(pointer, fmt.Sprintf("%s is no %s", literal, describe(kind)), "write a "+describe(kind))
+	if err := json.Unmarshal(literal, reflect.New(goType).Interface()); err != nil {
+		c.add(pointer, fmt.Sprintf("%s is not a %s", literal, describe(goType)), "write a "+describe(goType))
 	}
 }
 
-// describe names a type in a reader's words.
-func describe(kind reflect.Type) string {
-	switch kind.Kind() {
+// describe returns the name of a type that messages use.
+func describe(goType reflect.Type) string {
+	switch goType.Kind() {
 	case reflect.String:
 		return "string"
 	case reflect.Bool:
-		return "true or false"
+		return "boolean (true or false)"
 	case reflect.Int64:
 		return `duration such as "1.5s", or a whole number`
 	case reflect.Int, reflect.Int32, reflect.Uint32, reflect.Uint64:
@@ -124,22 +124,22 @@
 	case reflect.Float64:
 		return "number"
 	default:
-		return kind.Name()
+		return goType.Name()
 	}
 }
 
-// fieldsOf gives a struct's fields by their JSON names.
-func fieldsOf(kind reflect.Type) map[string]reflect.Type {
-	fields := make(map[string]reflect.Type, kind.NumField())
-	for i := range kind.NumField() {
-		if name := jsonName(kind.Field(i)); name != "" {
-			fields[name] = kind.Field(i).Type
+// fieldsOf returns the types of a struct's fields by their JSON names.
+func fieldsOf(goType reflect.Type) map[string]reflect.Type {
+	fields := make(map[string]reflect.Type, goType.NumField())
+	for i := range goType.NumField() {
+		if name := jsonName(goType.Field(i)); name != "" {
+			fields[name] = goType.Field(i).Type
 		}
 	}
 	return fields
 }
 
-// jsonName is the name in a field's json tag; empty for "-" and without tag.
+// jsonName returns the name in a field's json tag; empty for "-" and for a field without a tag.
 func jsonName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	if name == "-" {
@@ -157,7 +157,7 @@
 	return strings.Join(sorted, ", ")
 }
 
-// escape makes a name fit for a JSON pointer.
+// escape escapes a name for use in a JSON pointer.
 func escape(name string) string {
 	return strings.NewReplacer("~", "~0", "/", "~1").Replace(name)
 }
--- a/jsonfile/values.go
+++ b/jsonfile/values.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// validate is the shared checker; it caches what it learns of types.
+// validate is shared by all documents, as it caches the rules of each type.
 var validate = newValidator()
 
 func newValidator() *validator.Validate {
@@ -23,13 +23,13 @@
 	if err == nil {
 		return nil
 	}
-	var refused validator.ValidationErrors
-	if !errors.As(err, &refused) {
-		return Mistakes{d.Mistake("", err.Error(), "report this as a fault")}
+	var invalid validator.ValidationErrors
+	if !errors.As(err, &invalid) {
+		return Mistakes{d.Mistake("", err.Error(), "report this as a bug")}
 	}
-	mistakes := make(Mistakes, 0, len(refused))
-	for _, field := range refused {
-		mistakes = append(mistakes, d.Mistake(pointerOf(field.Namespace()), wrong(field), remedy(field)))
+	mistakes := make(Mistakes, 0, len(invalid))
+	for _, field := range invalid {
+		mistakes = append(mistakes, d.Mistake(pointerOf(field.Namespace()), message(field), remedy(field)))
 	}
 	return mistakes
 }
@@ -46,14 +46,14 @@
 	return "/" + strings.ReplaceAll(path, ".", "/")
 }
 
-func wrong(field validator.FieldError) string {
+func message(field validator.FieldError) string {
 	if field.Tag() == "required" {
 		return "missing or empty"
 	}
-	return fmt.Sprintf("%v is refused by the rule %s", field.Value(), rule(field))
+	return fmt.Sprintf("%v violates the rule %s", field.Value(), rule(field))
 }
 
-// rule writes a validation rule as its tag has it, such as "max=100".
+// rule returns a validation rule as written in its tag, such as "max=100".
 func rule(field validator.FieldError) string {
 	if field.Param() == "" {
 		return field.Tag()
@@ -61,7 +61,7 @@
 	return field.Tag() + "=" + field.Param()
 }
 
-// remedies holds what to do by rule; %s is the rule's parameter.
+// remedies tells for each rule what to do if it is violated; %s is the rule's parameter.
 var remedies = map[string]string{
 	"required":      "give a value",
 	"hostname_port": "write HOST:PORT, such as 127.0.0.1:8080",
@@ -72,7 +72,7 @@
 	"gt":            "use more than %s",
 	"gte":           "use at least %s",
 	"lte":           "use at most %s",
-	"unique":        "give each entry a %s of its own",
+	"unique":        "give each entry a different %s",
 	"len":           "use exactly %s characters",
 	"hexadecimal":   "write hexadecimal digits",
 }
--- a/tablefile/evacuated.go
+++ b/tablefile/evacuated.go
@@ -8,19 +8,21 @@
 	"github.com/tailscale/hujson"
 )
 
-// evacuatedField is the file's list of evacuated data centres.
-const evacuatedField = "/evacuated"
+// evacuatedPointer is the JSON pointer of the file's list of evacuated data centres.
+const evacuatedPointer = "/evacuated"
 
-// SetEvacuated gives the file's source with a data centre evacuated, or no longer;
-// comments stay. Without a change the source is given as it is. The error is
-// jsonfile.Mistakes for a file with mistakes.
+// SetEvacuated returns the file's source with a data centre added to the list of evacuated
+// ones or removed from it. Comments are kept; if nothing changes, the source is returned as it
+// is. The error is jsonfile.Mistakes for an invalid file. A data centre without backend servers
+// can't be evacuated.
 func SetEvacuated(name string, source []byte, dataCentre string, evacuated bool) ([]byte, error) {
 	file, err := Parse(name, source)
 	if err != nil {
 		return nil, err
 	}
 	if evacuated && !file.hasDataCentre(dataCentre) {
-		return nil, errors.Errorf("no backend server of %s lies in data centre %s; name one of the file's", name, dataCentre)
+		return nil, errors.Errorf("no backend server in %s is in data centre %s; name a data centre of the file",
+			name, dataCentre)
 	}
 	if slices.Contains(file.Evacuated, dataCentre) == evacuated {
 		return source, nil
@@ -32,37 +34,37 @@
 	if list == nil {
 		list = []string{}
 	}
-	return patched(source, list)
+	return replaceEvacuated(source, list)
 }
 
-// hasDataCentre tells whether a backend server lies in the data centre.
+// hasDataCentre reports whether a backend server is in the data centre.
 func (f *File) hasDataCentre(name string) bool {
-	for _, listed := range f.Backends() {
-		if listed.DataCentre == name {
+	for _, entry := range f.Backends() {
+		if entry.DataCentre == name {
 			return true
 		}
 	}
 	return false
 }
 
-// patched puts the list in the place of the one in the source.
-func patched(source []byte, list []string) ([]byte, error) {
+// replaceEvacuated returns the source with the list in place of its list of evacuated data centres.
+func replaceEvacuated(source []byte, list []string) ([]byte, error) {
 	value, err := hujson.Parse(slices.Clone(source))
 	if err != nil {
-		return nil, errors.Wrap(err, "read the table")
+		return nil, errors.Wrap(err, "parse the table file")
 	}
 	patch, err := json.Marshal([]map[string]any{
 		{
 			"op":    "add",
-			"path":  evacuatedField,
+			"path":  evacuatedPointer,
 			"value": list,
 		},
 	})
 	if err != nil {
-		return nil, errors.Wrap(err, "encode the data centres")
+		return nil, errors.Wrap(err, "encode the evacuated data centres")
 	}
 	if err := value.Patch(patch); err != nil {
-		return nil, errors.Wrap(err, "change the table")
+		return nil, errors.Wrap(err, "patch the table file")
 	}
 	return value.Pack(), nil
 }
--- a/tablefile/evacuated_test.go
+++ b/tablefile/evacuated_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// TestEvacuatedDataCentresAreChangedInTheFile evacuates a data centre and takes it back;
-// comments stay, and the feed tells it.
+// TestEvacuatedDataCentresAreChangedInTheFile starts and ends the evacuation of a data centre.
+// Comments have to be kept, and the feed has to return the new list.
 func TestEvacuatedDataCentresAreChangedInTheFile(t *testing.T) {
-	evacuated, err := SetEvacuated("table", []byte(good), "d", true)
+	evacuated, err := SetEvacuated("table", []byte(validFile), "d", true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(evacuated), "// A comment.") {
-		t.Error("got a file that lost its comment")
+		t.Error("got a file without its comment, want the comment kept")
 	}
 	path := filepath.Join(t.TempDir(), "table.jsonc")
 	write(t, path, string(evacuated))
@@ -25,7 +25,7 @@
 	}
 	again, err := SetEvacuated("table", evacuated, "d", true)
 	if err != nil || string(again) != string(evacuated) {
-		t.Errorf("got a change, %v; want none for what is evacuated already", err)
+		t.Errorf("got a change, %v; want none for a data centre that is evacuated already", err)
 	}
 	ended, err := SetEvacuated("table", evacuated, "d", false)
 	if err != nil {
@@ -55,7 +55,7 @@
 }
 
 func TestUnknownDataCentreIsNotEvacuated(t *testing.T) {
-	_, err := SetEvacuated("table", []byte(good), "elsewhere", true)
+	_, err := SetEvacuated("table", []byte(validFile), "elsewhere", true)
 	if err == nil || !strings.Contains(err.Error(), "elsewhere") {
 		t.Errorf("got %v, want an error that names the data centre", err)
 	}
--- a/tablefile/feed.go
+++ b/tablefile/feed.go
@@ -16,29 +16,30 @@
 	"github.com/slipwick/slipwick/routing"
 )
 
-// pollEvery is how often a file is read anew: well within the time in which a
-// changed configuration has to be in force.
-const pollEvery = 500 * time.Millisecond
+// pollInterval is how often a watched file is read again. It is well below the time
+// within which a changed configuration has to be in force.
+const pollInterval = 500 * time.Millisecond
 
-// Feed follows a file; each state of it is a list of its own.
+// Feed lists and watches the objects of one kind in a file. A changed file is returned as a
+// whole list, never as single changes.
 type Feed struct {
 	Path string
-	// entries picks the objects out of the file.
+	// entries returns the objects of the feed in a file, given parsed and as source.
 	entries func(*File, []byte) ([]slipwick.FeedEntry, error)
 
 	mu sync.Mutex
-	// content is the hash of what was read last, revision the number of
-	// different contents so far.
-	content  uint64
-	revision uint64
+	// contentHash is the hash of the content that was read last, revision the
+	// number of content changes so far, the first read included.
+	contentHash uint64
+	revision    uint64
 }
 
-// revisionOf counts the contents that were read.
+// revisionOf returns the revision of the content, a new one if it differs from the last read.
 func (f *Feed) revisionOf(source []byte) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if content := xxhash.Sum64(source); content != f.content || f.revision == 0 {
-		f.content = content
+	if hash := xxhash.Sum64(source); hash != f.contentHash || f.revision == 0 {
+		f.contentHash = hash
 		f.revision++
 	}
 	return f.revision
@@ -46,7 +47,7 @@
 
 var _ slipwick.Feed = (*Feed)(nil)
 
-// Tables follows the table of a file.
+// Tables returns a feed of the routing table in the file. Its only value is the file's source.
 func Tables(path string) *Feed {
 	return &Feed{
 		Path: path,
@@ -61,19 +62,19 @@
 	}
 }
 
-// Backends follows the backend servers of a file.
+// Backends returns a feed of the backend servers in the file.
 func Backends(path string) *Feed {
 	return &Feed{
 		Path: path,
 		entries: func(file *File, _ []byte) ([]slipwick.FeedEntry, error) {
 			var entries []slipwick.FeedEntry
-			for _, listed := range file.Backends() {
-				value, err := json.Marshal(listed)
+			for _, entry := range file.Backends() {
+				value, err := json.Marshal(entry)
 				if err != nil {
 					return nil, errors.Wrap(err, "encode a backend server")
 				}
 				entries = append(entries, slipwick.FeedEntry{
-					Name:  listed.ID,
+					Name:  entry.ID,
 					Value: value,
 				})
 			}
@@ -82,7 +83,8 @@
 	}
 }
 
-// Evacuations follows the data centres of a file that are evacuated.
+// Evacuations returns a feed of the evacuated data centres in the file. Its objects have
+// names only, no values.
 func Evacuations(path string) *Feed {
 	return &Feed{
 		Path: path,
@@ -98,12 +100,12 @@
 	}
 }
 
-// DecodeEvacuation reads an object of Evacuations.
+// DecodeEvacuation returns the data centre of an object of Evacuations: the object's name.
 func DecodeEvacuation(name string, _ []byte) (string, error) {
 	return name, nil
 }
 
-// DecodeTable reads an object of Tables.
+// DecodeTable decodes an object of Tables. The error is jsonfile.Mistakes.
 func DecodeTable(name string, value []byte) (*routing.Table, error) {
 	file, err := Parse(name, value)
 	if err != nil {
@@ -112,22 +114,23 @@
 	return file.Table(), nil
 }
 
-// DecodeBackend reads an object of Backends.
+// DecodeBackend decodes an object of Backends.
 func DecodeBackend(_ string, value []byte) (balance.Entry, error) {
-	var listed balance.Entry
-	err := json.Unmarshal(value, &listed)
-	return listed, errors.Wrap(err, "decode a backend server")
+	var entry balance.Entry
+	err := json.Unmarshal(value, &entry)
+	return entry, errors.Wrap(err, "decode a backend server")
 }
 
-// List reads the file. Its revision rises with each change of the content.
+// List reads the file. The revision rises with each change of the content that a read finds.
+// The error is of KindInvalidConfiguration if the file can't be read or is invalid.
 func (f *Feed) List(context.Context) (slipwick.FeedBatch, error) {
 	source, err := os.ReadFile(f.Path)
 	if err != nil {
-		return slipwick.FeedBatch{}, unreadable(err)
+		return slipwick.FeedBatch{}, invalidFile(err)
 	}
 	file, err := Parse(f.Path, source)
 	if err != nil {
-		return slipwick.FeedBatch{}, unreadable(err)
+		return slipwick.FeedBatch{}, invalidFile(err)
 	}
 	entries, err := f.entries(file, source)
 	return slipwick.FeedBatch{
@@ -137,32 +140,33 @@
 	}, err
 }
 
-// Watch reads the file until its content differs from the revision.
+// Watch reads the file every pollInterval until its revision differs from the position's, and
+// once more when the wait is over. It returns the whole list, as List does.
 func (f *Feed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
-	end := time.NewTimer(wait)
-	defer end.Stop()
-	ticker := time.NewTicker(pollEvery)
+	deadline := time.NewTimer(wait)
+	defer deadline.Stop()
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for ended := false; ; {
+	for expired := false; ; {
 		batch, err := f.List(ctx)
-		if err != nil || ended || batch.Revision != after.Revision {
+		if err != nil || expired || batch.Revision != after.Revision {
 			return batch, err
 		}
 		select {
 		case <-ctx.Done():
 			return slipwick.FeedBatch{}, ctx.Err()
-		case <-end.C:
-			ended = true
+		case <-deadline.C:
+			expired = true
 		case <-ticker.C:
 		}
 	}
 }
 
-func unreadable(cause error) error {
+func invalidFile(cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindInvalidConfiguration,
-		Message: "the table file is out of use; the last good state stays in force",
-		Remedy:  "mend the file",
+		Message: "the table file is not used; the last valid state stays in force",
+		Remedy:  "correct the file",
 		Cause:   cause,
 	}
 }
--- a/tablefile/feed_test.go
+++ b/tablefile/feed_test.go
@@ -13,7 +13,7 @@
 	"github.com/slipwick/slipwick/routing"
 )
 
-const good = `{
+const validFile = `{
   // A comment.
   "version": 3,
   "limits": {"body_bytes": 1000, "idle": "15s"},
@@ -34,7 +34,7 @@
 
 func TestFileGivesTableAndBackends(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "table.jsonc")
-	write(t, path, good)
+	write(t, path, validFile)
 	batch, err := Tables(path).List(t.Context())
 	if err != nil || len(batch.Entries) != 1 {
 		t.Fatalf("got %+v, %v; want one table", batch, err)
@@ -67,13 +67,13 @@
 
 func TestWatchGivesTheChangedFile(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "table.jsonc")
-	write(t, path, good)
+	write(t, path, validFile)
 	feed := Tables(path)
 	first, err := feed.List(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	changed := strings.Replace(good, `"version": 3`, `"version": 4`, 1)
+	changed := strings.Replace(validFile, `"version": 3`, `"version": 4`, 1)
 	time.AfterFunc(50*time.Millisecond, func() { write(t, path, changed) })
 	second, err := feed.Watch(t.Context(), first.Position(), 5*time.Second)
 	if err != nil || second.Revision <= first.Revision {
@@ -85,16 +85,16 @@
 	}
 }
 
-func TestMistakesAreListedAllAndTheFileStaysOutOfUse(t *testing.T) {
+func TestAllMistakesOfAnInvalidFileAreListed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "table.jsonc")
 	bad := strings.NewReplacer(`"/x/"`, `"x"`, `"stream"`, `"dance"`, `"version": 3`, `"version": 0`)
-	write(t, path, bad.Replace(good))
+	write(t, path, bad.Replace(validFile))
 	_, err := Tables(path).List(t.Context())
 	var mistakes jsonfile.Mistakes
 	if !errors.As(err, &mistakes) || len(mistakes) != 3 || !slipwick.IsKind(err, slipwick.KindInvalidConfiguration) {
 		t.Errorf("got %v, want three mistakes", err)
 	}
-	write(t, path, strings.Replace(good, `{"pool": "p"}`, `{"pool": "q"}`, 1))
+	write(t, path, strings.Replace(validFile, `{"pool": "p"}`, `{"pool": "q"}`, 1))
 	if _, err := Tables(path).List(t.Context()); err == nil || !strings.Contains(err.Error(), "no pool q") {
 		t.Errorf("got %v, want the missing pool named", err)
 	}
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -9,27 +9,27 @@
 	"github.com/slipwick/slipwick/routing"
 )
 
-// File is the whole desired state of a gateway.
+// File is the content of a table file: the whole desired state of a gateway.
 type File struct {
-	// Version has to rise with each change; lower ones are ignored.
+	// Version has to rise with each change; a lower version is ignored.
 	Version    uint64      `json:"version" validate:"required"`
 	Limits     Limits      `json:"limits"`
 	Routes     []Route     `json:"routes" validate:"dive"`
 	Pools      []Pool      `json:"pools" validate:"dive"`
 	Workspaces []Workspace `json:"workspaces" validate:"dive"`
-	// Evacuated are the data centres whose backend servers get nothing new. They
-	// may change without a new version.
+	// Evacuated are the data centres whose backend servers get no new requests. The
+	// list may change without a new version.
 	Evacuated []string `json:"evacuated" validate:"dive,required"`
 }
 
-// Limits bound what callers may send; what is left out sets no bound.
+// Limits bound what callers may send; a field that is left out sets no bound.
 type Limits struct {
 	HeaderBytes int64             `json:"header_bytes" validate:"min=0"`
 	BodyBytes   int64             `json:"body_bytes" validate:"min=0"`
 	Idle        jsonfile.Duration `json:"idle" validate:"min=0"`
 }
 
-// Route is routing.Route as the file has it.
+// Route is the file's form of routing.Route.
 type Route struct {
 	Name        string            `json:"name" validate:"required"`
 	Host        string            `json:"host" validate:"required"`
@@ -47,32 +47,33 @@
 	Targets     []Target          `json:"targets" validate:"required,dive"`
 }
 
-// Target is a pool's share of a route.
+// Target is a pool's share of a route's requests. A weight that is left out counts as 1.
 type Target struct {
 	Pool   string `json:"pool" validate:"required"`
 	Weight int    `json:"weight" validate:"min=0"`
 }
 
-// Pool is a set of backend servers that serve alike.
+// Pool is a set of interchangeable backend servers.
 type Pool struct {
 	Name           string `json:"name" validate:"required"`
 	MaxConnections int    `json:"max_connections" validate:"min=0"`
-	// Engine says that its backend servers cache prompts, Fetches that they can
-	// take cached prompts from each other.
+	// Engine says that the backend servers cache prompts, Fetches that they can
+	// fetch cached prompts from each other.
 	Engine  bool `json:"engine"`
 	Fetches bool `json:"fetches"`
-	// Cold is left out if its backend servers bear the same at any time.
+	// Cold is left out if the backend servers can serve as much right after a start
+	// as later.
 	Cold     *Cold              `json:"cold"`
 	Backends []slipwick.Backend `json:"backends" validate:"dive"`
 }
 
-// Cold is routing.Cold as the file has it.
+// Cold is the file's form of routing.Cold.
 type Cold struct {
 	PerSecond float64           `json:"per_second" validate:"gt=0"`
 	Time      jsonfile.Duration `json:"time" validate:"min=0"`
 }
 
-// Workspace holds keys.
+// Workspace is the file's form of routing.Workspace.
 type Workspace struct {
 	Name     string   `json:"name" validate:"required"`
 	Keys     []string `json:"keys" validate:"dive,min=8"`
@@ -80,7 +81,8 @@
 	Regions  []string `json:"regions" validate:"dive,required"`
 }
 
-// Parse reads a file. The error is jsonfile.Mistakes.
+// Parse parses and checks a file, which error messages call by the name. The error is
+// jsonfile.Mistakes.
 func Parse(name string, source []byte) (*File, error) {
 	document, err := jsonfile.Parse(name, source)
 	if err != nil {
@@ -97,16 +99,16 @@
 	return file, nil
 }
 
-// checkTargets finds routes to pools that the file lacks.
+// checkTargets finds routes to pools that the file does not declare.
 func (f *File) checkTargets(document *jsonfile.Document) jsonfile.Mistakes {
-	known := make(map[string]bool, len(f.Pools))
+	declared := make(map[string]bool, len(f.Pools))
 	for i := range f.Pools {
-		known[f.Pools[i].Name] = true
+		declared[f.Pools[i].Name] = true
 	}
 	var mistakes jsonfile.Mistakes
 	for i := range f.Routes {
 		for _, target := range f.Routes[i].Targets {
-			if !known[target.Pool] {
+			if !declared[target.Pool] {
 				mistakes = append(mistakes, document.Mistake(pointer("routes", i), "no pool "+target.Pool,
 					"name one of the file's pools"))
 			}
@@ -115,7 +117,7 @@
 	return mistakes
 }
 
-// Table translates the file.
+// Table returns the file's routing table.
 func (f *File) Table() *routing.Table {
 	routes := make([]routing.Route, 0, len(f.Routes))
 	for i := range f.Routes {
@@ -182,7 +184,7 @@
 	}
 }
 
-// Backends gives the backend servers of all pools.
+// Backends returns the backend servers of all pools.
 func (f *File) Backends() []balance.Entry {
 	var list []balance.Entry
 	for i := range f.Pools {
