--- a/configuration/diff.go
+++ b/configuration/diff.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// ChangeKind says what happened to an entry.
+// ChangeKind is what happened to an entry.
 type ChangeKind string
 
 // The kinds of change.
@@ -19,13 +19,14 @@
 // Change is one entry that differs between two states.
 type Change struct {
 	Kind ChangeKind `json:"kind"`
-	// Entry names it, such as "pool/drafting".
-	Entry  string `json:"entry"`
+	// Entry is the path of the entry, such as "pool/drafting".
+	Entry string `json:"entry"`
+	// Before and After are JSON; empty if there is no entry then.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
 
-// Diff lists what leads from one state to the other, sorted by entry.
+// Diff returns the changes from one state to the other, sorted by entry.
 func Diff(from, to *State) []Change {
 	before, after := from.entries(), to.entries()
 	var changes []Change
@@ -56,12 +57,13 @@
 	return Change{
 		Kind:   kind,
 		Entry:  entry,
-		Before: text(before),
-		After:  text(after),
+		Before: encodeEntry(before),
+		After:  encodeEntry(after),
 	}
 }
 
-func text(value any) string {
+// encodeEntry returns an entry as JSON; empty for nil.
+func encodeEntry(value any) string {
 	if value == nil {
 		return ""
 	}
@@ -72,7 +74,8 @@
 	return string(encoded)
 }
 
-// entries names everything that the state declares.
+// entries returns everything that the state declares, by path. Rules are one entry, as their
+// order matters; a pool's backend servers are entries of their own.
 func (s *State) entries() map[string]any {
 	entries := make(map[string]any)
 	for _, workspace := range s.Workspaces {
--- a/configuration/doc.go
+++ b/configuration/doc.go
@@ -1,4 +1,4 @@
 // Package configuration holds the desired state that operators declare: it is
-// read from files, checked whole, kept as one object in the platform and
-// followed by every router.
+// read from files, validated as a whole, stored as one object in the platform
+// and applied by every router.
 package configuration
--- a/configuration/follower.go
+++ b/configuration/follower.go
@@ -13,67 +13,71 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Snapshot is one version of the state, as a router has it in force.
+// Snapshot is one version of the state.
 type Snapshot struct {
 	State   State
 	Version slipwick.Version
 }
 
-// Follower keeps a router's state in force up to date. It never steps back to
-// a lower version. Set the fields before Run.
+// Follower keeps a router's state up to date. It never goes back to a lower
+// version. Set the fields before Run.
 type Follower struct {
 	Store slipwick.Store
-	// Watches tells whether this router holds a watch in the platform; the
-	// others are told of versions by their peers, and ask the platform now
-	// and then only. Nil always watches.
+	// Watches reports whether this router watches the platform. The others get
+	// new versions from their peers and poll the platform at long intervals
+	// only. If nil, the router always watches.
 	Watches func() bool
 	// OnChange is called with each newer version, one call at a time.
 	OnChange func(*Snapshot)
-	// OnError is told of each failed call to the platform.
+	// OnError is called with each error of a call to the platform, and with
+	// the error of each state from the platform that can't be decoded.
 	OnError func(error)
 
-	offer   sync.Mutex
+	offerMu sync.Mutex
 	current atomic.Pointer[Snapshot]
 	object  atomic.Pointer[slipwick.Object]
-	// askAt is when a router that does not watch asks the platform next.
-	askAt time.Time
+	// nextPoll is when a router that does not watch polls the platform next.
+	nextPoll time.Time
 }
 
-// Bounds of the wait after a failed call to the platform.
 const (
-	firstWait = 200 * time.Millisecond
-	maxWait   = 30 * time.Second
-	// recheckEvery is how often a router that does not watch looks whether
-	// it should; askEvery how often it asks the platform all the same.
-	recheckEvery = time.Second
-	askEvery     = 2 * time.Minute
+	// minRetryWait and maxRetryWait bound the wait after a failed call to the
+	// platform.
+	minRetryWait = 200 * time.Millisecond
+	maxRetryWait = 30 * time.Second
+	// recheckInterval is how often a router that does not watch checks whether
+	// it should.
+	recheckInterval = time.Second
+	// pollInterval is how often, on average, such a router polls the platform
+	// in case its peers have missed a version.
+	pollInterval = 2 * time.Minute
 )
 
-// Current gives the state in force, or nil while there is none.
+// Current returns the state in force, or nil while there is none.
 func (f *Follower) Current() *Snapshot {
 	return f.current.Load()
 }
 
-// Object gives the state in force as the platform keeps it; ok is false while
+// Object returns the state in force as the platform stores it; ok is false while
 // there is none.
 func (f *Follower) Object() (object slipwick.Object, ok bool) {
-	if kept := f.object.Load(); kept != nil {
-		return *kept, true
+	if current := f.object.Load(); current != nil {
+		return *current, true
 	}
 	return slipwick.Object{}, false
 }
 
-// Run watches the platform until ctx ends.
+// Run watches or polls the platform until ctx ends. Call it once.
 func (f *Follower) Run(ctx context.Context) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = firstWait
-	wait.MaxInterval = maxWait
+	wait.InitialInterval = minRetryWait
+	wait.MaxInterval = maxRetryWait
 	for ctx.Err() == nil {
 		if f.Current() != nil && f.Watches != nil && !f.Watches() {
-			f.idle(ctx)
+			f.pollIfDue(ctx)
 			continue
 		}
-		err := f.next(ctx)
+		err := f.watch(ctx)
 		if err == nil {
 			wait.Reset()
 			continue
@@ -85,15 +89,15 @@
 	}
 }
 
-// idle waits while others watch, and asks the platform now and then.
-func (f *Follower) idle(ctx context.Context) {
-	sleep(ctx, recheckEvery)
+// pollIfDue waits for recheckInterval, and then polls the platform if it is time to.
+func (f *Follower) pollIfDue(ctx context.Context) {
+	sleep(ctx, recheckInterval)
 	now := time.Now()
-	if f.askAt.IsZero() || now.Before(f.askAt) || ctx.Err() != nil {
-		f.askAt = cmp.Or(f.askAt, nextAsk(now))
+	if f.nextPoll.IsZero() || now.Before(f.nextPoll) || ctx.Err() != nil {
+		f.nextPoll = cmp.Or(f.nextPoll, nextPollTime(now))
 		return
 	}
-	f.askAt = nextAsk(now)
+	f.nextPoll = nextPollTime(now)
 	object, err := f.Store.Get(ctx, ObjectKey)
 	if err == nil {
 		err = f.Offer(object)
@@ -103,12 +107,13 @@
 	}
 }
 
-// nextAsk spreads the routers' asks, also of those that started together.
-func nextAsk(now time.Time) time.Time {
-	return now.Add(askEvery/2 + rand.N(askEvery))
+// nextPollTime adds a random wait, so that routers that started together don't poll together.
+func nextPollTime(now time.Time) time.Time {
+	return now.Add(pollInterval/2 + rand.N(pollInterval))
 }
 
-func (f *Follower) next(ctx context.Context) error {
+// watch waits for one newer version and takes it.
+func (f *Follower) watch(ctx context.Context) error {
 	var version slipwick.Version
 	if current := f.Current(); current != nil {
 		version = current.Version
@@ -120,11 +125,11 @@
 	return f.Offer(object)
 }
 
-// Offer takes a version from the platform or another router; an older one or
-// the one in force is ignored.
+// Offer puts a version from the platform or another router in force, unless it
+// is not newer than the one in force. The error is that of decoding the state.
 func (f *Follower) Offer(object slipwick.Object) error {
-	f.offer.Lock()
-	defer f.offer.Unlock()
+	f.offerMu.Lock()
+	defer f.offerMu.Unlock()
 	if current := f.Current(); current != nil && object.Version <= current.Version {
 		return nil
 	}
--- a/configuration/keeper.go
+++ b/configuration/keeper.go
@@ -11,16 +11,16 @@
 	"github.com/slipwick/slipwick"
 )
 
-// ObjectKey is the platform object that holds the state in force.
+// ObjectKey is the key of the platform's object that holds the state in force.
 const ObjectKey = "slipwick/configuration"
 
-// Keeper reads and replaces the state in the platform. Set Store before use.
+// Repository reads and replaces the state in the platform. Set Store before use.
 type Keeper struct {
 	Store slipwick.Store
 }
 
-// Current reads the state in force and its version; version 0 with an empty
-// state when none was ever applied.
+// Current reads the state in force and its version. If none was ever applied, it
+// returns an empty state and version 0.
 func (k *Keeper) Current(ctx context.Context) (State, slipwick.Version, error) {
 	object, err := k.Store.Get(ctx, ObjectKey)
 	if slipwick.IsKind(err, slipwick.KindNotFound) {
@@ -33,9 +33,11 @@
 	return state, object.Version, err
 }
 
-// Apply replaces the state that has the version by the new one, wholly or not
-// at all. An *slipwick.Error of KindConflict says that another writer won. A
-// lost answer is resolved by reading back.
+// Apply atomically replaces the state that has the version with the new one, and
+// returns the new version; version 0 stands for no state. The error is of
+// KindConflict if another writer has replaced the state before. If the response to
+// the write is lost, Apply reads the state back to find out whether it was applied;
+// the error is of KindUnavailable if that fails as well.
 func (k *Keeper) Apply(ctx context.Context, state *State, version slipwick.Version) (slipwick.Version, error) {
 	value, err := Encode(state)
 	if err != nil {
@@ -56,7 +58,7 @@
 	return written, nil
 }
 
-// readBack finds out whether a write without an answer took effect.
+// readBack finds out whether a write whose response was lost took effect.
 func (k *Keeper) readBack(
 	ctx context.Context, value []byte, version slipwick.Version, cause error,
 ) (slipwick.Version, error) {
@@ -67,7 +69,7 @@
 	case err == nil && object.Version > version:
 		return 0, &slipwick.Error{
 			Kind:    slipwick.KindConflict,
-			Message: "another configuration was applied meanwhile",
+			Message: "another configuration was applied at the same time",
 			Remedy:  "compare with diff and apply again",
 			Cause:   cause,
 		}
@@ -76,14 +78,15 @@
 	default:
 		return 0, &slipwick.Error{
 			Kind:    slipwick.KindUnavailable,
-			Message: "the platform gave no answer; the configuration may have been applied",
-			Remedy:  "run diff when the platform answers again",
+			Message: "the platform did not respond; the configuration may have been applied",
+			Remedy:  "run diff when the platform responds again",
 			Cause:   cause,
 		}
 	}
 }
 
-// Encode writes the state as the platform keeps it, and checks its size.
+// Encode returns the state as the platform stores it. The error is of
+// KindInvalidConfiguration if it exceeds slipwick.MaxObjectBytes.
 func Encode(state *State) ([]byte, error) {
 	value, err := json.Marshal(state)
 	if err != nil {
@@ -92,15 +95,15 @@
 	if len(value) > slipwick.MaxObjectBytes {
 		return nil, &slipwick.Error{
 			Kind:    slipwick.KindInvalidConfiguration,
-			Message: fmt.Sprintf("the configuration has %d bytes, of at most %d", len(value), slipwick.MaxObjectBytes),
+			Message: fmt.Sprintf("the configuration has %d bytes; the limit is %d", len(value), slipwick.MaxObjectBytes),
 			Remedy:  "remove entries that are no longer used",
 		}
 	}
 	return value, nil
 }
 
-// Decode reads what Encode wrote. Fields that a newer release added are left
-// out, so that routers of both releases can run side by side.
+// Decode decodes what Encode returned. It ignores fields that a newer release
+// added, so that routers of both releases can run side by side.
 func Decode(value []byte) (State, error) {
 	var state State
 	if err := json.Unmarshal(value, &state); err != nil {
--- a/configuration/key.go
+++ b/configuration/key.go
@@ -5,7 +5,7 @@
 	"encoding/hex"
 )
 
-// HashKey gives the form in which API keys are kept.
+// HashKey returns the hash by which the configuration stores an API key: SHA-256 in hexadecimal.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
--- a/configuration/pool.go
+++ b/configuration/pool.go
@@ -2,7 +2,7 @@
 
 import "github.com/slipwick/slipwick"
 
-// PoolKind tells engines from plain services.
+// PoolKind distinguishes pools of engines from pools of plain services.
 type PoolKind string
 
 // The kinds of pool.
@@ -11,20 +11,20 @@
 	PoolService PoolKind = "service"
 )
 
-// Pool is a set of like backend servers.
+// Pool is a set of interchangeable backend servers.
 type Pool struct {
 	Name string   `json:"name" validate:"required,max=100"`
 	Kind PoolKind `json:"kind" validate:"oneof=engine service"`
 	// MaxLoadFactor bounds an engine's load as a multiple of the pool's
-	// mean; 0 stands for DefaultMaxLoadFactor.
+	// mean load; 0 means DefaultMaxLoadFactor.
 	MaxLoadFactor float64 `json:"max_load_factor" validate:"omitempty,gte=1,lte=10"`
-	// NotRepeatable says that its calls may not be sent twice unless a
-	// request says otherwise.
+	// NotRepeatable says that the pool's requests may not be sent twice unless
+	// a request says otherwise.
 	NotRepeatable bool               `json:"not_repeatable"`
 	Backends      []slipwick.Backend `json:"backends" validate:"min=1,unique=ID,dive"`
 }
 
-// DefaultMaxLoadFactor is the limit's default multiple of the mean load.
+// DefaultMaxLoadFactor is the MaxLoadFactor of pools that set none.
 const DefaultMaxLoadFactor = 1.25
 
 // EffectiveMaxLoadFactor is MaxLoadFactor with its default applied.
--- a/configuration/read.go
+++ b/configuration/read.go
@@ -12,17 +12,17 @@
 	"github.com/slipwick/slipwick/jsonfile"
 )
 
-// extensions of the files that ReadPath takes from a folder.
+// extensions are those of the files that ReadPath reads in a directory.
 var extensions = []string{".json", ".jsonc", ".hujson"}
 
-// source is one file with what it declares.
+// source is one file and the part of the state that it declares.
 type source struct {
 	document *jsonfile.Document
 	state    State
 }
 
-// ReadPath reads a file, or all JSON files of a folder, as one state. The
-// error is jsonfile.Mistakes when the files could be read but not accepted.
+// ReadPath reads a file, or all JSON files of a directory (not of its subdirectories), as
+// one state. The error is jsonfile.Mistakes if the files can be read but are invalid.
 func ReadPath(path string) (State, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -43,25 +43,26 @@
 	return Read(contents)
 }
 
-func filesIn(folder string) ([]string, error) {
-	entries, err := os.ReadDir(folder)
+func filesIn(directory string) ([]string, error) {
+	entries, err := os.ReadDir(directory)
 	if err != nil {
 		return nil, errors.Wrap(err, "read configuration")
 	}
 	var files []string
 	for _, entry := range entries {
 		if !entry.IsDir() && slices.Contains(extensions, filepath.Ext(entry.Name())) {
-			files = append(files, filepath.Join(folder, entry.Name()))
+			files = append(files, filepath.Join(directory, entry.Name()))
 		}
 	}
 	if len(files) == 0 {
-		return nil, errors.Errorf("no %s files in %s; name a folder that holds the configuration",
-			strings.Join(extensions, ", "), folder)
+		return nil, errors.Errorf("no %s files in %s; name a directory that holds the configuration",
+			strings.Join(extensions, ", "), directory)
 	}
 	return files, nil
 }
 
-// Read joins the files, by name and content, into one state and checks it.
+// Read merges the files, given as contents by name, into one state and checks it. The
+// error is jsonfile.Mistakes.
 func Read(contents map[string][]byte) (State, error) {
 	var mistakes jsonfile.Mistakes
 	var sources []source
@@ -98,7 +99,7 @@
 	return jsonfile.Mistakes{
 		{
 			Message: fmt.Sprint(err),
-			Remedy:  "mend the file",
+			Remedy:  "correct the file",
 		},
 	}
 }
--- a/configuration/read_test.go
+++ b/configuration/read_test.go
@@ -38,7 +38,7 @@
 		want  []string
 	}{
 		{
-			name: "not declared",
+			name: "pool not declared",
 			files: map[string]string{
 				"a.json": workspacesFile,
 			},
@@ -112,8 +112,9 @@
 	}
 }
 
-// TestOfferNeverStepsBack checks that a follower ignores older versions.
-func TestOfferNeverStepsBack(t *testing.T) {
+// TestOfferIgnoresOlderVersions checks also that a state that can't be decoded leaves the
+// one in force.
+func TestOfferIgnoresOlderVersions(t *testing.T) {
 	var inForce []slipwick.Version
 	f := &Follower{
 		OnChange: func(s *Snapshot) { inForce = append(inForce, s.Version) },
--- a/configuration/references.go
+++ b/configuration/references.go
@@ -6,9 +6,9 @@
 	"github.com/slipwick/slipwick/jsonfile"
 )
 
-// checker finds what only the joined files can show: names used twice and
-// names that nothing declares.
-type checker struct {
+// referenceChecker finds the mistakes that only all files together show: names that are
+// declared twice and names that are not declared.
+type referenceChecker struct {
 	workspaces map[string]bool
 	pools      map[string]bool
 	backends   map[string]bool
@@ -17,17 +17,17 @@
 }
 
 func checkReferences(sources []source, state *State) jsonfile.Mistakes {
-	c := checker{
+	c := referenceChecker{
 		workspaces: make(map[string]bool),
 		pools:      make(map[string]bool),
 		backends:   make(map[string]bool),
 		keyHashes:  make(map[string]bool),
 	}
 	for _, part := range sources {
-		c.declarations(part)
+		c.checkDeclarations(part)
 	}
 	for _, part := range sources {
-		c.rules(part)
+		c.checkRules(part)
 	}
 	if len(state.Pools) == 0 && len(sources) > 0 {
 		c.mistakes = append(c.mistakes, sources[0].document.Mistake("", "no pools", "declare a pool in one of the files"))
@@ -35,24 +35,24 @@
 	return c.mistakes
 }
 
-func (c *checker) declarations(part source) {
+func (c *referenceChecker) checkDeclarations(part source) {
 	for i, workspace := range part.state.Workspaces {
 		pointer := fmt.Sprintf("/workspaces/%d", i)
-		c.once(part, c.workspaces, pointer+"/name", workspace.Name)
+		c.checkUnique(part, c.workspaces, pointer+"/name", workspace.Name)
 		for j, hash := range workspace.KeyHashes {
-			c.once(part, c.keyHashes, fmt.Sprintf("%s/key_hashes/%d", pointer, j), hash)
+			c.checkUnique(part, c.keyHashes, fmt.Sprintf("%s/key_hashes/%d", pointer, j), hash)
 		}
 	}
 	for i, pool := range part.state.Pools {
 		pointer := fmt.Sprintf("/pools/%d", i)
-		c.once(part, c.pools, pointer+"/name", pool.Name)
+		c.checkUnique(part, c.pools, pointer+"/name", pool.Name)
 		for j, backend := range pool.Backends {
-			c.once(part, c.backends, fmt.Sprintf("%s/backends/%d/id", pointer, j), backend.ID)
+			c.checkUnique(part, c.backends, fmt.Sprintf("%s/backends/%d/id", pointer, j), backend.ID)
 		}
 	}
 }
 
-func (c *checker) once(part source, seen map[string]bool, pointer, name string) {
+func (c *referenceChecker) checkUnique(part source, seen map[string]bool, pointer, name string) {
 	if seen[name] {
 		c.mistakes = append(c.mistakes, part.document.Mistake(pointer, name+" is declared twice",
 			"use each name once in all files together"))
@@ -60,21 +60,21 @@
 	seen[name] = true
 }
 
-func (c *checker) rules(part source) {
+func (c *referenceChecker) checkRules(part source) {
 	for i, rule := range part.state.Rules {
 		pointer := fmt.Sprintf("/rules/%d", i)
 		if rule.Workspace != Any {
-			c.declared(part, c.workspaces, pointer+"/workspace", rule.Workspace)
+			c.checkDeclared(part, c.workspaces, pointer+"/workspace", rule.Workspace)
 		}
-		c.declared(part, c.pools, pointer+"/pool", rule.Pool)
+		c.checkDeclared(part, c.pools, pointer+"/pool", rule.Pool)
 		if rule.Fallback != "" {
-			c.declared(part, c.pools, pointer+"/fallback", rule.Fallback)
+			c.checkDeclared(part, c.pools, pointer+"/fallback", rule.Fallback)
 		}
 	}
 }
 
-func (c *checker) declared(part source, seen map[string]bool, pointer, name string) {
-	if !seen[name] {
+func (c *referenceChecker) checkDeclared(part source, declared map[string]bool, pointer, name string) {
+	if !declared[name] {
 		c.mistakes = append(c.mistakes, part.document.Mistake(pointer, name+" is not declared",
 			"declare it in one of the files, or correct the name"))
 	}
--- a/configuration/sharing.go
+++ b/configuration/sharing.go
@@ -5,23 +5,24 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// Link carries envelopes to other routers. Send does not block and may lose
-// what it is given.
+// Transport carries envelopes to other routers. Send does not block and may lose
+// envelopes.
 type Link interface {
 	Send(router string, envelope *peerpb.Envelope)
 }
 
-// Sharing passes versions of the configuration on between routers, so that few
+// Syncer exchanges versions of the configuration between routers, so that only a few
 // of them have to watch the platform. Set the fields before use.
 type Sharing struct {
 	Follower *Follower
 	Link     Link
-	// OnError is told of a version that can't be taken.
+	// OnError is called if a version that another router sent can't be decoded.
 	OnError func(error)
 }
 
-// OnVersion asks a router for the higher version that it says it has. It is
-// safe to call again while an answer is on its way: news repeats itself.
+// OnVersion requests the version that another router announces, if it is newer. It is
+// called with every announcement, which routers repeat: a request or response that is
+// lost is thereby retried, and calls while a response is on its way do no harm.
 func (s *Sharing) OnVersion(router string, version uint64) {
 	after := s.version()
 	if version <= after {
@@ -39,10 +40,11 @@
 	return 0
 }
 
-// Receive answers a router that asks, and takes what one sends.
+// Receive handles an envelope from another router: it responds to a request for the
+// configuration, and puts a newer configuration that it contains in force.
 func (s *Sharing) Receive(from string, envelope *peerpb.Envelope) {
 	if envelope.ConfigurationAfter != nil {
-		s.answer(from, envelope.GetConfigurationAfter())
+		s.respond(from, envelope.GetConfigurationAfter())
 	}
 	object := envelope.GetConfigurationObject()
 	if object == nil {
@@ -58,7 +60,7 @@
 	}
 }
 
-func (s *Sharing) answer(router string, after uint64) {
+func (s *Sharing) respond(router string, after uint64) {
 	object, ok := s.Follower.Object()
 	if !ok || uint64(object.Version) <= after {
 		return
--- a/configuration/state.go
+++ b/configuration/state.go
@@ -1,13 +1,13 @@
 package configuration
 
-// State is one whole desired state of the fleet.
+// State is the whole desired state of the fleet.
 type State struct {
 	Workspaces []Workspace `json:"workspaces" validate:"unique=Name,dive"`
 	Pools      []Pool      `json:"pools" validate:"unique=Name,dive"`
 	Rules      []Rule      `json:"rules" validate:"dive"`
 }
 
-// Workspace gives the workspace of that name; ok is false if there is none.
+// Workspace returns the workspace of that name; ok is false if there is none.
 func (s *State) Workspace(name string) (workspace Workspace, ok bool) {
 	for i := range s.Workspaces {
 		if s.Workspaces[i].Name == name {
@@ -17,7 +17,7 @@
 	return Workspace{}, false
 }
 
-// Pool gives the pool of that name; ok is false if there is none.
+// Pool returns the pool of that name; ok is false if there is none.
 func (s *State) Pool(name string) (pool Pool, ok bool) {
 	for i := range s.Pools {
 		if s.Pools[i].Name == name {
--- a/configuration/workspace.go
+++ b/configuration/workspace.go
@@ -3,13 +3,13 @@
 // Workspace is one customer of the fleet.
 type Workspace struct {
 	Name string `json:"name" validate:"required,max=100"`
-	// KeyHashes are SHA-256 sums, in hexadecimal, of the API keys.
+	// KeyHashes are the hashes of the workspace's API keys: see HashKey.
 	KeyHashes []string `json:"key_hashes" validate:"min=1,dive,len=64,hexadecimal"`
-	// Share weighs the workspace against others that wait; 0 stands for 1.
+	// Share is the workspace's weight against other workspaces with queued requests; 0 means 1.
 	Share uint32 `json:"share" validate:"max=10000"`
-	// Priority is served first when higher.
+	// Priority is that of its requests; higher ones are served first.
 	Priority int `json:"priority" validate:"min=0,max=9"`
-	// MaxInFlight bounds its requests in each pool; 0 sets no bound.
+	// MaxInFlight bounds its requests in flight in each pool; 0 sets no bound.
 	MaxInFlight int        `json:"max_in_flight" validate:"min=0"`
 	Objectives  Objectives `json:"objectives"`
 }
--- a/keyfiles/doc.go
+++ b/keyfiles/doc.go
@@ -1,3 +1,3 @@
-// Package keyfiles makes TLS settings from files that are read anew when they
-// change, so that certificates are replaced without a restart.
+// Package keyfiles makes TLS configurations from PEM files and reloads the files
+// when they change, so that certificates can be replaced without a restart.
 package keyfiles
--- a/keyfiles/files.go
+++ b/keyfiles/files.go
@@ -10,19 +10,21 @@
 	"github.com/pkg/errors"
 )
 
-// Files names PEM files.
+// Files are the paths of PEM files.
 type Files struct {
 	Certificate string `json:"certificate" validate:"required"`
 	Key         string `json:"key" validate:"required"`
-	// Authorities signs the certificates of the fleet; empty where the other
-	// side needs no certificate.
+	// Authorities holds the certificates of the authorities that sign the fleet's
+	// certificates; empty if the other side needs no certificate.
 	Authorities string `json:"authorities"`
 }
 
-// checkEvery is how often the files are looked at, when they are used.
-const checkEvery = time.Second
+// checkInterval is the shortest time between checks of whether the files have
+// changed. They are checked only when they are used.
+const checkInterval = time.Second
 
-// Loader keeps the files' content up to date.
+// Loader makes TLS configurations that use the current content of the files. It may
+// be used from several goroutines.
 type Loader struct {
 	files Files
 
@@ -33,7 +35,7 @@
 	pool        *x509.CertPool
 }
 
-// NewLoader reads the files. The error names the file and what to do.
+// NewLoader reads the files. The error names the file that can't be used.
 func NewLoader(files Files) (*Loader, error) {
 	l := &Loader{
 		files: files,
@@ -42,32 +44,33 @@
 		return nil, err
 	}
 	l.checkedAt = time.Now()
-	l.changedAt = l.newest()
+	l.changedAt = l.modifiedAt()
 	return l, nil
 }
 
 func (l *Loader) read() error {
 	certificate, err := tls.LoadX509KeyPair(l.files.Certificate, l.files.Key)
 	if err != nil {
-		return errors.Wrapf(err, "read %s and its key; give a PEM certificate and its key", l.files.Certificate)
+		return errors.Wrapf(err, "load certificate %s and its key; provide both in PEM format", l.files.Certificate)
 	}
 	var pool *x509.CertPool
 	if l.files.Authorities != "" {
 		pem, err := os.ReadFile(l.files.Authorities)
 		if err != nil {
-			return errors.Wrap(err, "read authorities")
+			return errors.Wrap(err, "read the authorities' certificates")
 		}
 		pool = x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(pem) {
-			return errors.Errorf("%s holds no certificate; give the PEM of the fleet's authority", l.files.Authorities)
+			return errors.Errorf("%s contains no certificate; provide that of the fleet's authority in PEM format",
+				l.files.Authorities)
 		}
 	}
 	l.certificate, l.pool = &certificate, pool
 	return nil
 }
 
-// newest is when one of the files was changed last.
-func (l *Loader) newest() time.Time {
+// modifiedAt returns when the file that was modified last was modified.
+func (l *Loader) modifiedAt() time.Time {
 	var newest time.Time
 	for _, name := range []string{l.files.Certificate, l.files.Key, l.files.Authorities} {
 		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
@@ -77,22 +80,22 @@
 	return newest
 }
 
-// current gives the files' content. Files that can't be read, as while they
-// are being replaced, leave what was read before in force.
+// current returns the files' content. If the files can't be read, for example because
+// they are just being replaced, it returns the content read before.
 func (l *Loader) current() (*tls.Certificate, *x509.CertPool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if now := time.Now(); now.Sub(l.checkedAt) >= checkEvery {
+	if now := time.Now(); now.Sub(l.checkedAt) >= checkInterval {
 		l.checkedAt = now
-		if newest := l.newest(); newest.After(l.changedAt) && l.read() == nil {
+		if newest := l.modifiedAt(); newest.After(l.changedAt) && l.read() == nil {
 			l.changedAt = newest
 		}
 	}
 	return l.certificate, l.pool
 }
 
-// Server gives settings for accepting connections. With authorities, the other
-// side needs a certificate that they signed.
+// ServerConfig returns a configuration for accepting connections. If there are
+// authorities, clients need a certificate signed by one of them.
 func (l *Loader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
@@ -112,13 +115,13 @@
 	}
 }
 
-// Client gives settings for connecting within the fleet: both sides need a
-// certificate that the authorities signed. Boxes are replaced and have no
-// lasting names, so that the certificate's name is not compared.
+// ClientConfig returns a configuration for connecting within the fleet: both sides
+// need a certificate signed by one of the authorities. The name in the certificate is
+// not checked, because boxes are replaced and have no lasting names.
 func (l *Loader) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The chain is verified below, against authorities that may change.
+		// VerifyConnection verifies the chain, against authorities that may change.
 		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection verifies.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			certificate, _ := l.current()
@@ -135,11 +138,11 @@
 		Intermediates: x509.NewCertPool(),
 	}
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("the router showed no certificate; give it one of the fleet")
+		return errors.New("the router presented no certificate; give it one signed by the fleet's authority")
 	}
 	for _, certificate := range state.PeerCertificates[1:] {
 		options.Intermediates.AddCert(certificate)
 	}
 	_, err := state.PeerCertificates[0].Verify(options)
-	return errors.Wrap(err, "the router's certificate is not the fleet's")
+	return errors.Wrap(err, "the router's certificate is not signed by the fleet's authority")
 }
--- a/keyfiles/files_test.go
+++ b/keyfiles/files_test.go
@@ -11,7 +11,8 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-// handshake connects a client to a server and gives each side's error.
+// handshake connects a client to a server. It returns the serial number of the server's
+// certificate, or that the handshake failed on either side.
 func handshake(t *testing.T, server, client *tls.Config) (serial int64, failed bool) {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server)
@@ -50,7 +51,7 @@
 	return l
 }
 
-func TestOnlyTheFleetIsLetIn(t *testing.T) {
+func TestOnlyCertificatesOfTheFleetAreAccepted(t *testing.T) {
 	fleet, stranger := authority(t), authority(t)
 	a := load(t, issue(t, fleet, t.TempDir(), 2))
 	b := load(t, issue(t, fleet, t.TempDir(), 3))
@@ -61,24 +62,24 @@
 		failed         bool
 	}{
 		{
-			name:   "two of the fleet",
+			name:   "both of the fleet",
 			server: a.Server(),
 			client: b.Client(),
 		},
 		{
-			name:   "a stranger connects",
+			name:   "client of another authority",
 			server: a.Server(),
 			client: other.Client(),
 			failed: true,
 		},
 		{
-			name:   "a stranger accepts",
+			name:   "server of another authority",
 			server: other.Server(),
 			client: a.Client(),
 			failed: true,
 		},
 		{
-			name:   "no certificate",
+			name:   "client without certificate",
 			server: a.Server(),
 			client: &tls.Config{
 				InsecureSkipVerify: true, //nolint:gosec // The server is what is tested.
@@ -92,7 +93,7 @@
 	}
 }
 
-func TestFilesAreReadAnew(t *testing.T) {
+func TestChangedFilesAreReloaded(t *testing.T) {
 	fleet := authority(t)
 	folder := t.TempDir()
 	server := load(t, issue(t, fleet, folder, 2))
@@ -101,7 +102,7 @@
 		t.Fatalf("got serial number %d, want 2", got)
 	}
 	files := issue(t, fleet, folder, 9)
-	// The files' times may be as coarse as a second, and checks are as rare.
+	// File times may have a resolution of a second only, and files are checked at most once a second.
 	later := time.Now().Add(2 * time.Second)
 	if err := os.Chtimes(files.Key, later, later); err != nil {
 		t.Fatal(err)
