--- a/configuration/keeper.go
+++ b/configuration/keeper.go
@@ -21,8 +21,8 @@
 
 // Current reads the state in force and its version. If none was ever applied, it
 // returns an empty state and version 0.
-func (k *Keeper) Current(ctx context.Context) (State, slipwick.Version, error) {
-	object, err := k.Store.Get(ctx, ObjectKey)
+func (r *Keeper) Current(ctx context.Context) (State, slipwick.Version, error) {
+	object, err := r.Store.Get(ctx, ObjectKey)
 	if slipwick.IsKind(err, slipwick.KindNotFound) {
 		return State{}, 0, nil
 	}
@@ -38,19 +38,19 @@
 // KindConflict if another writer has replaced the state before. If the response to
 // the write is lost, Apply reads the state back to find out whether it was applied;
 // the error is of KindUnavailable if that fails as well.
-func (k *Keeper) Apply(ctx context.Context, state *State, version slipwick.Version) (slipwick.Version, error) {
+func (r *Keeper) Apply(ctx context.Context, state *State, version slipwick.Version) (slipwick.Version, error) {
 	value, err := Encode(state)
 	if err != nil {
 		return 0, err
 	}
 	var written slipwick.Version
 	if version == 0 {
-		written, err = k.Store.Create(ctx, ObjectKey, value)
+		written, err = r.Store.Create(ctx, ObjectKey, value)
 	} else {
-		written, err = k.Store.Update(ctx, ObjectKey, value, version)
+		written, err = r.Store.Update(ctx, ObjectKey, value, version)
 	}
 	if slipwick.IsKind(err, slipwick.KindUnavailable) {
-		return k.readBack(ctx, value, version, err)
+		return r.readBack(ctx, value, version, err)
 	}
 	if err != nil {
 		return 0, errors.Wrap(err, "apply configuration")
@@ -59,10 +59,10 @@
 }
 
 // readBack finds out whether a write whose response was lost took effect.
-func (k *Keeper) readBack(
+func (r *Keeper) readBack(
 	ctx context.Context, value []byte, version slipwick.Version, cause error,
 ) (slipwick.Version, error) {
-	object, err := k.Store.Get(ctx, ObjectKey)
+	object, err := r.Store.Get(ctx, ObjectKey)
 	switch {
 	case err == nil && object.Version > version && bytes.Equal(object.Value, value):
 		return object.Version, nil
