--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -169,7 +169,7 @@
 		Rollouts:      platform.Rollouts(store),
 		DecodeRollout: platform.DecodeRollout,
 		WriteRollout:  store.WriteRollout,
-		Caches: &platform.Caches{
+		Caches: &platform.CacheClient{
 			HTTP: httpclient.New(),
 		},
 	}
