--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -146,7 +146,7 @@
 			ReadyEvery: platform.ReadyEvery,
 		},
 		FirstStart:  s.Bootstrap,
-		Grace:       s.Grace(),
+		Grace:       s.GracePeriod(),
 		MemoryBytes: s.Limits.MemoryMB << 20,
 	}
 }
