--- a/cmd/internal/cli/factory.go
+++ b/cmd/internal/cli/factory.go
@@ -33,8 +33,8 @@
 }
 
 // Keeper gives access to the configuration in the platform.
-func (f *Factory) Keeper() *configuration.Keeper {
-	return &configuration.Keeper{
+func (f *Factory) Keeper() *configuration.Repository {
+	return &configuration.Repository{
 		Store: f.Store(),
 	}
 }
--- a/cmd/internal/daemon/fixture_test.go
+++ b/cmd/internal/daemon/fixture_test.go
@@ -85,7 +85,7 @@
 	}
 	records, _ := backend(t, "records-1", f.service)
 	state.Pools[1].Backends = []slipwick.Backend{records}
-	keeper := &configuration.Keeper{
+	keeper := &configuration.Repository{
 		Store: &objectapi.Client{
 			BaseURL: store.URL,
 			HTTP:    httpclient.New(),
--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -131,7 +131,7 @@
 			Slots:      engineProfile.Slots,
 		})
 	}
-	keeper := &configuration.Keeper{
+	keeper := &configuration.Repository{
 		Store: &objectapi.Client{
 			BaseURL: w.platformURL,
 			HTTP:    w.client,
--- a/cmd/slipwick/apply/apply.go
+++ b/cmd/slipwick/apply/apply.go
@@ -92,7 +92,7 @@
 
 // write replaces the version in force, if it is the one that was asked for.
 func write(
-	ctx context.Context, options *Options, keeper *configuration.Keeper,
+	ctx context.Context, options *Options, keeper *configuration.Repository,
 	state *configuration.State, version slipwick.Version,
 ) (slipwick.Version, error) {
 	if options.IfVersion > 0 && slipwick.Version(options.IfVersion) != version {
@@ -106,7 +106,7 @@
 }
 
 // explain adds to a conflict what the winner changed.
-func explain(ctx context.Context, keeper *configuration.Keeper, state *configuration.State, err error) error {
+func explain(ctx context.Context, keeper *configuration.Repository, state *configuration.State, err error) error {
 	if !slipwick.IsKind(err, slipwick.KindConflict) {
 		return err
 	}
--- a/cmd/slipwickd/slipwickd_test.go
+++ b/cmd/slipwickd/slipwickd_test.go
@@ -82,7 +82,7 @@
 			DataCentre: "dc",
 		})
 	}
-	keeper := &configuration.Keeper{
+	keeper := &configuration.Repository{
 		Store: &objectapi.Client{
 			BaseURL: server.URL,
 			HTTP:    httpclient.New(),
--- a/configuration/keeper.go
+++ b/configuration/keeper.go
@@ -15,13 +15,13 @@
 const ObjectKey = "slipwick/configuration"
 
 // Repository reads and replaces the state in the platform. Set Store before use.
-type Keeper struct {
+type Repository struct {
 	Store slipwick.Store
 }
 
 // Current reads the state in force and its version. If none was ever applied, it
 // returns an empty state and version 0.
-func (r *Keeper) Current(ctx context.Context) (State, slipwick.Version, error) {
+func (r *Repository) Current(ctx context.Context) (State, slipwick.Version, error) {
 	object, err := r.Store.Get(ctx, ObjectKey)
 	if slipwick.IsKind(err, slipwick.KindNotFound) {
 		return State{}, 0, nil
@@ -38,7 +38,7 @@
 // KindConflict if another writer has replaced the state before. If the response to
 // the write is lost, Apply reads the state back to find out whether it was applied;
 // the error is of KindUnavailable if that fails as well.
-func (r *Keeper) Apply(ctx context.Context, state *State, version slipwick.Version) (slipwick.Version, error) {
+func (r *Repository) Apply(ctx context.Context, state *State, version slipwick.Version) (slipwick.Version, error) {
 	value, err := Encode(state)
 	if err != nil {
 		return 0, err
@@ -59,7 +59,7 @@
 }
 
 // readBack finds out whether a write whose response was lost took effect.
-func (r *Keeper) readBack(
+func (r *Repository) readBack(
 	ctx context.Context, value []byte, version slipwick.Version, cause error,
 ) (slipwick.Version, error) {
 	object, err := r.Store.Get(ctx, ObjectKey)
--- a/emulation/follow_test.go
+++ b/emulation/follow_test.go
@@ -16,7 +16,7 @@
 	*World
 
 	store  *Store
-	keeper *configuration.Keeper
+	keeper *configuration.Repository
 	stop   context.CancelFunc
 	ctx    context.Context
 }
@@ -28,7 +28,7 @@
 		World: NewWorld(setup),
 		store: &Store{},
 	}
-	f.keeper = &configuration.Keeper{
+	f.keeper = &configuration.Repository{
 		Store: f.store,
 	}
 	f.ctx, f.stop = context.WithCancel(context.Background())
@@ -196,7 +196,7 @@
 func TestTwoOperators(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &Store{}
-		keeper := &configuration.Keeper{
+		keeper := &configuration.Repository{
 			Store: store,
 		}
 		ctx := t.Context()
