--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -63,7 +63,7 @@
 		r.sharing.Receive(from, envelope)
 		r.hearMarks(envelope)
 	}
-	r.sharing = &configuration.Sharing{
+	r.sharing = &configuration.Syncer{
 		Follower: r.follower,
 		Link:     r.mesh,
 		OnError:  r.platformFailed,
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -40,7 +40,7 @@
 	node        *membership.Node
 	mesh        *peer.Mesh
 	claims      *claims.Claims
-	sharing     *configuration.Sharing
+	sharing     *configuration.Syncer
 	udp         *membership.UDP
 	// ledger keeps requests from backend servers that end under them, marks tells the
 	// others.
--- a/configuration/sharing.go
+++ b/configuration/sharing.go
@@ -13,7 +13,7 @@
 
 // Syncer exchanges versions of the configuration between routers, so that only a few
 // of them have to watch the platform. Set the fields before use.
-type Sharing struct {
+type Syncer struct {
 	Follower *Follower
 	Link     Link
 	// OnError is called if a version that another router sent can't be decoded.
@@ -23,7 +23,7 @@
 // OnVersion requests the version that another router announces, if it is newer. It is
 // called with every announcement, which routers repeat: a request or response that is
 // lost is thereby retried, and calls while a response is on its way do no harm.
-func (s *Sharing) OnVersion(router string, version uint64) {
+func (s *Syncer) OnVersion(router string, version uint64) {
 	after := s.version()
 	if version <= after {
 		return
@@ -33,7 +33,7 @@
 	})
 }
 
-func (s *Sharing) version() uint64 {
+func (s *Syncer) version() uint64 {
 	if current := s.Follower.Current(); current != nil {
 		return uint64(current.Version)
 	}
@@ -42,7 +42,7 @@
 
 // Receive handles an envelope from another router: it responds to a request for the
 // configuration, and puts a newer configuration that it contains in force.
-func (s *Sharing) Receive(from string, envelope *peerpb.Envelope) {
+func (s *Syncer) Receive(from string, envelope *peerpb.Envelope) {
 	if envelope.ConfigurationAfter != nil {
 		s.respond(from, envelope.GetConfigurationAfter())
 	}
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *Sharing) respond(router string, after uint64) {
+func (s *Syncer) respond(router string, after uint64) {
 	object, ok := s.Follower.Object()
 	if !ok || uint64(object.Version) <= after {
 		return
--- a/emulation/follow.go
+++ b/emulation/follow.go
@@ -12,7 +12,7 @@
 // following is a router's part in following the configuration.
 type following struct {
 	follower *configuration.Follower
-	sharing  *configuration.Sharing
+	sharing  *configuration.Syncer
 
 	mu sync.Mutex
 	// versions are those that were in force, in order.
@@ -32,7 +32,7 @@
 			r.Node.SetVersion(uint64(snapshot.Version))
 		},
 	}
-	f.sharing = &configuration.Sharing{
+	f.sharing = &configuration.Syncer{
 		Follower: f.follower,
 		Link: &link{
 			network: network,
