--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -65,7 +65,7 @@
 	}
 	r.sharing = &configuration.Syncer{
 		Follower: r.follower,
-		Link:     r.mesh,
+		Transport:     r.mesh,
 		OnError:  r.platformFailed,
 	}
 	r.viewer = &fleet.Viewer{
--- a/configuration/sharing.go
+++ b/configuration/sharing.go
@@ -15,7 +15,7 @@
 // of them have to watch the platform. Set the fields before use.
 type Syncer struct {
 	Follower *Follower
-	Link     Link
+	Transport     Link
 	// OnError is called if a version that another router sent can't be decoded.
 	OnError func(error)
 }
@@ -28,7 +28,7 @@
 	if version <= after {
 		return
 	}
-	s.Link.Send(router, &peerpb.Envelope{
+	s.Transport.Send(router, &peerpb.Envelope{
 		ConfigurationAfter: &after,
 	})
 }
@@ -65,7 +65,7 @@
 	if !ok || uint64(object.Version) <= after {
 		return
 	}
-	s.Link.Send(router, &peerpb.Envelope{
+	s.Transport.Send(router, &peerpb.Envelope{
 		ConfigurationObject: &peerpb.ConfigurationObject{
 			Version: uint64(object.Version),
 			Value:   object.Value,
--- a/emulation/follow.go
+++ b/emulation/follow.go
@@ -34,7 +34,7 @@
 	}
 	f.sharing = &configuration.Syncer{
 		Follower: f.follower,
-		Link: &link{
+		Transport: &link{
 			network: network,
 			from:    r,
 		},
