--- a/configuration/sharing.go
+++ b/configuration/sharing.go
@@ -7,7 +7,7 @@
 
 // Transport carries envelopes to other routers. Send does not block and may lose
 // envelopes.
-type Link interface {
+type Transport interface {
 	Send(router string, envelope *peerpb.Envelope)
 }
 
@@ -15,7 +15,7 @@
 // of them have to watch the platform. Set the fields before use.
 type Syncer struct {
 	Follower *Follower
-	Transport     Link
+	Transport     Transport
 	// OnError is called if a version that another router sent can't be decoded.
 	OnError func(error)
 }
