--- a/cmd/internal/daemon/secure.go
+++ b/cmd/internal/daemon/secure.go
@@ -19,14 +19,14 @@
 		if err != nil {
 			return errors.Wrap(err, "tls.callers")
 		}
-		r.listeners.callers = tls.NewListener(r.listeners.callers, loader.Server())
+		r.listeners.callers = tls.NewListener(r.listeners.callers, loader.ServerConfig())
 	}
 	if settings.Peers != nil {
 		loader, err := keyfiles.NewLoader(*settings.Peers)
 		if err != nil {
 			return errors.Wrap(err, "tls.peers")
 		}
-		r.mesh.ServerCredentials = credentials.NewTLS(loader.Server())
+		r.mesh.ServerCredentials = credentials.NewTLS(loader.ServerConfig())
 		r.mesh.ClientCredentials = credentials.NewTLS(loader.Client())
 	}
 	if settings.Secret == "" {
--- a/keyfiles/files.go
+++ b/keyfiles/files.go
@@ -96,7 +96,7 @@
 
 // ServerConfig returns a configuration for accepting connections. If there are
 // authorities, clients need a certificate signed by one of them.
-func (l *Loader) Server() *tls.Config {
+func (l *Loader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
