--- a/cmd/internal/daemon/secure.go
+++ b/cmd/internal/daemon/secure.go
@@ -27,7 +27,7 @@
 			return errors.Wrap(err, "tls.peers")
 		}
 		r.mesh.ServerCredentials = credentials.NewTLS(loader.ServerConfig())
-		r.mesh.ClientCredentials = credentials.NewTLS(loader.Client())
+		r.mesh.ClientCredentials = credentials.NewTLS(loader.ClientConfig())
 	}
 	if settings.Secret == "" {
 		return nil
--- a/keyfiles/files.go
+++ b/keyfiles/files.go
@@ -118,7 +118,7 @@
 // ClientConfig returns a configuration for connecting within the fleet: both sides
 // need a certificate signed by one of the authorities. The name in the certificate is
 // not checked, because boxes are replaced and have no lasting names.
-func (l *Loader) Client() *tls.Config {
+func (l *Loader) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		// VerifyConnection verifies the chain, against authorities that may change.
--- a/keyfiles/files_test.go
+++ b/keyfiles/files_test.go
@@ -64,18 +64,18 @@
 		{
 			name:   "both of the fleet",
 			server: a.ServerConfig(),
-			client: b.Client(),
+			client: b.ClientConfig(),
 		},
 		{
 			name:   "client of another authority",
 			server: a.ServerConfig(),
-			client: other.Client(),
+			client: other.ClientConfig(),
 			failed: true,
 		},
 		{
 			name:   "server of another authority",
 			server: other.ServerConfig(),
-			client: a.Client(),
+			client: a.ClientConfig(),
 			failed: true,
 		},
 		{
@@ -98,7 +98,7 @@
 	folder := t.TempDir()
 	server := load(t, issue(t, fleet, folder, 2))
 	client := load(t, issue(t, fleet, t.TempDir(), 3))
-	if got, _ := handshake(t, server.ServerConfig(), client.Client()); got != 2 {
+	if got, _ := handshake(t, server.ServerConfig(), client.ClientConfig()); got != 2 {
 		t.Fatalf("got serial number %d, want 2", got)
 	}
 	files := issue(t, fleet, folder, 9)
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	time.Sleep(1100 * time.Millisecond)
-	if got, _ := handshake(t, server.ServerConfig(), client.Client()); got != 9 {
+	if got, _ := handshake(t, server.ServerConfig(), client.ClientConfig()); got != 9 {
 		t.Errorf("got serial number %d, want 9", got)
 	}
 }
