--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -64,9 +64,9 @@
 		r.hearMarks(envelope)
 	}
 	r.sharing = &configuration.Syncer{
-		Follower: r.follower,
-		Transport:     r.mesh,
-		OnError:  r.platformFailed,
+		Follower:  r.follower,
+		Transport: r.mesh,
+		OnError:   r.platformFailed,
 	}
 	r.viewer = &fleet.Viewer{
 		Self:   self,
--- a/configuration/syncer.go
+++ b/configuration/syncer.go
@@ -14,8 +14,8 @@
 // Syncer exchanges versions of the configuration between routers, so that only a few
 // of them have to watch the platform. Set the fields before use.
 type Syncer struct {
-	Follower *Follower
-	Transport     Transport
+	Follower  *Follower
+	Transport Transport
 	// OnError is called if a version that another router sent can't be decoded.
 	OnError func(error)
 }
