--- a/configuration/follower.go
+++ b/configuration/follower.go
@@ -112,7 +112,7 @@
 	return now.Add(pollInterval/2 + rand.N(pollInterval))
 }
 
-// watch waits for one newer version and takes it.
+// watch waits for a newer version and puts it in force.
 func (f *Follower) watch(ctx context.Context) error {
 	var version slipwick.Version
 	if current := f.Current(); current != nil {
--- a/configuration/repository.go
+++ b/configuration/repository.go
@@ -102,7 +102,7 @@
 	return value, nil
 }
 
-// Decode decodes what Encode returned. It ignores fields that a newer release
+// Decode decodes a stored state. It ignores fields that a newer release
 // added, so that routers of both releases can run side by side.
 func Decode(value []byte) (State, error) {
 	var state State
--- a/jsonfile/typecheck.go
+++ b/jsonfile/typecheck.go
@@ -63,7 +63,7 @@
 		name := member.Name.Value.(hujson.Literal).String()
 		below := pointer + "/" + escape(name)
 		if seen[name] {
-			c.add(below, "field given twice", "keep one of them")
+			c.add(below, "duplicate field", "remove one of the two")
 		}
 		seen[name] = true
 		field, known := fields[name]
--- a/jsonfile/values.go
+++ b/jsonfile/values.go
@@ -61,7 +61,7 @@
 	return field.Tag() + "=" + field.Param()
 }
 
-// remedies tells for each rule what to do if it is violated; %s is the rule's parameter.
+// remedies maps a rule to what to do if it is violated; %s is the rule's parameter.
 var remedies = map[string]string{
 	"required":      "give a value",
 	"hostname_port": "write HOST:PORT, such as 127.0.0.1:8080",
--- a/tablefile/feed_test.go
+++ b/tablefile/feed_test.go
@@ -48,9 +48,9 @@
 	if err != nil || len(batch.Entries) != 2 {
 		t.Fatalf("got %+v, %v; want two backend servers", batch, err)
 	}
-	listed, err := DecodeBackend(batch.Entries[1].Name, batch.Entries[1].Value)
-	if err != nil || listed.ID != "b2" || listed.Pool != "p" || listed.Address != "10.0.0.2:80" {
-		t.Errorf("got %+v, %v", listed, err)
+	entry, err := DecodeBackend(batch.Entries[1].Name, batch.Entries[1].Value)
+	if err != nil || entry.ID != "b2" || entry.Pool != "p" || entry.Address != "10.0.0.2:80" {
+		t.Errorf("got %+v, %v", entry, err)
 	}
 }
 
