--- a/claims/claims.go
+++ b/claims/claims.go
@@ -23,11 +23,11 @@
 // exported fields before Run.
 type Claims struct {
 	// Self is the router's ID.
-	Self   string
-	Store  slipwick.Store
-	Transport   Transport
-	Policy Policy
-	Stats  Stats
+	Self      string
+	Store     slipwick.Store
+	Transport Transport
+	Policy    Policy
+	Stats     Stats
 
 	mu      sync.Mutex
 	running context.Context
@@ -51,13 +51,13 @@
 // New returns a Claims; Run starts it.
 func New(self string, store slipwick.Store, transport Transport, policy Policy) *Claims {
 	return &Claims{
-		Self:    self,
-		Store:   store,
-		Transport:    transport,
-		Policy:  policy,
-		held:    make(map[int]*heldJournal),
-		answers: make(map[uint64]chan *peerpb.ClaimAnswer),
-		done:    make(chan struct{}),
+		Self:      self,
+		Store:     store,
+		Transport: transport,
+		Policy:    policy,
+		held:      make(map[int]*heldJournal),
+		answers:   make(map[uint64]chan *peerpb.ClaimAnswer),
+		done:      make(chan struct{}),
 	}
 }
 
--- a/membership/node.go
+++ b/membership/node.go
@@ -12,9 +12,9 @@
 
 // Node is one router's member of the gossip protocol. Set the exported fields before Run.
 type Node struct {
-	Self   slipwick.Router
-	Transport   Transport
-	Policy Policy
+	Self      slipwick.Router
+	Transport Transport
+	Policy    Policy
 	// Random chooses whom to probe and to send updates to.
 	Random *rand.Rand
 	// CatchUp makes a starting router request what it lacks from others until it knows the fleet.
@@ -68,7 +68,7 @@
 func NewNode(self slipwick.Router, transport Transport, policy Policy, random *rand.Rand) *Node {
 	n := &Node{
 		Self:       self,
-		Transport:       transport,
+		Transport:  transport,
 		Policy:     policy,
 		Random:     random,
 		OnChange:   func(Change) {},
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -18,7 +18,7 @@
 	NewsPerPacket int
 	// SyncAfter is how many packets in a row must have a different digest before a sync request is
 	// sent; MinSyncInterval is the minimum time between such requests.
-	SyncAfter int
+	SyncAfter       int
 	MinSyncInterval time.Duration
 	// DeadRetention is how long dead routers are remembered and still contacted from time to time,
 	// in case they were only partitioned: longer than regions lose contact with each other.
@@ -32,16 +32,16 @@
 // DefaultPolicy returns the default parameters.
 func DefaultPolicy() Policy {
 	return Policy{
-		ProbeInterval:        time.Second,
-		AckTimeout:    300 * time.Millisecond,
-		IndirectProbes:       3,
-		SuspicionTimeout:     2 * time.Second,
-		Fanout:        3,
-		NewsPerPacket: 8,
-		SyncAfter:     3,
-		MinSyncInterval:     5 * time.Second,
-		DeadRetention:        2 * time.Hour,
-		FlapLimit:     2.5,
-		FlapHalfLife:  time.Minute,
+		ProbeInterval:    time.Second,
+		AckTimeout:       300 * time.Millisecond,
+		IndirectProbes:   3,
+		SuspicionTimeout: 2 * time.Second,
+		Fanout:           3,
+		NewsPerPacket:    8,
+		SyncAfter:        3,
+		MinSyncInterval:  5 * time.Second,
+		DeadRetention:    2 * time.Hour,
+		FlapLimit:        2.5,
+		FlapHalfLife:     time.Minute,
 	}
 }
