--- a/claims/journal.go
+++ b/claims/journal.go
@@ -217,8 +217,8 @@
 	}
 }
 
-// endingEntry returns the entry for the outcome of a claimed request, or nil if the message is not
-// from the key's claimant.
+// endingEntry returns the entry for the outcome of a claimed request, or nil if the key has no open
+// claim of the message's claimant.
 func (j *journal) endingEntry(ending *peerpb.ClaimEnding) *claimspb.Entry {
 	var key [keyBytes]byte
 	copy(key[:], ending.GetKey())
--- a/claims/store.go
+++ b/claims/store.go
@@ -18,7 +18,8 @@
 
 // write replaces the object of a segment if it still has the version. A write without a response is
 // retried with the same content and version, so at most one attempt can take effect. A conflict on
-// a retry may stem from an earlier attempt whose response was lost; reading the content back tells.
+// a retry may stem from an earlier attempt whose response was lost; reading the content
+// back shows which.
 func (j *journal) write(
 	ctx context.Context, slot uint64, content *claimspb.Segment, version slipwick.Version,
 ) (slipwick.Version, error) {
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -104,6 +104,7 @@
 // and duplicates drawn again.
 const sparseSampleRatio = 4
 
+// sampleMembers draws members one at a time until it has count different ones.
 func (n *Node) sampleMembers(live []slipwick.Router, count int, except string) []*member {
 	drawn := make([]*member, 0, count)
 	// The list has more than sparseSampleRatio times count routers, so count others remain without
--- a/membership/choose_bench_test.go
+++ b/membership/random_members_bench_test.go
@@ -7,8 +7,8 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// BenchmarkChoose draws the routers that a push goes to.
-func BenchmarkChoose(b *testing.B) {
+// BenchmarkRandomMembers draws the routers that a push goes to.
+func BenchmarkRandomMembers(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			n := newTestNode()
--- a/membership/roster_test.go
+++ b/membership/roster_test.go
@@ -13,8 +13,8 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// TestRosterMatchesReference compares the roster with a reference, a list that is sorted anew after each step,
-// and checks that slices shared out by share do not change.
+// TestRosterMatchesReference compares the roster with a reference, a list that is sorted anew after
+// each step, and checks that slices given out by share do not change.
 func TestRosterMatchesReference(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		list, byID := roster{}, make(map[string]slipwick.Router)
@@ -76,8 +76,8 @@
 	}
 }
 
-// BenchmarkTellOfRouter reports one router's death and its return to OnChange.
-func BenchmarkTellOfRouter(b *testing.B) {
+// BenchmarkNotifyOfRouter reports one router's death and its return to OnChange.
+func BenchmarkNotifyOfRouter(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			n := newTestNode()
--- a/membership/update_queue_bench_test.go
+++ b/membership/update_queue_bench_test.go
@@ -7,9 +7,9 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// BenchmarkRumours takes the updates of one packet while the queue holds one for each router of a
+// BenchmarkQueueTake takes the updates of one packet while the queue holds one for each router of a
 // fleet that has just started.
-func BenchmarkRumours(b *testing.B) {
+func BenchmarkQueueTake(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			var q updateQueue
