--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -130,25 +130,25 @@
 		}
 	}
 	for name, bad := range map[string]func(float64) float64{
-		"half fail":               constant(0.5),
-		"all fail":                constant(1),
-		"3 in 10 fail":            constant(0.3),
-		"half fail from halfway":  from(0.5, 0.5),
-		"half fail near the end":  from(0.9, 0.5),
-		"half fail when all come": from(0.925, 0.5),
+		"half fail":              constant(0.5),
+		"all fail":               constant(1),
+		"3 in 10 fail":           constant(0.3),
+		"half fail from halfway": from(0.5, 0.5),
+		"half fail near the end": from(0.9, 0.5),
+		"half fail at full load": from(0.925, 0.5),
 	} {
-		missed, most, maxBad := 0, 0, 0
+		missed, maxRequests, maxBad := 0, 0, 0
 		for seed := range uint64(seeds) {
 			got := newSimulation(seed, constant(0.01), bad).run()
 			if got.verdict != StateRolledBack {
 				missed++
 			}
-			most, maxBad = max(most, got.target), max(maxBad, got.bad)
+			maxRequests, maxBad = max(maxRequests, got.target), max(maxBad, got.bad)
 			if allowed := int(exposure*float64(got.all)) + slack; got.target > allowed {
 				t.Errorf("%s, seed %d: got %d requests at the bad version, want %d at most", name, seed, got.target, allowed)
 			}
 		}
-		t.Logf("%s: %d of %d missed, at most %d requests and %d bad responses", name, missed, seeds, most, maxBad)
+		t.Logf("%s: %d of %d missed, at most %d requests and %d bad responses", name, missed, seeds, maxRequests, maxBad)
 		if missed > 0 {
 			t.Errorf("%s: got %d of %d bad versions completed, want none", name, missed, seeds)
 		}
--- a/rollout/threshold_test.go
+++ b/rollout/threshold_test.go
@@ -32,7 +32,7 @@
 		"20 responses, 0.25 more": func() func(old, target Counts) bool { return threshold(20, 0.25) },
 	}
 	for name, method := range methods {
-		rolledBack, completed, most := 0, 0, 0
+		rolledBack, completed, maxRequests := 0, 0, 0
 		simulate := func(seed uint64, old, target func(float64) float64) result {
 			sim := newSimulation(seed, old, target)
 			sim.observe = method()
@@ -47,10 +47,10 @@
 				if got.verdict != StateRolledBack {
 					completed++
 				}
-				most = max(most, got.target)
+				maxRequests = max(maxRequests, got.target)
 			}
 		}
 		t.Logf("%s: %d of %d good ones rolled back, %d of %d bad ones completed, at most %d requests",
-			name, rolledBack, seeds, completed, 2*seeds, most)
+			name, rolledBack, seeds, completed, 2*seeds, maxRequests)
 	}
 }
