--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -37,37 +37,37 @@
 	return func(float64) float64 { return rate }
 }
 
-func (t *simulation) run() result {
+func (s *simulation) run() result {
 	began := time.Unix(0, 0)
 	r := New(&Order{
 		Pool:     "p",
 		Version:  "v2",
-		Duration: t.duration,
-	}, t.exposure, began, 0)
+		Duration: s.duration,
+	}, s.exposure, began, 0)
 	var old, target Counts
 	out := result{}
-	for now := began; now.Sub(began) < t.duration; now = now.Add(observeInterval) {
-		fraction := now.Sub(began).Seconds() / t.duration.Seconds()
-		for range int(t.rate * observeInterval.Seconds()) {
+	for now := began; now.Sub(began) < s.duration; now = now.Add(observeInterval) {
+		fraction := now.Sub(began).Seconds() / s.duration.Seconds()
+		for range int(s.rate * observeInterval.Seconds()) {
 			out.all++
-			counts, rate := &old, t.oldRate(fraction)
-			if t.random.Float64() < r.Share(now) {
-				counts, rate = &target, t.newRate(fraction)
+			counts, rate := &old, s.oldRate(fraction)
+			if s.random.Float64() < r.Share(now) {
+				counts, rate = &target, s.newRate(fraction)
 				out.target++
 			}
-			if t.random.Float64() < rate {
+			if s.random.Float64() < rate {
 				counts.Bad++
 			} else {
 				counts.Good++
 			}
 		}
 		out.bad = target.Bad
-		if t.observe == nil {
+		if s.observe == nil {
 			out.verdict = r.Observe(now.Add(observeInterval), old, target)
 			continue
 		}
 		// The package's own comparison gets no counts, so it never finds a bad version.
-		if r.verdict == StateRunning && t.observe(old, target) {
+		if r.verdict == StateRunning && s.observe(old, target) {
 			r.verdict = StateRolledBack
 		}
 		out.verdict = r.Observe(now.Add(observeInterval), Counts{}, Counts{})
