--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -21,7 +21,7 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// assemble makes the parts and joins them.
+// assemble creates the components of the router and connects them. The listeners have to be open.
 func (r *Router) assemble() {
 	r.platform = &objectapi.Client{
 		BaseURL: r.Settings.Platform.URL,
@@ -30,12 +30,12 @@
 	r.follower = &configuration.Follower{
 		Store:    r.platform,
 		Watches:  r.watches.Load,
-		OnChange: r.inForce,
-		OnError:  r.platformFailed,
+		OnChange: r.applySnapshot,
+		OnError:  r.logPlatformError,
 	}
 	r.assembleFleet()
-	r.ledger, r.marks = r.newLedger()
-	r.front = &front{
+	r.crashTracker, r.crashGossiper = r.newCrashTracker()
+	r.frontend = &frontend{
 		limits:     r.Settings.Limits,
 		log:        r.Log,
 		metrics:    NewMetrics(),
@@ -45,28 +45,28 @@
 	r.addFleetMetrics()
 }
 
-func (r *Router) platformFailed(err error) {
+func (r *Router) logPlatformError(err error) {
 	events.PlatformCallFailed.On(&r.Log).AnErr("cause", err).Send()
 }
 
-// assembleFleet makes the parts that act together with other routers.
+// assembleFleet creates the components that communicate with other routers.
 func (r *Router) assembleFleet() {
 	self := r.self()
 	r.mesh = peer.NewMesh(self.ID, r.listeners.peers)
 	r.coordinator = admission.NewCoordinator(self.ID, r.mesh, admission.DefaultPolicy())
-	r.coordinator.Share = r.share
+	r.coordinator.Share = r.workspaceShare
 	r.coordinator.OnHealth = r.onHealth
 	r.claims = claims.New(self.ID, r.platform, r.mesh, claims.DefaultPolicy())
 	r.mesh.OnReceive = func(from string, envelope *peerpb.Envelope) {
 		r.coordinator.Receive(from, envelope)
 		r.claims.Receive(from, envelope)
 		r.sharing.Receive(from, envelope)
-		r.hearMarks(envelope)
+		r.receiveCrashes(envelope)
 	}
 	r.sharing = &configuration.Syncer{
 		Follower:  r.follower,
 		Transport: r.mesh,
-		OnError:   r.platformFailed,
+		OnError:   r.logPlatformError,
 	}
 	r.viewer = &fleet.Viewer{
 		Self:   self,
@@ -75,7 +75,7 @@
 	r.udp = membership.NewUDP(r.listeners.packets)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
 	r.node = membership.NewNode(self, r.udp, membership.DefaultPolicy(), random)
-	r.node.OnChange = r.onMembers
+	r.node.OnChange = r.onMembershipChange
 	r.node.OnVersion = r.sharing.OnVersion
 	r.udp.OnReceive = r.node.Receive
 	r.mesh.Address = r.node.Address
@@ -90,7 +90,7 @@
 	}
 }
 
-func (r *Router) share(name string) admission.Share {
+func (r *Router) workspaceShare(name string) admission.Share {
 	current := r.follower.Current()
 	if current == nil {
 		return admission.Share{}
@@ -106,7 +106,7 @@
 }
 
 func (r *Router) newDispatcher() *dispatch.Dispatcher {
-	shared, single := httpclient.New(), httpclient.NewSingleUse()
+	shared, singleUse := httpclient.New(), httpclient.NewSingleUse()
 	return &dispatch.Dispatcher{
 		Admission: r.coordinator,
 		Engine: func(b slipwick.Backend) slipwick.Engine {
@@ -120,32 +120,33 @@
 		Service: func(b slipwick.Backend, repeatable bool) slipwick.Service {
 			client := shared
 			if !repeatable {
-				client = single
+				client = singleUse
 			}
 			return &service.Client{
 				Address: b.Address,
 				HTTP:    client,
 
-				OnNotice: func(notice slipwick.Notice) { r.coordinator.ForwardNotice(b.ID, asRest(notice)) },
+				OnNotice: func(notice slipwick.Notice) { r.coordinator.ForwardNotice(b.ID, asPause(notice)) },
 			}
 		},
-		Quarantine: r.ledger,
-		IsGone:     isGone,
+		Quarantine: r.crashTracker,
+		IsGone:     refusesConnections,
 
 		MaxSlotWait: r.Settings.Limits.Hold.Or(defaultHold),
 		Limits:      r.Settings.Limits.stream(),
 	}
 }
 
-// serviceLeaves is for how long a plain server that said that it leaves gets nothing. Nobody
-// asks it whether it has been replaced, as engines are asked, so that the word has to
-// lapse: some times what a planned stop takes.
-const serviceLeaves = 30 * time.Second
+// serviceLeavingPause is how long a server of a plain service gets no requests after it announced
+// that it leaves. Unlike engines, these servers are not probed, so nothing reports that the server
+// has been replaced and the announcement has to expire. The time is several times what a planned
+// stop takes.
+const serviceLeavingPause = 30 * time.Second
 
-// asRest takes a plain server's word that it leaves for a rest.
-func asRest(notice slipwick.Notice) slipwick.Notice {
+// asPause turns a plain server's announcement that it leaves into a request for a pause.
+func asPause(notice slipwick.Notice) slipwick.Notice {
 	if notice.Leaving {
-		notice.Leaving, notice.Rest = false, max(notice.Rest, serviceLeaves)
+		notice.Leaving, notice.Rest = false, max(notice.Rest, serviceLeavingPause)
 	}
 	return notice
 }
--- a/cmd/internal/daemon/chathandler.go
+++ b/cmd/internal/daemon/chathandler.go
@@ -13,48 +13,48 @@
 	"github.com/slipwick/slipwick/quarantine"
 )
 
-// chat serves POST /v1/chat/completions, streamed and whole.
-func (f *front) chat(c echo.Context) error {
-	a, err := f.begin(c)
+// handleChat serves POST /v1/chat/completions, with a streamed or a buffered response.
+func (f *frontend) handleChat(c echo.Context) error {
+	cr, err := f.accept(c)
 	if err != nil {
-		return f.refuse(c, a, err)
+		return f.refuse(c, cr, err)
 	}
-	request, parsed, err := f.chatRequest(c, a)
+	request, parsed, err := f.chatRequest(c, cr)
 	if err != nil {
-		return f.refuse(c, a, err)
+		return f.refuse(c, cr, err)
 	}
-	key, err := f.claimKey(c.Request().Context(), a, c.Request().Header)
+	claim, err := f.claimKey(c.Request().Context(), cr, c.Request().Header)
 	if err != nil {
-		return f.refuse(c, a, err)
+		return f.refuse(c, cr, err)
 	}
-	var writer answerWriter
+	var writer responseWriter
 	if parsed.Stream {
-		writer = newStreamWriter(c, f, a)
+		writer = newStreamWriter(c, f, cr)
 	} else {
-		writer = &wholeWriter{
+		writer = &bufferedWriter{
 			context: c,
 		}
 	}
-	call := a.call(placement.ChatKey(a.workspace.Name, request.Chat))
-	call.Key = quarantine.KeyOf(a.workspace.Name, http.MethodPost, c.Request().URL.Path+"#"+request.Chat, request.Body)
+	call := cr.dispatchCall(placement.ChatKey(cr.workspace.Name, request.Chat))
+	call.Key = quarantine.KeyOf(cr.workspace.Name, http.MethodPost, c.Request().URL.Path+"#"+request.Chat, request.Body)
 	err = f.dispatcher.Chat(c.Request().Context(), call, request, writer.event)
-	key.ended(err)
-	f.ended(a, err)
+	claim.recordOutcome(err)
+	f.recordEnd(cr, err)
 	if err != nil {
-		return writer.fail(asFailure(err), a.repeatable)
+		return writer.fail(toError(err), cr.repeatable)
 	}
 	return writer.finish()
 }
 
-// answerWriter passes an answer on to the caller.
-type answerWriter interface {
+// responseWriter forwards an engine's response to the caller.
+type responseWriter interface {
 	event(event slipwick.StreamEvent) error
 	finish() error
 	fail(failure *slipwick.Error, repeatable bool) error
 }
 
-// chatRequest reads the body and finds where it goes.
-func (f *front) chatRequest(c echo.Context, a *arrival) (slipwick.ChatRequest, *chat.Request, error) {
+// chatRequest reads and parses the body and sets the pools that the request may go to.
+func (f *frontend) chatRequest(c echo.Context, cr *callerRequest) (slipwick.ChatRequest, *chat.Request, error) {
 	body, err := f.body(c)
 	if err != nil {
 		return slipwick.ChatRequest{}, nil, err
@@ -63,17 +63,17 @@
 	if err != nil {
 		return slipwick.ChatRequest{}, nil, err
 	}
-	a.pools = a.routes.pools(a.workspace.Name, parsed.Model, configuration.PoolEngine)
-	if len(a.pools) == 0 {
+	cr.pools = cr.routes.pools(cr.workspace.Name, parsed.Model, configuration.PoolEngine)
+	if len(cr.pools) == 0 {
 		return slipwick.ChatRequest{}, nil, &slipwick.Error{
 			Kind:    slipwick.KindUnknownModel,
-			Message: "workspace " + a.workspace.Name + " has no rule for model " + parsed.Model,
+			Message: "workspace " + cr.workspace.Name + " has no rule for model " + parsed.Model,
 			Remedy:  "use a model that the workspace has, or have a rule added",
 			Outcome: slipwick.OutcomeNotRun,
 		}
 	}
 	header := c.Request().Header
-	if err := a.setRepeatable(header); err != nil {
+	if err := cr.setRepeatable(header); err != nil {
 		return slipwick.ChatRequest{}, nil, err
 	}
 	if !parsed.Stream {
@@ -82,29 +82,29 @@
 		}
 	}
 	return slipwick.ChatRequest{
-		ID:        a.id,
-		Workspace: a.workspace.Name,
+		ID:        cr.id,
+		Workspace: cr.workspace.Name,
 		Chat:      parsed.Identity(header.Get(chat.IdentityHeader)),
-		Priority:  a.workspace.Priority,
+		Priority:  cr.workspace.Priority,
 		Key:       header.Get(keyHeader),
 		Body:      bytes.Clone(body),
 	}, parsed, nil
 }
 
-// wholeWriter joins an answer and sends it when it is whole.
-type wholeWriter struct {
+// bufferedWriter collects the chunks of a response and sends one JSON object when it is complete.
+type bufferedWriter struct {
 	context    echo.Context
 	completion chat.Completion
 }
 
-func (w *wholeWriter) event(event slipwick.StreamEvent) error {
+func (w *bufferedWriter) event(event slipwick.StreamEvent) error {
 	if event.End {
 		return nil
 	}
 	if err := w.completion.Add(event.Data); err != nil {
 		return &slipwick.Error{
 			Kind:    slipwick.KindBackendError,
-			Message: "the engine sent a chunk that can't be read",
+			Message: "the engine sent a chunk that cannot be decoded",
 			Remedy:  "check the engine's version",
 			Outcome: slipwick.OutcomeFailed,
 			Cause:   err,
@@ -113,11 +113,11 @@
 	return nil
 }
 
-func (w *wholeWriter) finish() error {
+func (w *bufferedWriter) finish() error {
 	w.context.Response().Header().Set(slipwick.OutcomeHeader, string(slipwick.OutcomeCompleted))
 	return w.context.JSON(http.StatusOK, w.completion)
 }
 
-func (w *wholeWriter) fail(failure *slipwick.Error, repeatable bool) error {
+func (w *bufferedWriter) fail(failure *slipwick.Error, repeatable bool) error {
 	return writeFailure(w.context, failure, repeatable)
 }
--- a/cmd/internal/daemon/doc.go
+++ b/cmd/internal/daemon/doc.go
@@ -1,2 +1,2 @@
-// Package daemon assembles a router process from its parts.
+// Package daemon runs one router process: it reads the settings, builds the components and serves requests.
 package daemon
--- a/cmd/internal/daemon/failure.go
+++ b/cmd/internal/daemon/failure.go
@@ -10,7 +10,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// failureBody is the JSON body of an error answer, in the OpenAI form with
+// failureBody is the JSON body of an error response, in the OpenAI format with
 // remedy and outcome added.
 type failureBody struct {
 	Error failureDetail `json:"error"`
@@ -24,8 +24,8 @@
 	Outcome slipwick.Outcome `json:"outcome"`
 }
 
-// statusClientGone is the usual status for a caller that went away.
-const statusClientGone = 499
+// statusClientDisconnected is the non-standard status that nginx and others log for a caller that disconnected.
+const statusClientDisconnected = 499
 
 var statuses = map[slipwick.Kind]int{
 	slipwick.KindInvalidRequest:     http.StatusBadRequest,
@@ -46,12 +46,12 @@
 	slipwick.KindBackendError:       http.StatusBadGateway,
 	slipwick.KindStreamBroken:       http.StatusBadGateway,
 	slipwick.KindTimeout:            http.StatusGatewayTimeout,
-	slipwick.KindCancelled:          statusClientGone,
+	slipwick.KindCancelled:          statusClientDisconnected,
 }
 
-// asFailure gives the typed form of any error; one without a type is a fault
-// of the router, after which nothing is known of the request.
-func asFailure(err error) *slipwick.Error {
+// toError returns err as a *slipwick.Error. An error of another type is a fault of
+// the router, so the outcome of the request is unknown.
+func toError(err error) *slipwick.Error {
 	if failure, ok := slipwick.AsError(err); ok {
 		return failure
 	}
@@ -63,7 +63,7 @@
 	}
 }
 
-func detailOf(failure *slipwick.Error) failureBody {
+func failureBodyOf(failure *slipwick.Error) failureBody {
 	return failureBody{
 		Error: failureDetail{
 			Message: failure.Message,
@@ -75,8 +75,8 @@
 	}
 }
 
-// writeFailure answers a request of which nothing was sent to the caller yet.
-// Client libraries that send again by themselves are told not to, unless the
+// writeFailure sends an error response; nothing of the response may have been sent before.
+// X-Should-Retry: false keeps client libraries from retrying on their own, unless the
 // request was not run or may be repeated.
 func writeFailure(c echo.Context, failure *slipwick.Error, repeatable bool) error {
 	header := c.Response().Header()
@@ -92,5 +92,5 @@
 	if !known {
 		status = http.StatusInternalServerError
 	}
-	return c.JSON(status, detailOf(failure))
+	return c.JSON(status, failureBodyOf(failure))
 }
--- a/cmd/internal/daemon/fixture_test.go
+++ b/cmd/internal/daemon/fixture_test.go
@@ -21,11 +21,11 @@
 
 const testKey = "secret"
 
-// fixture is one router before stand-ins.
+// fixture is one router with stand-ins for the platform and the backend servers.
 type fixture struct {
 	router  *Router
 	engines []*standin.Engine
-	// servers are the engines'.
+	// servers are the HTTP servers of the engines, in the same order.
 	servers []*httptest.Server
 	service *standin.Service
 
@@ -33,6 +33,7 @@
 	stop     context.CancelFunc
 }
 
+// newFixture starts a router, the engines and a service, and waits until the router is ready.
 func newFixture(t *testing.T, engines int) *fixture {
 	t.Helper()
 	f := &fixture{
@@ -47,8 +48,8 @@
 			TokenEvery: 20 * time.Millisecond,
 		})
 		f.engines = append(f.engines, e)
-		listed, server := backend(t, string(rune('a'+i)), e)
-		backends = append(backends, listed)
+		entry, server := startBackend(t, string(rune('a'+i)), e)
+		backends = append(backends, entry)
 		f.servers = append(f.servers, server)
 	}
 	state := &configuration.State{
@@ -83,7 +84,7 @@
 			},
 		},
 	}
-	records, _ := backend(t, "records-1", f.service)
+	records, _ := startBackend(t, "records-1", f.service)
 	state.Pools[1].Backends = []slipwick.Backend{records}
 	keeper := &configuration.Repository{
 		Store: &objectapi.Client{
@@ -98,7 +99,8 @@
 	return f
 }
 
-func backend(t *testing.T, id string, handler http.Handler) (slipwick.Backend, *httptest.Server) {
+// startBackend starts a backend server and returns its entry for the configuration.
+func startBackend(t *testing.T, id string, handler http.Handler) (slipwick.Backend, *httptest.Server) {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -130,7 +132,8 @@
 	})
 }
 
-// startWith starts a router and waits until it is ready.
+// startWith starts a router with the settings, makes it the router of the fixture and waits until
+// it is ready.
 func (f *fixture) startWith(t *testing.T, settings *Settings) {
 	t.Helper()
 	router := NewRouter(settings, zerolog.Nop())
@@ -146,13 +149,14 @@
 	deadline := time.Now().Add(10 * time.Second)
 	for !f.router.StatusNow().Ready {
 		if time.Now().After(deadline) {
-			t.Fatal("the router did not get ready")
+			t.Fatal("the router is not ready after 10 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// post sends a request; header holds names and values in turn.
+// post sends a request to the router and returns the response and its body; header holds names and
+// values alternately.
 func (f *fixture) post(t *testing.T, path, body string, header ...string) (*http.Response, string) {
 	t.Helper()
 	url := "http://" + f.router.CallersAddress() + path
@@ -169,9 +173,9 @@
 		t.Fatal(err)
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
+	content, err := io.ReadAll(response.Body)
 	if err != nil {
-		t.Logf("body cut: %v", err)
+		t.Logf("reading the body: %v", err)
 	}
-	return response, string(answer)
+	return response, string(content)
 }
--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -14,63 +14,64 @@
 )
 
 const (
-	// boxesEvery is how often, at most, a router reads the platform's list of
-	// boxes; boxesShare is how often one of the fleet does. What one reads
-	// all learn, so that the platform's calls do not grow with the fleet.
-	boxesEvery = 5 * time.Second
-	boxesShare = 500 * time.Millisecond
-	// joinWith is how many routers are asked for all they know at the start.
-	joinWith      = 2
-	retryJoin     = time.Second
-	settleTime    = 500 * time.Millisecond
-	healthBacklog = 1024
+	// A router reads the platform's list of boxes at most once per
+	// minBoxListInterval on average, and the fleet as a whole once per
+	// boxListIntervalPerRouter. Membership passes on what one router reads, so
+	// that the number of calls to the platform does not grow with the fleet.
+	minBoxListInterval       = 5 * time.Second
+	boxListIntervalPerRouter = 500 * time.Millisecond
+	// maxJoinRequests is how many routers are asked for their full state at the start.
+	maxJoinRequests   = 2
+	joinRetryInterval = time.Second
+	catchUpTime       = 500 * time.Millisecond
+	healthQueueSize   = 1024
 )
 
-// healthNews is what an owner found out about a backend server.
-type healthNews struct {
+// healthUpdate is a change of health that the owner of a backend server has detected.
+type healthUpdate struct {
 	backend string
 	health  admission.Health
 }
 
-// onHealth is called by the coordinator, which must not be called back.
+// onHealth queues a change of health. The coordinator calls it and must not be called from it.
 func (r *Router) onHealth(backend string, health admission.Health) {
 	select {
-	case r.health <- healthNews{
+	case r.health <- healthUpdate{
 		backend: backend,
 		health:  health,
 	}:
 	default:
-		// Probing says it again.
+		// The queue is full; a later probe reports the state again.
 	}
 }
 
-// spreadHealth tells the other routers what owners find out.
-func (r *Router) spreadHealth(ctx context.Context) {
+// broadcastHealth sends the health changes that this router detects to the other routers, until ctx ends.
+func (r *Router) broadcastHealth(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case news := <-r.health:
-			r.logHealth(news)
-			r.node.SetBackend(news.backend, fleet.MemberState(news.health))
+		case update := <-r.health:
+			r.logHealth(update)
+			r.node.SetBackend(update.backend, fleet.MemberState(update.health))
 		}
 	}
 }
 
-func (r *Router) logHealth(news healthNews) {
+func (r *Router) logHealth(update healthUpdate) {
 	event := events.BackendRestored
-	switch news.health {
+	switch update.health {
 	case admission.HealthLeaving:
 		event = events.BackendLeaving
 	case admission.HealthEjected:
 		event = events.BackendEjected
 	case admission.HealthGood:
 	}
-	event.On(&r.Log).Str("backend", news.backend).Send()
+	event.On(&r.Log).Str("backend", update.backend).Send()
 }
 
-// onMembers takes what membership found out.
-func (r *Router) onMembers(change membership.Change) {
+// onMembershipChange applies a change of the fleet or of the state of backend servers.
+func (r *Router) onMembershipChange(change membership.Change) {
 	r.viewer.SetFleet(change.Routers, fleet.BackendStates(change.Backends))
 	r.eligible.Store(&change.Routers)
 	if r.joined.Load() {
@@ -83,18 +84,18 @@
 	}
 }
 
-// followBoxes reads the platform's list of boxes now and then. At the start it
-// joins the fleet by asking a few of the routers on it.
-func (r *Router) followBoxes(ctx context.Context) {
-	asked := false
+// pollBoxes reads the platform's list of boxes periodically until ctx ends. After the
+// first successful read it joins the fleet through a few of the listed routers.
+func (r *Router) pollBoxes(ctx context.Context) {
+	listed := false
 	for ctx.Err() == nil {
 		boxes, err := r.platform.Boxes(ctx)
 		if err != nil && ctx.Err() == nil {
-			r.platformFailed(err)
+			r.logPlatformError(err)
 		}
 		r.node.MergeListing(boxes)
-		if !asked && err == nil {
-			asked = true
+		if !listed && err == nil {
+			listed = true
 			r.join(boxes)
 		}
 		if len(r.node.Routers()) == 1 {
@@ -102,13 +103,13 @@
 				r.node.Join(seed)
 			}
 		}
-		r.settle(ctx, asked)
-		// Routers that started together spread out.
-		every := max(boxesEvery, time.Duration(len(r.node.Routers()))*boxesShare)
+		r.catchUp(ctx, listed)
+		// The jitter keeps routers that started together from polling at the same time.
+		interval := max(minBoxListInterval, time.Duration(len(r.node.Routers()))*boxListIntervalPerRouter)
 		if !r.joined.Load() {
-			every = retryJoin
+			interval = joinRetryInterval
 		}
-		wait := every/2 + time.Duration(rand.Int64N(int64(every)))
+		wait := interval/2 + time.Duration(rand.Int64N(int64(interval)))
 		select {
 		case <-ctx.Done():
 		case <-time.After(wait):
@@ -116,17 +117,17 @@
 	}
 }
 
-// settle counts the router as joined once it read the list, or heard of others
-// through seeds, and had the time to hear what they know. Before, it would take
-// engines and journals for its own that others hold.
-func (r *Router) settle(ctx context.Context, listed bool) {
+// catchUp marks the router as joined once it has read the list of boxes or has found other
+// routers through seeds, and has then waited for their state to arrive. A router that counted
+// as joined earlier would take engines and journals as its own that others hold.
+func (r *Router) catchUp(ctx context.Context, listed bool) {
 	if r.joined.Load() {
 		return
 	}
 	select {
 	case <-ctx.Done():
 		return
-	case <-time.After(settleTime):
+	case <-time.After(catchUpTime):
 	}
 	if !listed && len(r.node.Routers()) == 1 {
 		return
@@ -137,11 +138,12 @@
 	}
 }
 
+// join asks up to maxJoinRequests of the listed routers, chosen at random, for their state.
 func (r *Router) join(boxes []slipwick.Box) {
 	asked := 0
 	for _, i := range rand.Perm(len(boxes)) {
 		box := boxes[i]
-		if box.Kind != slipwick.BoxRouter || box.ID == r.Settings.ID || asked == joinWith {
+		if box.Kind != slipwick.BoxRouter || box.ID == r.Settings.ID || asked == maxJoinRequests {
 			continue
 		}
 		asked++
--- a/cmd/internal/daemon/frontend.go
+++ b/cmd/internal/daemon/frontend.go
@@ -27,8 +27,8 @@
 	keyHeader        = "Idempotency-Key"
 )
 
-// front answers callers.
-type front struct {
+// frontend handles the requests of callers.
+type frontend struct {
 	limits     Limits
 	log        zerolog.Logger
 	metrics    *Metrics
@@ -39,20 +39,21 @@
 	closed     atomic.Bool
 }
 
-// arrival is one request of a caller, as far as it is known.
-type arrival struct {
+// callerRequest is the state of one request of a caller. The handlers fill it in step by step.
+type callerRequest struct {
 	id         string
 	started    time.Time
 	routes     *routes
 	workspace  *configuration.Workspace
 	pools      []configuration.Pool
 	repeatable bool
-	// firstToken is the time to the first token; 0 while there is none.
+	// firstToken is the time from the start to the first token; 0 until one has arrived.
 	firstToken time.Duration
 }
 
-// begin accepts a request or says why not.
-func (f *front) begin(c echo.Context) (*arrival, error) {
+// accept authenticates a request and assigns its ID. It fails while the router has no
+// configuration or is stopping.
+func (f *frontend) accept(c echo.Context) (*callerRequest, error) {
 	current := f.routes.Load()
 	if current == nil || f.closed.Load() {
 		c.Response().Header().Set("Connection", "close")
@@ -70,9 +71,9 @@
 	}
 	id, err := uuid.NewV7()
 	if err != nil {
-		return nil, errors.Wrap(err, "make request id")
+		return nil, errors.Wrap(err, "generate request ID")
 	}
-	return &arrival{
+	return &callerRequest{
 		id:        id.String(),
 		started:   time.Now(),
 		routes:    current,
@@ -80,15 +81,15 @@
 	}, nil
 }
 
-// body reads the request's body within the limit.
-func (f *front) body(c echo.Context) ([]byte, error) {
+// body reads the request's body, up to limits.body_bytes.
+func (f *frontend) body(c echo.Context) ([]byte, error) {
 	body, err := io.ReadAll(http.MaxBytesReader(c.Response(), c.Request().Body, f.limits.bodyBytes()))
 	var large *http.MaxBytesError
 	if errors.As(err, &large) {
 		return nil, &slipwick.Error{
 			Kind:    slipwick.KindBodyTooLarge,
-			Message: "the body is larger than this router takes",
-			Remedy:  "send less, or have limits.body_bytes raised",
+			Message: "the body is larger than this router accepts",
+			Remedy:  "send a smaller body, or have limits.body_bytes raised",
 			Outcome: slipwick.OutcomeNotRun,
 		}
 	}
@@ -104,101 +105,103 @@
 	return body, nil
 }
 
-// setRepeatable finds out whether the request may be sent twice: the caller's
-// header, else the pool's setting.
-func (a *arrival) setRepeatable(header http.Header) error {
-	a.repeatable = !a.pools[0].NotRepeatable
+// setRepeatable sets whether the request may be sent more than once: from the caller's
+// header, else from the setting of the first pool.
+func (cr *callerRequest) setRepeatable(header http.Header) error {
+	cr.repeatable = !cr.pools[0].NotRepeatable
 	switch strings.ToLower(header.Get(repeatableHeader)) {
 	case "true":
-		a.repeatable = true
+		cr.repeatable = true
 	case "false":
-		a.repeatable = false
+		cr.repeatable = false
 	case "":
 	default:
 		return &slipwick.Error{
 			Kind:    slipwick.KindInvalidRequest,
 			Message: "header " + repeatableHeader + " is neither true nor false",
-			Remedy:  "send true or false, or leave it out",
+			Remedy:  "set it to true or false, or omit it",
 			Outcome: slipwick.OutcomeNotRun,
 		}
 	}
 	return nil
 }
 
-// call says where the request may go.
-func (a *arrival) call(chat uint64) dispatch.Call {
+// dispatchCall returns the call for the dispatcher, with the pools that the request may go to.
+func (cr *callerRequest) dispatchCall(chat uint64) dispatch.Call {
 	call := dispatch.Call{
 		Ask: slipwick.Ask{
-			Workspace: a.workspace.Name,
+			Workspace: cr.workspace.Name,
 			Chat:      chat,
-			Priority:  a.workspace.Priority,
+			Priority:  cr.workspace.Priority,
 		},
-		Repeatable: a.repeatable,
+		Repeatable: cr.repeatable,
 	}
-	for _, pool := range a.pools {
+	for _, pool := range cr.pools {
 		call.Pools = append(call.Pools, pool.Name)
 	}
 	return call
 }
 
-// ended counts and logs how a request ended; err nil means completed.
-func (f *front) ended(a *arrival, err error) {
+// recordEnd logs and counts the end of a request; a nil err means completed. cr is nil if the
+// request was not accepted.
+func (f *frontend) recordEnd(cr *callerRequest, err error) {
 	outcome, kind := slipwick.OutcomeCompleted, slipwick.Kind("")
 	event := events.RequestEnded
 	if err != nil {
-		failure := asFailure(err)
+		failure := toError(err)
 		outcome, kind = failure.Outcome, failure.Kind
 		if outcome != slipwick.OutcomeNotRun && kind != slipwick.KindCancelled {
 			event = events.RequestBroken
 		}
 	}
 	workspace, pool := "", ""
-	if a != nil {
-		workspace = a.workspace.Name
-		if len(a.pools) > 0 {
-			pool = a.pools[0].Name
+	if cr != nil {
+		workspace = cr.workspace.Name
+		if len(cr.pools) > 0 {
+			pool = cr.pools[0].Name
 		}
-		event.On(&f.log).Str("request", a.id).Str("workspace", workspace).Str("outcome", string(outcome)).
-			Str("kind", string(kind)).Dur("took_ms", time.Since(a.started)).AnErr("cause", err).Send()
+		event.On(&f.log).Str("request", cr.id).Str("workspace", workspace).Str("outcome", string(outcome)).
+			Str("kind", string(kind)).Dur("took_ms", time.Since(cr.started)).AnErr("cause", err).Send()
 	}
 	f.metrics.Requests.WithLabelValues(workspace, pool, string(outcome)).Inc()
-	if a != nil && !callersFault(kind) {
-		f.burn.Record(workspace, a.counts(outcome))
+	if cr != nil && !isClientError(kind) {
+		f.burn.Record(workspace, cr.burnCounts(outcome))
 	}
 }
 
-// callersFault tells whether an ending says nothing of the service.
-func callersFault(kind slipwick.Kind) bool {
+// isClientError reports whether kind stands for a 4xx status, which does not count against the
+// service level.
+func isClientError(kind slipwick.Kind) bool {
 	status := statuses[kind]
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
 
-// counts is what the request adds to its workspace's service level.
-func (a *arrival) counts(outcome slipwick.Outcome) burn.Counts {
+// burnCounts returns what the request adds to the service level of its workspace.
+func (cr *callerRequest) burnCounts(outcome slipwick.Outcome) burn.Counts {
 	counts := burn.Counts{
 		Total: 1,
 	}
 	if outcome != slipwick.OutcomeCompleted {
 		counts.Bad = 1
 	}
-	if a.firstToken > 0 {
+	if cr.firstToken > 0 {
 		counts.Tokens = 1
-		objective := time.Duration(a.workspace.Objectives.FirstToken)
-		if objective > 0 && a.firstToken > objective {
+		objective := time.Duration(cr.workspace.Objectives.FirstToken)
+		if objective > 0 && cr.firstToken > objective {
 			counts.Slow = 1
 		}
 	}
 	return counts
 }
 
-// refuse ends a request before anything was sent to the caller.
-func (f *front) refuse(c echo.Context, a *arrival, err error) error {
-	f.ended(a, err)
-	return writeFailure(c, asFailure(err), a != nil && a.repeatable)
+// refuse ends a request with an error; nothing of the response may have been sent before.
+func (f *frontend) refuse(c echo.Context, cr *callerRequest, err error) error {
+	f.recordEnd(cr, err)
+	return writeFailure(c, toError(err), cr != nil && cr.repeatable)
 }
 
-// count keeps the number of requests in progress while one is served.
-func (f *front) count(next echo.HandlerFunc) echo.HandlerFunc {
+// countInFlight is middleware that counts the requests in progress.
+func (f *frontend) countInFlight(next echo.HandlerFunc) echo.HandlerFunc {
 	return func(c echo.Context) error {
 		f.metrics.InFlight.Inc()
 		defer f.metrics.InFlight.Dec()
--- a/cmd/internal/daemon/handlers.go
+++ b/cmd/internal/daemon/handlers.go
@@ -10,9 +10,9 @@
 func (r *Router) callersHandler() http.Handler {
 	e := echo.New()
 	r.addHealth(e)
-	e.POST("/v1/chat/completions", r.front.chat, r.front.count)
-	e.Any(servicesPath+":name", r.front.service, r.front.count)
-	e.Any(servicesPath+":name/*", r.front.service, r.front.count)
+	e.POST("/v1/chat/completions", r.frontend.handleChat, r.frontend.countInFlight)
+	e.Any(servicesPath+":name", r.frontend.handleService, r.frontend.countInFlight)
+	e.Any(servicesPath+":name/*", r.frontend.handleService, r.frontend.countInFlight)
 	return e
 }
 
@@ -20,14 +20,14 @@
 	e := echo.New()
 	r.addHealth(e)
 	e.GET("/v1/status", func(c echo.Context) error { return c.JSON(http.StatusOK, r.StatusNow()) })
-	e.GET("/v1/burn", func(c echo.Context) error { return c.JSON(http.StatusOK, r.front.burn.Report()) })
+	e.GET("/v1/burn", func(c echo.Context) error { return c.JSON(http.StatusOK, r.frontend.burn.Report()) })
 	return e
 }
 
 func (r *Router) addHealth(e *echo.Echo) {
 	e.GET("/healthz", func(c echo.Context) error { return c.String(http.StatusOK, "ok\n") })
 	e.GET("/readyz", r.readiness)
-	e.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(r.front.metrics.Registry, promhttp.HandlerOpts{})))
+	e.GET("/metrics", echo.WrapHandler(promhttp.HandlerFor(r.frontend.metrics.Registry, promhttp.HandlerOpts{})))
 }
 
 func (r *Router) readiness(c echo.Context) error {
--- a/cmd/internal/daemon/keyclaim.go
+++ b/cmd/internal/daemon/keyclaim.go
@@ -10,30 +10,30 @@
 	"github.com/slipwick/slipwick/configuration"
 )
 
-// keyed is the part of a request with a key: its claim, if one was made.
-type keyed struct {
+// keyClaim holds the claim of a request's idempotency key, if one was made.
+type keyClaim struct {
 	claims  *claims.Claims
 	claim   claims.Claim
 	claimed bool
 }
 
-// claimKey claims the key of a request that may not be repeated, before any of
-// it is sent. Requests that may be repeated need no claim.
-func (f *front) claimKey(ctx context.Context, a *arrival, header http.Header) (*keyed, error) {
-	k := &keyed{
+// claimKey claims the idempotency key of a request that may not be repeated. It has to be called
+// before the request is sent to a backend server. Requests that may be repeated need no claim.
+func (f *frontend) claimKey(ctx context.Context, cr *callerRequest, header http.Header) (*keyClaim, error) {
+	k := &keyClaim{
 		claims: f.claims,
 	}
 	text := header.Get(keyHeader)
-	if text == "" || a.repeatable {
+	if text == "" || cr.repeatable {
 		return k, nil
 	}
-	key, err := f.claims.Policy.ParseKey(a.workspace.Name, text, time.Now())
+	key, err := f.claims.Policy.ParseKey(cr.workspace.Name, text, time.Now())
 	if err != nil {
 		return nil, err
 	}
 	k.claim, err = f.claims.Claim(ctx, key)
-	if slipwick.IsKind(err, slipwick.KindUnavailable) && allCheckKeys(a.pools) {
-		// The backend servers refuse a key that they have seen.
+	if slipwick.IsKind(err, slipwick.KindUnavailable) && allServersCheckKeys(cr.pools) {
+		// The claim can be omitted: the backend servers themselves refuse a key that they have seen.
 		return k, nil
 	}
 	if err != nil {
@@ -43,7 +43,7 @@
 	return k, nil
 }
 
-func allCheckKeys(pools []configuration.Pool) bool {
+func allServersCheckKeys(pools []configuration.Pool) bool {
 	for _, pool := range pools {
 		for _, backend := range pool.Backends {
 			if !backend.ChecksKeys {
@@ -54,14 +54,15 @@
 	return true
 }
 
-// ended records how the claimed request ended; err nil means completed.
-func (k *keyed) ended(err error) {
+// recordOutcome records the outcome of the claimed request; a nil err means completed. Without
+// a claim it does nothing.
+func (k *keyClaim) recordOutcome(err error) {
 	if !k.claimed {
 		return
 	}
 	outcome := slipwick.OutcomeCompleted
 	if err != nil {
-		outcome = asFailure(err).Outcome
+		outcome = toError(err).Outcome
 	}
 	k.claims.RecordOutcome(k.claim, outcome)
 }
--- a/cmd/internal/daemon/keyclaim_test.go
+++ b/cmd/internal/daemon/keyclaim_test.go
@@ -9,27 +9,28 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestKeyRunsOnce sends a keyed call, and sends it again.
-func TestKeyRunsOnce(t *testing.T) {
+// TestKeyedRequestRunsOnce checks that a request sent twice with the same idempotency key runs once,
+// and that the second response reports the outcome of the first.
+func TestKeyedRequestRunsOnce(t *testing.T) {
 	f := newFixture(t, 1)
 	for _, tc := range []struct {
 		name, body string
 		drops      bool
 		first      slipwick.Outcome
-		again      slipwick.Outcome
+		second     slipwick.Outcome
 	}{
 		{
-			name:  "completed",
-			body:  "one",
-			first: slipwick.OutcomeCompleted,
-			again: slipwick.OutcomeCompleted,
+			name:   "completed",
+			body:   "one",
+			first:  slipwick.OutcomeCompleted,
+			second: slipwick.OutcomeCompleted,
 		},
 		{
-			name:  "connection lost after the body was read",
-			body:  "two",
-			drops: true,
-			first: slipwick.OutcomeUnknown,
-			again: slipwick.OutcomeUnknown,
+			name:   "connection lost after the body was read",
+			body:   "two",
+			drops:  true,
+			first:  slipwick.OutcomeUnknown,
+			second: slipwick.OutcomeUnknown,
 		},
 	} {
 		f.service.DropAfterBody = tc.drops
@@ -41,12 +42,12 @@
 		if got := slipwick.Outcome(first.Header.Get(slipwick.OutcomeHeader)); got != tc.first {
 			t.Errorf("%s: got outcome %q, want %q", tc.name, got, tc.first)
 		}
-		again, body := f.post(t, servicesPath+"records/add", tc.body, keyHeader, key.String())
-		if got := slipwick.Outcome(again.Header.Get(slipwick.OutcomeHeader)); got != tc.again {
-			t.Errorf("%s: got outcome %q for the resend, want %q: %s", tc.name, got, tc.again, body)
+		second, body := f.post(t, servicesPath+"records/add", tc.body, keyHeader, key.String())
+		if got := slipwick.Outcome(second.Header.Get(slipwick.OutcomeHeader)); got != tc.second {
+			t.Errorf("%s: got outcome %q for the second request, want %q: %s", tc.name, got, tc.second, body)
 		}
-		if again.StatusCode != http.StatusConflict {
-			t.Errorf("%s: got status %d for the resend, want 409", tc.name, again.StatusCode)
+		if second.StatusCode != http.StatusConflict {
+			t.Errorf("%s: got status %d for the second request, want 409", tc.name, second.StatusCode)
 		}
 		if got := f.service.Runs(tc.body); got != 1 {
 			t.Errorf("%s: got %d runs, want 1", tc.name, got)
@@ -54,9 +55,9 @@
 	}
 }
 
-// TestKeyInAnOutage checks that a keyed call is refused at once, as not run,
-// while the platform is down.
-func TestKeyInAnOutage(t *testing.T) {
+// TestKeyedRequestInPlatformOutage checks that a request with an idempotency key is refused as not
+// run while the platform is down, and that requests without a key are still served.
+func TestKeyedRequestInPlatformOutage(t *testing.T) {
 	f := newFixture(t, 1)
 	f.platform.SetOutage(true)
 	for range 2 {
@@ -72,8 +73,8 @@
 			t.Error("got no Retry-After")
 		}
 	}
-	// Others go on.
-	if response, _ := f.post(t, chatPath, wholeChat); response.StatusCode != http.StatusOK {
+	// Requests without a key do not need the platform.
+	if response, _ := f.post(t, chatPath, bufferedChat); response.StatusCode != http.StatusOK {
 		t.Errorf("got status %d for a chat in the outage, want 200", response.StatusCode)
 	}
 	if got := f.service.Runs("in the outage"); got != 0 {
--- a/cmd/internal/daemon/listeners.go
+++ b/cmd/internal/daemon/listeners.go
@@ -6,6 +6,7 @@
 	"github.com/pkg/errors"
 )
 
+// open listens on the addresses of the settings. On an error some listeners may be open.
 func (l *listeners) open(listen *Listen) error {
 	var err error
 	if l.callers, err = net.Listen("tcp", listen.Callers); err != nil {
@@ -17,12 +18,12 @@
 	return errors.Wrap(l.openPeers(listen.Peers), "listen for routers; choose a free address in listen.peers")
 }
 
-// openPeers listens on one port over TCP and UDP.
+// openPeers listens on the same port over TCP and UDP.
 func (l *listeners) openPeers(address string) error {
-	// A port that the system chose for TCP may be taken for UDP.
-	const tries = 10
+	// With port 0 the system chooses a port that is free for TCP but may be in use for UDP.
+	const maxAttempts = 10
 	var err error
-	for range tries {
+	for range maxAttempts {
 		if l.peers, err = net.Listen("tcp", address); err != nil {
 			return err
 		}
--- a/cmd/internal/daemon/metrics.go
+++ b/cmd/internal/daemon/metrics.go
@@ -5,7 +5,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 )
 
-// Metrics are a router's Prometheus metrics; docs/METRICS.md lists them.
+// Metrics holds the Prometheus metrics of a router. docs/METRICS.md lists them.
 type Metrics struct {
 	Registry *prometheus.Registry
 
@@ -21,15 +21,15 @@
 	betweenTokensBuckets = []float64{.005, .01, .02, .03, .04, .06, .1, .2, .5, 1, 5}
 )
 
-// addFleetMetrics adds those that are read when asked for.
+// addFleetMetrics registers the metrics whose values are read at the time of a scrape.
 func (r *Router) addFleetMetrics() {
-	for _, gauge := range []struct {
+	for _, counter := range []struct {
 		name, help string
 		read       func() float64
 	}{
 		{
 			name: "slipwick_control_bytes_total",
-			help: "Bytes sent and received for control.",
+			help: "Control bytes sent to and received from the platform and other routers.",
 			read: func() float64 { return float64(r.ControlBytes()) },
 		},
 		{
@@ -53,27 +53,27 @@
 			read: func() float64 { return float64(r.platform.Calls()) },
 		},
 	} {
-		r.front.metrics.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
-			Name: gauge.name,
-			Help: gauge.help,
-		}, gauge.read))
+		r.frontend.metrics.Registry.MustRegister(prometheus.NewCounterFunc(prometheus.CounterOpts{
+			Name: counter.name,
+			Help: counter.help,
+		}, counter.read))
 	}
-	r.front.metrics.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
+	r.frontend.metrics.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "slipwick_members",
 		Help: "Routers that this router does not count as dead.",
 	}, func() float64 { return float64(len(r.node.Routers())) }))
-	r.front.metrics.Registry.MustRegister(&ownedCollector{
+	r.frontend.metrics.Registry.MustRegister(&ownedCollector{
 		coordinator: r.coordinator,
 	})
 }
 
-// NewMetrics makes and registers the metrics.
+// NewMetrics creates the metrics and registers them in a new registry.
 func NewMetrics() *Metrics {
 	m := &Metrics{
 		Registry: prometheus.NewRegistry(),
 		Requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "slipwick_requests_total",
-			Help: "Requests ended, by workspace, pool and outcome.",
+			Help: "Finished requests, by workspace, pool and outcome.",
 		}, []string{"workspace", "pool", "outcome"}),
 		FirstToken: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "slipwick_first_token_seconds",
@@ -82,12 +82,12 @@
 		}, []string{"workspace"}),
 		BetweenTokens: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "slipwick_between_tokens_seconds",
-			Help:    "Time between two events of an answer.",
+			Help:    "Time between two events of a streamed response.",
 			Buckets: betweenTokensBuckets,
 		}, []string{"workspace"}),
 		InFlight: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "slipwick_requests_in_flight",
-			Help: "Requests that this router has in progress.",
+			Help: "Requests in progress at this router.",
 		}),
 		Configuration: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "slipwick_configuration_version",
--- a/cmd/internal/daemon/metrics_test.go
+++ b/cmd/internal/daemon/metrics_test.go
@@ -8,11 +8,11 @@
 	"testing"
 )
 
-// TestMetricsPageAgreesWithCode compares docs/METRICS.md with what a router
+// TestMetricsPageAgreesWithCode checks that docs/METRICS.md lists exactly the metrics that a router
 // serves.
 func TestMetricsPageAgreesWithCode(t *testing.T) {
 	f := newFixture(t, 1)
-	f.post(t, chatPath, streamed)
+	f.post(t, chatPath, streamedChat)
 	page, err := os.ReadFile("../../../docs/METRICS.md")
 	if err != nil {
 		t.Fatal(err)
@@ -21,7 +21,7 @@
 	for _, found := range regexp.MustCompile("(?m)^\\| `(slipwick_[a-z_]+)`").FindAllStringSubmatch(string(page), -1) {
 		want = append(want, found[1])
 	}
-	families, err := f.router.front.metrics.Registry.Gather()
+	families, err := f.router.frontend.metrics.Registry.Gather()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/internal/daemon/notices_test.go
+++ b/cmd/internal/daemon/notices_test.go
@@ -14,113 +14,117 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-// noticeOnWay is how long after an answer requests may arrive that were on their way.
-const noticeOnWay = 100 * time.Millisecond
+// noticeDelay is how long after a notice the engine may still receive requests that were sent before
+// the router applied the notice.
+const noticeDelay = 100 * time.Millisecond
 
-// chats sends a turn of another chat every chatEvery for a while.
-func (f *fixture) chats(t *testing.T, length time.Duration) (unserved int64) {
+// sendChats sends the first request of a new chat every chatInterval for the given time. It returns
+// how many were not completed.
+func (f *fixture) sendChats(t *testing.T, length time.Duration) (unserved int64) {
 	t.Helper()
-	const chatEvery = 25 * time.Millisecond
-	var turns sync.WaitGroup
+	const chatInterval = 25 * time.Millisecond
+	var requests sync.WaitGroup
 	var failed atomic.Int64
-	for i, began := 0, time.Now(); time.Since(began) < length; i++ {
-		turns.Go(func() {
-			body := strings.ReplaceAll(streamed, "hello", fmt.Sprint("hello ", i))
+	for i, start := 0, time.Now(); time.Since(start) < length; i++ {
+		requests.Go(func() {
+			body := strings.ReplaceAll(streamedChat, "hello", fmt.Sprint("hello ", i))
 			response, _ := f.post(t, chatPath, body, "Slipwick-Chat", fmt.Sprint(i))
 			if response.Trailer.Get(slipwick.OutcomeHeader) != "completed" {
 				failed.Add(1)
 			}
 		})
-		time.Sleep(chatEvery)
+		time.Sleep(chatInterval)
 	}
-	turns.Wait()
+	requests.Wait()
 	return failed.Load()
 }
 
-// noticedWriter notes when the answer begins.
-type noticedWriter struct {
+// startRecorder records when the first response of an engine starts.
+type startRecorder struct {
 	http.ResponseWriter
 	began *atomic.Int64
 }
 
-func (w *noticedWriter) WriteHeader(status int) {
+func (w *startRecorder) WriteHeader(status int) {
 	w.began.CompareAndSwap(0, time.Now().UnixNano())
 	w.ResponseWriter.WriteHeader(status)
 }
 
-func (w *noticedWriter) Write(b []byte) (int, error) {
+func (w *startRecorder) Write(b []byte) (int, error) {
 	w.began.CompareAndSwap(0, time.Now().UnixNano())
 	return w.ResponseWriter.Write(b)
 }
 
-func (w *noticedWriter) Unwrap() http.ResponseWriter {
+func (w *startRecorder) Unwrap() http.ResponseWriter {
 	return w.ResponseWriter
 }
 
-// arrivalsAt counts the chat turns that reach an engine from now on, by whether they come
-// later than noticeOnWay after its first answer began.
-func (f *fixture) arrivalsAt(engineIndex int) (first, late *atomic.Int64) {
-	first, late = new(atomic.Int64), new(atomic.Int64)
+// countArrivals counts the chat requests that reach an engine from now on: as late those that
+// arrive more than noticeDelay after its first response started, as early the others.
+func (f *fixture) countArrivals(engineIndex int) (early, late *atomic.Int64) {
+	early, late = new(atomic.Int64), new(atomic.Int64)
 	began := new(atomic.Int64)
 	handler := f.servers[engineIndex].Config.Handler
 	f.servers[engineIndex].Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == engine.CompletionsPath {
-			if at := began.Load(); at == 0 || time.Now().UnixNano()-at < int64(noticeOnWay) {
-				first.Add(1)
+			if at := began.Load(); at == 0 || time.Now().UnixNano()-at < int64(noticeDelay) {
+				early.Add(1)
 			} else {
 				late.Add(1)
 			}
-			w = &noticedWriter{
+			w = &startRecorder{
 				ResponseWriter: w,
 				began:          began,
 			}
 		}
 		handler.ServeHTTP(w, r)
 	})
-	return first, late
+	return early, late
 }
 
-// TestEngineThatAsksForRestGetsIt has one engine of three turn all chats away and ask for
-// two seconds of rest.
-func TestEngineThatAsksForRestGetsIt(t *testing.T) {
+// TestEngineThatAsksForPauseGetsNoChats has one engine of three reject all chats and ask for a pause
+// of two seconds. It must get no chats during the pause, and all chats must be served by the others.
+func TestEngineThatAsksForPauseGetsNoChats(t *testing.T) {
 	f := newFixture(t, 3)
 	f.engines[0].SetFaults(standin.Faults{
 		Refuse: true,
 		Rest:   2 * time.Second,
 	})
-	first, late := f.arrivalsAt(0)
-	unserved := f.chats(t, 1800*time.Millisecond)
-	if first.Load() == 0 || late.Load() > 0 {
-		t.Errorf("got %d chats there at first and %d while it rests, want some and none", first.Load(), late.Load())
+	early, late := f.countArrivals(0)
+	unserved := f.sendChats(t, 1800*time.Millisecond)
+	if early.Load() == 0 || late.Load() > 0 {
+		t.Errorf("got %d chats at the engine before and %d during the pause, want some and none", early.Load(), late.Load())
 	}
 	if unserved > 0 {
-		t.Errorf("got %d chats unserved, want none: two engines have room", unserved)
+		t.Errorf("got %d chats not completed, want none: two engines have free slots", unserved)
 	}
 }
 
-// TestEngineThatSaysItLeavesGetsNothingNew has one engine of three serve on and say in its
-// answers that it leaves, while its load report does not say so yet.
-func TestEngineThatSaysItLeavesGetsNothingNew(t *testing.T) {
+// TestEngineThatAnnouncesLeavingGetsNoChats has one engine of three keep serving and announce in its
+// responses that it leaves, while its load report does not say so yet. The probes must not cancel
+// the announcement.
+func TestEngineThatAnnouncesLeavingGetsNoChats(t *testing.T) {
 	f := newFixture(t, 3)
 	f.engines[0].SetFaults(standin.Faults{
 		SaysLeaving: true,
 	})
-	first, late := f.arrivalsAt(0)
-	unserved := f.chats(t, 2500*time.Millisecond)
-	if first.Load() == 0 || late.Load() > 0 {
-		t.Errorf("got %d chats there at first and %d later, want some and none", first.Load(), late.Load())
+	early, late := f.countArrivals(0)
+	unserved := f.sendChats(t, 2500*time.Millisecond)
+	if early.Load() == 0 || late.Load() > 0 {
+		t.Errorf("got %d chats at the engine before and %d after the announcement, want some and none",
+			early.Load(), late.Load())
 	}
 	if unserved > 0 {
-		t.Errorf("got %d chats unserved, want none", unserved)
+		t.Errorf("got %d chats not completed, want none", unserved)
 	}
 }
 
-// TestServiceThatAsksForRestOrLeavesGetsNothing has the only server of a plain service
-// turn a call away and ask for rest, or say with its answer that it leaves. Callers hear
-// when to come back.
-func TestServiceThatAsksForRestOrLeavesGetsNothing(t *testing.T) {
+// TestServiceThatAsksForPauseOrLeavesGetsNoCalls has the only server of a plain service reject a call
+// and ask for a pause, or announce in its response that it leaves. The next call must not reach it;
+// the caller must get a 503 with Retry-After.
+func TestServiceThatAsksForPauseOrLeavesGetsNoCalls(t *testing.T) {
 	for name, header := range map[string][]string{
-		"rests":  {"Retry-After", "60", "X-Not-Run", "true"},
+		"pauses": {"Retry-After", "60", "X-Not-Run", "true"},
 		"leaves": {"X-Leaving", "true"},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -131,17 +135,17 @@
 				for i := 0; i+1 < len(header); i += 2 {
 					w.Header().Set(header[i], header[i+1])
 				}
-				if name == "rests" {
+				if name == "pauses" {
 					w.WriteHeader(http.StatusServiceUnavailable)
 				}
-				return name == "rests"
+				return name == "pauses"
 			}
 			f.post(t, servicesPath+"records/add", "first")
-			// The owner hears of it within a moment.
-			time.Sleep(noticeOnWay)
+			// The notice reaches the owner asynchronously.
+			time.Sleep(noticeDelay)
 			response, _ := f.post(t, servicesPath+"records/add", "second")
 			if got := calls.Load(); got != 1 {
-				t.Errorf("got %d calls there, want the first alone", got)
+				t.Errorf("got %d calls at the server, want only the first", got)
 			}
 			if got, want := response.StatusCode, http.StatusServiceUnavailable; got != want {
 				t.Errorf("got status %d, want %d", got, want)
@@ -150,7 +154,7 @@
 				t.Errorf("got outcome %q, want not-run", got)
 			}
 			if response.Header.Get("Retry-After") == "" {
-				t.Error("got no Retry-After, want when to come back")
+				t.Error("got no Retry-After, want one")
 			}
 		})
 	}
--- a/cmd/internal/daemon/ownedcollector.go
+++ b/cmd/internal/daemon/ownedcollector.go
@@ -8,32 +8,32 @@
 
 var (
 	slotsInFlight = prometheus.NewDesc("slipwick_slots_in_flight",
-		"Slots held at an owned backend server.", []string{"pool", "backend"}, nil)
+		"Slots in use at an owned backend server.", []string{"pool", "backend"}, nil)
 	slotsLimit = prometheus.NewDesc("slipwick_slots_limit",
-		"Most slots that an owned backend server may have now.", []string{"pool", "backend"}, nil)
-	requestsHeld = prometheus.NewDesc("slipwick_requests_held",
-		"Requests that wait for a slot of an owned backend server.", []string{"pool", "backend"}, nil)
+		"Current limit of slots of an owned backend server.", []string{"pool", "backend"}, nil)
+	requestsQueued = prometheus.NewDesc("slipwick_requests_held",
+		"Requests queued for a slot of an owned backend server.", []string{"pool", "backend"}, nil)
 )
 
-// ownedCollector gives the metrics of the backend servers that a router owns.
+// ownedCollector collects the metrics of the backend servers that a router owns.
 type ownedCollector struct {
 	coordinator *admission.Coordinator
 }
 
-// Describe names the metrics.
+// Describe sends the descriptions of the metrics.
 func (o *ownedCollector) Describe(descriptions chan<- *prometheus.Desc) {
 	descriptions <- slotsInFlight
 	descriptions <- slotsLimit
-	descriptions <- requestsHeld
+	descriptions <- requestsQueued
 }
 
-// Collect reads the metrics.
+// Collect sends the current values of the metrics.
 func (o *ownedCollector) Collect(metrics chan<- prometheus.Metric) {
 	for _, s := range o.coordinator.Status() {
 		for description, value := range map[*prometheus.Desc]int{
-			slotsInFlight: s.InFlight,
-			slotsLimit:    s.Limit,
-			requestsHeld:  s.Held,
+			slotsInFlight:  s.InFlight,
+			slotsLimit:     s.Limit,
+			requestsQueued: s.Held,
 		} {
 			metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, float64(value),
 				s.Pool, s.Backend)
--- a/cmd/internal/daemon/probe.go
+++ b/cmd/internal/daemon/probe.go
@@ -10,13 +10,14 @@
 )
 
 const (
-	probeEvery   = time.Second
-	probeTimeout = 800 * time.Millisecond
+	probeInterval = time.Second
+	probeTimeout  = 800 * time.Millisecond
 )
 
-// probeEngines reads the load report of each engine that this router owns.
+// probeEngines reads the load report of each engine that this router owns once per probeInterval,
+// until ctx ends.
 func (r *Router) probeEngines(ctx context.Context) {
-	ticker := time.NewTicker(probeEvery)
+	ticker := time.NewTicker(probeInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -28,6 +29,7 @@
 	}
 }
 
+// probeOwned probes all owned engines concurrently and returns when all probes are done.
 func (r *Router) probeOwned(ctx context.Context) {
 	current := r.follower.Current()
 	if current == nil {
@@ -48,11 +50,12 @@
 	probes.Wait()
 }
 
-// probe reads one engine's load report: the engine lives, leaves or is silent.
+// probe reads the load report of one engine and tells the coordinator whether the engine is up,
+// leaving or unreachable.
 func (r *Router) probe(ctx context.Context, backend slipwick.Backend) {
-	limited, cancel := context.WithTimeout(ctx, probeTimeout)
+	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	report, err := r.front.dispatcher.Engine(backend).Load(limited)
+	report, err := r.frontend.dispatcher.Engine(backend).Load(probeCtx)
 	switch {
 	case ctx.Err() != nil:
 	case err != nil:
--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -12,47 +12,48 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// newLedger makes the ledger of requests under which backend servers end, and the part
-// that tells the other routers, over the streams between them.
-func (r *Router) newLedger() (*quarantine.Tracker, *exchange.CrashGossiper) {
-	ledger := quarantine.NewTracker(r.Settings.ID)
-	teller := exchange.NewCrashGossiper(r.Settings.ID)
-	ledger.Routers = r.node.Routers
-	ledger.OnPending = teller.Trigger
-	ledger.OnQuarantined = func(key quarantine.Key, ends int) {
-		events.RequestQuarantined.On(&r.Log).Stringer("key", key).Int("ends", ends).Send()
+// newCrashTracker creates the tracker of requests that crash backend servers, and the gossiper
+// that sends the crashes to the other routers over the streams between them.
+func (r *Router) newCrashTracker() (*quarantine.Tracker, *exchange.CrashGossiper) {
+	tracker := quarantine.NewTracker(r.Settings.ID)
+	gossiper := exchange.NewCrashGossiper(r.Settings.ID)
+	tracker.Routers = r.node.Routers
+	tracker.OnPending = gossiper.Trigger
+	tracker.OnQuarantined = func(key quarantine.Key, crashes int) {
+		events.RequestQuarantined.On(&r.Log).Stringer("key", key).Int("ends", crashes).Send()
 	}
-	ledger.OnReleased = func(key quarantine.Key) {
+	tracker.OnReleased = func(key quarantine.Key) {
 		events.RequestReleased.On(&r.Log).Stringer("key", key).Send()
 	}
-	teller.Tracker = ledger
-	teller.Transport = marksWire{r}
-	teller.Routers = r.node.Routers
-	teller.Address = func(router slipwick.Router) string { return router.ID }
-	return ledger, teller
+	gossiper.Tracker = tracker
+	gossiper.Transport = crashTransport{r}
+	gossiper.Routers = r.node.Routers
+	gossiper.Address = func(router slipwick.Router) string { return router.ID }
+	return tracker, gossiper
 }
 
-// marksWire carries marks over the streams between routers.
-type marksWire struct {
+// crashTransport sends crashes over the streams between routers.
+type crashTransport struct {
 	router *Router
 }
 
-// Send has a packet go to the router of the ID.
-func (w marksWire) Send(id string, packet []byte) {
-	w.router.mesh.Send(id, &peerpb.Envelope{
+// Send sends a packet to the router with the ID.
+func (t crashTransport) Send(id string, packet []byte) {
+	t.router.mesh.Send(id, &peerpb.Envelope{
 		Marks: [][]byte{packet},
 	})
 }
 
-// hearMarks takes what another router told.
-func (r *Router) hearMarks(envelope *peerpb.Envelope) {
+// receiveCrashes adds the crashes that another router reported to the tracker.
+func (r *Router) receiveCrashes(envelope *peerpb.Envelope) {
 	for _, packet := range envelope.GetMarks() {
-		r.ledger.Merge(exchange.DecodeCrashes(packet))
+		r.crashTracker.Merge(exchange.DecodeCrashes(packet))
 	}
 }
 
-// isGone tells whether a backend server that broke off has ended.
-func isGone(ctx context.Context, backend slipwick.Backend) bool {
+// refusesConnections reports whether a backend server that broke a connection now refuses new
+// ones, which means that it has ended.
+func refusesConnections(ctx context.Context, backend slipwick.Backend) bool {
 	client := &upstream.Client{}
 	defer client.Close()
 	return client.RefusesConnections(ctx, backend.ID, backend.Address)
--- a/cmd/internal/daemon/quarantine_test.go
+++ b/cmd/internal/daemon/quarantine_test.go
@@ -14,49 +14,54 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-// TestRoutersTellEachOtherOfRequestsThatEndEngines has engines end at one router.
-func TestRoutersTellEachOtherOfRequestsThatEndEngines(t *testing.T) {
+// TestRoutersExchangeCrashes checks that a router quarantines a request that crashed engines only at
+// another router.
+func TestRoutersExchangeCrashes(t *testing.T) {
 	f := newFixture(t, 2)
 	settings := *f.router.Settings
 	settings.Seeds = []string{f.router.PeersAddress()}
 	second := f.startAnother(t, settings, "r2")
-	waitUntil(t, "one fleet", func() bool { return slices.Equal(second.StatusNow().Members, []string{"r1", "r2"}) })
+	waitUntil(t, "both routers are members", func() bool {
+		return slices.Equal(second.StatusNow().Members, []string{"r1", "r2"})
+	})
 	for i := range 3 {
-		run, ok := f.router.ledger.Begin(7, &slipwick.Backend{
+		attempt, ok := f.router.crashTracker.Begin(7, &slipwick.Backend{
 			ID: fmt.Sprint("engine-", i),
 		}, false, func() {})
 		if !ok {
-			t.Fatalf("got quarantined after %d ends", i)
+			t.Fatalf("got the request quarantined after %d crashes", i)
 		}
-		run.End(quarantine.OutcomeCrashed)
+		attempt.End(quarantine.OutcomeCrashed)
 	}
-	waitUntil(t, "the news", func() bool { return second.ledger.IsQuarantined(7) })
+	waitUntil(t, "the second router quarantines the request", func() bool {
+		return second.crashTracker.IsQuarantined(7)
+	})
 }
 
-// TestChatUnderWhichEnginesEndIsRefused has three engines of a pool end under a chat that
-// is asked for again; another chat is served on.
-func TestChatUnderWhichEnginesEndIsRefused(t *testing.T) {
+// TestChatThatCrashesEnginesIsRefused repeats a chat that crashes engines until it is refused as
+// quarantined. Another chat must still be served, by an engine that is left.
+func TestChatThatCrashesEnginesIsRefused(t *testing.T) {
 	f := newFixture(t, 4)
-	bad := strings.ReplaceAll(wholeChat, "hello", "ends engines")
+	bad := strings.ReplaceAll(bufferedChat, "hello", "crashes engines")
 	for i, e := range f.engines {
 		e.SetFaults(standin.Faults{
-			EndUnder: "ends engines",
+			EndUnder: "crashes engines",
 			End:      func() { _ = f.servers[i].Config.Close() },
 		})
 	}
 	var status int
-	waitUntil(t, "a refusal", func() bool {
-		response, answer := f.post(t, chatPath, bad)
+	waitUntil(t, "the chat is refused", func() bool {
+		response, content := f.post(t, chatPath, bad)
 		status = response.StatusCode
-		return status == http.StatusServiceUnavailable && strings.Contains(answer, "quarantined")
+		return status == http.StatusServiceUnavailable && strings.Contains(content, "quarantined")
 	})
-	if response, answer := f.post(t, chatPath, wholeChat); response.StatusCode != http.StatusOK {
-		t.Errorf("got status %d for another chat, want 200: %s", response.StatusCode, answer)
+	if response, content := f.post(t, chatPath, bufferedChat); response.StatusCode != http.StatusOK {
+		t.Errorf("got status %d for another chat, want 200: %s", response.StatusCode, content)
 	}
 }
 
-// TestEnginesThatListenAreNotGone asks one that does, and one that does not any more.
-func TestEnginesThatListenAreNotGone(t *testing.T) {
+// TestRefusesConnections checks a backend server that listens and one that no longer does.
+func TestRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -65,21 +70,21 @@
 		ID:      "e",
 		Address: listener.Addr().String(),
 	}
-	if isGone(t.Context(), engine) {
-		t.Error("got an engine gone that listens")
+	if refusesConnections(t.Context(), engine) {
+		t.Error("got true for an engine that listens, want false")
 	}
 	_ = listener.Close()
-	if !isGone(t.Context(), engine) {
-		t.Error("got an engine there that does not listen")
+	if !refusesConnections(t.Context(), engine) {
+		t.Error("got false for an engine that does not listen, want true")
 	}
 }
 
-func waitUntil(t *testing.T, what string, condition func() bool) {
+func waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(20 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within 20 s", what)
+			t.Fatalf("not within 20 s: %s", description)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -25,14 +25,14 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// Router is one router process. Set the exported fields before Run.
+// Router is one router process. The exported fields have to be set before Run.
 type Router struct {
 	Settings *Settings
 	Log      zerolog.Logger
 
 	listeners listeners
 
-	front       *front
+	frontend    *frontend
 	platform    *objectapi.Client
 	follower    *configuration.Follower
 	viewer      *fleet.Viewer
@@ -42,15 +42,15 @@
 	claims      *claims.Claims
 	sharing     *configuration.Syncer
 	udp         *membership.UDP
-	// ledger keeps requests from backend servers that end under them, marks tells the
-	// others.
-	ledger   *quarantine.Tracker
-	marks    *exchange.CrashGossiper
-	health   chan healthNews
-	eligible atomic.Pointer[[]slipwick.Router]
-
-	// joined says that the router had the time to learn who else lives;
-	// draining that it was asked to stop.
+	// crashTracker quarantines requests that crash backend servers; crashGossiper
+	// exchanges the crashes with the other routers.
+	crashTracker  *quarantine.Tracker
+	crashGossiper *exchange.CrashGossiper
+	health        chan healthUpdate
+	eligible      atomic.Pointer[[]slipwick.Router]
+
+	// joined is set once the router has had the time to learn of the other live
+	// routers, draining once it was asked to stop.
 	joined   atomic.Bool
 	draining atomic.Bool
 	watches  atomic.Bool
@@ -60,59 +60,61 @@
 	done     chan struct{}
 }
 
-// NewRouter makes a router that Run starts.
+// NewRouter returns a router that Run starts.
 func NewRouter(settings *Settings, log zerolog.Logger) *Router {
 	return &Router{
 		Settings: settings,
 		Log:      log.With().Str("router", settings.ID).Logger(),
-		health:   make(chan healthNews, healthBacklog),
+		health:   make(chan healthUpdate, healthQueueSize),
 		started:  make(chan struct{}),
 		done:     make(chan struct{}),
 	}
 }
 
-// Started is closed when the router listens.
+// Started returns a channel that is closed when the router listens.
 func (r *Router) Started() <-chan struct{} {
 	return r.started
 }
 
-// Done is closed when the router has stopped.
+// Done returns a channel that is closed when Run has returned.
 func (r *Router) Done() <-chan struct{} {
 	return r.done
 }
 
-// ControlBytes is what the router has sent and received for control: towards
-// the platform and other routers. Packets of membership count with their
-// headers, streams as what is above TCP.
+// ControlBytes returns the number of control bytes that the router has sent to and received from
+// the platform and other routers. Membership packets count with their headers, streams only
+// with the payload of TCP. Call it only after Started.
 func (r *Router) ControlBytes() int64 {
 	return r.sent.Load() + r.received.Load() + r.mesh.Sent.Load() + r.mesh.Received.Load() +
 		r.udp.Sent.Load() + r.udp.Received.Load()
 }
 
-// Run serves until ctx ends, then drains: it finishes what is in progress.
+// Run serves until ctx ends, then drains: it hands over what the router owns and finishes the
+// requests in progress, up to limits.drain. It returns an error if a part of the router fails.
+// It may be called once.
 func (r *Router) Run(ctx context.Context) error {
 	defer close(r.done)
 	if err := r.listeners.open(&r.Settings.Listen); err != nil {
 		return err
 	}
 	r.assemble()
-	if err := r.secure(); err != nil {
+	if err := r.enableTLS(); err != nil {
 		return err
 	}
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
-	var parts sync.WaitGroup
+	var tasks sync.WaitGroup
 	failed := make(chan error, 4)
-	for _, part := range []func(context.Context){
-		r.follower.Run, r.coordinator.Run, r.node.Run, r.claims.Run, r.followBoxes, r.probeEngines,
-		r.spreadHealth, r.marks.Run,
+	for _, task := range []func(context.Context){
+		r.follower.Run, r.coordinator.Run, r.node.Run, r.claims.Run, r.pollBoxes, r.probeEngines,
+		r.broadcastHealth, r.crashGossiper.Run,
 	} {
-		parts.Go(func() { part(background) })
+		tasks.Go(func() { task(background) })
 	}
-	parts.Go(func() { failed <- r.mesh.Run(background) })
-	parts.Go(func() { failed <- r.udp.Run(background) })
+	tasks.Go(func() { failed <- r.mesh.Run(background) })
+	tasks.Go(func() { failed <- r.udp.Run(background) })
 	callers, operators := newServer(r.callersHandler()), newServer(r.operatorsHandler())
-	parts.Go(func() { failed <- callers.Serve(r.listeners.callers) })
-	parts.Go(func() { failed <- operators.Serve(r.listeners.operators) })
+	tasks.Go(func() { failed <- callers.Serve(r.listeners.callers) })
+	tasks.Go(func() { failed <- operators.Serve(r.listeners.operators) })
 	events.RouterStarted.On(&r.Log).Str("callers", r.CallersAddress()).Send()
 	close(r.started)
 	var err error
@@ -126,7 +128,7 @@
 	_ = operators.Close()
 	r.node.Stop()
 	stop()
-	parts.Wait()
+	tasks.Wait()
 	return err
 }
 
@@ -137,50 +139,51 @@
 	}
 }
 
-// drain hands over what the router owns, lets the balancer see that it leaves,
-// then finishes what is in progress within the time limit.
+// drain hands over what the router owns and reports not ready for limits.announce, so that the
+// load balancer stops sending requests. Then it finishes the requests in progress, up to
+// limits.drain.
 func (r *Router) drain(callers *http.Server) {
 	events.DrainStarted.On(&r.Log).Send()
 	r.draining.Store(true)
 	r.node.Leave()
 	time.Sleep(r.Settings.Limits.Announce.Or(defaultAnnounce))
-	r.front.closed.Store(true)
+	r.frontend.closed.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), r.Settings.Limits.Drain.Or(defaultDrain))
 	defer cancel()
 	err := callers.Shutdown(ctx)
 	events.DrainFinished.On(&r.Log).Bool("in_time", err == nil).Send()
 }
 
-// inForce puts a version of the configuration in force.
-func (r *Router) inForce(snapshot *configuration.Snapshot) {
-	r.front.routes.Store(newRoutes(snapshot))
+// applySnapshot puts a version of the configuration in force.
+func (r *Router) applySnapshot(snapshot *configuration.Snapshot) {
+	r.frontend.routes.Store(newRoutes(snapshot))
 	r.viewer.SetConfiguration(snapshot)
 	r.node.SetVersion(uint64(snapshot.Version))
-	r.front.metrics.Configuration.Set(float64(snapshot.Version))
+	r.frontend.metrics.Configuration.Set(float64(snapshot.Version))
 	events.ConfigurationInForce.On(&r.Log).Uint64("version", uint64(snapshot.Version)).Send()
 }
 
-// isReady tells whether the balancer may send requests here.
+// isReady reports whether the load balancer may send requests to this router.
 func (r *Router) isReady() bool {
 	return r.follower.Current() != nil && r.joined.Load() && !r.draining.Load()
 }
 
-// CallersAddress is where callers reach the router, once it has started.
+// CallersAddress returns the host:port for callers. Call it only after Started.
 func (r *Router) CallersAddress() string {
 	return r.listeners.callers.Addr().String()
 }
 
-// OperatorsAddress is where operators reach the router, once it has started.
+// OperatorsAddress returns the host:port for operators. Call it only after Started.
 func (r *Router) OperatorsAddress() string {
 	return r.listeners.operators.Addr().String()
 }
 
-// PeersAddress is where other routers reach the router, once it has started.
+// PeersAddress returns the host:port for other routers. Call it only after Started.
 func (r *Router) PeersAddress() string {
 	return r.listeners.peers.Addr().String()
 }
 
-// listeners are a router's open addresses.
+// listeners holds the open sockets of a router.
 type listeners struct {
 	callers, operators, peers net.Listener
 
--- a/cmd/internal/daemon/router_test.go
+++ b/cmd/internal/daemon/router_test.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	chatPath  = "/v1/chat/completions"
-	wholeChat = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
-	streamed  = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`
+	chatPath     = "/v1/chat/completions"
+	bufferedChat = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
+	streamedChat = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`
 )
 
-func TestWholeAnswer(t *testing.T) {
+func TestBufferedResponse(t *testing.T) {
 	f := newFixture(t, 2)
-	response, body := f.post(t, chatPath, wholeChat)
+	response, body := f.post(t, chatPath, bufferedChat)
 	var got chat.Completion
 	if err := json.Unmarshal([]byte(body), &got); err != nil {
 		t.Fatalf("%v: %s", err, body)
@@ -68,7 +68,7 @@
 		{
 			name:   "wrong key",
 			path:   chatPath,
-			body:   wholeChat,
+			body:   bufferedChat,
 			header: []string{"Authorization", "Bearer other"},
 			status: http.StatusUnauthorized,
 			kind:   slipwick.KindUnauthorized,
@@ -98,8 +98,9 @@
 	}
 }
 
-// TestStreamFaults checks that an answer reaches the caller whole and once, or
-// ends with an error: never cut, doubled or another's and called completed.
+// TestStreamFaults checks that a response either reaches the caller complete and once or ends with
+// an error. One that is truncated, has repeated events or events of another response must never be
+// reported as completed.
 func TestStreamFaults(t *testing.T) {
 	for _, tc := range []struct {
 		name    string
@@ -107,14 +108,14 @@
 		outcome slipwick.Outcome
 	}{
 		{
-			name: "cut connections are resumed",
+			name: "broken connections are resumed",
 			faults: standin.Faults{
 				CutAfter: 3,
 			},
 			outcome: slipwick.OutcomeCompleted,
 		},
 		{
-			name: "too many cuts",
+			name: "too many broken connections",
 			faults: standin.Faults{
 				CutAfter: 1,
 			},
@@ -128,14 +129,14 @@
 			outcome: slipwick.OutcomeCompleted,
 		},
 		{
-			name: "doubled events",
+			name: "repeated events",
 			faults: standin.Faults{
 				Repeat: true,
 			},
 			outcome: slipwick.OutcomeCompleted,
 		},
 		{
-			name: "another answer's event",
+			name: "event of another response",
 			faults: standin.Faults{
 				Foreign: true,
 			},
@@ -144,30 +145,30 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			f := newFixture(t, 1)
-			_, want := f.post(t, chatPath, streamed)
+			_, want := f.post(t, chatPath, streamedChat)
 			f.engines[0].SetFaults(tc.faults)
-			response, got := f.post(t, chatPath, streamed)
+			response, got := f.post(t, chatPath, streamedChat)
 			outcome := slipwick.Outcome(response.Trailer.Get(slipwick.OutcomeHeader))
 			if outcome != tc.outcome {
 				t.Fatalf("got outcome %q, want %q", outcome, tc.outcome)
 			}
-			same := len(got) == len(want)
+			sameLength := len(got) == len(want)
 			if done := strings.Contains(got, "[DONE]"); done != (tc.outcome == slipwick.OutcomeCompleted) {
 				t.Errorf("got end marker %v with outcome %q", done, outcome)
 			}
-			if outcome == slipwick.OutcomeCompleted && !same {
+			if outcome == slipwick.OutcomeCompleted && !sameLength {
 				t.Errorf("got %d bytes, want %d", len(got), len(want))
 			}
 		})
 	}
 }
 
-func TestHangEndsInTime(t *testing.T) {
+func TestHangingEngineTimesOut(t *testing.T) {
 	f := newFixture(t, 1)
 	f.engines[0].SetFaults(standin.Faults{
 		Hang: true,
 	})
-	response, body := f.post(t, chatPath, streamed, repeatableHeader, "false")
+	response, body := f.post(t, chatPath, streamedChat, repeatableHeader, "false")
 	if got := response.Header.Get(slipwick.OutcomeHeader); got != "unknown" {
 		t.Errorf("got outcome %q, want unknown: %s", got, body)
 	}
@@ -176,13 +177,15 @@
 	}
 }
 
-func TestRefusedIsTriedElsewhere(t *testing.T) {
+// TestRejectedChatIsRetried checks that a chat that a leaving engine rejects is sent to the other
+// engine, also if it may not be repeated: the first engine has not run it.
+func TestRejectedChatIsRetried(t *testing.T) {
 	f := newFixture(t, 2)
 	f.engines[0].SetFaults(standin.Faults{
 		Leaving: true,
 	})
 	for i := range 8 {
-		body := strings.ReplaceAll(streamed, "hello", string(rune('a'+i)))
+		body := strings.ReplaceAll(streamedChat, "hello", string(rune('a'+i)))
 		response, _ := f.post(t, chatPath, body, repeatableHeader, "false")
 		if got := response.Trailer.Get(slipwick.OutcomeHeader); got != "completed" {
 			t.Errorf("got outcome %q, want completed", got)
@@ -190,9 +193,9 @@
 	}
 }
 
-// TestServiceSendsOnce checks a service that drops the connection after it
-// has read the body: it must have received it once.
-func TestServiceSendsOnce(t *testing.T) {
+// TestNonRepeatableCallIsSentOnce has a service drop the connection after it has read the body. The
+// router cannot tell whether the call was run, so it must not send it again.
+func TestNonRepeatableCallIsSentOnce(t *testing.T) {
 	f := newFixture(t, 1)
 	response, body := f.post(t, servicesPath+"records/add?x=1", "first")
 	if response.StatusCode != http.StatusOK || body != "first" {
@@ -208,22 +211,22 @@
 	}
 }
 
-// TestDrainCutsNothing stops the router while answers are in progress.
-func TestDrainCutsNothing(t *testing.T) {
+// TestDrainCompletesRequests stops the router while requests are in progress; all must complete.
+func TestDrainCompletesRequests(t *testing.T) {
 	f := newFixture(t, 2)
 	const count = 20
 	outcomes := make(chan string, count)
 	for i := range count {
 		go func() {
-			body := bytes.ReplaceAll([]byte(streamed), []byte("hello"), []byte{byte('a' + i)})
+			body := bytes.ReplaceAll([]byte(streamedChat), []byte("hello"), []byte{byte('a' + i)})
 			response, _ := f.post(t, chatPath, string(body))
 			outcomes <- response.Trailer.Get(slipwick.OutcomeHeader)
 		}()
 	}
 	deadline := time.Now().Add(10 * time.Second)
-	for testutil.ToFloat64(f.router.front.metrics.InFlight) < count {
+	for testutil.ToFloat64(f.router.frontend.metrics.InFlight) < count {
 		if time.Now().After(deadline) {
-			t.Fatal("the requests did not get in progress")
+			t.Fatal("not all requests are in progress after 10 s")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/cmd/internal/daemon/routes.go
+++ b/cmd/internal/daemon/routes.go
@@ -8,7 +8,7 @@
 	"github.com/slipwick/slipwick/configuration"
 )
 
-// routes answers whose request it is and where it goes, for one version of
+// routes maps API keys to workspaces and requests to pools, for one version of
 // the configuration.
 type routes struct {
 	version    slipwick.Version
@@ -31,7 +31,7 @@
 	return r
 }
 
-// workspace finds whose key the request carries.
+// workspace returns the workspace that the API key in the header belongs to.
 func (r *routes) workspace(header http.Header) (*configuration.Workspace, error) {
 	key, found := strings.CutPrefix(header.Get("Authorization"), "Bearer ")
 	if workspace := r.workspaces[configuration.HashKey(key)]; found && workspace != nil {
@@ -45,8 +45,8 @@
 	}
 }
 
-// pools gives where a workspace's requests for a model or service go, best
-// first, among pools of the kind.
+// pools returns the pools of the kind that a workspace's requests for a model or service go to:
+// the pool of the first matching rule, then its fallback. It returns nil if no rule has one.
 func (r *routes) pools(workspace, model string, kind configuration.PoolKind) []configuration.Pool {
 	for _, rule := range r.state.Rules {
 		if !rule.Matches(workspace, model) {
--- a/cmd/internal/daemon/secure.go
+++ b/cmd/internal/daemon/secure.go
@@ -11,8 +11,9 @@
 	"github.com/slipwick/slipwick/keyfiles"
 )
 
-// secure puts TLS and signatures in force where the settings have them.
-func (r *Router) secure() error {
+// enableTLS enables TLS on the listeners and streams, and signatures on the membership packets,
+// as far as the settings name files for them.
+func (r *Router) enableTLS() error {
 	settings := r.Settings.TLS
 	if settings.Callers != nil {
 		loader, err := keyfiles.NewLoader(*settings.Callers)
@@ -36,10 +37,10 @@
 	if err != nil {
 		return errors.Wrap(err, "tls.secret")
 	}
-	const least = 16
-	if r.udp.Secret = bytes.TrimSpace(secret); len(r.udp.Secret) < least {
+	const minSecretBytes = 16
+	if r.udp.Secret = bytes.TrimSpace(secret); len(r.udp.Secret) < minSecretBytes {
 		return errors.Errorf("tls.secret: %s holds fewer than %d bytes; fill it from openssl rand -hex 32",
-			settings.Secret, least)
+			settings.Secret, minSecretBytes)
 	}
 	return nil
 }
--- a/cmd/internal/daemon/secure_test.go
+++ b/cmd/internal/daemon/secure_test.go
@@ -16,8 +16,9 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-// TestRoutersOverTLS has two routers find each other and share slots over TLS
-// and signed packets, and refuses a caller without a certificate of the fleet.
+// TestRoutersOverTLS checks that two routers find each other and share slots over TLS and signed
+// packets. A router without them must not become a member, and a connection without a certificate
+// of the fleet must be refused.
 func TestRoutersOverTLS(t *testing.T) {
 	authority, err := standin.NewAuthority()
 	if err != nil {
@@ -44,29 +45,29 @@
 	deadline := time.Now().Add(20 * time.Second)
 	for !slices.Equal(second.StatusNow().Members, []string{"t1", "t2"}) {
 		if time.Now().After(deadline) {
-			t.Fatalf("got members %v, want t1 and t2, and not the plain r1", second.StatusNow().Members)
+			t.Fatalf("got members %v, want t1 and t2, without r1, which has no TLS", second.StatusNow().Members)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	// One of the two owns the engines of a data centre, so that chats through
-	// both need the stream between them.
+	// Only one of the two routers owns the engines of the data centre, so the
+	// other needs the stream between them to get slots.
 	for _, router := range []*Router{first, second} {
 		f.router = router
 		for i := range 6 {
-			body := strings.ReplaceAll(wholeChat, "hello", string(rune('a'+i)))
-			if response, answer := f.post(t, chatPath, body); response.StatusCode != http.StatusOK {
-				t.Errorf("got status %d through %s: %s", response.StatusCode, router.Settings.ID, answer)
+			body := strings.ReplaceAll(bufferedChat, "hello", string(rune('a'+i)))
+			if response, content := f.post(t, chatPath, body); response.StatusCode != http.StatusOK {
+				t.Errorf("got status %d through %s: %s", response.StatusCode, router.Settings.ID, content)
 			}
 		}
 	}
 	if sent := first.mesh.Sent.Load(); sent == 0 {
-		t.Error("got no bytes sent between the routers, want slots to have been shared")
+		t.Error("got no bytes sent between the routers, want slot requests")
 	}
-	refused(t, first.PeersAddress())
+	expectRefused(t, first.PeersAddress())
 }
 
-// refused opens a stream without a certificate.
-func refused(t *testing.T, address string) {
+// expectRefused checks that a stream without a certificate is refused.
+func expectRefused(t *testing.T, address string) {
 	t.Helper()
 	connection, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()))
@@ -83,13 +84,13 @@
 	}
 }
 
-// startAnother starts one more router with the settings, under another name.
+// startAnother starts one more router with the settings and the ID. f.router stays the same.
 func (f *fixture) startAnother(t *testing.T, settings Settings, id string) *Router {
 	t.Helper()
 	settings.ID = id
-	plain := f.router
+	previous := f.router
 	f.startWith(t, &settings)
 	started := f.router
-	f.router = plain
+	f.router = previous
 	return started
 }
--- a/cmd/internal/daemon/servicehandler.go
+++ b/cmd/internal/daemon/servicehandler.go
@@ -16,35 +16,36 @@
 
 const servicesPath = "/v1/services/"
 
-// service serves calls to plain services by path.
-func (f *front) service(c echo.Context) error {
-	a, err := f.begin(c)
+// handleService serves calls to plain services below servicesPath. The first element of the path is
+// the service.
+func (f *frontend) handleService(c echo.Context) error {
+	cr, err := f.accept(c)
 	if err != nil {
-		return f.refuse(c, a, err)
+		return f.refuse(c, cr, err)
 	}
-	request, err := f.serviceRequest(c, a)
+	request, err := f.serviceRequest(c, cr)
 	if err != nil {
-		return f.refuse(c, a, err)
+		return f.refuse(c, cr, err)
 	}
-	key, err := f.claimKey(c.Request().Context(), a, c.Request().Header)
+	claim, err := f.claimKey(c.Request().Context(), cr, c.Request().Header)
 	if err != nil {
-		return f.refuse(c, a, err)
+		return f.refuse(c, cr, err)
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), f.limits.Service.Or(defaultService))
 	defer cancel()
-	// Calls without a chat are spread by their own ID.
+	// Calls without a chat are distributed by their request ID.
 	identity := c.Request().Header.Get(chat.IdentityHeader)
 	if identity == "" {
-		identity = a.id
+		identity = cr.id
 	}
-	call := a.call(placement.ChatKey(a.workspace.Name, identity))
-	call.Key = quarantine.KeyOf(a.workspace.Name, request.Method, call.Pools[0]+request.Path, request.Body)
+	call := cr.dispatchCall(placement.ChatKey(cr.workspace.Name, identity))
+	call.Key = quarantine.KeyOf(cr.workspace.Name, request.Method, call.Pools[0]+request.Path, request.Body)
 	response, err := f.dispatcher.Call(ctx, call, request)
-	key.ended(err)
+	claim.recordOutcome(err)
 	if err != nil {
-		return f.refuse(c, a, err)
+		return f.refuse(c, cr, err)
 	}
-	f.ended(a, nil)
+	f.recordEnd(cr, nil)
 	header := c.Response().Header()
 	for name, values := range response.Header {
 		header[name] = values
@@ -53,35 +54,36 @@
 	return c.Blob(response.Status, response.Header.Get("Content-Type"), response.Body)
 }
 
-func (f *front) serviceRequest(c echo.Context, a *arrival) (slipwick.ServiceRequest, error) {
+// serviceRequest reads the request and sets the pools that it may go to.
+func (f *frontend) serviceRequest(c echo.Context, cr *callerRequest) (slipwick.ServiceRequest, error) {
 	name := c.Param("name")
-	a.pools = a.routes.pools(a.workspace.Name, name, configuration.PoolService)
-	if len(a.pools) == 0 {
+	cr.pools = cr.routes.pools(cr.workspace.Name, name, configuration.PoolService)
+	if len(cr.pools) == 0 {
 		return slipwick.ServiceRequest{}, &slipwick.Error{
 			Kind:    slipwick.KindUnknownService,
-			Message: "workspace " + a.workspace.Name + " has no rule for service " + name,
+			Message: "workspace " + cr.workspace.Name + " has no rule for service " + name,
 			Remedy:  "use a service that the workspace has, or have a rule added",
 			Outcome: slipwick.OutcomeNotRun,
 		}
 	}
-	call := c.Request()
-	if err := a.setRepeatable(call.Header); err != nil {
+	incoming := c.Request()
+	if err := cr.setRepeatable(incoming.Header); err != nil {
 		return slipwick.ServiceRequest{}, err
 	}
-	if safe(call.Method) {
-		a.repeatable = true
+	if isSafeMethod(incoming.Method) {
+		cr.repeatable = true
 	}
 	body, err := f.body(c)
 	return slipwick.ServiceRequest{
-		ID:     a.id,
-		Method: call.Method,
-		Path:   strings.TrimPrefix(call.URL.RequestURI(), servicesPath+name),
-		Header: call.Header,
+		ID:     cr.id,
+		Method: incoming.Method,
+		Path:   strings.TrimPrefix(incoming.URL.RequestURI(), servicesPath+name),
+		Header: incoming.Header,
 		Body:   body,
 	}, err
 }
 
-// safe tells whether the method reads only, by the HTTP standard.
-func safe(method string) bool {
+// isSafeMethod reports whether the HTTP standard defines the method as read-only.
+func isSafeMethod(method string) bool {
 	return method == http.MethodGet || method == http.MethodHead || method == http.MethodOptions
 }
--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -11,7 +11,7 @@
 	"github.com/slipwick/slipwick/stream"
 )
 
-// Settings are what one router process is started with.
+// Settings is the content of a router's settings file.
 type Settings struct {
 	// ID is unique in the fleet.
 	ID         string   `json:"id" validate:"required,max=100"`
@@ -19,8 +19,8 @@
 	Region     string   `json:"region"`
 	Listen     Listen   `json:"listen"`
 	Platform   Platform `json:"platform"`
-	// Seeds are peers addresses of other routers, for a start while the
-	// platform is down.
+	// Seeds are addresses, listen.peers, of other routers. They let a router join the
+	// fleet while the platform is down.
 	Seeds  []string `json:"seeds" validate:"dive,hostname_port"`
 	TLS    TLS      `json:"tls"`
 	Limits Limits   `json:"limits"`
@@ -34,44 +34,44 @@
 	Peers     string `json:"peers" validate:"required,hostname_port"`
 }
 
-// Platform says where the platform's service is.
+// Platform holds the URL of the platform's API.
 type Platform struct {
 	URL string `json:"url" validate:"required,url"`
 }
 
-// TLS names the files that secure connections. What is left out stays plain.
+// TLS names the certificate and key files. Connections without files are not encrypted.
 type TLS struct {
 	Callers *keyfiles.Files `json:"callers"`
 	Peers   *keyfiles.Files `json:"peers"`
-	// Secret is a file whose content, the same at all routers, signs the
-	// packets of membership.
+	// Secret is the path of a file whose content signs the membership packets. It has to be
+	// the same at all routers and at least 16 bytes long.
 	Secret string `json:"secret"`
 }
 
-// Limits bound what one request may take. Zero fields take the defaults.
+// Limits holds the limits of requests and of the drain. Zero fields take the defaults.
 type Limits struct {
 	BodyBytes int64 `json:"body_bytes" validate:"min=0"`
 	// Hold bounds the wait for a slot.
 	Hold          jsonfile.Duration `json:"hold" validate:"min=0"`
 	FirstToken    jsonfile.Duration `json:"first_token" validate:"min=0"`
 	BetweenTokens jsonfile.Duration `json:"between_tokens" validate:"min=0"`
-	// Service bounds a call to a plain service.
+	// Service bounds the time of a call to a plain service.
 	Service jsonfile.Duration `json:"service" validate:"min=0"`
-	// Write bounds one write to a slow caller.
+	// Write bounds the time of one write to a slow caller.
 	Write jsonfile.Duration `json:"write" validate:"min=0"`
-	// Announce is how long a draining router still takes requests, so that
-	// the balancer sees that it is no longer ready.
+	// Announce is how long a draining router still accepts requests, so that
+	// the load balancer sees that it is no longer ready.
 	Announce jsonfile.Duration `json:"announce" validate:"min=0"`
 	// Drain bounds the wait for requests in progress.
 	Drain jsonfile.Duration `json:"drain" validate:"min=0"`
 }
 
-// Log says how much is logged.
+// Log holds the log level; empty means info.
 type Log struct {
 	Level string `json:"level" validate:"omitempty,oneof=debug info warn error"`
 }
 
-// Defaults of Limits.
+// Defaults of Limits, and how often a broken stream is resumed.
 const (
 	defaultBodyBytes     = 1 << 20
 	defaultHold          = 10 * time.Second
@@ -81,11 +81,11 @@
 	defaultWrite         = 10 * time.Second
 	defaultAnnounce      = 2 * time.Second
 	defaultDrain         = 5 * time.Minute
-	resumes              = 3
+	maxResumes           = 3
 )
 
-// ReadSettings reads a settings file. The error is jsonfile.Mistakes when the
-// file could be read but not accepted.
+// ReadSettings reads and checks a settings file. The error is jsonfile.Mistakes when the
+// file could be read but is not valid.
 func ReadSettings(path string) (*Settings, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -118,6 +118,6 @@
 	return stream.Limits{
 		FirstToken:    l.FirstToken.Or(defaultFirstToken),
 		BetweenTokens: l.BetweenTokens.Or(defaultBetweenTokens),
-		Resumes:       resumes,
+		Resumes:       maxResumes,
 	}
 }
--- a/cmd/internal/daemon/status.go
+++ b/cmd/internal/daemon/status.go
@@ -5,7 +5,7 @@
 	"github.com/slipwick/slipwick/admission"
 )
 
-// Status is what one router tells operators of itself.
+// Status is the state of one router, as GET /v1/status reports it to operators.
 type Status struct {
 	Router        string           `json:"router"`
 	DataCentre    string           `json:"data_centre"`
@@ -14,15 +14,15 @@
 	Configuration slipwick.Version `json:"configuration_version"`
 	PlatformCalls int64            `json:"platform_calls"`
 	ControlBytes  int64            `json:"control_bytes"`
-	// Members are the routers that it does not count as dead.
+	// Members are the IDs of the routers that it does not count as dead, itself included.
 	Members []string `json:"members"`
-	// Owned are the backend servers whose slots it grants.
+	// Owned holds the backend servers whose slots it grants.
 	Owned []admission.Status `json:"owned"`
-	// Journals are those of request keys that it holds.
+	// Journals are the numbers of the claim journals that it holds.
 	Journals []int `json:"journals"`
 }
 
-// StatusNow gives the router's status.
+// StatusNow returns the current status of the router. Call it only after Started.
 func (r *Router) StatusNow() Status {
 	status := Status{
 		Router:        r.Settings.ID,
--- a/cmd/internal/daemon/streamwriter.go
+++ b/cmd/internal/daemon/streamwriter.go
@@ -13,51 +13,52 @@
 	"github.com/slipwick/slipwick/sse"
 )
 
-// streamWriter passes an answer on event by event. The outcome follows in the
-// trailer; an error after the first event is an event of its own.
+// streamWriter forwards a response event by event. The outcome follows in the trailer;
+// an error after the first event is sent as an event.
 type streamWriter struct {
-	context    echo.Context
-	controller *http.ResponseController
-	limit      time.Duration
-	metrics    *Metrics
-	arrival    *arrival
-	last       time.Time
-	started    bool
+	context      echo.Context
+	controller   *http.ResponseController
+	writeTimeout time.Duration
+	metrics      *Metrics
+	request      *callerRequest
+	lastEvent    time.Time
+	started      bool
 }
 
-func newStreamWriter(c echo.Context, f *front, a *arrival) *streamWriter {
+func newStreamWriter(c echo.Context, f *frontend, cr *callerRequest) *streamWriter {
 	return &streamWriter{
-		context:    c,
-		controller: http.NewResponseController(c.Response().Writer),
-		limit:      f.limits.Write.Or(defaultWrite),
-		metrics:    f.metrics,
-		arrival:    a,
-		last:       a.started,
+		context:      c,
+		controller:   http.NewResponseController(c.Response().Writer),
+		writeTimeout: f.limits.Write.Or(defaultWrite),
+		metrics:      f.metrics,
+		request:      cr,
+		lastEvent:    cr.started,
 	}
 }
 
 func (w *streamWriter) event(event slipwick.StreamEvent) error {
 	now := time.Now()
-	w.observe(now.Sub(w.last))
-	w.last = now
-	w.begin()
+	w.observe(now.Sub(w.lastEvent))
+	w.lastEvent = now
+	w.sendHeader()
 	if event.End {
 		return w.write([]byte(engine.EndMarker))
 	}
 	return w.write(event.Data)
 }
 
+// observe records the time to the first token, then the times between tokens.
 func (w *streamWriter) observe(wait time.Duration) {
 	histogram := w.metrics.BetweenTokens
 	if !w.started {
 		histogram = w.metrics.FirstToken
-		w.arrival.firstToken = wait
+		w.request.firstToken = wait
 	}
-	histogram.WithLabelValues(w.arrival.workspace.Name).Observe(wait.Seconds())
+	histogram.WithLabelValues(w.request.workspace.Name).Observe(wait.Seconds())
 }
 
-// begin sends the header with the first event.
-func (w *streamWriter) begin() {
+// sendHeader sends the response header before the first event.
+func (w *streamWriter) sendHeader() {
 	if w.started {
 		return
 	}
@@ -69,10 +70,10 @@
 	w.context.Response().WriteHeader(http.StatusOK)
 }
 
-// write sends one event; a caller that reads too slowly is given up.
+// write sends one event. It fails if the caller reads too slowly for the write timeout.
 func (w *streamWriter) write(data []byte) error {
-	if err := w.controller.SetWriteDeadline(time.Now().Add(w.limit)); err != nil {
-		return errors.Wrap(err, "bound write")
+	if err := w.controller.SetWriteDeadline(time.Now().Add(w.writeTimeout)); err != nil {
+		return errors.Wrap(err, "set write deadline")
 	}
 	if err := sse.Write(w.context.Response(), sse.Event{
 		Data: data,
@@ -92,9 +93,9 @@
 		return writeFailure(w.context, failure, repeatable)
 	}
 	w.context.Response().Header().Set(slipwick.OutcomeHeader, string(failure.Outcome))
-	encoded, err := json.Marshal(detailOf(failure))
+	encoded, err := json.Marshal(failureBodyOf(failure))
 	if err != nil {
-		return errors.Wrap(err, "encode failure")
+		return errors.Wrap(err, "encode error event")
 	}
 	if err := w.write(encoded); err != nil {
 		return err
