--- a/cmd/internal/cli/command.go
+++ b/cmd/internal/cli/command.go
@@ -6,16 +6,17 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// Command runs what the command line chose.
+// Command runs one command of the command line until it is done or ctx ends.
 type Command func(ctx context.Context) error
 
-// Choose is told which command the command line chose.
+// SelectFunc is called while the command line is parsed, with the command that it selects.
 type Choose func(Command)
 
-// Add makes a command of the clause: parsing it chooses run.
-func Add(clause *kingpin.CmdClause, choose Choose, run Command) *kingpin.CmdClause {
+// AddCommand attaches run to the clause: if the parsed command line names the clause, run is passed
+// to selectCommand. It returns the clause, for its flags and arguments.
+func Add(clause *kingpin.CmdClause, selectCommand Choose, run Command) *kingpin.CmdClause {
 	return clause.Action(func(*kingpin.ParseContext) error {
-		choose(run)
+		selectCommand(run)
 		return nil
 	})
 }
--- a/cmd/internal/cli/doc.go
+++ b/cmd/internal/cli/doc.go
@@ -1,3 +1,3 @@
 // Package cli holds what the commands share: streams, output, exit codes and
-// the way to the platform and the routers.
+// clients of the platform and the routers.
 package cli
--- a/cmd/internal/cli/exit.go
+++ b/cmd/internal/cli/exit.go
@@ -10,38 +10,38 @@
 // The exit codes; docs/CLI.md lists them.
 const (
 	ExitOK = 0
-	// ExitFailed is any failure without a code of its own.
+	// ExitFailed stands for any failure without an exit code of its own.
 	ExitFailed = 1
-	// ExitUsage is a wrong command line or a file with mistakes.
+	// ExitUsage stands for an invalid command line or file.
 	ExitUsage = 2
-	// ExitConflict is a write that another operator won.
+	// ExitConflict stands for a write that lost against a concurrent write of another operator.
 	ExitConflict = 3
-	// ExitUnavailable is a platform or router that gave no answer.
+	// ExitUnavailable stands for a platform or router that did not respond.
 	ExitUnavailable = 4
-	// ExitDiffers is a diff that found differences.
+	// ExitDiffers stands for a diff that found differences.
 	ExitDiffers = 5
 )
 
-// ErrDiffers ends a diff that found differences.
+// ErrDiffers is returned by a diff that found differences.
 var ErrDiffers = errors.New("the files differ from the configuration in force; apply them to put them in force")
 
-// UsageError is a wrong command line.
+// UsageError is an error in the command line, with what to do about it.
 type UsageError struct {
 	Cause  error
 	Remedy string
 }
 
-// Error gives the cause and the remedy.
+// Error returns the cause and the remedy.
 func (u *UsageError) Error() string {
 	return u.Cause.Error() + "; " + u.Remedy
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (u *UsageError) Unwrap() error {
 	return u.Cause
 }
 
-// Usage marks an error as a wrong command line.
+// NewUsageError returns a *UsageError, for which ExitCode returns ExitUsage.
 func Usage(cause error, remedy string) error {
 	return &UsageError{
 		Cause:  cause,
@@ -49,7 +49,7 @@
 	}
 }
 
-// ExitCode gives the exit code for an error.
+// ExitCode returns the exit code for an error; ExitOK for nil.
 func ExitCode(err error) int {
 	var usage *UsageError
 	var mistakes jsonfile.Mistakes
--- a/cmd/internal/cli/factory.go
+++ b/cmd/internal/cli/factory.go
@@ -17,29 +17,29 @@
 
 const routerTimeout = 5 * time.Second
 
-// Factory gives commands their way to the platform and the routers.
+// Factory creates the clients that commands use to call the platform and the routers.
 type Factory struct {
 	Streams  Streams
 	Platform string
 	Routers  []string
 }
 
-// Register adds the flags that all commands share.
+// Register adds the flags that all commands share; parsing them sets the fields.
 func (f *Factory) Register(app *kingpin.Application) {
-	app.Flag("platform", "URL of the platform's service.").Envar("SLIPWICK_PLATFORM").
+	app.Flag("platform", "URL of the platform.").Envar("SLIPWICK_PLATFORM").
 		Default("http://127.0.0.1:8500").StringVar(&f.Platform)
-	app.Flag("router", "A router's operators address, HOST:PORT; may be repeated.").
+	app.Flag("router", "Address of a router for operators, HOST:PORT; may be repeated.").
 		Envar("SLIPWICK_ROUTERS").StringsVar(&f.Routers)
 }
 
-// Keeper gives access to the configuration in the platform.
+// Keeper returns access to the configuration that the platform stores.
 func (f *Factory) Keeper() *configuration.Repository {
 	return &configuration.Repository{
 		Store: f.Store(),
 	}
 }
 
-// Store gives access to the platform.
+// Store returns a client of the platform.
 func (f *Factory) Store() slipwick.Store {
 	return &objectapi.Client{
 		BaseURL: f.Platform,
@@ -47,15 +47,18 @@
 	}
 }
 
-// RouterAddresses gives the routers named on the command line.
+// RouterAddresses returns the addresses of the routers named with --router, or a usage error if
+// there are none.
 func (f *Factory) RouterAddresses() ([]string, error) {
 	if len(f.Routers) == 0 {
-		return nil, Usage(fmt.Errorf("no router is named"), "add --router HOST:PORT or set SLIPWICK_ROUTERS")
+		return nil, Usage(fmt.Errorf("no router specified"), "add --router HOST:PORT or set SLIPWICK_ROUTERS")
 	}
 	return f.Routers, nil
 }
 
-// ReadRouter reads a JSON answer from a router's operators address.
+// ReadRouter sends a GET request for path to the operators address of a router and decodes the JSON
+// response into the given value. A router that does not respond within 5 s, or not with status 200,
+// is an error of slipwick.KindUnavailable.
 func (f *Factory) ReadRouter(ctx context.Context, address, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, routerTimeout)
 	defer cancel()
@@ -65,20 +68,20 @@
 	}
 	response, err := httpclient.New().Do(request)
 	if err != nil {
-		return noRouter(address, err)
+		return routerUnavailable(address, err)
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		return noRouter(address, fmt.Errorf("answered %s", response.Status))
+		return routerUnavailable(address, fmt.Errorf("response status %s", response.Status))
 	}
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-func noRouter(address string, cause error) error {
+func routerUnavailable(address string, cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindUnavailable,
-		Message: "router " + address + " gave no answer",
-		Remedy:  "check its operators address and that it runs",
+		Message: "router " + address + " did not respond",
+		Remedy:  "check its operators address and whether it is running",
 		Cause:   cause,
 	}
 }
--- a/cmd/internal/cli/streams.go
+++ b/cmd/internal/cli/streams.go
@@ -8,17 +8,17 @@
 	"golang.org/x/term"
 )
 
-// Streams are a command's input and output, injected so that commands are
-// tested without a terminal.
+// Streams holds the input and output of a command. They are injected so that commands can
+// be tested without a terminal.
 type Streams struct {
 	In  io.Reader
 	Out io.Writer
 	Err io.Writer
-	// Terminal says that Out is one.
+	// Terminal is set if Out is a terminal.
 	Terminal bool
 }
 
-// System gives the streams of the process.
+// SystemStreams returns the standard streams of the process.
 func System() Streams {
 	return Streams{
 		In:       os.Stdin,
@@ -28,7 +28,7 @@
 	}
 }
 
-// Fail prints the error and gives its exit code.
+// Fail prints the error to Err, after the name of the program, and returns its exit code.
 func (s Streams) Fail(program string, err error) int {
 	_, _ = fmt.Fprintf(s.Err, "%s: %v\n", program, err)
 	return ExitCode(err)
--- a/cmd/internal/cli/table.go
+++ b/cmd/internal/cli/table.go
@@ -7,14 +7,14 @@
 	"text/tabwriter"
 )
 
-// Table is output for people.
+// Table is the output of a command in a form for people.
 type Table struct {
 	Header []string
 	Rows   [][]string
 }
 
-// Print writes the table on a terminal, and value as JSON elsewhere or when
-// asked for.
+// Print writes the table if Out is a terminal. It writes value as JSON if Out is not a
+// terminal or asJSON is set.
 func (s Streams) Print(asJSON bool, value any, table Table) error {
 	if asJSON || !s.Terminal {
 		encoder := json.NewEncoder(s.Out)
