--- a/cmd/slipwickd/failure_test.go
+++ b/cmd/slipwickd/failure_test.go
@@ -16,16 +16,17 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-// stream is one caller's stream and how it ended.
+// stream is one streamed chat of a caller and its result.
 type stream struct {
-	question string
+	prompt   string
 	router   int
 	outcome  slipwick.Outcome
-	whole    bool
+	complete bool
 }
 
-// TestKillAndDrain kills one of three routers and drains another during 200
-// streams that may not be repeated.
+// TestKillAndDrain kills one of three routers and drains another during 200 streams that may not be
+// repeated. No request may run twice or have a wrong outcome, and only streams through the killed
+// router may break.
 func TestKillAndDrain(t *testing.T) {
 	const count, killAt, drainAt = 200, 100, 125
 	const killed, drained = 0, 1
@@ -47,19 +48,19 @@
 			}
 		})
 	}
-	// The routers' first window as owners.
+	// Waits until the takeover window of the routers, which have just become owners, has ended.
 	time.Sleep(4 * time.Second)
 	streams := make([]stream, count)
-	var parts sync.WaitGroup
+	var callers sync.WaitGroup
 	for i := range streams {
 		s := &streams[i]
-		s.question = fmt.Sprintf("question %d", i)
+		s.prompt = fmt.Sprintf("question %d", i)
 		s.router = i % len(addresses)
-		// The balancer sends nothing new to a router that is not ready.
+		// A load balancer sends no new requests to a router that is not ready.
 		if i > drainAt && s.router == drained {
 			s.router = 2
 		}
-		parts.Go(func() { s.run(t.Context(), addresses[s.router]) })
+		callers.Go(func() { s.run(t.Context(), addresses[s.router]) })
 		time.Sleep(8 * time.Millisecond)
 		switch i {
 		case killAt:
@@ -68,46 +69,47 @@
 			stops[drained](syscall.SIGTERM)
 		}
 	}
-	parts.Wait()
+	callers.Wait()
 	stops[2](syscall.SIGTERM)
-	check(t, streams, engines, killed)
+	checkStreams(t, streams, engines, killed)
 }
 
-// check compares what callers saw with the engines' record.
-func check(t *testing.T, streams []stream, engines []*standin.Engine, killed int) {
+// checkStreams compares the results of the callers with the runs that the engines recorded.
+func checkStreams(t *testing.T, streams []stream, engines []*standin.Engine, killed int) {
 	t.Helper()
 	completed := make(map[int]int)
 	for _, s := range streams {
 		runs := 0
 		for _, e := range engines {
-			runs += e.Runs()[standin.Digest(fmt.Sprintf("%q", s.question))]
+			runs += e.Runs()[standin.Digest(fmt.Sprintf("%q", s.prompt))]
 		}
 		if runs > 1 {
-			t.Errorf("%s ran %d times, want at most once", s.question, runs)
+			t.Errorf("%s ran %d times, want at most once", s.prompt, runs)
 		}
 		if s.outcome == slipwick.OutcomeNotRun && runs > 0 {
-			t.Errorf("%s was told not-run and ran", s.question)
+			t.Errorf("%s: got outcome not-run, but it ran", s.prompt)
 		}
-		if s.outcome == slipwick.OutcomeCompleted && !s.whole {
-			t.Errorf("%s was told completed and is not whole", s.question)
+		if s.outcome == slipwick.OutcomeCompleted && !s.complete {
+			t.Errorf("%s: got outcome completed with an incomplete response", s.prompt)
 		}
 		if s.outcome == slipwick.OutcomeCompleted {
 			completed[s.router]++
 		}
-		cut := s.outcome != slipwick.OutcomeCompleted && s.outcome != slipwick.OutcomeNotRun
-		if cut && s.router != killed {
-			t.Errorf("%s through router %d: got outcome %q, want completed or not-run", s.question, s.router, s.outcome)
+		broken := s.outcome != slipwick.OutcomeCompleted && s.outcome != slipwick.OutcomeNotRun
+		if broken && s.router != killed {
+			t.Errorf("%s through router %d: got outcome %q, want completed or not-run", s.prompt, s.router, s.outcome)
 		}
 	}
 	t.Logf("completed by router: %v", completed)
 	if completed[0] == 0 || completed[1] == 0 || completed[2] == 0 {
-		t.Errorf("got %v completed, want some through each router", completed)
+		t.Errorf("got %v completed by router, want some through each", completed)
 	}
 }
 
-// run sends the request once. Without a connection it was not run.
+// run sends the request once and records the result. If the connection is refused, the request was
+// not run.
 func (s *stream) run(ctx context.Context, address string) {
-	body := fmt.Sprintf(`{"model":"m","stream":true,"messages":[{"role":"user","content":%q}]}`, s.question)
+	body := fmt.Sprintf(`{"model":"m","stream":true,"messages":[{"role":"user","content":%q}]}`, s.prompt)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+engine.CompletionsPath,
 		io.MultiReader(strings.NewReader(body)))
 	if err != nil {
@@ -116,7 +118,7 @@
 	request.ContentLength = int64(len(body))
 	request.Header.Set("Authorization", "Bearer secret")
 	request.Header.Set("Slipwick-Repeatable", "false")
-	// A connection of its own: none is closing when the request is sent.
+	// Each request has its own connection; a kept one could be closing when the request is sent.
 	request.Close = true
 	client := &http.Client{
 		Transport: &http.Transport{
@@ -131,8 +133,8 @@
 		return
 	}
 	defer func() { _ = response.Body.Close() }()
-	answer, err := io.ReadAll(response.Body)
-	s.whole = err == nil && strings.Contains(string(answer), "data: "+engine.EndMarker)
+	content, err := io.ReadAll(response.Body)
+	s.complete = err == nil && strings.Contains(string(content), "data: "+engine.EndMarker)
 	s.outcome = slipwick.Outcome(response.Trailer.Get(slipwick.OutcomeHeader))
 	if response.StatusCode != http.StatusOK {
 		s.outcome = slipwick.Outcome(response.Header.Get(slipwick.OutcomeHeader))
--- a/cmd/slipwickd/gateway_test.go
+++ b/cmd/slipwickd/gateway_test.go
@@ -29,7 +29,7 @@
 		"targets": [{"pool": "p"}]}],
 }`
 
-// gatewayBinary is the real gateway before a backend server that counts runs.
+// gatewayBinary is a running slipwickd gateway, with a backend server that counts runs.
 type gatewayBinary struct {
 	process *exec.Cmd
 	callers string
@@ -39,6 +39,7 @@
 	runs    atomic.Int64
 }
 
+// startGateway builds and starts slipwickd gateway with table version 1, and waits until it is ready.
 func startGateway(t *testing.T) *gatewayBinary {
 	t.Helper()
 	g := &gatewayBinary{
@@ -66,7 +67,7 @@
 	g.process.Stdout, g.process.Stderr = &output, &output
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Logf("the gateway wrote: %s", output.String())
+			t.Logf("output of the gateway: %s", output.String())
 		}
 	})
 	if err := g.process.Start(); err != nil {
@@ -74,13 +75,14 @@
 	}
 	t.Cleanup(func() {
 		_ = g.process.Process.Kill()
-		// It may have been waited for.
+		// The error is ignored: the test may have waited for the process already.
 		_ = g.process.Wait()
 	})
-	g.await(t, "readiness", func() bool { return g.status("http://"+g.ready+"/readyz", "") == http.StatusOK })
+	g.await(t, "the gateway is ready", func() bool { return g.status("http://"+g.ready+"/readyz", "") == http.StatusOK })
 	return g
 }
 
+// setTable writes the table file with a version, whose route has the prefix /vVERSION/.
 func (g *gatewayBinary) setTable(t *testing.T, version int) {
 	t.Helper()
 	text := fmt.Sprintf(gatewayTable, version, g.backend.Listener.Addr(), version)
@@ -89,7 +91,8 @@
 	}
 }
 
-func (g *gatewayBinary) await(t *testing.T, what string, condition func() bool) {
+// await polls the condition for 5 s.
+func (g *gatewayBinary) await(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 200 {
 		if condition() {
@@ -97,10 +100,11 @@
 		}
 		time.Sleep(25 * time.Millisecond)
 	}
-	t.Fatalf("%s: not within 5 s", what)
+	t.Fatalf("not within 5 s: %s", description)
 }
 
-// status asks and gives the status; 0 without an answer.
+// status sends a request with the ID and returns the status of the response. It returns 0 if there is
+// no response, or if a 200 belongs to another request.
 func (g *gatewayBinary) status(address, id string) int {
 	request, err := http.NewRequest(http.MethodPost, address, http.NoBody)
 	if err != nil {
@@ -127,12 +131,12 @@
 	}
 }
 
-// TestGatewayBinaryLosesNothing has callers go on through a change of the
-// table, a SIGHUP and a SIGTERM, over kept connections: every request has to get
-// its own answer or a refusal, and runs are as many as answers.
-func TestGatewayBinaryLosesNothing(t *testing.T) {
+// TestGatewayBinaryLosesNoRequests has callers send requests over persistent connections during a
+// SIGHUP and a SIGTERM. Every request must get its own response or a refusal, and the backend server
+// must have run exactly the requests with a response.
+func TestGatewayBinaryLosesNoRequests(t *testing.T) {
 	g := startGateway(t)
-	var answered, refused, lost atomic.Int64
+	var served, refused, lost atomic.Int64
 	stop := make(chan struct{})
 	var callers sync.WaitGroup
 	for caller := range 8 {
@@ -145,7 +149,7 @@
 				}
 				switch g.status("http://"+g.callers+"/v1/x", fmt.Sprintf("q-%d-%d", caller, n)) {
 				case http.StatusOK:
-					answered.Add(1)
+					served.Add(1)
 				case http.StatusServiceUnavailable:
 					refused.Add(1)
 					time.Sleep(10 * time.Millisecond)
@@ -159,34 +163,36 @@
 	g.signal(t, syscall.SIGHUP)
 	time.Sleep(300 * time.Millisecond)
 	g.signal(t, syscall.SIGTERM)
-	// The gateway serves on for a while, then refuses, and only then ends.
-	g.await(t, "refusals", func() bool { return refused.Load() > 0 })
+	// The gateway keeps serving for a while, then refuses requests, and only then exits.
+	g.await(t, "a request is refused", func() bool { return refused.Load() > 0 })
 	close(stop)
 	callers.Wait()
 	if err := g.process.Wait(); err != nil {
 		t.Errorf("got %v after SIGTERM, want exit code 0", err)
 	}
-	if lost.Load() > 0 || answered.Load() < 100 || refused.Load() == 0 {
-		t.Errorf("got %d answers, %d refusals and %d lost; want many, some and none",
-			answered.Load(), refused.Load(), lost.Load())
+	if lost.Load() > 0 || served.Load() < 100 || refused.Load() == 0 {
+		t.Errorf("got %d responses, %d refusals and %d lost; want at least 100, some and none",
+			served.Load(), refused.Load(), lost.Load())
 	}
-	if got, want := g.runs.Load(), answered.Load(); got != want {
-		t.Errorf("got %d runs, want the %d that were answered", got, want)
+	if got, want := g.runs.Load(), served.Load(); got != want {
+		t.Errorf("got %d runs, want %d, the number of responses", got, want)
 	}
 }
 
-func TestGatewayBinaryFollowsItsTable(t *testing.T) {
+// TestGatewayBinaryReloadsTable checks that a newer version of the table file comes into force and an
+// older one does not.
+func TestGatewayBinaryReloadsTable(t *testing.T) {
 	g := startGateway(t)
 	g.setTable(t, 2)
-	g.await(t, "version 2", func() bool {
+	g.await(t, "version 2 is in force", func() bool {
 		return g.status("http://"+g.callers+"/v2/x", "q") == http.StatusOK
 	})
 	if got := g.status("http://"+g.callers+"/v1/x", "q"); got != http.StatusNotFound {
-		t.Errorf("route of version 1: got %d, want 404", got)
+		t.Errorf("route of version 1: got status %d, want 404", got)
 	}
 	g.setTable(t, 1)
 	time.Sleep(1200 * time.Millisecond)
 	if got := g.status("http://"+g.callers+"/v2/x", "q"); got != http.StatusOK {
-		t.Errorf("after an older version: got %d, want version 2 to stay in force", got)
+		t.Errorf("after an older version: got status %d, want 200, version 2 still in force", got)
 	}
 }
--- a/cmd/slipwickd/main.go
+++ b/cmd/slipwickd/main.go
@@ -1,5 +1,5 @@
-// Command slipwickd is the router: it carries requests between callers and
-// backend servers.
+// Command slipwickd is the router: it forwards requests of callers to backend servers.
+// slipwickd gateway is the HTTP gateway.
 package main
 
 import (
--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -21,23 +21,25 @@
 
 const gatewayHelp = `The slipwick gateway: routes HTTP requests by host and path.
 
-With --config the settings are a file of slipwick's own, which names the table
-of routes and backend servers. Without it they are the users' platform's file,
-and routes and backend servers come from the platform's store.
+With --config the settings are read from a slipwick settings file, which names
+the table file of routes and backend servers. Without it they are read from the
+platform's settings file, and routes and backend servers from the platform's
+store.
 
 Example:
   slipwickd gateway --config /etc/slipwick/gateway.jsonc
 
-Exit codes: 0 stopped as asked, 1 failed, 2 the settings have mistakes.`
+Exit codes: 0 stopped by a signal, 1 failed, 2 invalid command line or settings.`
 
-// metricsPort is where a gateway on the platform tells its figures;
-// deploy/system.toml names it too.
+// metricsPort is the port on which a gateway on the platform serves its metrics.
+// deploy/system.toml has the same port.
 const metricsPort = "9464"
 
-// gatewayMain runs the gateway and gives the exit code.
+// gatewayMain runs the gateway until SIGINT or SIGTERM and returns the exit code. SIGHUP makes it
+// read its settings again.
 func gatewayMain(streams cli.Streams, args []string) int {
-	// Before anything else: without a handler the signal ends the process.
-	reload := hangups()
+	// This has to come first: a SIGHUP without a handler ends the process.
+	reload := reloadSignals()
 	app := kingpin.New("slipwickd gateway", gatewayHelp)
 	app.UsageWriter(streams.Out).ErrorWriter(streams.Err)
 	options := &gatewayOptions{}
@@ -45,7 +47,7 @@
 	app.Flag("platform-settings", "The platform's settings file.").Default(platform.SettingsPath()).
 		StringVar(&options.Platform)
 	app.Flag("check", "Check the settings file and exit.").BoolVar(&options.Check)
-	app.Flag("switch", "Take the other way of a decision, for comparisons; may be repeated.").
+	app.Flag("switch", "Name of an alternative balancing decision to use, for comparisons; may be repeated.").
 		StringsVar(&options.Switches)
 	app.HelpFlag.Short('h')
 	if _, err := app.Parse(args); err != nil {
@@ -53,18 +55,18 @@
 	}
 	process, err := options.process()
 	if err != nil {
-		return streams.Fail("slipwickd gateway", refused(err))
+		return streams.Fail("slipwickd gateway", settingsError(err))
 	}
 	if process.Switches, err = balance.ParseSwitches(options.Switches); err != nil {
 		return streams.Fail("slipwickd gateway", cli.Usage(err, "run slipwickd gateway --help"))
 	}
 	if options.Check {
-		_, _ = streams.Out.Write([]byte("the settings are in order\n"))
+		_, _ = streams.Out.Write([]byte("the settings are valid\n"))
 		return cli.ExitOK
 	}
-	lines := boundedlog.New(streams.Out)
-	defer lines.Close()
-	process.Log, process.DroppedLines, process.Reload = lines.Logger(), &lines.Dropped, reload
+	logWriter := boundedlog.New(streams.Out)
+	defer logWriter.Close()
+	process.Log, process.DroppedLines, process.Reload = logWriter.Logger(), &logWriter.Dropped, reload
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	if err := process.Run(ctx); err != nil {
@@ -73,7 +75,7 @@
 	return cli.ExitOK
 }
 
-// gatewayOptions are what the command line gives.
+// gatewayOptions holds the flags of slipwickd gateway.
 type gatewayOptions struct {
 	Config   string
 	Platform string
@@ -81,7 +83,7 @@
 	Check    bool
 }
 
-// process makes the gateway from the settings that the options name.
+// process reads the settings that the options name and creates the gateway.
 func (o *gatewayOptions) process() (*gatewayd.Process, error) {
 	if o.Config != "" {
 		settings, feeds, err := gatewayd.ReadFileSettings(o.Config)
@@ -96,7 +98,7 @@
 		return process, nil
 	}
 	if o.Platform == "" {
-		return nil, errors.New("no settings are named")
+		return nil, errors.New("no settings file specified")
 	}
 	settings, err := platform.ReadSettings(o.Platform)
 	if err != nil {
@@ -113,7 +115,7 @@
 	return process, nil
 }
 
-// platformSettings translates the platform's settings.
+// platformSettings converts the platform's settings to those of the gateway.
 func platformSettings(s *platform.Settings) *gatewayd.Settings {
 	return &gatewayd.Settings{
 		ID:         s.NodeName,
@@ -151,7 +153,8 @@
 	}
 }
 
-// platformFeeds gives what the platform's store and replicas tell.
+// platformFeeds returns the sources of routes, backend servers, evacuations, rollouts and caches on
+// the platform.
 func platformFeeds(s *platform.Settings) gatewayd.Feeds {
 	store := &platform.Store{
 		Address: s.Platform.Address,
@@ -175,8 +178,9 @@
 	}
 }
 
-// hangups gives a value for each SIGHUP.
-func hangups() <-chan struct{} {
+// reloadSignals returns a channel that receives a value after a SIGHUP. Signals that arrive while the
+// receiver is busy are merged.
+func reloadSignals() <-chan struct{} {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	reload := make(chan struct{})
--- a/cmd/slipwickd/serve/gateway_test.go
+++ b/cmd/slipwickd/serve/gateway_test.go
@@ -10,16 +10,18 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-const goodSettings = `{
+const validSettings = `{
   "id": "g1", "data_centre": "d",
   "listen": {"callers": "127.0.0.1:1", "ready": "127.0.0.1:2", "peers": "127.0.0.1:3"},
   "table": "table.jsonc" // beside this file
 }`
 
-const goodTable = `{"version": 1,
+const validTable = `{"version": 1,
  "pools": [{"name": "p", "backends": []}],
  "routes": [{"name": "r", "host": "h", "prefix": "/", "kind": "single", "targets": [{"pool": "p"}]}]}`
 
+// check runs slipwickd gateway --check on the settings and the table. It returns the exit code and the
+// output.
 func check(t *testing.T, settings, table string) (code int, output string) {
 	t.Helper()
 	folder := t.TempDir()
@@ -39,12 +41,12 @@
 	return code, out.String()
 }
 
-func TestGatewayChecksItsSettings(t *testing.T) {
+func TestGatewayCheckListsMistakes(t *testing.T) {
 	bounds := `"bounds": {"load_factor": 1.4, "load_slack": 3, "apply": "1s", "leave": "1s", "heartbeat": "600ms",
   "ready_every": "1s"}, "table"`
-	for _, settings := range []string{goodSettings, strings.Replace(goodSettings, `"table"`, bounds, 1)} {
-		if code, output := check(t, settings, goodTable); code != cli.ExitOK {
-			t.Errorf("good settings: got %d, %s; want 0", code, output)
+	for _, settings := range []string{validSettings, strings.Replace(validSettings, `"table"`, bounds, 1)} {
+		if code, output := check(t, settings, validTable); code != cli.ExitOK {
+			t.Errorf("valid settings: got exit code %d, %s; want 0", code, output)
 		}
 	}
 	for name, tc := range map[string]struct {
@@ -52,23 +54,23 @@
 		want            []string
 	}{
 		"several mistakes": {
-			settings: strings.NewReplacer(`"g1"`, `""`, "127.0.0.1:2", "nowhere").Replace(goodSettings),
-			table:    goodTable,
+			settings: strings.NewReplacer(`"g1"`, `""`, "127.0.0.1:2", "nowhere").Replace(validSettings),
+			table:    validTable,
 			want:     []string{"/id", "/listen/ready"},
 		},
-		"bounds that make no sense": {
-			settings: strings.Replace(goodSettings, `"table"`, `"bounds": {"load_factor": 0.5, "apply": "-1s"}, "table"`, 1),
-			table:    goodTable,
+		"bounds out of range": {
+			settings: strings.Replace(validSettings, `"table"`, `"bounds": {"load_factor": 0.5, "apply": "-1s"}, "table"`, 1),
+			table:    validTable,
 			want:     []string{"/bounds/load_factor", "/bounds/apply"},
 		},
-		"no JSON": {
+		"invalid JSON": {
 			settings: "{",
-			table:    goodTable,
+			table:    validTable,
 			want:     []string{"gateway.jsonc"},
 		},
 		"mistakes in the table": {
-			settings: goodSettings,
-			table:    strings.Replace(goodTable, `"single"`, `"double"`, 1),
+			settings: validSettings,
+			table:    strings.Replace(validTable, `"single"`, `"double"`, 1),
 			want:     []string{"table.jsonc", "/routes/0/kind"},
 		},
 	} {
@@ -78,13 +80,13 @@
 		}
 		for _, want := range tc.want {
 			if !strings.Contains(output, want) {
-				t.Errorf("%s: got %q, want it to name %s", name, output, want)
+				t.Errorf("%s: got %q, want it to contain %s", name, output, want)
 			}
 		}
 	}
 }
 
-func TestGatewayWithoutSettingsTellsWhatToDo(t *testing.T) {
+func TestGatewayWithoutSettingsNamesConfigFlag(t *testing.T) {
 	var out bytes.Buffer
 	streams := cli.Streams{
 		Out: &out,
@@ -94,6 +96,6 @@
 		t.Errorf("got exit code %d, want %d", code, cli.ExitUsage)
 	}
 	if !strings.Contains(out.String(), "--config") {
-		t.Errorf("got %q, want it to name --config", out.String())
+		t.Errorf("got %q, want it to contain --config", out.String())
 	}
 }
--- a/cmd/slipwickd/serve/serve.go
+++ b/cmd/slipwickd/serve/serve.go
@@ -1,4 +1,5 @@
-// Package serve is the command line of the router.
+// Package serve implements the command line of slipwickd: the router, and the gateway with
+// slipwickd gateway.
 package serve
 
 import (
@@ -23,16 +24,17 @@
 Example:
   slipwickd --config /etc/slipwick/router.jsonc
 
-Exit codes: 0 stopped as asked, 1 failed, 2 the settings have mistakes.`
+Exit codes: 0 stopped by a signal, 1 failed, 2 invalid command line or settings.`
 
-// Options are what the command line gives.
+// Options holds the streams and the flags of the command line.
 type Options struct {
 	Streams cli.Streams
 	Config  string
 	Check   bool
 }
 
-// Main runs the router and gives the exit code.
+// Main runs the router, or the gateway if the first argument is gateway, until SIGINT or SIGTERM. It
+// returns the exit code.
 func Main(streams cli.Streams, args []string) int {
 	if len(args) > 0 && args[0] == "gateway" {
 		return gatewayMain(streams, args[1:])
@@ -59,26 +61,28 @@
 func run(ctx context.Context, options *Options) error {
 	settings, err := daemon.ReadSettings(options.Config)
 	if err != nil {
-		return refused(err)
+		return settingsError(err)
 	}
 	if options.Check {
-		_, err := fmt.Fprintln(options.Streams.Out, options.Config+" is in order")
+		_, err := fmt.Fprintln(options.Streams.Out, options.Config+" is valid")
 		return err
 	}
 	level := zerolog.InfoLevel
 	if settings.Log.Level != "" {
 		if level, err = zerolog.ParseLevel(settings.Log.Level); err != nil {
-			return refused(err)
+			return settingsError(err)
 		}
 	}
 	log := zerolog.New(options.Streams.Err).Level(level).With().Timestamp().Logger()
 	return daemon.NewRouter(settings, log).Run(ctx)
 }
 
-func refused(err error) error {
+// settingsError returns the mistakes in a settings file, or a usage error if the settings cannot be
+// read.
+func settingsError(err error) error {
 	var mistakes jsonfile.Mistakes
 	if errors.As(err, &mistakes) {
 		return mistakes
 	}
-	return cli.Usage(err, "name a readable settings file with --config")
+	return cli.Usage(err, "specify a readable settings file with --config")
 }
--- a/cmd/slipwickd/serve/serve_test.go
+++ b/cmd/slipwickd/serve/serve_test.go
@@ -22,19 +22,19 @@
 		want []string
 	}{
 		{
-			name: "broken file",
+			name: "file with mistakes",
 			args: []string{"--config", path},
 			code: cli.ExitUsage,
 			want: []string{":2: /idd: unknown field", ":3: /listen: not an object"},
 		},
 		{
-			name: "no file",
+			name: "missing file",
 			args: []string{"--config", path + "x"},
 			code: cli.ExitUsage,
 			want: []string{"no such file", "--config"},
 		},
 		{
-			name: "no flag",
+			name: "missing flag",
 			code: cli.ExitUsage,
 			want: []string{"--config"},
 		},
--- a/cmd/slipwickd/slipwickd_test.go
+++ b/cmd/slipwickd/slipwickd_test.go
@@ -35,8 +35,8 @@
 	"log": {"level": "error"},
 }`
 
-// TestOpenAIClientStreams streams a chat through the real binary with the
-// OpenAI Go client, then stops the binary.
+// TestOpenAIClientStreams streams a chat through the slipwickd binary with the OpenAI Go client. The
+// binary must then exit with code 0 after a SIGTERM.
 func TestOpenAIClientStreams(t *testing.T) {
 	_, platformURL := startPlatform(t, standin.NewEngine(standin.EngineProfile{}))
 	address, process := startBinary(t, buildBinary(t), nil, "r1", platformURL)
@@ -48,7 +48,7 @@
 	var accumulated openai.ChatCompletionAccumulator
 	for stream.Next() {
 		if !accumulated.AddChunk(stream.Current()) {
-			t.Errorf("chunk %v does not fit the answer", stream.Current())
+			t.Errorf("chunk %v does not fit the response", stream.Current())
 		}
 	}
 	if err := stream.Err(); err != nil {
@@ -66,7 +66,7 @@
 	}
 }
 
-// startPlatform starts the platform with a configuration of one pool.
+// startPlatform starts a stand-in for the platform, with a configuration of one pool of the engines.
 func startPlatform(t *testing.T, engines ...*standin.Engine) (stand *standin.Platform, url string) {
 	t.Helper()
 	stand = standin.NewPlatform()
@@ -116,7 +116,7 @@
 	return stand, server.URL
 }
 
-// buildBinary builds slipwickd.
+// buildBinary builds slipwickd and returns the path of the binary.
 func buildBinary(t *testing.T) string {
 	t.Helper()
 	binary := filepath.Join(t.TempDir(), "slipwickd")
@@ -126,8 +126,8 @@
 	return binary
 }
 
-// startBinary starts slipwickd, puts it on the platform's list, if one is
-// given, and waits until it is ready.
+// startBinary starts slipwickd and waits until it is ready. If stand is given, it first adds the
+// router to the boxes of the platform.
 func startBinary(
 	t *testing.T, binary string, stand *standin.Platform, id, platformURL string,
 ) (callers string, process *exec.Cmd) {
@@ -156,6 +156,7 @@
 	return callers, process
 }
 
+// freeAddress returns a host:port on loopback that is free at the time of the call.
 func freeAddress(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", loopback.Host()+":0")
@@ -166,6 +167,7 @@
 	return listener.Addr().String()
 }
 
+// waitReady polls the URL for 20 s until it responds with status 200.
 func waitReady(t *testing.T, url string) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Second)
@@ -184,7 +186,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			t.Fatal("slipwickd did not get ready")
+			t.Fatal("slipwickd is not ready after 20 s")
 		case <-time.After(20 * time.Millisecond):
 		}
 	}
