--- a/cmd/internal/daemon/keyclaim_test.go
+++ b/cmd/internal/daemon/keyclaim_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// TestKeyedRequestInPlatformOutage checks that a request with an idempotency key is refused as not
-// run while the platform is down, and that requests without a key are still served.
+// TestKeyedRequestInPlatformOutage checks that a request with an idempotency key is refused at
+// once, as not run, while the platform is down, and that requests without a key are still served.
 func TestKeyedRequestInPlatformOutage(t *testing.T) {
 	f := newFixture(t, 1)
 	f.platform.SetOutage(true)
--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -51,7 +51,7 @@
 // Limits holds the limits of requests and of the drain. Zero fields take the defaults.
 type Limits struct {
 	BodyBytes int64 `json:"body_bytes" validate:"min=0"`
-	// Hold bounds the wait for a slot.
+	// MaxSlotWait limits how long a request waits for a slot.
 	Hold          jsonfile.Duration `json:"hold" validate:"min=0"`
 	FirstToken    jsonfile.Duration `json:"first_token" validate:"min=0"`
 	BetweenTokens jsonfile.Duration `json:"between_tokens" validate:"min=0"`
@@ -74,7 +74,7 @@
 // Defaults of Limits, and how often a broken stream is resumed.
 const (
 	defaultBodyBytes     = 1 << 20
-	defaultHold          = 10 * time.Second
+	defaultMaxSlotWait   = 10 * time.Second
 	defaultFirstToken    = 10 * time.Second
 	defaultBetweenTokens = 5 * time.Second
 	defaultService       = 30 * time.Second
--- a/cmd/internal/daemon/status.go
+++ b/cmd/internal/daemon/status.go
@@ -22,7 +22,7 @@
 	Journals []int `json:"journals"`
 }
 
-// StatusNow returns the current status of the router. Call it only after Started.
+// CurrentStatus returns the current status of the router. Call it only after Started.
 func (r *Router) StatusNow() Status {
 	status := Status{
 		Router:        r.Settings.ID,
