--- a/cmd/internal/cli/command.go
+++ b/cmd/internal/cli/command.go
@@ -10,11 +10,11 @@
 type Command func(ctx context.Context) error
 
 // SelectFunc is called while the command line is parsed, with the command that it selects.
-type Choose func(Command)
+type SelectFunc func(Command)
 
 // AddCommand attaches run to the clause: if the parsed command line names the clause, run is passed
 // to selectCommand. It returns the clause, for its flags and arguments.
-func Add(clause *kingpin.CmdClause, selectCommand Choose, run Command) *kingpin.CmdClause {
+func Add(clause *kingpin.CmdClause, selectCommand SelectFunc, run Command) *kingpin.CmdClause {
 	return clause.Action(func(*kingpin.ParseContext) error {
 		selectCommand(run)
 		return nil
--- a/cmd/slipwick/completion/completion.go
+++ b/cmd/slipwick/completion/completion.go
@@ -26,7 +26,7 @@
 }
 
 // Register adds the command to the command line.
-func Register(app *kingpin.Application, _ *cli.Factory, selectCommand cli.Choose) {
+func Register(app *kingpin.Application, _ *cli.Factory, selectCommand cli.SelectFunc) {
 	options := &Options{
 		App: app,
 	}
--- a/cmd/slipwick/demo/demo.go
+++ b/cmd/slipwick/demo/demo.go
@@ -35,7 +35,7 @@
 )
 
 // Register adds the command to the command line.
-func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.SelectFunc) {
 	options := &Options{
 		Factory: factory,
 	}
--- a/cmd/slipwick/get/config/config.go
+++ b/cmd/slipwick/get/config/config.go
@@ -24,7 +24,7 @@
 }
 
 // Register adds the command to the command line.
-func Register(parent *kingpin.CmdClause, factory *cli.Factory, selectCommand cli.Choose) {
+func Register(parent *kingpin.CmdClause, factory *cli.Factory, selectCommand cli.SelectFunc) {
 	options := &Options{
 		Factory: factory,
 	}
--- a/cmd/slipwick/get/get.go
+++ b/cmd/slipwick/get/get.go
@@ -9,6 +9,6 @@
 )
 
 // Register adds the commands to the command line.
-func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.SelectFunc) {
 	config.Register(app.Command("get", "Read what the platform stores."), factory, selectCommand)
 }
--- a/cmd/slipwick/report/burn/burn.go
+++ b/cmd/slipwick/report/burn/burn.go
@@ -39,7 +39,7 @@
 }
 
 // Register adds the command to the command line.
-func Register(parent *kingpin.CmdClause, factory *cli.Factory, selectCommand cli.Choose) {
+func Register(parent *kingpin.CmdClause, factory *cli.Factory, selectCommand cli.SelectFunc) {
 	options := &Options{
 		Factory: factory,
 	}
--- a/cmd/slipwick/status/status.go
+++ b/cmd/slipwick/status/status.go
@@ -23,7 +23,7 @@
 }
 
 // Register adds the command to the command line.
-func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.SelectFunc) {
 	options := &Options{
 		Factory: factory,
 	}
