--- a/cmd/internal/cli/command.go
+++ b/cmd/internal/cli/command.go
@@ -14,7 +14,7 @@
 
 // AddCommand attaches run to the clause: if the parsed command line names the clause, run is passed
 // to selectCommand. It returns the clause, for its flags and arguments.
-func Add(clause *kingpin.CmdClause, selectCommand SelectFunc, run Command) *kingpin.CmdClause {
+func AddCommand(clause *kingpin.CmdClause, selectCommand SelectFunc, run Command) *kingpin.CmdClause {
 	return clause.Action(func(*kingpin.ParseContext) error {
 		selectCommand(run)
 		return nil
--- a/cmd/slipwick/apply/apply.go
+++ b/cmd/slipwick/apply/apply.go
@@ -51,7 +51,7 @@
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("apply", help), selectCommand, func(ctx context.Context) error {
+	clause := cli.AddCommand(app.Command("apply", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
 	clause.Flag("file", "File or folder.").Short('f').Required().StringVar(&options.Path)
--- a/cmd/slipwick/completion/completion.go
+++ b/cmd/slipwick/completion/completion.go
@@ -30,7 +30,7 @@
 	options := &Options{
 		App: app,
 	}
-	clause := cli.Add(app.Command("completion", help), selectCommand, func(context.Context) error {
+	clause := cli.AddCommand(app.Command("completion", help), selectCommand, func(context.Context) error {
 		return run(options)
 	})
 	clause.Arg("shell", "bash or zsh.").Required().EnumVar(&options.Shell, "bash", "zsh")
--- a/cmd/slipwick/demo/demo.go
+++ b/cmd/slipwick/demo/demo.go
@@ -39,7 +39,7 @@
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("demo", help), selectCommand, func(ctx context.Context) error {
+	clause := cli.AddCommand(app.Command("demo", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
 	clause.Flag("for", "How long the callers send requests.").Default(defaultFor).DurationVar(&options.Scenario.For)
--- a/cmd/slipwick/evacuate/evacuate.go
+++ b/cmd/slipwick/evacuate/evacuate.go
@@ -41,7 +41,7 @@
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("evacuate", help), selectCommand, func(context.Context) error {
+	clause := cli.AddCommand(app.Command("evacuate", help), selectCommand, func(context.Context) error {
 		return run(options)
 	})
 	clause.Arg("data-centre", "The data centre's name.").Required().StringVar(&options.DataCentre)
--- a/cmd/slipwick/get/config/config.go
+++ b/cmd/slipwick/get/config/config.go
@@ -28,7 +28,7 @@
 	options := &Options{
 		Factory: factory,
 	}
-	cli.Add(parent.Command("config", help), selectCommand, func(ctx context.Context) error {
+	cli.AddCommand(parent.Command("config", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
 }
--- a/cmd/slipwick/report/burn/burn.go
+++ b/cmd/slipwick/report/burn/burn.go
@@ -43,7 +43,7 @@
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(parent.Command("burn", help), selectCommand, func(ctx context.Context) error {
+	clause := cli.AddCommand(parent.Command("burn", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
 	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
--- a/cmd/slipwick/status/status.go
+++ b/cmd/slipwick/status/status.go
@@ -27,7 +27,7 @@
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("status", help), selectCommand, func(ctx context.Context) error {
+	clause := cli.AddCommand(app.Command("status", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
 	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
--- a/cmd/slipwick/version/version.go
+++ b/cmd/slipwick/version/version.go
@@ -29,7 +29,7 @@
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("version", "Print the version."), selectCommand, func(context.Context) error {
+	clause := cli.AddCommand(app.Command("version", "Print the version."), selectCommand, func(context.Context) error {
 		return run(options)
 	})
 	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
