--- a/cmd/internal/cli/streams.go
+++ b/cmd/internal/cli/streams.go
@@ -19,7 +19,7 @@
 }
 
 // SystemStreams returns the standard streams of the process.
-func System() Streams {
+func SystemStreams() Streams {
 	return Streams{
 		In:       os.Stdin,
 		Out:      os.Stdout,
--- a/cmd/slipwick/main.go
+++ b/cmd/slipwick/main.go
@@ -9,5 +9,5 @@
 )
 
 func main() {
-	os.Exit(root.Main(cli.System(), os.Args[1:]))
+	os.Exit(root.Main(cli.SystemStreams(), os.Args[1:]))
 }
--- a/cmd/slipwickd/main.go
+++ b/cmd/slipwickd/main.go
@@ -10,5 +10,5 @@
 )
 
 func main() {
-	os.Exit(serve.Main(cli.System(), os.Args[1:]))
+	os.Exit(serve.Main(cli.SystemStreams(), os.Args[1:]))
 }
