--- a/cmd/internal/daemon/fixture_test.go
+++ b/cmd/internal/daemon/fixture_test.go
@@ -147,7 +147,7 @@
 	})
 	<-router.Started()
 	deadline := time.Now().Add(10 * time.Second)
-	for !f.router.StatusNow().Ready {
+	for !f.router.CurrentStatus().Ready {
 		if time.Now().After(deadline) {
 			t.Fatal("the router is not ready after 10 s")
 		}
--- a/cmd/internal/daemon/handlers.go
+++ b/cmd/internal/daemon/handlers.go
@@ -19,7 +19,7 @@
 func (r *Router) operatorsHandler() http.Handler {
 	e := echo.New()
 	r.addHealth(e)
-	e.GET("/v1/status", func(c echo.Context) error { return c.JSON(http.StatusOK, r.StatusNow()) })
+	e.GET("/v1/status", func(c echo.Context) error { return c.JSON(http.StatusOK, r.CurrentStatus()) })
 	e.GET("/v1/burn", func(c echo.Context) error { return c.JSON(http.StatusOK, r.frontend.burn.Report()) })
 	return e
 }
--- a/cmd/internal/daemon/quarantine_test.go
+++ b/cmd/internal/daemon/quarantine_test.go
@@ -22,7 +22,7 @@
 	settings.Seeds = []string{f.router.PeersAddress()}
 	second := f.startAnother(t, settings, "r2")
 	waitUntil(t, "both routers are members", func() bool {
-		return slices.Equal(second.StatusNow().Members, []string{"r1", "r2"})
+		return slices.Equal(second.CurrentStatus().Members, []string{"r1", "r2"})
 	})
 	for i := range 3 {
 		attempt, ok := f.router.crashTracker.Begin(7, &slipwick.Backend{
--- a/cmd/internal/daemon/status.go
+++ b/cmd/internal/daemon/status.go
@@ -23,7 +23,7 @@
 }
 
 // CurrentStatus returns the current status of the router. Call it only after Started.
-func (r *Router) StatusNow() Status {
+func (r *Router) CurrentStatus() Status {
 	status := Status{
 		Router:        r.Settings.ID,
 		DataCentre:    r.Settings.DataCentre,
--- a/cmd/internal/daemon/tls_test.go
+++ b/cmd/internal/daemon/tls_test.go
@@ -43,9 +43,9 @@
 	settings.Seeds = []string{first.PeersAddress()}
 	second := f.startAnother(t, settings, "t2")
 	deadline := time.Now().Add(20 * time.Second)
-	for !slices.Equal(second.StatusNow().Members, []string{"t1", "t2"}) {
+	for !slices.Equal(second.CurrentStatus().Members, []string{"t1", "t2"}) {
 		if time.Now().After(deadline) {
-			t.Fatalf("got members %v, want t1 and t2, without r1, which has no TLS", second.StatusNow().Members)
+			t.Fatalf("got members %v, want t1 and t2, without r1, which has no TLS", second.CurrentStatus().Members)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/cmd/internal/emulator/caller.go
+++ b/cmd/internal/emulator/caller.go
@@ -203,7 +203,7 @@
 	first := random.IntN(len(w.routers))
 	for i := range w.routers {
 		router := w.routers[(first+i)%len(w.routers)]
-		if router.StatusNow().Ready {
+		if router.CurrentStatus().Ready {
 			return router.CallersAddress()
 		}
 	}
--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -197,7 +197,7 @@
 		case <-ctx.Done():
 			return errors.New("a router did not start in time; check that loopback ports are free")
 		}
-		for !router.StatusNow().Ready {
+		for !router.CurrentStatus().Ready {
 			select {
 			case <-ctx.Done():
 				return errors.New("a router did not get ready in time; run with fewer routers")
@@ -223,7 +223,7 @@
 		})
 	}
 	for _, router := range w.routers {
-		for len(router.StatusNow().Members) < len(w.routers) {
+		for len(router.CurrentStatus().Members) < len(w.routers) {
 			select {
 			case <-ctx.Done():
 				return errors.New("the routers did not find each other in time; run with fewer routers")
