--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -132,7 +132,7 @@
 		Quarantine: r.crashTracker,
 		IsGone:     refusesConnections,
 
-		MaxSlotWait: r.Settings.Limits.Hold.Or(defaultMaxSlotWait),
+		MaxSlotWait: r.Settings.Limits.MaxSlotWait.Or(defaultMaxSlotWait),
 		Limits:      r.Settings.Limits.stream(),
 	}
 }
