--- a/cmd/slipwick/gateways/gateways.go
+++ b/cmd/slipwick/gateways/gateways.go
@@ -120,7 +120,7 @@
 	case b.Out:
 		return fmt.Sprintf("ejected for %d ms", b.OutMS)
 	case b.Silent:
-		return "unresponsive"
+		return "silent"
 	case b.ColdMS > 0:
 		return fmt.Sprintf("cold for %d ms", b.ColdMS)
 	default:
