--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -14,7 +14,7 @@
 	"github.com/slipwick/slipwick/upstream"
 )
 
-// assemble makes the parts and joins them.
+// assemble creates the components and connects them.
 func (p *Process) assemble(open *listeners) {
 	s := p.Settings
 	s.Bounds = s.Bounds.orDefaults()
@@ -36,18 +36,18 @@
 	}
 	p.rollouts = newRollouts(p)
 	p.joinMembers(open)
-	p.tellings = membership.NewUDP(open.tellings)
-	p.teller = p.newTeller()
-	p.ledger, p.marks = p.newLedger()
+	p.exchangeUDP = membership.NewUDP(open.exchangeUDP)
+	p.syncer = p.newSyncer()
+	p.tracker, p.gossiper = p.newTracker()
 	p.gateway = p.newGateway()
 	p.recovery = p.newRecovery()
-	p.metrics.add(p)
+	p.metrics.registerGauges(p)
 }
 
 func (p *Process) newBalancer() *balance.Balancer {
 	b := balance.New(p.Settings.DataCentre)
 	b.Switches = p.Switches
-	b.OnEjected = p.onOut
+	b.OnEjected = p.onEjected
 	b.OnNotice = p.onNotice
 	b.EntriesReused = p.Feeds.Private
 	b.HoldVersions = p.followsRollouts()
@@ -55,7 +55,7 @@
 	return b
 }
 
-// joinMembers makes the parts that know the other routers.
+// joinMembers creates the components that track the other routers.
 func (p *Process) joinMembers(open *listeners) {
 	self := slipwick.Router{
 		ID:         p.Settings.ID,
@@ -63,11 +63,11 @@
 		DataCentre: p.Settings.DataCentre,
 		Region:     p.Settings.Region,
 	}
-	p.udp = membership.NewUDP(open.packets)
+	p.membershipUDP = membership.NewUDP(open.membershipUDP)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	p.node = membership.NewNode(self, p.udp, membership.DefaultPolicy(), random)
+	p.node = membership.NewNode(self, p.membershipUDP, membership.DefaultPolicy(), random)
 	p.node.CatchUp = true
-	p.udp.OnReceive = p.node.Receive
+	p.membershipUDP.OnReceive = p.node.Receive
 	p.node.OnChange = p.onMembers
 	p.peers = &peers{
 		self: self,
@@ -76,16 +76,16 @@
 	}
 }
 
-// newTeller makes the part that tells the other routers what the balancer knows.
-func (p *Process) newTeller() *exchange.Syncer {
-	t := exchange.NewSyncer(p.Settings.ID)
-	t.Balancer = p.balancer
-	t.Transport = p.tellings
-	t.Routers = p.node.Routers
-	t.Address = tellingsAddress
-	p.balancer.OnLongPrefill = t.TriggerUpdate
-	p.tellings.OnReceive = t.Receive
-	return t
+// newSyncer creates the syncer that sends the balancer's updates to the other routers.
+func (p *Process) newSyncer() *exchange.Syncer {
+	s := exchange.NewSyncer(p.Settings.ID)
+	s.Balancer = p.balancer
+	s.Transport = p.exchangeUDP
+	s.Routers = p.node.Routers
+	s.Address = exchangeAddress
+	p.balancer.OnLongPrefill = s.TriggerUpdate
+	p.exchangeUDP.OnReceive = s.Receive
+	return s
 }
 
 func (p *Process) newGateway() *gateway.Gateway {
@@ -96,7 +96,7 @@
 		Client:      p.client,
 		Observer:    p.observer,
 		Ready:       p.ready,
-		CachesKnown: p.learnt,
+		CachesKnown: p.cachesKnown,
 		Budget: &retry.Budget{
 			Ratio:   s.Retries.Ratio,
 			Extra:   s.Retries.Extra,
@@ -105,6 +105,6 @@
 
 			Restarted: !s.FirstStart,
 		},
-		Quarantine: p.ledger,
+		Quarantine: p.tracker,
 	}
 }
--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -8,36 +8,36 @@
 	"github.com/slipwick/slipwick/routing"
 )
 
-// Bounds are what the fleet promises, and how often others do what it has to
-// wait for. Zero fields take the defaults.
+// Bounds are the limits that the fleet guarantees, and the intervals of backend servers and
+// of the load balancer before the routers that these limits depend on. Zero fields take the defaults.
 type Bounds struct {
-	// LoadFactor and LoadSlack bound an engine's load: the factor times the
-	// mean of its pool, and the slack.
+	// LoadFactor and LoadSlack bound an engine's load: LoadFactor times the mean
+	// load of its pool, plus LoadSlack requests.
 	LoadFactor float64
 	LoadSlack  float64
-	// Apply is the time in which a configuration is in force at every router,
-	// Leave the time after which a backend server that leaves gets nothing new.
+	// Apply is the time within which a configuration is in force at every router,
+	// Leave the time after which a backend server that leaves gets no new requests.
 	Apply, Leave time.Duration
 	// Evacuate is the time after which the backend servers of an evacuated data
-	// centre get nothing new; 0 where none is ever evacuated.
+	// centre get no new requests; 0 disables evacuations.
 	Evacuate time.Duration
-	// Exposure is the share of a pool's requests that a new version of its backend servers
-	// may get during its rollout if it is bad; 0 where there are no rollouts.
+	// Exposure is the share of a pool's requests that a bad new version of its backend
+	// servers may get during its rollout; 0 disables rollouts.
 	Exposure float64
-	// ColdFactor and ColdSlack bound what a cold backend server gets in any second:
-	// the factor times what its pool's bear, and the slack.
+	// ColdFactor and ColdSlack bound the requests that a cold backend server gets in any
+	// second: ColdFactor times the rate that its pool allows for one, plus ColdSlack.
 	ColdFactor float64
 	ColdSlack  float64
 	// Heartbeat is how often backend servers renew their entries.
 	Heartbeat time.Duration
-	// ReadyEvery is how often the balancer asks whether this router is ready.
+	// ReadyEvery is the interval at which the load balancer probes this router's readiness.
 	ReadyEvery time.Duration
 }
 
-// defaultReadyEvery is taken where no settings name a rhythm.
-const defaultReadyEvery = time.Second
+// defaultReadyInterval applies if the settings have no interval of readiness probes.
+const defaultReadyInterval = time.Second
 
-// orDefaults fills zero fields.
+// orDefaults returns b with zero fields set to their defaults.
 func (b Bounds) orDefaults() Bounds {
 	if b.LoadFactor == 0 {
 		b.LoadFactor = balance.DefaultLoadFactor
@@ -58,19 +58,20 @@
 		b.Heartbeat = directory.DefaultHeartbeat
 	}
 	if b.ReadyEvery == 0 {
-		b.ReadyEvery = defaultReadyEvery
+		b.ReadyEvery = defaultReadyInterval
 	}
 	return b
 }
 
-// rhythm is how long to wait for the store and other routers.
-func (b Bounds) rhythm() directory.Timing {
+// timing returns the timeouts of calls to the store and to other routers. They follow from
+// the shorter of Apply and Leave.
+func (b Bounds) timing() directory.Timing {
 	return directory.TimingWithin(min(b.Apply, b.Leave))
 }
 
-// coldLimits gives the limits of the table's pools. Where backend servers do not enter
-// themselves, a new one counts as cold for its pool's time.
-func (b *Bounds) coldLimits(table *routing.Table, entersItself bool) map[string]balance.ColdLimit {
+// coldLimits returns the limits on cold backend servers by pool. If backend servers do not
+// register themselves, a new one counts as cold for the time that its pool sets.
+func (b *Bounds) coldLimits(table *routing.Table, selfRegistered bool) map[string]balance.ColdLimit {
 	limits := make(map[string]balance.ColdLimit)
 	for name, pool := range table.Pools {
 		if pool.Cold == nil {
@@ -79,7 +80,7 @@
 		limit := balance.ColdLimit{
 			MaxPerSecond: b.ColdFactor*pool.Cold.RequestsPerSecond + b.ColdSlack,
 		}
-		if !entersItself {
+		if !selfRegistered {
 			limit.NewServerTime = pool.Cold.Duration
 		}
 		limits[name] = limit
@@ -87,12 +88,12 @@
 	return limits
 }
 
-// announceTime is how long a stopping router still takes requests: the balancer
-// sends new connections until it has asked twice in vain.
+// announceTime returns how long a stopping router still accepts requests: the load balancer
+// sends new connections until two readiness probes in a row have failed.
 func (b Bounds) announceTime() time.Duration {
-	return time.Duration(announceQuestions * float64(b.ReadyEvery))
+	return time.Duration(announceProbes * float64(b.ReadyEvery))
 }
 
-// announceQuestions is twice the pause between two questions, and what the
-// second takes.
-const announceQuestions = 2.6
+// announceProbes is a number of probe intervals: two, and 0.6 for the time that the
+// second probe takes.
+const announceProbes = 2.6
--- a/cmd/internal/gatewayd/cold.go
+++ b/cmd/internal/gatewayd/cold.go
@@ -6,17 +6,17 @@
 	"github.com/slipwick/slipwick"
 )
 
-// limitCold has the balancer hold what cold backend servers bear, by the table in
-// force and the settings read last.
-func (p *Process) limitCold() {
+// setColdLimits sets the balancer's limits on cold backend servers, from the table in force
+// and the settings read last.
+func (p *Process) setColdLimits() {
 	if table, bounds := p.gateway.Table(), p.bounds.Load(); table != nil {
 		p.balancer.SetColdLimits(bounds.coldLimits(table, !p.Feeds.Private))
 	}
 }
 
-// tellRouters tells the balancer which routers live. Until this one knows the others
-// it sends nothing to cold servers.
-func (p *Process) tellRouters(routers []slipwick.Router) {
+// setRouters sets the live routers, among which the balancer splits the limits on cold
+// servers. Until this router knows the others it sends nothing to cold servers.
+func (p *Process) setRouters(routers []slipwick.Router) {
 	select {
 	case <-p.node.FleetKnown():
 	default:
@@ -29,11 +29,11 @@
 	p.balancer.SetRouters(p.Settings.ID, ids)
 }
 
-// tellFirstRouters does so as soon as they are known.
-func (p *Process) tellFirstRouters(ctx context.Context) {
+// setFirstRouters sets the live routers as soon as they are first known.
+func (p *Process) setFirstRouters(ctx context.Context) {
 	select {
 	case <-ctx.Done():
 	case <-p.node.FleetKnown():
-		p.tellRouters(p.node.Routers())
+		p.setRouters(p.node.Routers())
 	}
 }
--- a/cmd/internal/gatewayd/cold_test.go
+++ b/cmd/internal/gatewayd/cold_test.go
@@ -33,7 +33,7 @@
 			},
 		}, nil
 	}
-	p.reread()
+	p.reloadSettings()
 	table := routing.NewTable(1, routing.Limits{}, []routing.Pool{
 		{
 			Name: "p",
@@ -43,7 +43,7 @@
 			},
 		},
 	}, nil, nil)
-	for entersItself, want := range map[bool]balance.ColdLimit{
+	for selfRegistered, want := range map[bool]balance.ColdLimit{
 		true: {
 			MaxPerSecond: 27,
 		},
@@ -52,8 +52,8 @@
 			NewServerTime: 3 * time.Second,
 		},
 	} {
-		if got := p.bounds.Load().coldLimits(table, entersItself)["p"]; got != want {
-			t.Errorf("servers that enter themselves: %t: got %+v, want %+v", entersItself, got, want)
+		if got := p.bounds.Load().coldLimits(table, selfRegistered)["p"]; got != want {
+			t.Errorf("servers that enter themselves: %t: got %+v, want %+v", selfRegistered, got, want)
 		}
 	}
 }
--- a/cmd/internal/gatewayd/doc.go
+++ b/cmd/internal/gatewayd/doc.go
@@ -1,4 +1,4 @@
-// Package gatewayd assembles a gateway process: it routes callers' HTTP
-// requests by host and path, and follows the configuration and the list of
-// backend servers.
+// Package gatewayd assembles a gateway process: a router that forwards callers'
+// HTTP requests by host and path, and follows the configuration, the list of
+// backend servers, evacuations of data centres and rollouts.
 package gatewayd
--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -10,29 +10,29 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// followsEvacuations tells whether data centres may be evacuated at all.
+// followsEvacuations reports whether this router follows evacuations of data centres.
 func (p *Process) followsEvacuations() bool {
 	return p.Settings.Bounds.Evacuate > 0 && p.Feeds.Evacuations != nil
 }
 
-// followEvacuations keeps the list of evacuated data centres. It goes the way of the
-// other feeds, through the same routers; its time is its own.
+// followEvacuations keeps the list of evacuated data centres up to date until ctx ends. The
+// feed is relayed through the same routers as the others, with a time limit of its own.
 func (p *Process) followEvacuations(ctx context.Context) {
 	if !p.followsEvacuations() {
 		return
 	}
-	rhythm := directory.TimingWithin(p.Settings.Bounds.Evacuate)
+	timing := directory.TimingWithin(p.Settings.Bounds.Evacuate)
 	follower := directory.NewFollower[string](
-		p.shared(feedEvacuations, p.Feeds.Evacuations, rhythm), p.mirrors[feedEvacuations])
-	follower.Timing = rhythm
+		p.sharedFeed(feedEvacuations, p.Feeds.Evacuations, timing), p.mirrors[feedEvacuations])
+	follower.Timing = timing
 	follower.Decode = p.Feeds.DecodeEvacuation
-	follower.OnInvalid = p.foreign.of(feedEvacuations)
-	dependency := p.newDependency(feedEvacuations)
-	follower.OnError, follower.OnAnswer = dependency.failed, dependency.answered
+	follower.OnInvalid = p.invalidEntries.recorder(feedEvacuations)
+	monitor := p.newFeedMonitor(feedEvacuations)
+	follower.OnError, follower.OnAnswer = monitor.failed, monitor.succeeded
 	evacuated := directory.NewEvacuations(p.Settings.Bounds.Evacuate, p.setEvacuated)
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
 		evacuated.StoreRestored(batch.Steady)
-		dependency.fellBack(known, batch)
+		monitor.storeRestored(known, batch)
 	}
 	isFirst := true
 	follower.OnChange = func(changes []directory.Change[string]) {
@@ -53,18 +53,18 @@
 	}
 }
 
-// evacuatedNow gives the data centres that are evacuated, as far as known.
-func (p *Process) evacuatedNow() []string {
+// evacuatedDataCentres returns the data centres known to be evacuated.
+func (p *Process) evacuatedDataCentres() []string {
 	if evacuated := p.evacuated.Load(); evacuated != nil {
 		return *evacuated
 	}
 	return nil
 }
 
-// awaitEvacuations has a starting router wait until it knows which data centres are
-// evacuated: before, it does not send. When nobody can tell it for as long as routers
-// have to follow an evacuation, it goes on, as it serves callers better than nobody;
-// the list is learnt as soon as the store or another router tells it.
+// awaitEvacuations blocks a starting router, which sends no requests yet, until it knows
+// which data centres are evacuated. If neither the store nor another router provides the
+// list within Bounds.Evacuate, the router starts without it, since serving callers is better
+// than refusing them; the list is applied as soon as it arrives.
 func (p *Process) awaitEvacuations(ctx context.Context) {
 	if !p.followsEvacuations() {
 		return
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -12,78 +12,80 @@
 	"github.com/slipwick/slipwick/tablefile"
 )
 
-// FileSettings are a gateway's settings as its own file has them.
+// FileSettings are a gateway's settings as its settings file holds them.
 type FileSettings struct {
 	ID         string     `json:"id" validate:"required,max=100"`
 	DataCentre string     `json:"data_centre" validate:"required"`
 	Region     string     `json:"region"`
 	Listen     FileListen `json:"listen"`
-	// Seeds are peers' addresses of other gateways.
+	// Seeds are the addresses (FileListen.Peers) of other gateways.
 	Seeds []string `json:"seeds" validate:"dive,hostname_port"`
-	// Table is the file with routes, pools and workspaces; a path that is not
-	// absolute starts at the settings file's folder.
+	// Table is the file with routes, pools and workspaces; a relative path is
+	// relative to the folder of the settings file.
 	Table   string      `json:"table" validate:"required"`
 	Retries FileRetries `json:"retries"`
 	Bounds  FileBounds  `json:"bounds"`
-	// Grace bounds the time from the signal to stop to the end.
+	// Grace bounds the time from the stop signal to the end of the process.
 	Grace jsonfile.Duration `json:"grace" validate:"min=0"`
-	// MemoryMB bounds the process' memory; 0 sets no bound.
+	// MemoryMB limits the process' memory, in MiB; 0 sets no limit.
 	MemoryMB int64 `json:"memory_mb" validate:"min=0"`
 }
 
 // FileListen holds addresses as host:port.
 type FileListen struct {
 	Callers string `json:"callers" validate:"required,hostname_port"`
-	// Ready answers at /readyz.
+	// Ready serves readiness probes at /readyz.
 	Ready string `json:"ready" validate:"required,hostname_port"`
-	// Peers takes TCP and UDP, and UDP at the next port too.
+	// Peers listens on TCP and UDP, and on UDP at the next port too.
 	Peers   string `json:"peers" validate:"required,hostname_port"`
 	Metrics string `json:"metrics" validate:"omitempty,hostname_port"`
 }
 
-// FileRetries bounds the requests sent again by the whole fleet.
+// FileRetries limits the retries of the whole fleet: Ratio of the requests within Window,
+// plus Extra.
 type FileRetries struct {
 	Ratio  float64           `json:"ratio" validate:"min=0,max=1"`
 	Extra  float64           `json:"extra" validate:"min=0"`
 	Window jsonfile.Duration `json:"window" validate:"min=0"`
 }
 
-// FileBounds are what the fleet promises; what is left out takes its default.
+// FileBounds are the limits that the fleet guarantees, as in Bounds; fields that are left
+// out take their defaults.
 type FileBounds struct {
-	// LoadFactor and LoadSlack bound an engine's load: the factor times the
-	// mean of its pool, and the slack, in requests.
+	// LoadFactor and LoadSlack bound an engine's load: LoadFactor times the mean
+	// load of its pool, plus LoadSlack requests.
 	LoadFactor float64 `json:"load_factor" validate:"omitempty,gte=1,lte=10"`
 	LoadSlack  float64 `json:"load_slack" validate:"omitempty,gte=1,lte=100"`
 	// Apply bounds the time until a configuration is in force everywhere,
-	// Leave that until a leaving backend server gets nothing new.
+	// Leave that until a leaving backend server gets no new requests.
 	Apply jsonfile.Duration `json:"apply" validate:"min=0"`
 	Leave jsonfile.Duration `json:"leave" validate:"min=0"`
 	// Evacuate bounds the time until the backend servers of an evacuated data
-	// centre get nothing new.
+	// centre get no new requests.
 	Evacuate jsonfile.Duration `json:"evacuate" validate:"min=0"`
-	// ColdFactor times what a cold backend server of a pool bears, and ColdSlack,
-	// is what it gets in any second.
+	// ColdFactor and ColdSlack bound the requests that a cold backend server gets in any
+	// second: ColdFactor times the rate that its pool allows for one, plus ColdSlack.
 	ColdFactor float64 `json:"cold_factor" validate:"omitempty,gte=1,lte=10"`
 	ColdSlack  float64 `json:"cold_slack" validate:"min=0,max=100"`
-	// Heartbeat is how often backend servers renew their entries, ReadyEvery
-	// how often the balancer asks for readiness.
+	// Heartbeat is the interval at which backend servers renew their entries, ReadyEvery
+	// the interval at which the load balancer probes readiness.
 	Heartbeat  jsonfile.Duration `json:"heartbeat" validate:"min=0"`
 	ReadyEvery jsonfile.Duration `json:"ready_every" validate:"min=0"`
 }
 
-// Defaults of FileSettings: a fifth of the requests may be sent again in ten
-// seconds, and the grace period is that of common service managers.
+// Defaults of FileSettings: a fifth of the requests may be retried within ten seconds, and
+// the grace period is the one that common service managers use.
 const (
 	defaultRatio  = 0.2
 	defaultExtra  = 50
 	defaultWindow = 10 * time.Second
 	defaultGrace  = 30 * time.Second
-	// defaultEvacuate is some times what a file takes to be read anew.
+	// defaultEvacuate is several times the time until a changed file is read again.
 	defaultEvacuate = 4 * time.Second
 )
 
-// ReadFileSettings reads a settings file and checks the table that it names.
-// The error is jsonfile.Mistakes when a file could be read but not accepted.
+// ReadFileSettings reads a settings file and checks the table file that it names.
+// It returns jsonfile.Mistakes if a file can be read but is not valid.
 func ReadFileSettings(path string) (*Settings, Feeds, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
@@ -103,7 +105,7 @@
 	}
 	source, err = os.ReadFile(table)
 	if err != nil {
-		return nil, Feeds{}, errors.Wrap(err, "read the table")
+		return nil, Feeds{}, errors.Wrap(err, "read table")
 	}
 	if _, err := tablefile.Parse(table, source); err != nil {
 		return nil, Feeds{}, err
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -17,16 +17,17 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// The names that routers know their feeds by.
+// Names of the feeds between routers.
 const (
 	feedTables   = "tables"
 	feedBackends = "backends"
-	// feedEvacuations has the data centres whose backend servers get nothing new.
+	// feedEvacuations has the data centres whose backend servers get no new requests.
 	feedEvacuations = "evacuations"
 )
 
-// shared gives a feed as the fleet shares it.
-func (p *Process) shared(name string, store slipwick.Feed, rhythm directory.Timing) slipwick.Feed {
+// sharedFeed returns the feed that follows the store itself or another router, as this router's
+// place in the relay tree says. A private feed is followed directly.
+func (p *Process) sharedFeed(name string, store slipwick.Feed, timing directory.Timing) slipwick.Feed {
 	if p.Feeds.Private {
 		return store
 	}
@@ -35,28 +36,29 @@
 		Store:    store,
 		Peers:    p.peers,
 		Mirror:   p.mirrors[name],
-		Timing:   rhythm,
+		Timing:   timing,
 	}
 }
 
-// followTables puts each newer version of the configuration in force.
+// followTables puts each newer version of the configuration in force until ctx ends.
 func (p *Process) followTables(ctx context.Context) {
-	rhythm := p.Settings.Bounds.rhythm()
-	follower := directory.NewFollower[*routing.Table](p.shared(feedTables, p.Feeds.Tables, rhythm), p.mirrors[feedTables])
-	follower.Timing = rhythm
+	timing := p.Settings.Bounds.timing()
+	follower := directory.NewFollower[*routing.Table](
+		p.sharedFeed(feedTables, p.Feeds.Tables, timing), p.mirrors[feedTables])
+	follower.Timing = timing
 	follower.Decode = p.Feeds.DecodeTable
-	follower.OnInvalid = p.foreign.of(feedTables)
-	dependency := p.newDependency(feedTables)
-	follower.OnError, follower.OnAnswer = dependency.failed, dependency.answered
-	follower.OnStoreRestored = dependency.fellBack
+	follower.OnInvalid = p.invalidEntries.recorder(feedTables)
+	monitor := p.newFeedMonitor(feedTables)
+	follower.OnError, follower.OnAnswer = monitor.failed, monitor.succeeded
+	follower.OnStoreRestored = monitor.storeRestored
 	follower.IsOutdated = func(known, told *routing.Table) bool { return told.Version < known.Version }
 	follower.OnChange = func(changes []directory.Change[*routing.Table]) {
 		for _, c := range changes {
 			if c.Value == nil || !p.gateway.SetTable(c.Value) {
 				continue
 			}
-			p.shareConnections(len(p.node.Routers()))
-			p.limitCold()
+			p.limitIdleConnections(len(p.node.Routers()))
+			p.setColdLimits()
 			p.metrics.version.Set(float64(c.Value.Version))
 			events.ConfigurationInForce.On(&p.Log).Uint64("version", c.Value.Version).Send()
 		}
@@ -64,74 +66,75 @@
 	follower.Run(ctx)
 }
 
-// followBackends keeps the list of backend servers.
+// followBackends keeps the list of backend servers up to date until ctx ends.
 func (p *Process) followBackends(ctx context.Context) {
-	rhythm := p.Settings.Bounds.rhythm()
+	timing := p.Settings.Bounds.timing()
 	follower := directory.NewFollower[balance.Entry](
-		p.shared(feedBackends, p.Feeds.Backends, rhythm), p.mirrors[feedBackends])
-	follower.Timing = rhythm
+		p.sharedFeed(feedBackends, p.Feeds.Backends, timing), p.mirrors[feedBackends])
+	follower.Timing = timing
 	follower.Decode = p.Feeds.DecodeBackend
-	follower.OnInvalid = p.foreign.of(feedBackends)
+	follower.OnInvalid = p.invalidEntries.recorder(feedBackends)
 	follower.OnChange = p.backends.Change
-	dependency := p.newDependency(feedBackends)
+	monitor := p.newFeedMonitor(feedBackends)
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) {
 		p.backends.Answered(batch.Age, batch.Steady)
-		dependency.answered(batch)
+		monitor.succeeded(batch)
 	}
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
 		p.backends.StoreRestored(batch.Age, batch.Steady)
-		dependency.fellBack(known, batch)
+		monitor.storeRestored(known, batch)
 	}
 	follower.OnError = func(err error) {
 		p.backends.Failed()
-		dependency.failed(err)
+		monitor.failed(err)
 	}
 	follower.Run(ctx)
 }
 
-// dependency logs when a feed is lost and regained. It belongs to one
-// goroutine.
-type dependency struct {
+// feedMonitor logs when calls of a feed fail and when they succeed again. It must be used
+// by a single goroutine.
+type feedMonitor struct {
 	process *Process
 	feed    string
-	lost    time.Time
+	// failingSince is when calls began to fail; zero while they succeed.
+	failingSince time.Time
 }
 
-func (p *Process) newDependency(feed string) *dependency {
-	return &dependency{
+func (p *Process) newFeedMonitor(feed string) *feedMonitor {
+	return &feedMonitor{
 		process: p,
 		feed:    feed,
 	}
 }
 
-func (d *dependency) failed(err error) {
-	if d.lost.IsZero() {
-		d.lost = clock.Now()
+func (m *feedMonitor) failed(err error) {
+	if m.failingSince.IsZero() {
+		m.failingSince = clock.Now()
 	}
-	events.PlatformCallFailed.On(&d.process.Log).Str("feed", d.feed).AnErr("cause", err).Send()
+	events.PlatformCallFailed.On(&m.process.Log).Str("feed", m.feed).AnErr("cause", err).Send()
 }
 
-// fellBack notes that the store came back from a copy.
-func (d *dependency) fellBack(known slipwick.Position, batch *slipwick.FeedBatch) {
-	events.StoreFellBack.On(&d.process.Log).Str("feed", d.feed).
+// storeRestored logs and counts that the store was restored from a backup.
+func (m *feedMonitor) storeRestored(known slipwick.Position, batch *slipwick.FeedBatch) {
+	events.StoreFellBack.On(&m.process.Log).Str("feed", m.feed).
 		Uint64("from_timeline", known.Timeline).Uint64("from_revision", known.Revision).
 		Uint64("timeline", batch.Timeline).Uint64("revision", batch.Revision).
 		Dur("steady_ms", batch.Steady).Int("hops", batch.Hops).Send()
-	d.process.fellBack.Add(1)
+	m.process.storeRestores.Add(1)
 }
 
-func (d *dependency) answered(batch *slipwick.FeedBatch) {
-	d.process.timeline.Store(batch.Timeline)
-	if d.lost.IsZero() {
+func (m *feedMonitor) succeeded(batch *slipwick.FeedBatch) {
+	m.process.timeline.Store(batch.Timeline)
+	if m.failingSince.IsZero() {
 		return
 	}
-	events.StoreRegained.On(&d.process.Log).Str("feed", d.feed).Dur("lost_ms", clock.Since(d.lost)).
+	events.StoreRegained.On(&m.process.Log).Str("feed", m.feed).Dur("lost_ms", clock.Since(m.failingSince)).
 		Uint64("timeline", batch.Timeline).Uint64("revision", batch.Revision).Int("hops", batch.Hops).Send()
-	d.lost = time.Time{}
+	m.failingSince = time.Time{}
 }
 
-// onBackends takes changes of the list. Connections to servers that are gone are closed;
-// those that go on are not looked at.
+// onBackends applies changes of the list of backend servers. It closes connections to
+// servers that were removed and leaves those to listed servers as they are.
 func (p *Process) onBackends(changes *balance.Changes) {
 	p.balancer.ChangeBackends(changes)
 	leaving, cold, now := 0, 0, clock.Now()
@@ -146,36 +149,36 @@
 	events.BackendsChanged.On(&p.Log).Int("listed", p.balancer.ServerCount()).Int("changed", len(changes.Entries)).
 		Int("leaving", leaving).Int("cold", cold).Int("gone", len(changes.Removed)).Send()
 	p.client.Retain(p.balancer.IsListed)
-	p.listed.Store(true)
+	p.backendsListed.Store(true)
 }
 
-// onMembers notes routers that died.
+// onMembers logs routers that died, and applies the new number and list of routers.
 func (p *Process) onMembers(change membership.Change) {
 	for _, id := range change.Died {
 		events.RouterDied.On(&p.Log).Str("died", id).Send()
 	}
-	p.shareConnections(len(change.Routers))
-	p.tellRouters(change.Routers)
+	p.limitIdleConnections(len(change.Routers))
+	p.setRouters(change.Routers)
 }
 
-// shareConnections gives each router its part of the connections that a backend
-// server takes, half of it for those that rest.
-func (p *Process) shareConnections(routers int) {
+// limitIdleConnections limits the idle connections to each backend server: every router gets an
+// equal share of the connections that a server accepts, and half of its share may be idle.
+func (p *Process) limitIdleConnections(routers int) {
 	table := p.gateway.Table()
 	if table == nil {
 		return
 	}
-	least := math.MaxInt
+	smallest := math.MaxInt
 	for _, pool := range table.Pools {
 		if pool.MaxConnections > 0 {
-			least = min(least, pool.MaxConnections)
+			smallest = min(smallest, pool.MaxConnections)
 		}
 	}
-	p.client.SetMaxIdle(least / (2 * max(routers, 1)))
+	p.client.SetMaxIdle(smallest / (2 * max(routers, 1)))
 }
 
-// onOut notes a backend server that is left out for a while.
-func (p *Process) onOut(backend slipwick.Backend, wait time.Duration) {
+// onEjected logs that a backend server was ejected for the given time.
+func (p *Process) onEjected(backend slipwick.Backend, wait time.Duration) {
 	events.BackendEjected.On(&p.Log).Str("backend", backend.ID).Str("address", backend.Address).
 		Dur("wait_ms", wait).Send()
 }
@@ -186,37 +189,38 @@
 }
 
 const (
-	// joinSoon is how often a router that has just started and knows no other
-	// tries one of its seeds, for the first joinsSoon times: whole fleets start
-	// at once, in any order. joinEvery is how often it does later.
-	joinSoon  = 20 * time.Millisecond
-	joinsSoon = 50
-	joinEvery = time.Second
-	// Each seed is tried joinRounds times, one every joinPause, also when others
-	// are known: routers that each met another seed would else be two fleets.
-	joinRounds = 3
-	joinPause  = 80 * time.Millisecond
+	// fastJoinInterval is the interval at which a router that has just started and knows no other
+	// tries its seeds, for the first fastJoins attempts: whole fleets start at once, in any
+	// order. joinInterval is the interval of later attempts.
+	fastJoinInterval = 20 * time.Millisecond
+	fastJoins        = 50
+	joinInterval     = time.Second
+	// Each seed is tried joinsPerSeed times, one attempt every seedJoinInterval, even if
+	// other routers are known: otherwise routers that reached different seeds could form
+	// two fleets.
+	joinsPerSeed     = 3
+	seedJoinInterval = 80 * time.Millisecond
 )
 
-// join finds the other routers through the seeds.
+// join finds the other routers through the seeds. It runs until ctx ends.
 func (p *Process) join(ctx context.Context) {
-	if p.hasNoSeeds() {
+	if p.hasNoOtherSeed() {
 		p.node.FinishCatchUp()
 	}
 	first := rand.IntN(math.MaxInt16)
 	for tries := 0; ; tries++ {
 		seeds := *p.seeds.Load()
 		alone := len(p.node.Routers()) == 1
-		early := tries < joinRounds*len(seeds)
+		early := tries < joinsPerSeed*len(seeds)
 		if len(seeds) > 0 && (alone || early) {
 			p.node.Join(seeds[(first+tries)%len(seeds)])
 		}
-		pause := joinEvery
+		pause := joinInterval
 		switch {
-		case alone && tries < joinsSoon:
-			pause = joinSoon
+		case alone && tries < fastJoins:
+			pause = fastJoinInterval
 		case early:
-			pause = joinPause
+			pause = seedJoinInterval
 		}
 		if !sleep(ctx, pause) {
 			return
@@ -224,27 +228,27 @@
 	}
 }
 
-// hasNoSeeds tells whether no seed is another router.
-func (p *Process) hasNoSeeds() bool {
+// hasNoOtherSeed reports whether no seed is the address of another router.
+func (p *Process) hasNoOtherSeed() bool {
 	isOther := func(seed string) bool { return seed != p.Settings.Listen.Peers }
 	return !slices.ContainsFunc(*p.seeds.Load(), isOther)
 }
 
-// watchSettings takes changed settings: seeds, grace period, and the bounds on
-// load and repeats. What a process listens on, and its rhythm, are fixed for its
-// life.
+// watchSettings applies changed settings until ctx ends: the seeds, the grace period, and
+// the bounds on load, cold servers and retries. Listen addresses, and the intervals and
+// time limits in Bounds, are fixed until the process restarts.
 func (p *Process) watchSettings(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-p.Reload:
-			p.reread()
+			p.reloadSettings()
 		}
 	}
 }
 
-func (p *Process) reread() {
+func (p *Process) reloadSettings() {
 	if p.Reread == nil {
 		return
 	}
@@ -258,7 +262,7 @@
 	bounds := settings.Bounds.orDefaults()
 	p.balancer.SetLoadBound(bounds.LoadFactor, bounds.LoadSlack)
 	p.bounds.Store(&bounds)
-	p.limitCold()
+	p.setColdLimits()
 	p.gateway.Budget.SetLimit(settings.Retries.Ratio, settings.Retries.Extra)
 	events.SettingsReloaded.On(&p.Log).Int("seeds", len(settings.Seeds)).Dur("grace_ms", settings.Grace).
 		Float64("load_factor", bounds.LoadFactor).Float64("retry_ratio", settings.Retries.Ratio).
--- a/cmd/internal/gatewayd/foreign.go
+++ b/cmd/internal/gatewayd/foreign.go
@@ -6,55 +6,55 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// foreign keeps the objects of a store that can't be read, as other writers may leave
-// them. Each is logged once for each reason.
-type foreign struct {
+// invalidEntries tracks the store's entries that cannot be decoded, which other writers may leave
+// there. Each entry is logged once per reason.
+type invalidEntries struct {
 	process *Process
 
 	mu      sync.Mutex
-	reasons map[foreignName]string
+	reasons map[entryName]string
 }
 
-// foreignName is an object of a feed.
-type foreignName struct {
+// entryName identifies an entry by its feed and name.
+type entryName struct {
 	feed, name string
 }
 
-func newForeign(p *Process) *foreign {
-	return &foreign{
+func newInvalidEntries(p *Process) *invalidEntries {
+	return &invalidEntries{
 		process: p,
-		reasons: make(map[foreignName]string),
+		reasons: make(map[entryName]string),
 	}
 }
 
-// note takes whether an object of a feed can be read; reason is nil if it can.
-func (f *foreign) note(feed, name string, reason error) {
-	at := foreignName{
+// record stores why an entry cannot be decoded; reason is nil if it can.
+func (e *invalidEntries) record(feed, name string, reason error) {
+	at := entryName{
 		feed: feed,
 		name: name,
 	}
-	f.mu.Lock()
-	known, isKnown := f.reasons[at]
+	e.mu.Lock()
+	known, isKnown := e.reasons[at]
 	if reason == nil {
-		delete(f.reasons, at)
+		delete(e.reasons, at)
 	} else {
-		f.reasons[at] = reason.Error()
+		e.reasons[at] = reason.Error()
 	}
-	f.mu.Unlock()
+	e.mu.Unlock()
 	if reason != nil && (!isKnown || known != reason.Error()) {
-		events.EntryRefused.On(&f.process.Log).Str("feed", feed).Str("entry", name).
+		events.EntryRefused.On(&e.process.Log).Str("feed", feed).Str("entry", name).
 			Str("reason", reason.Error()).Send()
 	}
 }
 
-// of gives what takes whether objects of a feed can be read.
-func (f *foreign) of(feed string) func(name string, reason error) {
-	return func(name string, reason error) { f.note(feed, name, reason) }
+// recorder returns a function that records invalid entries of the feed, for Follower.OnInvalid.
+func (e *invalidEntries) recorder(feed string) func(name string, reason error) {
+	return func(name string, reason error) { e.record(feed, name, reason) }
 }
 
-// count gives how many objects can't be read.
-func (f *foreign) count() int {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return len(f.reasons)
+// count returns the number of entries that cannot be decoded.
+func (e *invalidEntries) count() int {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	return len(e.reasons)
 }
--- a/cmd/internal/gatewayd/foreign_test.go
+++ b/cmd/internal/gatewayd/foreign_test.go
@@ -16,18 +16,18 @@
 	p := New(&Settings{}, Feeds{})
 	p.Log = zerolog.New(&lines)
 	for range 3 {
-		p.foreign.note(feedBackends, "a", errors.New("field address"))
+		p.invalidEntries.record(feedBackends, "a", errors.New("field address"))
 	}
-	p.foreign.note(feedBackends, "b", errors.New("field state"))
-	p.foreign.note(feedBackends, "a", errors.New("field slots"))
+	p.invalidEntries.record(feedBackends, "b", errors.New("field state"))
+	p.invalidEntries.record(feedBackends, "a", errors.New("field slots"))
 	if got, want := strings.Count(lines.String(), "entry-refused"), 3; got != want {
 		t.Errorf("got %d lines, want %d:\n%s", got, want, lines.String())
 	}
-	if got := p.foreign.count(); got != 2 {
+	if got := p.invalidEntries.count(); got != 2 {
 		t.Errorf("got %d entries that can't be read, want 2", got)
 	}
-	p.foreign.of(feedBackends)("a", nil)
-	if got := p.foreign.count(); got != 1 {
+	p.invalidEntries.recorder(feedBackends)("a", nil)
+	if got := p.invalidEntries.count(); got != 1 {
 		t.Errorf("got %d entries that can't be read after one is good, want 1", got)
 	}
 }
--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -25,97 +25,100 @@
 )
 
 const (
-	// refuseTime is how long it then refuses, so that connections that were
-	// on their way get an answer.
+	// refuseTime is how long a draining router at least refuses requests after the announce
+	// time, so that connections that were on their way get a response.
 	refuseTime = 500 * time.Millisecond
-	// lateTime is how long after that requests are still served that end
-	// within it by their time-out.
-	lateTime = 3 * time.Second
-	// graceMargin is what is left of the grace period at the end.
+	// lateRequestTime is how long a draining router serves new requests after the announce time,
+	// provided their timeout ends within it.
+	lateRequestTime = 3 * time.Second
+	// graceMargin is the part of the grace period that is left for closing connections.
 	graceMargin = 300 * time.Millisecond
-	// headerWait bounds the time of a request's header.
-	headerWait = 10 * time.Second
-	// memoryShare of the bound is what the runtime aims to stay below.
-	memoryShare = 0.7
+	// headerTimeout bounds the time to read a request's header.
+	headerTimeout = 10 * time.Second
+	// memoryLimitShare is the part of Settings.MemoryBytes that is the Go runtime's memory limit.
+	memoryLimitShare = 0.7
 )
 
-// Process is one gateway process. Set the exported fields before Run.
+// Process is one gateway process. Create it with New, and set the exported fields before Run.
 type Process struct {
 	Settings *Settings
 	Feeds    Feeds
 	Log      zerolog.Logger
-	// DroppedLines counts lines of the log that were not written; may be nil.
+	// DroppedLines counts log lines that were not written; may be nil.
 	DroppedLines *atomic.Int64
-	// Switches are for comparisons.
+	// Switches select alternative decisions of the balancer, to compare them; none is set
+	// in production.
 	Switches balance.Switches
-	// Reload gives a value when the settings may have changed, and Reread
-	// reads them anew. Both may be nil.
+	// Reload receives a value when the settings may have changed, and Reread
+	// returns the current ones. Both may be nil.
 	Reload <-chan struct{}
 	Reread func() (*Settings, error)
 
-	gateway  *gateway.Gateway
-	balancer *balance.Balancer
-	backends *directory.Backends
-	client   *upstream.Client
-	node     *membership.Node
-	udp      *membership.UDP
-	teller   *exchange.Syncer
-	recovery *exchange.Recovery
-	// ledger keeps requests from backend servers that end under them, marks tells the
-	// other routers.
-	ledger   *quarantine.Tracker
-	marks    *exchange.CrashGossiper
-	peers    *peers
-	mirrors  map[string]*directory.Mirror
-	tellings *membership.UDP
-	metrics  *metrics
-	observer *observer
+	gateway       *gateway.Gateway
+	balancer      *balance.Balancer
+	backends      *directory.Backends
+	client        *upstream.Client
+	node          *membership.Node
+	membershipUDP *membership.UDP
+	syncer        *exchange.Syncer
+	recovery      *exchange.Recovery
+	// tracker quarantines requests that crash backend servers, gossiper sends the crashes to
+	// the other routers.
+	tracker     *quarantine.Tracker
+	gossiper    *exchange.CrashGossiper
+	peers       *peers
+	mirrors     map[string]*directory.Mirror
+	exchangeUDP *membership.UDP
+	metrics     *metrics
+	observer    *observer
 
-	// connections counts those of callers.
+	// connections counts accepted connections of callers.
 	connections atomic.Int64
 
-	// foreign are the objects of the store that can't be read.
-	foreign *foreign
+	// invalidEntries are the store's entries that cannot be decoded.
+	invalidEntries *invalidEntries
 
-	// timeline is the store's by its latest answer, fellBack how many feeds began anew
-	// as it came back from a copy.
-	timeline atomic.Uint64
-	fellBack atomic.Int64
+	// timeline is the store's timeline in its latest response. storeRestores counts how often
+	// a feed started over because the store was restored from a backup.
+	timeline      atomic.Uint64
+	storeRestores atomic.Int64
 
-	listed atomic.Bool
-	// evacuated are the data centres known to be; evacuationsKnown is closed when
-	// they are first known.
+	// backendsListed is set once the list of backend servers is known.
+	backendsListed atomic.Bool
+	// evacuated are the evacuated data centres; evacuationsKnown is closed when they are
+	// first known.
 	evacuated        atomic.Pointer[[]string]
 	evacuationsKnown chan struct{}
-	// rollouts are those that are followed, rolloutsKnown is closed when they first are.
+	// rollouts follows the rollouts; rolloutsKnown is closed when they are first known.
 	rollouts      *rollouts
 	rolloutsKnown chan struct{}
-	// ready is closed when the process has a table, the list of backend servers and
-	// that of evacuated data centres, learnt when it knows what engines keep.
-	ready, learnt chan struct{}
+	// ready is closed when the process has a table and the lists of backend servers,
+	// evacuated data centres and rollouts, or waited for the latter two in vain.
+	// cachesKnown is closed when it knows which prompts engines have cached.
+	ready, cachesKnown chan struct{}
 
 	draining atomic.Bool
-	// seeds, grace and bounds are those of the settings read last.
+	// seeds, grace and bounds are from the settings read last.
 	seeds  atomic.Pointer[[]string]
 	grace  atomic.Int64
 	bounds atomic.Pointer[Bounds]
 	done   chan struct{}
 }
 
-// New makes a process that Run starts.
+// New returns a process with the settings and feeds; Run starts it.
 func New(settings *Settings, feeds Feeds) *Process {
 	p := &Process{
-		Settings: settings,
-		Feeds:    feeds,
-		Log:      zerolog.Nop(),
-		ready:    make(chan struct{}),
-		learnt:   make(chan struct{}),
-		done:     make(chan struct{}),
+		Settings:    settings,
+		Feeds:       feeds,
+		Log:         zerolog.Nop(),
+		ready:       make(chan struct{}),
+		cachesKnown: make(chan struct{}),
+		done:        make(chan struct{}),
 
 		evacuationsKnown: make(chan struct{}),
 		rolloutsKnown:    make(chan struct{}),
 	}
-	p.foreign = newForeign(p)
+	p.invalidEntries = newInvalidEntries(p)
 	return p
 }
 
@@ -124,12 +127,13 @@
 	return p.done
 }
 
-// Run serves until ctx ends, then drains.
+// Run serves requests until ctx ends, then drains and returns nil. It returns an error if an
+// address cannot be opened or a server fails. It may be called once.
 func (p *Process) Run(ctx context.Context) error {
 	defer close(p.done)
 	p.Log = p.Log.With().Str("router", p.Settings.ID).Logger()
 	if p.Settings.MemoryBytes > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(p.Settings.MemoryBytes)))
+		debug.SetMemoryLimit(int64(memoryLimitShare * float64(p.Settings.MemoryBytes)))
 	}
 	open, err := listen(&p.Settings.Listen)
 	if err != nil {
@@ -141,16 +145,16 @@
 	failed := make(chan error, 7)
 	for _, part := range []func(context.Context){
 		p.followTables, p.followBackends, p.followEvacuations, p.followRollouts,
-		p.node.Run, p.tellFirstRouters, p.join, p.teller.Run,
-		p.marks.Run, p.recoverHomes, p.watchSettings, p.noticeSleep,
+		p.node.Run, p.setFirstRouters, p.join, p.syncer.Run,
+		p.gossiper.Run, p.recoverCacheIndex, p.watchSettings, p.watchSuspension,
 	} {
 		parts.Go(func() { part(background) })
 	}
-	parts.Go(func() { failed <- p.udp.Run(background) })
-	parts.Go(func() { failed <- p.tellings.Run(background) })
+	parts.Go(func() { failed <- p.membershipUDP.Run(background) })
+	parts.Go(func() { failed <- p.exchangeUDP.Run(background) })
 	callers := newServer(p.gateway)
-	callers.ConnState = onState
-	servers := []*http.Server{callers, newServer(p.readiness()), newServer(p.forPeers())}
+	callers.ConnState = trackConnState
+	servers := []*http.Server{callers, newServer(p.readinessHandler()), newServer(p.peerHandler())}
 	listeners := []net.Listener{
 		&idleListener{
 			Listener: open.callers,
@@ -161,7 +165,7 @@
 		open.peers,
 	}
 	if open.metrics != nil {
-		servers, listeners = append(servers, newServer(p.forOperators())), append(listeners, open.metrics)
+		servers, listeners = append(servers, newServer(p.operatorHandler())), append(listeners, open.metrics)
 	}
 	for i, server := range servers {
 		parts.Go(func() { failed <- server.Serve(listeners[i]) })
@@ -187,14 +191,14 @@
 func newServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           handler,
-		ReadHeaderTimeout: headerWait,
+		ReadHeaderTimeout: headerTimeout,
 	}
 }
 
-// drain stops being ready, serves until the balancer has seen it, refuses what
-// still comes and could last too long, and ends when nothing is in progress or
-// the grace period is over. Connections that rest stay open until then: closing one cuts off the
-// request that is on its way; answers tell callers to take others.
+// drain marks the router as not ready, serves until the load balancer has noticed, then
+// refuses new requests that could last too long, and returns when no request is in progress
+// or the grace period is over. Idle connections stay open until then, since closing one would
+// lose a request that is already on its way; responses tell callers to use other connections.
 func (p *Process) drain() {
 	started := clock.Now()
 	events.DrainStarted.On(&p.Log).Int64("in_flight", p.gateway.InFlight()).Send()
@@ -203,9 +207,9 @@
 	p.node.Leave()
 	end := started.Add(time.Duration(p.grace.Load()) - graceMargin)
 	time.Sleep(clock.Until(earlier(end, started.Add(p.Settings.Bounds.announceTime()))))
-	p.gateway.StopAt(earlier(end, clock.Now().Add(lateTime)))
-	for closed := clock.Now(); clock.Now().Before(end); time.Sleep(drainCheck) {
-		if p.gateway.InFlight() == 0 && clock.Since(closed) > refuseTime {
+	p.gateway.StopAt(earlier(end, clock.Now().Add(lateRequestTime)))
+	for refusing := clock.Now(); clock.Now().Before(end); time.Sleep(drainCheckInterval) {
+		if p.gateway.InFlight() == 0 && clock.Since(refusing) > refuseTime {
 			break
 		}
 	}
@@ -220,10 +224,10 @@
 	return b
 }
 
-// drainCheck is how often a draining router looks whether it is done.
-const drainCheck = 50 * time.Millisecond
+// drainCheckInterval is the interval at which a draining router checks whether requests are left.
+const drainCheckInterval = 50 * time.Millisecond
 
-// isReady tells whether the balancer may send connections here.
+// isReady reports whether the load balancer may send connections to this router.
 func (p *Process) isReady() bool {
 	select {
 	case <-p.ready:
@@ -233,7 +237,7 @@
 	}
 }
 
-func (p *Process) readiness() http.Handler {
+func (p *Process) readinessHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc(p.Settings.Listen.ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
 		if !p.isReady() {
@@ -243,8 +247,8 @@
 	return mux
 }
 
-// forPeers answers other routers.
-func (p *Process) forPeers() http.Handler {
+// peerHandler returns the handler of requests from other routers.
+func (p *Process) peerHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle(directory.RelayPath, &directory.RelayServer{
 		Mirrors: p.mirrors,
@@ -255,7 +259,7 @@
 	return mux
 }
 
-// idleLimit is how long callers' connections may rest.
+// idleLimit returns how long callers' connections may be idle; 0 sets no limit.
 func (p *Process) idleLimit() time.Duration {
 	if table := p.gateway.Table(); table != nil {
 		return table.Limits.IdleTimeout
--- a/cmd/internal/gatewayd/homes.go
+++ b/cmd/internal/gatewayd/homes.go
@@ -12,22 +12,23 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// listedPoll is how often a starting router looks whether it has a table and the
-// list of backend servers.
-const listedPoll = 10 * time.Millisecond
+// listedPollInterval is the interval at which a starting router checks whether it has a table and
+// the list of backend servers.
+const listedPollInterval = 10 * time.Millisecond
 
-// recoverHomes learns where prompts are cached after a start.
-func (p *Process) recoverHomes(ctx context.Context) {
-	p.learnHomes(ctx)
-	close(p.learnt)
+// recoverCacheIndex finds out after a start which engines have cached which prompts, and
+// then follows engines that are listed late until ctx ends.
+func (p *Process) recoverCacheIndex(ctx context.Context) {
+	p.fetchCacheIndex(ctx)
+	close(p.cachesKnown)
 	if !p.Settings.FirstStart {
 		p.recovery.LearnLateListings(ctx)
 	}
 }
 
-func (p *Process) learnHomes(ctx context.Context) {
-	for !p.listed.Load() || p.gateway.Table() == nil {
-		if !sleep(ctx, listedPoll) {
+func (p *Process) fetchCacheIndex(ctx context.Context) {
+	for !p.backendsListed.Load() || p.gateway.Table() == nil {
+		if !sleep(ctx, listedPollInterval) {
 			return
 		}
 	}
@@ -44,7 +45,7 @@
 		Int("routers", len(p.node.Routers())).Dur("took_ms", time.Since(started)).Send()
 }
 
-// newRecovery makes the part that learns of caches.
+// newRecovery creates the recovery of the cache index from other routers and engines.
 func (p *Process) newRecovery() *exchange.Recovery {
 	r := exchange.NewRecovery(p.Settings.ID)
 	r.Balancer = p.balancer
@@ -63,7 +64,7 @@
 	return r
 }
 
-// enginePools names the pools of engines of the table in force.
+// enginePools returns the names of the engine pools of the table in force.
 func (p *Process) enginePools() []string {
 	var names []string
 	if table := p.gateway.Table(); table != nil {
@@ -76,7 +77,8 @@
 	return names
 }
 
-// listCache asks an engine for the parts that it keeps.
+// listCache returns the keys of the prompt parts that an engine has cached, from the engine
+// itself.
 func (p *Process) listCache(ctx context.Context, engine slipwick.Backend) ([]uint64, error) {
 	ids, notice, err := p.Feeds.Caches.CachedParts(ctx, engine.Address)
 	p.balancer.RecordNoticeFrom(&engine, notice)
@@ -91,7 +93,7 @@
 	return parts, nil
 }
 
-// sleep waits; false if ctx ended first.
+// sleep blocks for the given time; it returns false if ctx ends first.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/cmd/internal/gatewayd/idle.go
+++ b/cmd/internal/gatewayd/idle.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// idleListener bounds how long connections rest between requests, by a limit
-// that may change: net/http's own is fixed at the start.
+// idleListener limits how long connections may be idle between requests. The limit may
+// change while the server runs; http.Server.IdleTimeout is fixed at its start.
 type idleListener struct {
 	net.Listener
-	// limit gives the limit now; 0 sets none.
+	// limit returns the current limit; 0 sets none.
 	limit func() time.Duration
-	// accepted counts connections.
+	// accepted counts accepted connections.
 	accepted *atomic.Int64
 }
 
-// Accept gives the next connection.
+// Accept returns the next connection, with the limit applied.
 func (l *idleListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
@@ -30,15 +30,15 @@
 	}, nil
 }
 
-// idleConn is a connection with the changing limit.
+// idleConn is a connection of an idleListener.
 type idleConn struct {
 	net.Conn
 	limit  func() time.Duration
 	active atomic.Bool
 }
 
-// SetReadDeadline puts the limit in the place of no deadline while the
-// connection rests.
+// SetReadDeadline sets the read deadline. While the connection is idle, the idle limit
+// replaces a zero deadline.
 func (c *idleConn) SetReadDeadline(at time.Time) error {
 	if at.IsZero() && !c.active.Load() {
 		if limit := c.limit(); limit > 0 {
@@ -48,8 +48,8 @@
 	return c.Conn.SetReadDeadline(at)
 }
 
-// onState follows whether a connection rests; it is for http.Server.ConnState.
-func onState(conn net.Conn, state http.ConnState) {
+// trackConnState tracks whether a connection is idle; it is a http.Server.ConnState hook.
+func trackConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*idleConn)
 	if !ok {
 		return
@@ -57,7 +57,7 @@
 	switch state {
 	case http.StateActive:
 		c.active.Store(true)
-		// A connection that fails here fails at its next use as well.
+		// If this fails, so does the next use of the connection, which reports the error.
 		_ = c.Conn.SetReadDeadline(time.Time{})
 	case http.StateIdle:
 		c.active.Store(false)
--- a/cmd/internal/gatewayd/listeners.go
+++ b/cmd/internal/gatewayd/listeners.go
@@ -9,16 +9,16 @@
 	"github.com/slipwick/slipwick"
 )
 
-// listeners are a process' open addresses.
+// listeners are the open sockets of a process.
 type listeners struct {
 	callers, ready, peers, metrics net.Listener
 
-	// packets are those of membership, tellings those of the exchange.
-	packets, tellings *net.UDPConn
+	// membershipUDP is the socket of membership, exchangeUDP that of the updates between routers.
+	membershipUDP, exchangeUDP *net.UDPConn
 }
 
-// listen opens all addresses or none: one that stayed open after a failed start would
-// take connections that nobody serves.
+// listen opens all addresses or none: a socket that stays open after a failed start would
+// accept connections that nothing serves.
 func listen(addresses *Listen) (*listeners, error) {
 	l := &listeners{}
 	if err := l.open(addresses); err != nil {
@@ -43,26 +43,26 @@
 		}
 		listener, err := net.Listen("tcp4", open.address)
 		if err != nil {
-			return errors.Wrap(err, "listen; choose a free address")
+			return errors.Wrap(err, "listen; the address must be a free one of this box")
 		}
 		*open.listener = listener
 	}
 	var err error
-	if l.packets, err = listenPackets(addresses.Peers); err != nil {
+	if l.membershipUDP, err = listenPackets(addresses.Peers); err != nil {
 		return err
 	}
-	l.tellings, err = listenPackets(nextPort(addresses.Peers))
+	l.exchangeUDP, err = listenPackets(nextPort(addresses.Peers))
 	return err
 }
 
-// close closes what is open.
+// close closes all open sockets.
 func (l *listeners) close() {
 	for _, listener := range []net.Listener{l.callers, l.ready, l.peers, l.metrics} {
 		if listener != nil {
 			_ = listener.Close()
 		}
 	}
-	for _, connection := range []*net.UDPConn{l.packets, l.tellings} {
+	for _, connection := range []*net.UDPConn{l.membershipUDP, l.exchangeUDP} {
 		if connection != nil {
 			_ = connection.Close()
 		}
@@ -72,15 +72,15 @@
 func listenPackets(text string) (*net.UDPConn, error) {
 	address, err := net.ResolveUDPAddr("udp4", text)
 	if err != nil {
-		return nil, errors.Wrap(err, "the peers' address is no host:port of IPv4")
+		return nil, errors.Wrap(err, "the peers address is not an IPv4 host:port")
 	}
 	connection, err := net.ListenUDP("udp4", address)
-	return connection, errors.Wrap(err, "listen for peers; choose a free address")
+	return connection, errors.Wrap(err, "listen for peers; the address and the next port must be free on this box")
 }
 
-// tellingsAddress is where a router hears the exchange: the port after that of
-// membership.
-func tellingsAddress(router slipwick.Router) string {
+// exchangeAddress returns the address at which a router receives updates of other routers:
+// the port after that of membership.
+func exchangeAddress(router slipwick.Router) string {
 	return nextPort(router.Address)
 }
 
--- a/cmd/internal/gatewayd/metrics.go
+++ b/cmd/internal/gatewayd/metrics.go
@@ -8,7 +8,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metrics are a gateway's Prometheus metrics; docs/METRICS.md lists them.
+// metrics are a gateway's Prometheus metrics; docs/METRICS-GATEWAY.md lists them.
 type metrics struct {
 	registry *prometheus.Registry
 
@@ -29,7 +29,7 @@
 		}, []string{"result", "reason"}),
 		attempts: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "slipwick_gateway_attempts_total",
-			Help: "Sends to backend servers that brought no answer, by result.",
+			Help: "Attempts at backend servers that yielded no complete response, by result.",
 		}, []string{"result"}),
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name:    "slipwick_gateway_request_seconds",
@@ -45,15 +45,15 @@
 	return m
 }
 
-// figure is one that is read when asked for.
-type figure struct {
+// gauge is a metric whose value is read at each scrape.
+type gauge struct {
 	name, help string
 	read       func() float64
 }
 
-// add adds the figures that are read when asked for.
-func (m *metrics) add(p *Process) {
-	for _, f := range slices.Concat(p.figures(), p.backendFigures()) {
+// registerGauges registers the gauges that are read at each scrape.
+func (m *metrics) registerGauges(p *Process) {
+	for _, f := range slices.Concat(p.gauges(), p.backendGauges()) {
 		m.registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 			Name: f.name,
 			Help: f.help,
@@ -61,8 +61,8 @@
 	}
 }
 
-func (p *Process) figures() []figure {
-	return []figure{
+func (p *Process) gauges() []gauge {
+	return []gauge{
 		{
 			name: "slipwick_requests_in_flight",
 			help: "Requests that this router has in progress.",
@@ -75,7 +75,7 @@
 		},
 		{
 			name: "slipwick_log_lines_dropped",
-			help: "Lines of the log beyond its budget.",
+			help: "Log lines dropped because they exceeded the log's budget or its buffer was full.",
 			read: func() float64 {
 				if p.DroppedLines == nil {
 					return 0
@@ -85,60 +85,61 @@
 		},
 		{
 			name: "slipwick_control_bytes",
-			help: "Bytes of membership and tellings sent and received, headers of IP and UDP included.",
+			help: "Bytes of membership and of updates between routers sent and received, including IP and UDP headers.",
 			read: func() float64 {
-				return float64(p.udp.Sent.Load() + p.udp.Received.Load() + p.tellings.Sent.Load() + p.tellings.Received.Load())
+				return float64(p.membershipUDP.Sent.Load() + p.membershipUDP.Received.Load() +
+					p.exchangeUDP.Sent.Load() + p.exchangeUDP.Received.Load())
 			},
 		},
 		{
 			name: "slipwick_store_timeline",
-			help: "How often the store came back from a copy of itself, as it says; 0 of one that does not.",
+			help: "How often the store was restored from a backup, as the store reports it; 0 if it does not report it.",
 			read: func() float64 { return float64(p.timeline.Load()) },
 		},
 		{
 			name: "slipwick_store_returns_from_copies",
-			help: "Times that a followed feed began anew as the store came back from a copy.",
-			read: func() float64 { return float64(p.fellBack.Load()) },
+			help: "Times that a feed started over because the store was restored from a backup.",
+			read: func() float64 { return float64(p.storeRestores.Load()) },
 		},
 		{
 			name: "slipwick_evacuated_data_centres",
-			help: "Data centres whose backend servers get nothing new.",
-			read: func() float64 { return float64(len(p.evacuatedNow())) },
+			help: "Evacuated data centres, whose backend servers get no new requests.",
+			read: func() float64 { return float64(len(p.evacuatedDataCentres())) },
 		},
 		{
 			name: "slipwick_refused_entries",
-			help: "Objects of the store that can't be read, and are out of use.",
-			read: func() float64 { return float64(p.foreign.count()) },
+			help: "Entries of the store that cannot be decoded and are not used.",
+			read: func() float64 { return float64(p.invalidEntries.count()) },
 		},
 		{
 			name: "slipwick_quarantined_requests",
-			help: "Requests that get no backend server, as several ended under each.",
-			read: func() float64 { return float64(p.ledger.QuarantinedCount()) },
+			help: "Requests that are refused because each crashed several backend servers.",
+			read: func() float64 { return float64(p.tracker.QuarantinedCount()) },
 		},
 		{
 			name: "slipwick_members",
-			help: "Routers that this router does not count as dead.",
+			help: "Routers that this router considers alive, including itself.",
 			read: func() float64 { return float64(len(p.node.Routers())) },
 		},
 	}
 }
 
-// backendFigures are those of backend servers.
-func (p *Process) backendFigures() []figure {
-	return []figure{
+// backendGauges returns the gauges on backend servers.
+func (p *Process) backendGauges() []gauge {
+	return []gauge{
 		{
 			name: "slipwick_leaving_backend_servers",
-			help: "Backend servers that leave, by the list or by what they say in answers.",
+			help: "Backend servers that leave, according to the list or to notices in their responses.",
 			read: func() float64 { leaving, _ := p.balancer.Notices(); return float64(leaving) },
 		},
 		{
 			name: "slipwick_resting_backend_servers",
-			help: "Backend servers that want nothing from this router for a while.",
+			help: "Backend servers that asked this router for a pause.",
 			read: func() float64 { _, resting := p.balancer.Notices(); return float64(resting) },
 		},
 		{
 			name: "slipwick_running_rollouts",
-			help: "Rollouts of versions without a verdict.",
+			help: "Rollouts that are not decided yet.",
 			read: func() float64 { return float64(p.rollouts.running()) },
 		},
 		{
@@ -148,7 +149,7 @@
 		},
 		{
 			name: "slipwick_stray_answers",
-			help: "Answers to other requests that were skipped.",
+			help: "Responses of backend servers skipped because they belonged to another request.",
 			read: func() float64 { return float64(p.client.StrayResponses.Load()) },
 		},
 	}
--- a/cmd/internal/gatewayd/observer.go
+++ b/cmd/internal/gatewayd/observer.go
@@ -13,18 +13,18 @@
 
 var _ gateway.Observer = (*observer)(nil)
 
-// observer logs and counts what happens to requests.
+// observer logs and counts refused requests, failed attempts and ended requests.
 type observer struct {
 	log     zerolog.Logger
 	metrics *metrics
-	// refusals logs what was turned away at once. It has a budget of its own:
-	// a caller with a wrong key must not crowd out all else.
+	// refusals logs requests refused on arrival. It has a line budget of its own, so that
+	// a caller with a wrong key cannot use up the budget of all other lines.
 	refusals zerolog.Logger
-	// requestID names the header that has a request's ID.
+	// requestID is the name of the header with the request's ID.
 	requestID string
 }
 
-// refusalsPerSecond is the budget of lines on requests turned away at once.
+// refusalsPerSecond is the budget of log lines on requests refused on arrival.
 const refusalsPerSecond = 10
 
 func newObserver(log zerolog.Logger, metrics *metrics, requestID string) *observer {
@@ -39,7 +39,7 @@
 	}
 }
 
-// Refused notes a request that was turned away at once.
+// Refused records a request that was refused on arrival.
 func (o *observer) Refused(request *http.Request, refusal *gateway.Refusal) {
 	o.metrics.requests.WithLabelValues("refused", refusal.Reason).Inc()
 	events.RequestRefused.On(&o.refusals).Str("request", request.Header.Get(o.requestID)).
@@ -47,7 +47,7 @@
 		Int("status", refusal.Status).Str("reason", refusal.Reason).Send()
 }
 
-// Attempted notes a send that did not bring the answer.
+// Attempted records an attempt that did not yield the complete response.
 func (o *observer) Attempted(attempt *gateway.FailedAttempt) {
 	o.metrics.attempts.WithLabelValues(attempt.Result).Inc()
 	events.AttemptFailed.On(&o.log).Str("request", attempt.RequestID).Stringer("key", attempt.Key).
@@ -57,15 +57,15 @@
 		AnErr("cause", attempt.Err).Send()
 }
 
-// Ended notes how a request ended; whole answers are only counted.
-func (o *observer) Ended(ending *gateway.RequestSummary) {
-	o.metrics.requests.WithLabelValues(ending.Result, ending.Reason).Inc()
-	o.metrics.duration.WithLabelValues(string(ending.Route.Kind)).Observe(ending.Duration.Seconds())
-	if ending.Result == "delivered" {
+// Ended records how a request ended; delivered responses are counted but not logged.
+func (o *observer) Ended(summary *gateway.RequestSummary) {
+	o.metrics.requests.WithLabelValues(summary.Result, summary.Reason).Inc()
+	o.metrics.duration.WithLabelValues(string(summary.Route.Kind)).Observe(summary.Duration.Seconds())
+	if summary.Result == "delivered" {
 		return
 	}
-	events.RequestUnserved.On(&o.log).Str("request", ending.RequestID).Stringer("key", ending.Key).
-		Str("route", ending.Route.Name).Str("pool", ending.Pool).Uint64("version", ending.Version).
-		Str("result", ending.Result).Str("reason", ending.Reason).Int("status", ending.Status).Int("sends", ending.Sends).
-		Int("events", ending.Events).Dur("took_ms", ending.Duration).Send()
+	events.RequestUnserved.On(&o.log).Str("request", summary.RequestID).Stringer("key", summary.Key).
+		Str("route", summary.Route.Name).Str("pool", summary.Pool).Uint64("version", summary.Version).
+		Str("result", summary.Result).Str("reason", summary.Reason).Int("status", summary.Status).Int("sends", summary.Sends).
+		Int("events", summary.Events).Dur("took_ms", summary.Duration).Send()
 }
--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -11,14 +11,14 @@
 	"github.com/slipwick/slipwick/membership"
 )
 
-// peers chooses whom this router follows.
+// peers gives the feeds access to the other routers and to this router's place in the relay tree.
 type peers struct {
 	self slipwick.Router
 	node *membership.Node
 	http *http.Client
 
 	mu sync.Mutex
-	// place is that among the routers of members, nil before the first.
+	// place was computed for members, which is nil before the first computation.
 	place   fleet.RelayPosition
 	members []slipwick.Router
 }
@@ -30,8 +30,8 @@
 	return p.node.FleetKnown()
 }
 
-// Place gives whom this router follows. It is worked out anew when the fleet has changed,
-// not at each of its followers' calls.
+// Place returns this router's place in the relay tree. It is computed again only when the
+// fleet has changed, not at each call of the feeds.
 func (p *peers) Place() fleet.RelayPosition {
 	routers := p.node.Routers()
 	p.mu.Lock()
@@ -42,7 +42,7 @@
 	return p.place
 }
 
-// Others gives all other routers that live.
+// Others returns the IDs of all other live routers.
 func (p *peers) Others() []string {
 	var others []string
 	for _, r := range p.node.Routers() {
@@ -53,7 +53,7 @@
 	return others
 }
 
-// Relay gives another router's copy of a feed.
+// Relay returns a client of another router's copy of a feed.
 func (p *peers) Relay(id, feed string) slipwick.Feed {
 	return &directory.RelayClient{
 		Address:  p.node.Address(id),
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -7,21 +7,21 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// newLedger makes the ledger of requests under which backend servers end, and the part
-// that tells the other routers.
-func (p *Process) newLedger() (*quarantine.Tracker, *exchange.CrashGossiper) {
-	ledger := quarantine.NewTracker(p.Settings.ID)
-	teller := exchange.NewCrashGossiper(p.Settings.ID)
-	ledger.Routers = p.node.Routers
-	ledger.OnPending = teller.Trigger
-	ledger.OnQuarantined = p.onQuarantined
-	ledger.OnReleased = p.onReleased
-	teller.Tracker = ledger
-	teller.Transport = p.tellings
-	teller.Routers = p.node.Routers
-	teller.Address = tellingsAddress
-	p.teller.OnCrashes = ledger.Merge
-	return ledger, teller
+// newTracker creates the tracker of requests that crash backend servers, and the gossiper
+// that sends the crashes to the other routers.
+func (p *Process) newTracker() (*quarantine.Tracker, *exchange.CrashGossiper) {
+	tracker := quarantine.NewTracker(p.Settings.ID)
+	gossiper := exchange.NewCrashGossiper(p.Settings.ID)
+	tracker.Routers = p.node.Routers
+	tracker.OnPending = gossiper.Trigger
+	tracker.OnQuarantined = p.onQuarantined
+	tracker.OnReleased = p.onReleased
+	gossiper.Tracker = tracker
+	gossiper.Transport = p.exchangeUDP
+	gossiper.Routers = p.node.Routers
+	gossiper.Address = exchangeAddress
+	p.syncer.OnCrashes = tracker.Merge
+	return tracker, gossiper
 }
 
 func (p *Process) onQuarantined(key quarantine.Key, ends int) {
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -15,35 +15,37 @@
 )
 
 const (
-	// feedRollouts has the orders of rollouts.
+	// feedRollouts is the name of the feed of rollout orders.
 	feedRollouts = "rollouts"
-	// rolloutLook is how often a router compares the versions, and rolloutWrite how often
-	// one that follows the store tries to write a state.
-	rolloutLook  = 100 * time.Millisecond
-	rolloutWrite = 300 * time.Millisecond
-	// rolloutKept is how long after its deadline a completed rollout sends nothing to other
-	// versions: the old one's entries are gone by then, and newer versions are others'.
-	rolloutKept = 10 * time.Second
-	// rolloutsWait bounds how long a starting router waits to know the orders.
-	rolloutsWait = 2 * time.Second
+	// rolloutCheckInterval is the interval at which a router compares the versions.
+	// rolloutWriteInterval is the interval at which a watcher tries to write a state, and
+	// the timeout of a write.
+	rolloutCheckInterval = 100 * time.Millisecond
+	rolloutWriteInterval = 300 * time.Millisecond
+	// rolloutRetention is how long after its deadline a completed rollout still keeps requests
+	// from other versions. After that the old version's entries are gone, and newer versions
+	// belong to other rollouts.
+	rolloutRetention = 10 * time.Second
+	// maxRolloutsWait bounds how long a starting router waits for the orders.
+	maxRolloutsWait = 2 * time.Second
 )
 
-// rollouts follows orders of rollouts. Each router compares the versions by the answers of all
-// and acts on its verdict at once; those that follow the store write it, under the condition
-// that the order is as they know it. Nobody else need know who does: a writer that is cut off
-// or ends leaves the others to write the same.
+// rollouts follows rollout orders. Each router compares the versions by the outcomes that all
+// routers saw, and acts on its verdict at once. Watchers of the store write the verdict,
+// provided that the order has not changed since they read it. Writers need no coordination: if
+// one is isolated or ends, the others write the same state.
 type rollouts struct {
 	process *Process
 
 	mu sync.Mutex
-	// following are the rollouts by the name of their object.
+	// following holds the rollouts by the name of their store entry.
 	following map[string]*followedRollout
 }
 
-// followedRollout is a rollout, and when its state was written last.
+// followedRollout is a rollout with its latest verdict and the time of the last write.
 type followedRollout struct {
 	*rollout.Rollout
-	told      rollout.State
+	verdict   rollout.State
 	writtenAt time.Time
 }
 
@@ -54,27 +56,28 @@
 	}
 }
 
-// followsRollouts tells whether there may be rollouts at all.
+// followsRollouts reports whether rollouts are enabled.
 func (p *Process) followsRollouts() bool {
 	return p.Settings.Bounds.Exposure > 0 && p.Feeds.Rollouts != nil
 }
 
-// followRollouts keeps the orders. They go the way of the other feeds.
+// followRollouts keeps the rollout orders up to date until ctx ends. The feed is relayed
+// through the same routers as the others.
 func (p *Process) followRollouts(ctx context.Context) {
 	if !p.followsRollouts() {
 		return
 	}
-	rhythm := p.Settings.Bounds.rhythm()
+	timing := p.Settings.Bounds.timing()
 	follower := directory.NewFollower[rollout.Order](
-		p.shared(feedRollouts, p.Feeds.Rollouts, rhythm), p.mirrors[feedRollouts])
-	follower.Timing = rhythm
+		p.sharedFeed(feedRollouts, p.Feeds.Rollouts, timing), p.mirrors[feedRollouts])
+	follower.Timing = timing
 	follower.Decode = p.Feeds.DecodeRollout
-	follower.OnInvalid = p.foreign.of(feedRollouts)
-	dependency := p.newDependency(feedRollouts)
-	follower.OnError, follower.OnStoreRestored = dependency.failed, dependency.fellBack
+	follower.OnInvalid = p.invalidEntries.recorder(feedRollouts)
+	monitor := p.newFeedMonitor(feedRollouts)
+	follower.OnError, follower.OnStoreRestored = monitor.failed, monitor.storeRestored
 	isFirst, asOf := true, time.Time{}
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) {
-		dependency.answered(batch)
+		monitor.succeeded(batch)
 		asOf = clock.Now().Add(-batch.Age)
 		if len(batch.Entries) == 0 {
 			p.balancer.RolloutsKnown(asOf)
@@ -82,26 +85,26 @@
 	}
 	follower.OnChange = func(changes []directory.Change[rollout.Order]) {
 		p.rollouts.change(changes)
-		// Orders are in force before versions that none names are used.
+		// Orders take effect before RolloutsKnown allows versions that no order names.
 		p.balancer.RolloutsKnown(asOf)
 		if isFirst {
 			isFirst = false
 			close(p.rolloutsKnown)
 		}
 	}
-	var looks sync.WaitGroup
-	looks.Go(func() { p.rollouts.run(ctx) })
+	var checks sync.WaitGroup
+	checks.Go(func() { p.rollouts.run(ctx) })
 	follower.Run(ctx)
-	looks.Wait()
+	checks.Wait()
 }
 
-// awaitRollouts has a starting router wait until it knows the orders: before, it would send
-// to a version that is on trial, or was rolled back, as to any other.
+// awaitRollouts blocks a starting router until it knows the orders, at most for maxRolloutsWait:
+// without them it would send to a canary or a rolled back version as to any other.
 func (p *Process) awaitRollouts(ctx context.Context) {
 	if !p.followsRollouts() {
 		return
 	}
-	timer := time.NewTimer(rolloutsWait)
+	timer := time.NewTimer(maxRolloutsWait)
 	defer timer.Stop()
 	select {
 	case <-p.rolloutsKnown:
@@ -110,20 +113,20 @@
 	}
 }
 
-// running counts the rollouts without a verdict.
+// running returns the number of rollouts that are not decided yet.
 func (r *rollouts) running() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
 	for _, f := range r.following {
-		if !f.told.IsFinal() {
+		if !f.verdict.IsFinal() {
 			n++
 		}
 	}
 	return n
 }
 
-// change takes changes of the orders.
+// change applies changes of the orders.
 func (r *rollouts) change(changes []directory.Change[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,9 +137,9 @@
 		case c.Gone:
 			delete(r.following, c.Name)
 		case c.Invalid:
-			// What can't be read any more says nothing new.
+			// An order that can no longer be decoded keeps its last valid state.
 		case known == nil, known.Order.Version != c.Value.Version, known.Order.State.IsFinal() && !c.Value.State.IsFinal():
-			r.following[c.Name] = r.begin(&c.Value)
+			r.following[c.Name] = r.follow(&c.Value)
 		default:
 			known.Order = c.Value
 		}
@@ -144,21 +147,21 @@
 	r.applyLocked(clock.Now())
 }
 
-// begin follows an order. One that is over before it is known is not followed: its old version
-// is gone, and newer ones are none of its concern.
-func (r *rollouts) begin(order *rollout.Order) *followedRollout {
+// follow returns the rollout of an order. A completed order starts out as past its retention,
+// and so restricts no versions: its old version is gone, and newer ones belong to other orders.
+func (r *rollouts) follow(order *rollout.Order) *followedRollout {
 	now, age := clock.Now(), time.Duration(0)
 	if order.State == rollout.StateCompleted {
-		age = order.Duration + rolloutKept
+		age = order.Duration + rolloutRetention
 	}
 	return &followedRollout{
 		Rollout: rollout.New(order, r.process.Settings.Bounds.Exposure, now, age),
 	}
 }
 
-// run compares the versions until ctx ends.
+// run compares the versions and writes verdicts until ctx ends.
 func (r *rollouts) run(ctx context.Context) {
-	for sleep(ctx, rolloutLook) {
+	for sleep(ctx, rolloutCheckInterval) {
 		r.mu.Lock()
 		now := clock.Now()
 		r.applyLocked(now)
@@ -170,38 +173,38 @@
 	}
 }
 
-// applyLocked judges the rollouts, and has the balancer send by them.
+// applyLocked updates the verdicts, and the canaries of the balancer. The caller holds mu.
 func (r *rollouts) applyLocked(now time.Time) {
-	trials := make(map[string]balance.Canary)
+	canaries := make(map[string]balance.Canary)
 	for name, f := range r.following {
 		counts := r.process.balancer.CanaryCounts(f.Order.Pool)
 		verdict := f.Observe(now, rollout.Counts(counts.Old), rollout.Counts(counts.New))
-		if verdict != f.told {
-			f.told = verdict
+		if verdict != f.verdict {
+			f.verdict = verdict
 			events.RolloutChanged.On(&r.process.Log).Str("rollout", name).Str("pool", f.Order.Pool).
 				Str("version", f.Order.Version).Str("state", string(verdict)).
 				Int("old_good", counts.Old.Good).Int("old_bad", counts.Old.Bad).
 				Int("new_good", counts.New.Good).Int("new_bad", counts.New.Bad).Send()
 		}
-		isOver := now.Sub(f.Plan.Start) > f.Plan.Duration+rolloutKept
+		isOver := now.Sub(f.Plan.Start) > f.Plan.Duration+rolloutRetention
 		if verdict == rollout.StateCompleted && isOver {
 			continue
 		}
-		trials[f.Order.Pool] = balance.Canary{
+		canaries[f.Order.Pool] = balance.Canary{
 			Version: f.Order.Version,
 			Share:   f.Share(now),
 		}
 	}
-	r.process.balancer.SetCanaries(trials)
+	r.process.balancer.SetCanaries(canaries)
 }
 
-// dueWrite is a state that is to be written.
+// dueWrite is an order and the state to write to it.
 type dueWrite struct {
 	order rollout.Order
 	state rollout.State
 }
 
-// dueLocked gives what this router is to write.
+// dueLocked returns the states that this router has to write now. The caller holds mu.
 func (r *rollouts) dueLocked(now time.Time) map[string]dueWrite {
 	due := make(map[string]dueWrite)
 	if !r.process.Feeds.Private && !r.process.peers.Place().IsWatcher {
@@ -209,7 +212,7 @@
 	}
 	for name, f := range r.following {
 		state, ok := f.PendingState()
-		if !ok || now.Sub(f.writtenAt) < rolloutWrite {
+		if !ok || now.Sub(f.writtenAt) < rolloutWriteInterval {
 			continue
 		}
 		f.writtenAt = now
@@ -222,7 +225,7 @@
 }
 
 func (r *rollouts) write(ctx context.Context, name string, order rollout.Order, state rollout.State) {
-	ctx, cancel := context.WithTimeout(ctx, rolloutWrite)
+	ctx, cancel := context.WithTimeout(ctx, rolloutWriteInterval)
 	defer cancel()
 	err := r.process.Feeds.WriteRollout(ctx, name, &order, state)
 	if err != nil && !slipwick.IsKind(err, slipwick.KindConflict) {
--- a/cmd/internal/gatewayd/rollouts_test.go
+++ b/cmd/internal/gatewayd/rollouts_test.go
@@ -128,7 +128,7 @@
 			b.Release(lease, evidence)
 			i++
 		}
-		time.Sleep(rolloutLook)
+		time.Sleep(rolloutCheckInterval)
 		for _, r := range f.routers {
 			told := r.process.balancer.TakeUpdate()
 			for _, other := range f.routers {
@@ -175,7 +175,7 @@
 				runs.Go(func() { r.run(ctx) })
 			}
 			// Fewer answers than a verdict takes.
-			f.play(t, 2*rolloutLook, test.failing)
+			f.play(t, 2*rolloutCheckInterval, test.failing)
 			if got := f.state(); got != rollout.StateRunning {
 				t.Errorf("%s: got state %q at the begin, want it running", test.name, got)
 			}
--- a/cmd/internal/gatewayd/settings.go
+++ b/cmd/internal/gatewayd/settings.go
@@ -11,67 +11,67 @@
 	"github.com/slipwick/slipwick/routing"
 )
 
-// Settings are what a gateway process is started with.
+// Settings are the settings of a gateway process.
 type Settings struct {
 	// ID is unique in the fleet.
 	ID         string
 	DataCentre string
 	Region     string
 	Listen     Listen
-	// Seeds are peers' addresses of other routers.
+	// Seeds are the addresses (Listen.Peers) of other routers.
 	Seeds   []string
 	Headers gateway.Headers
 	Retries Retries
 	Bounds  Bounds
 	// FirstStart says that the whole fleet starts for the first time, so that
-	// engines have nothing cached for it.
+	// engines have no prompts cached for it.
 	FirstStart bool
-	// Grace is how long the process may take from SIGTERM to its end.
+	// Grace bounds the time from SIGTERM to the end of the process.
 	Grace time.Duration
-	// MemoryBytes bounds the process' memory; 0 sets no bound.
+	// MemoryBytes limits the process' memory; 0 sets no limit.
 	MemoryBytes int64
 }
 
 // Listen holds addresses as host:port.
 type Listen struct {
 	Callers string
-	// Ready is where the balancer asks, at ReadyPath.
+	// Ready serves the load balancer's readiness probes, at ReadyPath.
 	Ready     string
 	ReadyPath string
-	// Peers is where other routers are heard, over UDP here and at the next
-	// port, and over TCP here.
+	// Peers receives from other routers, over TCP and UDP, and over UDP at the next port.
 	Peers string
-	// Metrics is left out when empty.
+	// Metrics serves metrics and status; it is not opened if empty.
 	Metrics string
 }
 
-// Retries bounds the requests sent again by the whole fleet.
+// Retries limits the retries of the whole fleet: Ratio of the requests within Window, plus
+// Extra.
 type Retries struct {
 	Ratio  float64
 	Extra  float64
 	Window time.Duration
 }
 
-// Feeds is where the process learns its state from.
+// Feeds are the sources of the process' state, with the decoders of their entries.
 type Feeds struct {
 	Tables   slipwick.Feed
 	Backends slipwick.Feed
-	// Evacuations has an object for each data centre whose backend servers get
-	// nothing new; it is not followed where Bounds.Evacuate is 0.
+	// Evacuations has an entry for each evacuated data centre, whose backend servers get
+	// no new requests; it is not followed if Bounds.Evacuate is 0.
 	Evacuations slipwick.Feed
-	// DecodeTable gives nil for objects that are no table.
+	// DecodeTable returns nil for entries that are not tables.
 	DecodeTable   func(name string, value []byte) (*routing.Table, error)
 	DecodeBackend func(name string, value []byte) (balance.Entry, error)
-	// DecodeEvacuation gives the data centre that an object evacuates.
+	// DecodeEvacuation returns the data centre that an entry evacuates.
 	DecodeEvacuation func(name string, value []byte) (string, error)
-	// Rollouts has an object for each order of a rollout, WriteRollout writes the state of
-	// the one in the object with the name; it is not followed where Bounds.Exposure is 0.
+	// Rollouts has an entry for each rollout order; WriteRollout writes the state of the
+	// order in the named entry. Rollouts are not followed if Bounds.Exposure is 0.
 	Rollouts      slipwick.Feed
 	DecodeRollout func(name string, value []byte) (rollout.Order, error)
 	WriteRollout  func(ctx context.Context, name string, order *rollout.Order, state rollout.State) error
-	// Private says that each router has the state from elsewhere, so that
-	// routers do not follow each other.
+	// Private says that each router has a source of its own, such as a file, so that
+	// routers do not relay feeds to each other.
 	Private bool
-	// Caches may be nil.
+	// Caches lists what engines have cached; may be nil.
 	Caches slipwick.CacheLister
 }
--- a/cmd/internal/gatewayd/sleep.go
+++ b/cmd/internal/gatewayd/sleep.go
@@ -10,16 +10,16 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// noticeEvery is how often a process without requests looks whether its box was
-// suspended: two system calls each time, and each request looks as well.
-const noticeEvery = 100 * time.Millisecond
+// suspendCheckInterval is the interval at which a process checks whether its box was suspended, if
+// it has no requests: each request checks too. A check takes two system calls.
+const suspendCheckInterval = 100 * time.Millisecond
 
-// noticeSleep looks whether the box was suspended. What is known is then older by that
-// time, by itself; who lives is asked of another router, as members tell each other
-// changes once and this one was not there to hear them.
-func (p *Process) noticeSleep(ctx context.Context) {
+// watchSuspension checks until ctx ends whether the box was suspended. The clock then adds that time
+// to the age of all that is known. The list of live routers is fetched from another router,
+// since members announce each change only once and this router missed the announcements.
+func (p *Process) watchSuspension(ctx context.Context) {
 	known := clock.Suspended()
-	for sleep(ctx, noticeEvery) {
+	for sleep(ctx, suspendCheckInterval) {
 		clock.DetectSuspension()
 		slept := clock.Suspended()
 		if slept == known {
--- a/cmd/internal/gatewayd/sleep_test.go
+++ b/cmd/internal/gatewayd/sleep_test.go
@@ -24,7 +24,7 @@
 		p.Log = zerolog.New(&lines)
 		p.seeds.Store(&[]string{})
 		ctx, cancel := context.WithCancel(t.Context())
-		go p.noticeSleep(ctx)
+		go p.watchSuspension(ctx)
 		time.Sleep(time.Second)
 		ahead.Store(int64(5 * time.Second))
 		time.Sleep(time.Second)
--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -7,7 +7,7 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-// StatusPath is where a gateway tells its state, at its metrics address.
+// StatusPath is the path of a gateway's Status, at its metrics address.
 const StatusPath = "/v1/status"
 
 // Status is a gateway's state, for operators.
@@ -16,29 +16,29 @@
 	DataCentre string `json:"data_centre"`
 	Ready      bool   `json:"ready"`
 	Draining   bool   `json:"draining"`
-	// Configuration is the version in force; 0 before the first.
+	// Configuration is the version in force; 0 before there is one.
 	Configuration uint64 `json:"configuration"`
-	// Members are the routers that it counts as alive, itself among them.
+	// Members are the IDs of the routers that it considers alive, including itself.
 	Members []string `json:"members"`
-	// WatchesStore says that it follows the store itself.
+	// WatchesStore says that it follows the store itself rather than another router.
 	WatchesStore bool `json:"watches_store"`
-	// StoreTimeline is how often the store came back from a copy, as the latest answer
-	// has it; 0 where it does not say.
+	// StoreTimeline is how often the store was restored from a backup, according to its
+	// latest response; 0 if the store does not report it.
 	StoreTimeline uint64 `json:"store_timeline"`
 	InFlight      int64  `json:"in_flight"`
-	// Evacuated are the data centres whose backend servers get nothing new.
+	// Evacuated are the data centres whose backend servers get no new requests.
 	Evacuated []string `json:"evacuated"`
-	// KnownParts counts the parts of prompts whose engines it knows,
-	// MissingCaches the engines whose caches it does not know.
+	// KnownParts is the number of prompt parts whose engines it knows,
+	// MissingCaches the number of engines whose caches it does not know.
 	KnownParts    int `json:"known_parts"`
 	MissingCaches int `json:"missing_caches"`
-	// Quarantined counts the requests that get no backend server, as several ended
-	// under each.
+	// Quarantined is the number of requests that are refused because each crashed several
+	// backend servers.
 	Quarantined int             `json:"quarantined"`
 	Backends    []balance.State `json:"backends"`
 }
 
-// status gives the state of this moment.
+// status returns the current state.
 func (p *Process) status() *Status {
 	s := &Status{
 		Router:        p.Settings.ID,
@@ -48,10 +48,10 @@
 		WatchesStore:  p.Feeds.Private || p.peers.Place().IsWatcher,
 		StoreTimeline: p.timeline.Load(),
 		InFlight:      p.gateway.InFlight(),
-		Evacuated:     p.evacuatedNow(),
+		Evacuated:     p.evacuatedDataCentres(),
 		KnownParts:    p.balancer.CachedPartCount(),
 		MissingCaches: p.recovery.MissingCount(),
-		Quarantined:   p.ledger.QuarantinedCount(),
+		Quarantined:   p.tracker.QuarantinedCount(),
 		Backends:      p.balancer.States(),
 	}
 	if table := p.gateway.Table(); table != nil {
@@ -63,13 +63,13 @@
 	return s
 }
 
-// forOperators serves metrics and the state.
-func (p *Process) forOperators() http.Handler {
+// operatorHandler returns the handler of metrics and status.
+func (p *Process) operatorHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", p.metrics.handler())
 	mux.HandleFunc(StatusPath, func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		// An operator that has left needs no answer.
+		// Writing fails only if the client has disconnected.
 		_ = json.NewEncoder(w).Encode(p.status())
 	})
 	return mux
--- a/cmd/internal/gatewayd/status_test.go
+++ b/cmd/internal/gatewayd/status_test.go
@@ -9,7 +9,7 @@
 
 func readStatus(t *testing.T, r *running) *Status {
 	t.Helper()
-	server := httptest.NewServer(r.forOperators())
+	server := httptest.NewServer(r.operatorHandler())
 	defer server.Close()
 	response, err := http.Get(server.URL + StatusPath)
 	if err != nil {
@@ -57,7 +57,7 @@
 		if got := readStatus(t, r).Configuration; got != 2 {
 			t.Errorf("%s: got version %d in force, want 2", r.Settings.ID, got)
 		}
-		if got := r.fellBack.Load(); got < 1 {
+		if got := r.storeRestores.Load(); got < 1 {
 			t.Errorf("%s: got %d returns told, want one for each feed at least", r.Settings.ID, got)
 		}
 	}
