--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -7,105 +7,105 @@
 	"github.com/rs/zerolog"
 )
 
-// The events. Numbers 1xx are the process, 2xx requests, 3xx the platform and
-// the configuration, 4xx backend servers, 5xx other routers.
+// The events. Numbers 1xx are about the process, 2xx about requests, 3xx about the platform
+// and the configuration, 4xx about backend servers, 5xx about other routers.
 var (
 	RouterStarted = Event{
 		Number:  101,
 		Name:    "router-started",
 		Level:   zerolog.InfoLevel,
-		Meaning: "The router listens.",
+		Meaning: "The router has opened its addresses.",
 		Remedy:  "None.",
 	}
 	DrainStarted = Event{
 		Number:  102,
 		Name:    "drain-started",
 		Level:   zerolog.InfoLevel,
-		Meaning: "The router was asked to stop: it is no longer ready, and requests in progress go on.",
+		Meaning: "The router was asked to stop: it is no longer ready, and continues to serve requests in progress.",
 		Remedy:  "None; wait for drain-finished.",
 	}
 	DrainFinished = Event{
 		Number:  103,
 		Name:    "drain-finished",
 		Level:   zerolog.InfoLevel,
-		Meaning: "The router has stopped; the field cut counts requests that it cut off.",
+		Meaning: "The router has stopped; the field cut is the number of requests that it interrupted.",
 		Remedy:  "If cut is above 0, raise limits.drain.",
 	}
 	HomesLearnt = Event{
 		Number:  105,
 		Name:    "homes-learnt",
 		Level:   zerolog.InfoLevel,
-		Meaning: "A starting router has learnt which engines keep which prompts; missing counts those it knows nothing of.",
-		Remedy:  "None; prompts of missing engines are read again, and found by use.",
+		Meaning: "A starting router knows which engines have cached which prompts; missing is the number of unknown engines.",
+		Remedy:  "None; prompts cached by missing engines are prefilled again, or found as they are used.",
 	}
 	SettingsReloaded = Event{
 		Number:  104,
 		Name:    "settings-reloaded",
 		Level:   zerolog.InfoLevel,
-		Meaning: "The process read its settings anew: seeds, grace period and the bound on repeats.",
-		Remedy:  "Restart the process for what it listens on.",
+		Meaning: "The process applied changed settings: seeds, grace period, limits on load, cold servers and retries.",
+		Remedy:  "None; restart the process if other settings, such as listen addresses, have changed.",
 	}
 	SettingsRefused = Event{
 		Number:  106,
 		Name:    "settings-refused",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The changed settings could not be read; those before stay in use.",
-		Remedy:  "Mend what the field cause lists.",
+		Meaning: "The changed settings could not be read; the previous ones stay in use.",
+		Remedy:  "Correct the settings as the field cause says.",
 	}
 	BoxSuspended = Event{
 		Number:  107,
 		Name:    "box-suspended",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The box was suspended for slept_ms, which its steady clock leaves out; all that is known is older.",
-		Remedy:  "Find out who suspends boxes; callers that waited have left.",
+		Meaning: "The box was suspended for slept_ms, which its monotonic clock omits; all known data is that much older.",
+		Remedy:  "Find out why the box was suspended; callers that waited have probably disconnected.",
 	}
 	RequestEnded = Event{
 		Number:  201,
 		Name:    "request-ended",
 		Level:   zerolog.DebugLevel,
-		Meaning: "A request ended; the field outcome says how.",
+		Meaning: "A request ended; the field outcome has its result.",
 		Remedy:  "None.",
 	}
 	RequestBroken = Event{
 		Number:  202,
 		Name:    "request-broken",
 		Level:   zerolog.WarnLevel,
-		Meaning: "A request ended as failed or unknown.",
-		Remedy:  "Look at the backend server that the field backend names.",
+		Meaning: "A request ended with the outcome failed or unknown.",
+		Remedy:  "Check the backend server in the field backend.",
 	}
 	RequestRefused = Event{
 		Number:  203,
 		Name:    "request-refused",
 		Level:   zerolog.InfoLevel,
-		Meaning: "A gateway turned a request away before it chose a backend server; the field reason says why.",
-		Remedy:  "Compare host, path and key with the configuration in force.",
+		Meaning: "A gateway refused a request before it chose a backend server; the field reason says why.",
+		Remedy:  "Compare the request's host, path and key with the configuration in force.",
 	}
 	AttemptFailed = Event{
 		Number:  204,
 		Name:    "attempt-failed",
 		Level:   zerolog.InfoLevel,
-		Meaning: "A backend server did not bring the answer: not-run, unsent, failed, broken, or the caller left.",
-		Remedy:  "Follow the request by its ID; look at the backend server if many of its attempts fail.",
+		Meaning: "A backend server sent no complete response: not-run, unsent, failed, broken, cut or left (by the caller).",
+		Remedy:  "Follow the request by its ID; check the backend server if many attempts at it fail.",
 	}
 	RequestUnserved = Event{
 		Number:  205,
 		Name:    "request-unserved",
 		Level:   zerolog.WarnLevel,
-		Meaning: "A request ended without a whole answer; the field reason says why it was not sent again.",
-		Remedy:  "Read its attempt-failed lines, by the same request ID.",
+		Meaning: "A request ended without a complete response; the field reason says why it was not retried.",
+		Remedy:  "Read the attempt-failed lines with the same request ID.",
 	}
 	RequestQuarantined = Event{
 		Number:  206,
 		Name:    "request-quarantined",
 		Level:   zerolog.WarnLevel,
-		Meaning: "Backend servers ended under what the field key names, as many as ends says; it gets no further one.",
-		Remedy:  "Find its caller by the lines 204 with the same key; have the engine mended that ends under it.",
+		Meaning: "The request that the field key identifies crashed ends backend servers; it is refused from now on.",
+		Remedy:  "Find the caller by lines of event 204 with the same key; have the engine fixed that this request crashes.",
 	}
 	RequestReleased = Event{
 		Number:  207,
 		Name:    "request-released",
 		Level:   zerolog.InfoLevel,
-		Meaning: "A request that was quarantined ran to its end when it was tried again, and is served from now on.",
+		Meaning: "A quarantined request completed when it was tried again, and is served from now on.",
 		Remedy:  "None.",
 	}
 	ConfigurationInForce = Event{
@@ -119,109 +119,109 @@
 		Number:  302,
 		Name:    "platform-call-failed",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The platform gave no usable answer. The router goes on with what it has and tries again.",
+		Meaning: "The platform gave no usable response. The router continues with the data that it has and retries.",
 		Remedy:  "Check the platform's address and health.",
 	}
 	StoreRegained = Event{
 		Number:  303,
 		Name:    "store-regained",
 		Level:   zerolog.InfoLevel,
-		Meaning: "A feed is followed again, from the store or another router, after calls that failed.",
-		Remedy:  "None; timeline and revision say which state of the store was taken, hops through how many routers.",
+		Meaning: "A feed is followed again, from the store or through another router, after calls had failed.",
+		Remedy:  "None; timeline and revision identify the state of the store, hops is the number of routers in between.",
 	}
 	StoreFellBack = Event{
 		Number: 304,
 		Name:   "store-fell-back",
 		Level:  zerolog.WarnLevel,
-		Meaning: "The store came back from a copy of itself: what it had acknowledged since is gone until it is " +
-			"written again. From steady_ms ago on, timeline and revision count from the copy.",
-		Remedy: "Ask who restored the store; what this router changed by it follows in 301, 405 and 406.",
+		Meaning: "The store was restored from a backup: later writes that it had acknowledged are lost until they are " +
+			"written again. Since steady_ms ago, timeline and revision are those of the restored store.",
+		Remedy: "Find out who restored the store; changes at this router follow in events 301, 405 and 406.",
 	}
 	EvacuationsChanged = Event{
 		Number:  406,
 		Name:    "evacuations-changed",
 		Level:   zerolog.InfoLevel,
-		Meaning: "Data centres were evacuated or taken back; those in the field evacuated get nothing new.",
-		Remedy:  "None if it was planned; slipwick gateways shows which routers follow.",
+		Meaning: "Evacuations of data centres began or ended; those in the field evacuated get no new requests.",
+		Remedy:  "None if it was planned; slipwick gateways shows which routers have applied it.",
 	}
 	EvacuationsUnknown = Event{
 		Number:  407,
 		Name:    "evacuations-unknown",
 		Level:   zerolog.WarnLevel,
-		Meaning: "A starting router could not learn in time which data centres are evacuated, and serves without knowing.",
-		Remedy:  "Check the platform's health; the list is taken as soon as it is known.",
+		Meaning: "A starting router did not get the list of evacuated data centres in time, and serves without it.",
+		Remedy:  "Check the platform's health; the list is applied as soon as it arrives.",
 	}
 	RolloutChanged = Event{
 		Number: 410,
 		Name:   "rollout-changed",
 		Level:  zerolog.InfoLevel,
-		Meaning: "A rollout was ordered, or this router came to a verdict: " +
-			"the answers of both versions that it goes by are in the fields.",
-		Remedy: "None; a version that was rolled back failed or was slow more often than the one before it.",
+		Meaning: "A rollout was ordered, or this router came to a verdict; " +
+			"the fields have the outcomes of both versions that it is based on.",
+		Remedy: "None; a version that was rolled back failed or was slow more often than the previous one.",
 	}
 	RolloutNotWritten = Event{
 		Number:  411,
 		Name:    "rollout-not-written",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The state of a rollout could not be written to the store; the verdict is in force at the routers.",
-		Remedy:  "Check the platform's health; it is written again.",
+		Meaning: "The state of a rollout could not be written to the store; the routers apply the verdict nevertheless.",
+		Remedy:  "Check the platform's health; the write is retried.",
 	}
 	BackendsChanged = Event{
 		Number: 405,
 		Name:   "backends-changed",
 		Level:  zerolog.InfoLevel,
-		Meaning: "The list of backend servers changed; leaving ones get nothing new. " +
-			"`leaving` and `cold` count those among the changed entries.",
+		Meaning: "The list of backend servers changed; leaving servers get no new requests. " +
+			"`leaving` and `cold` count such servers among the changed entries.",
 		Remedy: "None if it was planned.",
 	}
 	BackendEjected = Event{
 		Number:  402,
 		Name:    "backend-ejected",
 		Level:   zerolog.WarnLevel,
-		Meaning: "A backend server failed several requests or probes in a row and gets no new work for a while.",
-		Remedy:  "Look at the backend server; it is tried again by itself.",
+		Meaning: "A backend server failed several requests or probes in a row and gets no new requests for a while.",
+		Remedy:  "Check the backend server; it is tried again automatically.",
 	}
 	BackendRestored = Event{
 		Number:  403,
 		Name:    "backend-restored",
 		Level:   zerolog.InfoLevel,
-		Meaning: "A backend server that was ejected or leaving gets new work again, slowly at first.",
+		Meaning: "A backend server that was ejected or leaving gets new requests again, few at first.",
 		Remedy:  "None.",
 	}
 	CacheListFailed = Event{
 		Number:  404,
 		Name:    "cache-list-failed",
 		Level:   zerolog.WarnLevel,
-		Meaning: "An engine did not tell a starting router which prompts it has cached; they may be read again elsewhere.",
-		Remedy:  "None; look at the engine if it goes on.",
+		Meaning: "An engine did not list its cached prompts to a starting router; they may be prefilled again elsewhere.",
+		Remedy:  "None; check the engine if this happens again.",
 	}
 	EntryRefused = Event{
 		Number:  408,
 		Name:    "entry-refused",
 		Level:   zerolog.WarnLevel,
-		Meaning: "An object of the store can't be read, for the field and rule in reason; a backend server's is out of use.",
-		Remedy:  "Find who wrote the object that the field entry names; it is in use again when it is good.",
+		Meaning: "A store entry is invalid, by the field and rule in reason; if it is a backend server's, it is not used.",
+		Remedy:  "Find out who wrote the object in the field entry; it is used again once it is valid.",
 	}
 	BackendNotice = Event{
 		Number: 409,
 		Name:   "backend-notice",
 		Level:  zerolog.InfoLevel,
-		Meaning: "A backend server said that it leaves, in an answer to this router or another, " +
-			"or for how long (rest_ms) it wants nothing from this one.",
-		Remedy: "None if it was planned; one that often asks for rest has too little room.",
+		Meaning: "A backend server announced that it is leaving, in a response to this router or another, " +
+			"or asked this router to send no requests for rest_ms.",
+		Remedy: "None if it was planned; a server that often asks for a pause has too little capacity.",
 	}
 	RouterDied = Event{
 		Number:  501,
 		Name:    "router-died",
 		Level:   zerolog.WarnLevel,
-		Meaning: "Another router, in the field died, answers no probes; what it owned has new owners.",
-		Remedy:  "None if its box was replaced; else check the box and the network.",
+		Meaning: "The router in the field died does not respond to probes; what it owned has new owners.",
+		Remedy:  "None if its box was replaced; otherwise check the box and the network.",
 	}
 	BackendLeaving = Event{
 		Number:  401,
 		Name:    "backend-leaving",
 		Level:   zerolog.InfoLevel,
-		Meaning: "A backend server leaves and gets no new work.",
+		Meaning: "A backend server is leaving and gets no new requests.",
 		Remedy:  "None if it was planned.",
 	}
 )
@@ -262,14 +262,14 @@
 	}
 }
 
-// Markdown writes the catalogue as docs/EVENTS.md has it.
+// Markdown returns the catalogue as the text of docs/EVENTS.md.
 func Markdown() string {
-	var page strings.Builder
-	page.WriteString("# Log events\n\nEvery log line of `slipwickd` carries `event` and `name`. " +
+	var text strings.Builder
+	text.WriteString("# Log events\n\nEvery log line of `slipwickd` carries `event` and `name`. " +
 		"`go test ./internal/events -update`, run in `cmd`, writes this page.\n\n" +
 		"| event | name | level | meaning | remedy |\n|---|---|---|---|---|\n")
 	for _, e := range All() {
-		fmt.Fprintf(&page, "| %d | %s | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Meaning, e.Remedy)
+		fmt.Fprintf(&text, "| %d | %s | %s | %s | %s |\n", e.Number, e.Name, e.Level, e.Meaning, e.Remedy)
 	}
-	return page.String()
+	return text.String()
 }
--- a/cmd/internal/events/catalogue_test.go
+++ b/cmd/internal/events/catalogue_test.go
@@ -29,7 +29,8 @@
 	}
 }
 
-// TestAllListsEveryEvent reads the source, so that no event is left out.
+// TestAllListsEveryEvent compares All with the events that the source declares, so that none
+// is missing from the page.
 func TestAllListsEveryEvent(t *testing.T) {
 	file, err := parser.ParseFile(token.NewFileSet(), "catalogue.go", nil, 0)
 	if err != nil {
@@ -50,7 +51,7 @@
 	last := 0
 	for _, e := range All() {
 		if e.Number <= last {
-			t.Errorf("event %s: got number %d after %d, want them to rise", e.Name, e.Number, last)
+			t.Errorf("event %s: got number %d after %d, want ascending numbers", e.Name, e.Number, last)
 		}
 		last = e.Number
 		if e.Meaning == "" || e.Remedy == "" || e.Name != strings.ToLower(e.Name) {
--- a/cmd/internal/events/doc.go
+++ b/cmd/internal/events/doc.go
@@ -1,3 +1,3 @@
 // Package events is the catalogue of numbered log events. docs/EVENTS.md is
-// made from it.
+// generated from it.
 package events
