--- a/cmd/internal/boundedlog/writer.go
+++ b/cmd/internal/boundedlog/writer.go
@@ -1,6 +1,6 @@
-// Package boundedlog writes log lines without ever holding up who logs: lines
-// beyond a budget, and lines that wait too many for a slow reader, are dropped
-// and counted.
+// Package boundedlog writes log lines without ever blocking the caller. Lines
+// that exceed a budget, or that do not fit into the buffer because the output
+// is slow, are dropped and counted.
 package boundedlog
 
 import (
@@ -13,18 +13,19 @@
 )
 
 const (
-	// linesPerSecond and burstLines are the budget: a line takes some 10 µs of
-	// processor time, so that the budget is about 1 ms of a second.
+	// linesPerSecond and burstLines are the budget: a line takes about 10 µs of
+	// processor time, so 100 lines take about 1 ms of each second.
 	linesPerSecond = 100
 	burstLines     = 400
-	// waitingLines bounds what waits to be written, about 300 bytes each.
-	waitingLines = 1024
+	// bufferedLines is the capacity of the buffer, in lines of about 300 bytes.
+	bufferedLines = 1024
 )
 
-// Writer takes lines and writes them in its own time. It is also the sampler
-// that keeps the budget. Make it with New.
+// Writer buffers lines and writes them to its output in the background. It is also the
+// sampler that enforces the budget. Create it with New. Its methods may be called from
+// several goroutines; Close only once.
 type Writer struct {
-	// Dropped counts lines that were not written.
+	// Dropped counts lines that were dropped.
 	Dropped atomic.Int64
 
 	out     io.Writer
@@ -36,12 +37,12 @@
 
 var _ zerolog.Sampler = (*Writer)(nil)
 
-// New makes a writer to out and starts it.
+// New returns a started writer to out.
 func New(out io.Writer) *Writer {
 	w := &Writer{
 		out:     out,
 		limiter: rate.NewLimiter(linesPerSecond, burstLines),
-		lines:   make(chan []byte, waitingLines),
+		lines:   make(chan []byte, bufferedLines),
 		stop:    make(chan struct{}),
 		done:    make(chan struct{}),
 	}
@@ -49,7 +50,7 @@
 	return w
 }
 
-// Sample tells whether the budget has room for a line.
+// Sample reports whether the budget allows another line, and counts the line as dropped if not.
 func (w *Writer) Sample(zerolog.Level) bool {
 	if w.limiter.Allow() {
 		return true
@@ -58,7 +59,8 @@
 	return false
 }
 
-// Write takes a line; it does not block and does not fail.
+// Write buffers a copy of a line, or drops the line if the buffer is full. It does not block
+// and returns no error.
 func (w *Writer) Write(line []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), line...):
@@ -73,7 +75,7 @@
 	for {
 		select {
 		case line := <-w.lines:
-			// There is nowhere to tell that a line of the log was lost.
+			// There is no place to report that a log line could not be written.
 			_, _ = w.out.Write(line)
 		case <-w.stop:
 			w.flush()
@@ -93,18 +95,18 @@
 	}
 }
 
-// Close writes what waits, and ends the writer.
+// Close writes the buffered lines and stops the writer. It blocks until that is done.
 func (w *Writer) Close() {
 	close(w.stop)
 	<-w.done
 }
 
-// Done is closed when the writer has ended.
+// Done returns a channel that is closed when the writer has stopped.
 func (w *Writer) Done() <-chan struct{} {
 	return w.done
 }
 
-// Logger makes a logger that keeps the budget.
+// Logger returns a logger that writes to w within the budget.
 func (w *Writer) Logger() zerolog.Logger {
 	return zerolog.New(w).With().Timestamp().Logger().Sample(w)
 }
--- a/cmd/internal/boundedlog/writer_test.go
+++ b/cmd/internal/boundedlog/writer_test.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// stuck is a reader that takes nothing until it is released.
-type stuck struct {
+// blockedOutput is an output whose writes block until it is released.
+type blockedOutput struct {
 	release chan struct{}
 	bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
-	<-s.release
-	return s.Buffer.Write(p)
+func (o *blockedOutput) Write(p []byte) (int, error) {
+	<-o.release
+	return o.Buffer.Write(p)
 }
 
-func TestWriterKeepsItsBudgetAndCountsWhatItDrops(t *testing.T) {
+func TestWriterEnforcesBudgetAndCountsDroppedLines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var out bytes.Buffer
 		w := New(&out)
@@ -41,17 +41,17 @@
 
 func TestWriterNeverBlocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := &stuck{
+		out := &blockedOutput{
 			release: make(chan struct{}),
 		}
 		w := New(out)
-		for range 2 * waitingLines {
+		for range 2 * bufferedLines {
 			if _, err := w.Write([]byte("line\n")); err != nil {
 				t.Fatal(err)
 			}
 		}
-		if got := w.Dropped.Load(); got < waitingLines-1 {
-			t.Errorf("got %d dropped, want at least %d", got, waitingLines-1)
+		if got := w.Dropped.Load(); got < bufferedLines-1 {
+			t.Errorf("got %d dropped, want at least %d", got, bufferedLines-1)
 		}
 		close(out.release)
 		w.Close()
--- a/cmd/internal/loopback/host.go
+++ b/cmd/internal/loopback/host.go
@@ -1,5 +1,6 @@
-// Package loopback gives tests an address of their own: processes of tests that
-// run at once then do not take each other's ports between choosing and using one.
+// Package loopback provides a loopback address for each test process, so that test
+// processes that run at the same time cannot take a port that another has chosen
+// but not opened yet.
 package loopback
 
 import (
@@ -7,8 +8,8 @@
 	"os"
 )
 
-// Host is a loopback address that this process has for itself, unless another
-// runs whose ID differs by a multiple of hosts.
+// Host returns an IPv4 loopback address that no other running process uses, unless their
+// process IDs differ by a multiple of hosts (62500).
 func Host() string {
 	const perByte, hosts = 250, 250 * 250
 	id := os.Getpid() % hosts
