--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -15,10 +15,10 @@
 	// load of its pool, plus LoadSlack requests.
 	LoadFactor float64
 	LoadSlack  float64
-	// Apply is the time within which a configuration is in force at every router,
-	// Leave the time after which a backend server that leaves gets no new requests.
+	// ApplyTime is the time within which a configuration is in force at every router,
+	// LeaveTime the time after which a backend server that leaves gets no new requests.
 	Apply, Leave time.Duration
-	// Evacuate is the time after which the backend servers of an evacuated data
+	// EvacuationTime is the time after which the backend servers of an evacuated data
 	// centre get no new requests; 0 disables evacuations.
 	Evacuate time.Duration
 	// Exposure is the share of a pool's requests that a bad new version of its backend
@@ -30,7 +30,7 @@
 	ColdSlack  float64
 	// Heartbeat is how often backend servers renew their entries.
 	Heartbeat time.Duration
-	// ReadyEvery is the interval at which the load balancer probes this router's readiness.
+	// ReadyInterval is the interval at which the load balancer probes this router's readiness.
 	ReadyEvery time.Duration
 }
 
@@ -64,7 +64,7 @@
 }
 
 // timing returns the timeouts of calls to the store and to other routers. They follow from
-// the shorter of Apply and Leave.
+// the shorter of ApplyTime and LeaveTime.
 func (b Bounds) timing() directory.Timing {
 	return directory.TimingWithin(min(b.Apply, b.Leave))
 }
--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -63,7 +63,7 @@
 
 // awaitEvacuations blocks a starting router, which sends no requests yet, until it knows
 // which data centres are evacuated. If neither the store nor another router provides the
-// list within Bounds.Evacuate, the router starts without it, since serving callers is better
+// list within Bounds.EvacuationTime, the router starts without it, since serving callers is better
 // than refusing them; the list is applied as soon as it arrives.
 func (p *Process) awaitEvacuations(ctx context.Context) {
 	if !p.followsEvacuations() {
--- a/cmd/internal/gatewayd/evacuations_test.go
+++ b/cmd/internal/gatewayd/evacuations_test.go
@@ -17,7 +17,7 @@
 // ends the evacuation: requests are refused, and served again.
 func TestProcessFollowsEvacuations(t *testing.T) {
 	f := newFixture(t)
-	f.evacuate = 4 * time.Second
+	f.evacuationTime = 4 * time.Second
 	f.setEvacuated()
 	r := startReady(t, f, "r1")
 	status := func() int {
@@ -43,7 +43,7 @@
 // evacuations: a starting router may send nothing and be ready only once it has that list.
 func TestStartingProcessAwaitsEvacuations(t *testing.T) {
 	f := newFixture(t)
-	f.evacuate = 4 * time.Second
+	f.evacuationTime = 4 * time.Second
 	r := startUnready(t, f, f.feeds(), "r1")
 	// With a longer deadline the request would wait until the router knows the
 	// evacuations, or starts without them.
@@ -71,10 +71,10 @@
 }
 
 // TestStartCompletesIfEvacuationsStayUnknown starts a router that gets no list of
-// evacuations within Bounds.Evacuate: it serves without the list, and applies it later.
+// evacuations within Bounds.EvacuationTime: it serves without the list, and applies it later.
 func TestStartCompletesIfEvacuationsStayUnknown(t *testing.T) {
 	f := newFixture(t)
-	f.evacuate = 300 * time.Millisecond
+	f.evacuationTime = 300 * time.Millisecond
 	r := startReady(t, f, "r1")
 	if code, _, err := r.post(t, http.DefaultClient, "/1/x"); err != nil || code != http.StatusOK {
 		t.Errorf("got status %d, %v, want 200", code, err)
@@ -104,7 +104,7 @@
 // unavailable: it gets the evacuations from another router.
 func TestStartingProcessGetsEvacuationsFromOtherRouters(t *testing.T) {
 	f := newFixture(t)
-	f.evacuate = 4 * time.Second
+	f.evacuationTime = 4 * time.Second
 	f.setEvacuated("b1")
 	first := startReady(t, f, "r1")
 	feeds := f.feeds()
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -80,8 +80,8 @@
 	defaultExtra  = 50
 	defaultWindow = 10 * time.Second
 	defaultGrace  = 30 * time.Second
-	// defaultEvacuate is several times the time until a changed file is read again.
-	defaultEvacuate = 4 * time.Second
+	// defaultEvacuationTime is several times the time until a changed file is read again.
+	defaultEvacuationTime = 4 * time.Second
 )
 
 // ReadFileSettings reads a settings file and checks the table file that it names.
@@ -146,7 +146,7 @@
 			LoadSlack:  f.Bounds.LoadSlack,
 			Apply:      f.Bounds.Apply.Or(0),
 			Leave:      f.Bounds.Leave.Or(0),
-			Evacuate:   f.Bounds.Evacuate.Or(defaultEvacuate),
+			Evacuate:   f.Bounds.Evacuate.Or(defaultEvacuationTime),
 			ColdFactor: f.Bounds.ColdFactor,
 			ColdSlack:  f.Bounds.ColdSlack,
 			Heartbeat:  f.Bounds.Heartbeat.Or(0),
--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -25,10 +25,10 @@
 // fixture has the store and the backend server that gateway processes of a test use.
 type fixture struct {
 	tables, backends *directory.Mirror
-	// evacuations are followed if evacuate, which becomes Bounds.Evacuate, is set.
-	evacuations *directory.Mirror
-	evacuate    time.Duration
-	backend     *httptest.Server
+	// evacuations are followed if evacuationTime, which becomes Bounds.EvacuationTime, is set.
+	evacuations    *directory.Mirror
+	evacuationTime time.Duration
+	backend        *httptest.Server
 	// timeline counts how often the store was restored from a backup; 0 if it does not report it.
 	timeline, revision uint64
 	// idle is the limit on idle connections in the table.
@@ -203,7 +203,7 @@
 			Window: 10 * time.Second,
 		},
 		Bounds: Bounds{
-			Evacuate: f.evacuate,
+			Evacuate: f.evacuationTime,
 		},
 		Grace: 6 * time.Second,
 	}
--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -49,7 +49,7 @@
 	// Switches select alternative decisions of the balancer, to compare them; none is set
 	// in production.
 	Switches balance.Switches
-	// Reload receives a value when the settings may have changed, and Reread
+	// Reload receives a value when the settings may have changed, and ReadSettings
 	// returns the current ones. Both may be nil.
 	Reload <-chan struct{}
 	Reread func() (*Settings, error)
--- a/cmd/internal/gatewayd/settings.go
+++ b/cmd/internal/gatewayd/settings.go
@@ -57,7 +57,7 @@
 	Tables   slipwick.Feed
 	Backends slipwick.Feed
 	// Evacuations has an entry for each evacuated data centre, whose backend servers get
-	// no new requests; it is not followed if Bounds.Evacuate is 0.
+	// no new requests; it is not followed if Bounds.EvacuationTime is 0.
 	Evacuations slipwick.Feed
 	// DecodeTable returns nil for entries that are not tables.
 	DecodeTable   func(name string, value []byte) (*routing.Table, error)
