--- a/cmd/internal/gatewayd/cold_test.go
+++ b/cmd/internal/gatewayd/cold_test.go
@@ -25,7 +25,7 @@
 	p.gateway = &gateway.Gateway{
 		Budget: &retry.Budget{},
 	}
-	p.Reread = func() (*Settings, error) {
+	p.ReadSettings = func() (*Settings, error) {
 		return &Settings{
 			Bounds: Bounds{
 				ColdFactor: 2,
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -249,10 +249,10 @@
 }
 
 func (p *Process) reloadSettings() {
-	if p.Reread == nil {
+	if p.ReadSettings == nil {
 		return
 	}
-	settings, err := p.Reread()
+	settings, err := p.ReadSettings()
 	if err != nil {
 		events.SettingsRefused.On(&p.Log).AnErr("cause", err).Send()
 		return
--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -52,7 +52,7 @@
 	// Reload receives a value when the settings may have changed, and ReadSettings
 	// returns the current ones. Both may be nil.
 	Reload <-chan struct{}
-	Reread func() (*Settings, error)
+	ReadSettings func() (*Settings, error)
 
 	gateway       *gateway.Gateway
 	balancer      *balance.Balancer
--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -91,7 +91,7 @@
 			return nil, err
 		}
 		process := gatewayd.New(settings, feeds)
-		process.Reread = func() (*gatewayd.Settings, error) {
+		process.ReadSettings = func() (*gatewayd.Settings, error) {
 			settings, _, err := gatewayd.ReadFileSettings(o.Config)
 			return settings, err
 		}
@@ -105,7 +105,7 @@
 		return nil, err
 	}
 	process := gatewayd.New(platformSettings(settings), platformFeeds(settings))
-	process.Reread = func() (*gatewayd.Settings, error) {
+	process.ReadSettings = func() (*gatewayd.Settings, error) {
 		settings, err := platform.ReadSettings(o.Platform)
 		if err != nil {
 			return nil, err
