--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -17,7 +17,7 @@
 	LoadSlack  float64
 	// ApplyTime is the time within which a configuration is in force at every router,
 	// LeaveTime the time after which a backend server that leaves gets no new requests.
-	Apply, Leave time.Duration
+	ApplyTime, Leave time.Duration
 	// EvacuationTime is the time after which the backend servers of an evacuated data
 	// centre get no new requests; 0 disables evacuations.
 	Evacuate time.Duration
@@ -45,8 +45,8 @@
 	if b.LoadSlack == 0 {
 		b.LoadSlack = balance.DefaultLoadSlack
 	}
-	if b.Apply == 0 {
-		b.Apply = directory.DefaultWithin
+	if b.ApplyTime == 0 {
+		b.ApplyTime = directory.DefaultWithin
 	}
 	if b.Leave == 0 {
 		b.Leave = directory.DefaultWithin
@@ -66,7 +66,7 @@
 // timing returns the timeouts of calls to the store and to other routers. They follow from
 // the shorter of ApplyTime and LeaveTime.
 func (b Bounds) timing() directory.Timing {
-	return directory.TimingWithin(min(b.Apply, b.Leave))
+	return directory.TimingWithin(min(b.ApplyTime, b.Leave))
 }
 
 // coldLimits returns the limits on cold backend servers by pool. If backend servers do not
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -144,7 +144,7 @@
 		Bounds: Bounds{
 			LoadFactor: f.Bounds.LoadFactor,
 			LoadSlack:  f.Bounds.LoadSlack,
-			Apply:      f.Bounds.Apply.Or(0),
+			ApplyTime:      f.Bounds.Apply.Or(0),
 			Leave:      f.Bounds.Leave.Or(0),
 			Evacuate:   f.Bounds.Evacuate.Or(defaultEvacuationTime),
 			ColdFactor: f.Bounds.ColdFactor,
--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -138,7 +138,7 @@
 		Bounds: gatewayd.Bounds{
 			LoadFactor: s.Bounds.CapacityFactor,
 			LoadSlack:  platform.LoadSlack,
-			Apply:      s.ConfigApplyTime(),
+			ApplyTime:      s.ConfigApplyTime(),
 			Leave:      s.DrainTimeout(),
 			Evacuate:   s.EvacuationTime(),
 			Exposure:   s.Bounds.ExposureShare,
