--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -17,7 +17,7 @@
 	LoadSlack  float64
 	// ApplyTime is the time within which a configuration is in force at every router,
 	// LeaveTime the time after which a backend server that leaves gets no new requests.
-	ApplyTime, Leave time.Duration
+	ApplyTime, LeaveTime time.Duration
 	// EvacuationTime is the time after which the backend servers of an evacuated data
 	// centre get no new requests; 0 disables evacuations.
 	Evacuate time.Duration
@@ -48,8 +48,8 @@
 	if b.ApplyTime == 0 {
 		b.ApplyTime = directory.DefaultWithin
 	}
-	if b.Leave == 0 {
-		b.Leave = directory.DefaultWithin
+	if b.LeaveTime == 0 {
+		b.LeaveTime = directory.DefaultWithin
 	}
 	if b.ColdFactor == 0 {
 		b.ColdFactor = 1
@@ -66,7 +66,7 @@
 // timing returns the timeouts of calls to the store and to other routers. They follow from
 // the shorter of ApplyTime and LeaveTime.
 func (b Bounds) timing() directory.Timing {
-	return directory.TimingWithin(min(b.ApplyTime, b.Leave))
+	return directory.TimingWithin(min(b.ApplyTime, b.LeaveTime))
 }
 
 // coldLimits returns the limits on cold backend servers by pool. If backend servers do not
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -145,7 +145,7 @@
 			LoadFactor: f.Bounds.LoadFactor,
 			LoadSlack:  f.Bounds.LoadSlack,
 			ApplyTime:      f.Bounds.Apply.Or(0),
-			Leave:      f.Bounds.Leave.Or(0),
+			LeaveTime:      f.Bounds.Leave.Or(0),
 			Evacuate:   f.Bounds.Evacuate.Or(defaultEvacuationTime),
 			ColdFactor: f.Bounds.ColdFactor,
 			ColdSlack:  f.Bounds.ColdSlack,
--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -139,7 +139,7 @@
 			LoadFactor: s.Bounds.CapacityFactor,
 			LoadSlack:  platform.LoadSlack,
 			ApplyTime:      s.ConfigApplyTime(),
-			Leave:      s.DrainTimeout(),
+			LeaveTime:      s.DrainTimeout(),
 			Evacuate:   s.EvacuationTime(),
 			Exposure:   s.Bounds.ExposureShare,
 			ColdFactor: s.Bounds.ColdOverage,
