--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -20,7 +20,7 @@
 	ApplyTime, LeaveTime time.Duration
 	// EvacuationTime is the time after which the backend servers of an evacuated data
 	// centre get no new requests; 0 disables evacuations.
-	Evacuate time.Duration
+	EvacuationTime time.Duration
 	// Exposure is the share of a pool's requests that a bad new version of its backend
 	// servers may get during its rollout; 0 disables rollouts.
 	Exposure float64
--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -12,7 +12,7 @@
 
 // followsEvacuations reports whether this router follows evacuations of data centres.
 func (p *Process) followsEvacuations() bool {
-	return p.Settings.Bounds.Evacuate > 0 && p.Feeds.Evacuations != nil
+	return p.Settings.Bounds.EvacuationTime > 0 && p.Feeds.Evacuations != nil
 }
 
 // followEvacuations keeps the list of evacuated data centres up to date until ctx ends. The
@@ -21,7 +21,7 @@
 	if !p.followsEvacuations() {
 		return
 	}
-	timing := directory.TimingWithin(p.Settings.Bounds.Evacuate)
+	timing := directory.TimingWithin(p.Settings.Bounds.EvacuationTime)
 	follower := directory.NewFollower[string](
 		p.sharedFeed(feedEvacuations, p.Feeds.Evacuations, timing), p.mirrors[feedEvacuations])
 	follower.Timing = timing
@@ -29,7 +29,7 @@
 	follower.OnInvalid = p.invalidEntries.recorder(feedEvacuations)
 	monitor := p.newFeedMonitor(feedEvacuations)
 	follower.OnError, follower.OnAnswer = monitor.failed, monitor.succeeded
-	evacuated := directory.NewEvacuations(p.Settings.Bounds.Evacuate, p.setEvacuated)
+	evacuated := directory.NewEvacuations(p.Settings.Bounds.EvacuationTime, p.setEvacuated)
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
 		evacuated.StoreRestored(batch.Steady)
 		monitor.storeRestored(known, batch)
@@ -69,12 +69,12 @@
 	if !p.followsEvacuations() {
 		return
 	}
-	timer := time.NewTimer(p.Settings.Bounds.Evacuate)
+	timer := time.NewTimer(p.Settings.Bounds.EvacuationTime)
 	defer timer.Stop()
 	select {
 	case <-p.evacuationsKnown:
 	case <-ctx.Done():
 	case <-timer.C:
-		events.EvacuationsUnknown.On(&p.Log).Dur("waited_ms", p.Settings.Bounds.Evacuate).Send()
+		events.EvacuationsUnknown.On(&p.Log).Dur("waited_ms", p.Settings.Bounds.EvacuationTime).Send()
 	}
 }
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -146,7 +146,7 @@
 			LoadSlack:  f.Bounds.LoadSlack,
 			ApplyTime:      f.Bounds.Apply.Or(0),
 			LeaveTime:      f.Bounds.Leave.Or(0),
-			Evacuate:   f.Bounds.Evacuate.Or(defaultEvacuationTime),
+			EvacuationTime:   f.Bounds.Evacuate.Or(defaultEvacuationTime),
 			ColdFactor: f.Bounds.ColdFactor,
 			ColdSlack:  f.Bounds.ColdSlack,
 			Heartbeat:  f.Bounds.Heartbeat.Or(0),
--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -203,7 +203,7 @@
 			Window: 10 * time.Second,
 		},
 		Bounds: Bounds{
-			Evacuate: f.evacuationTime,
+			EvacuationTime: f.evacuationTime,
 		},
 		Grace: 6 * time.Second,
 	}
--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -140,7 +140,7 @@
 			LoadSlack:  platform.LoadSlack,
 			ApplyTime:      s.ConfigApplyTime(),
 			LeaveTime:      s.DrainTimeout(),
-			Evacuate:   s.EvacuationTime(),
+			EvacuationTime:   s.EvacuationTime(),
 			Exposure:   s.Bounds.ExposureShare,
 			ColdFactor: s.Bounds.ColdOverage,
 			ColdSlack:  s.Bounds.ColdSlack,
