--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -31,7 +31,7 @@
 	// Heartbeat is how often backend servers renew their entries.
 	Heartbeat time.Duration
 	// ReadyInterval is the interval at which the load balancer probes this router's readiness.
-	ReadyEvery time.Duration
+	ReadyInterval time.Duration
 }
 
 // defaultReadyInterval applies if the settings have no interval of readiness probes.
@@ -57,8 +57,8 @@
 	if b.Heartbeat == 0 {
 		b.Heartbeat = directory.DefaultHeartbeat
 	}
-	if b.ReadyEvery == 0 {
-		b.ReadyEvery = defaultReadyInterval
+	if b.ReadyInterval == 0 {
+		b.ReadyInterval = defaultReadyInterval
 	}
 	return b
 }
@@ -91,7 +91,7 @@
 // announceTime returns how long a stopping router still accepts requests: the load balancer
 // sends new connections until two readiness probes in a row have failed.
 func (b Bounds) announceTime() time.Duration {
-	return time.Duration(announceProbes * float64(b.ReadyEvery))
+	return time.Duration(announceProbes * float64(b.ReadyInterval))
 }
 
 // announceProbes is a number of probe intervals: two, and 0.6 for the time that the
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -150,7 +150,7 @@
 			ColdFactor: f.Bounds.ColdFactor,
 			ColdSlack:  f.Bounds.ColdSlack,
 			Heartbeat:  f.Bounds.Heartbeat.Or(0),
-			ReadyEvery: f.Bounds.ReadyEvery.Or(0),
+			ReadyInterval: f.Bounds.ReadyEvery.Or(0),
 		},
 		Grace:       f.Grace.Or(defaultGrace),
 		MemoryBytes: f.MemoryMB << 20,
