--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -51,7 +51,7 @@
 	Switches balance.Switches
 	// Reload receives a value when the settings may have changed, and ReadSettings
 	// returns the current ones. Both may be nil.
-	Reload <-chan struct{}
+	Reload       <-chan struct{}
 	ReadSettings func() (*Settings, error)
 
 	gateway       *gateway.Gateway
