--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -63,8 +63,8 @@
 	return b
 }
 
-// timing returns the timeouts of calls to the store and to other routers. They follow from
-// the shorter of ApplyTime and LeaveTime.
+// timing returns the wait times of calls to the store and to other routers with which changes
+// are known within the shorter of ApplyTime and LeaveTime.
 func (b Bounds) timing() directory.Timing {
 	return directory.TimingWithin(min(b.ApplyTime, b.LeaveTime))
 }
@@ -94,6 +94,6 @@
 	return time.Duration(announceProbes * float64(b.ReadyInterval))
 }
 
-// announceProbes is a number of probe intervals: two, and 0.6 for the time that the
+// announceProbes is a number of probe intervals: two intervals, and 0.6 for the time that the
 // second probe takes.
 const announceProbes = 2.6
--- a/cmd/internal/gatewayd/cacheindex.go
+++ b/cmd/internal/gatewayd/cacheindex.go
@@ -16,8 +16,9 @@
 // the list of backend servers.
 const listedPollInterval = 10 * time.Millisecond
 
-// recoverCacheIndex finds out after a start which engines have cached which prompts, and
-// then follows engines that are listed late until ctx ends.
+// recoverCacheIndex finds out after a start which engines have cached which prompts. It then
+// fetches the caches of engines that are listed late, for as long as that may happen or until
+// ctx ends.
 func (p *Process) recoverCacheIndex(ctx context.Context) {
 	p.fetchCacheIndex(ctx)
 	close(p.cachesKnown)
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -51,7 +51,7 @@
 	monitor := p.newFeedMonitor(feedTables)
 	follower.OnError, follower.OnAnswer = monitor.failed, monitor.succeeded
 	follower.OnStoreRestored = monitor.storeRestored
-	follower.IsOutdated = func(known, told *routing.Table) bool { return told.Version < known.Version }
+	follower.IsOutdated = func(known, received *routing.Table) bool { return received.Version < known.Version }
 	follower.OnChange = func(changes []directory.Change[*routing.Table]) {
 		for _, c := range changes {
 			if c.Value == nil || !p.gateway.SetTable(c.Value) {
--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -25,7 +25,7 @@
 
 var _ directory.Peers = (*peers)(nil)
 
-// Settled is closed once this router knows the others.
+// Settled returns a channel that is closed once this router knows the others or found none.
 func (p *peers) Settled() <-chan struct{} {
 	return p.node.FleetKnown()
 }
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// followsRollouts reports whether rollouts are enabled.
+// followsRollouts reports whether this router follows rollouts.
 func (p *Process) followsRollouts() bool {
 	return p.Settings.Bounds.Exposure > 0 && p.Feeds.Rollouts != nil
 }
