--- a/stream/answer.go
+++ b/stream/answer.go
@@ -10,11 +10,11 @@
 	"github.com/slipwick/slipwick"
 )
 
-// cancelTimeout bounds the call that cancels an answer nobody waits for.
+// cancelTimeout bounds the call that cancels a response that has no reader any more.
 const cancelTimeout = 2 * time.Second
 
-// Answer follows one answer. It belongs to one goroutine. Set the exported
-// fields before Start.
+// Response reads the streamed response to one request. It is not safe for concurrent use. Set
+// the exported fields before Start.
 type Answer struct {
 	Engine  slipwick.Engine
 	Request slipwick.ChatRequest
@@ -27,25 +27,25 @@
 	ended   bool
 }
 
-// Start sends the request, once. The error's Outcome says whether it can have
-// reached the engine.
-func (a *Answer) Start(ctx context.Context) error {
-	return a.open(ctx, a.Limits.FirstToken, func(connection context.Context) (slipwick.EventStream, error) {
-		return a.Engine.Stream(connection, a.Request)
+// Start sends the request exactly once and blocks until the response has started. The Outcome of
+// the error tells whether the request may have reached the engine.
+func (r *Answer) Start(ctx context.Context) error {
+	return r.open(ctx, r.Limits.FirstToken, func(ctx context.Context) (slipwick.EventStream, error) {
+		return r.Engine.Stream(ctx, r.Request)
 	})
 }
 
-// open makes a connection that outlives the time limit for making it.
-func (a *Answer) open(
+// open connects within limit; the connection itself stays open after the limit.
+func (r *Answer) open(
 	ctx context.Context, limit time.Duration,
 	connect func(context.Context) (slipwick.EventStream, error),
 ) error {
-	connection, stop := context.WithCancel(ctx)
+	connectionCtx, stop := context.WithCancel(ctx)
 	timer := time.AfterFunc(limit, stop)
-	events, err := connect(connection)
+	events, err := connect(connectionCtx)
 	inTime := timer.Stop()
 	if err == nil && inTime {
-		a.events, a.stop = events, stop
+		r.events, r.stop = events, stop
 		return nil
 	}
 	stop()
@@ -53,76 +53,77 @@
 		_ = events.Close()
 	}
 	if !inTime && ctx.Err() == nil {
-		return timedOut("the engine did not begin its answer in time")
+		return timeoutError("the engine did not start its response before the timeout")
 	}
 	return err
 }
 
-// Next gives the next event that belongs to the answer, each offset once and
-// in order. It returns io.EOF after the end marker.
-func (a *Answer) Next(ctx context.Context) (slipwick.StreamEvent, error) {
-	if a.ended {
+// Next blocks until the next event of the response arrives and returns it. It returns each offset
+// once and in order, and io.EOF after the end marker. Timeouts and broken streams that could not
+// be resumed are *Error with OutcomeUnknown.
+func (r *Answer) Next(ctx context.Context) (slipwick.StreamEvent, error) {
+	if r.ended {
 		return slipwick.StreamEvent{}, io.EOF
 	}
 	for {
-		event, err := a.wait(ctx)
+		event, err := r.receive(ctx)
 		if err == nil {
-			err = a.check(event)
+			err = r.check(event)
 		}
 		switch {
-		case errors.Is(err, errSeen):
+		case errors.Is(err, errDuplicate):
 			continue
 		case err == nil:
-			a.next++
-			a.ended = event.End
+			r.next++
+			r.ended = event.End
 			return event, nil
 		}
-		if err = a.resume(ctx, err); err != nil {
+		if err = r.resume(ctx, err); err != nil {
 			return slipwick.StreamEvent{}, err
 		}
 	}
 }
 
-func (a *Answer) wait(ctx context.Context) (slipwick.StreamEvent, error) {
-	limit := a.Limits.BetweenTokens
-	if a.next == 0 {
-		limit = a.Limits.FirstToken
+func (r *Answer) receive(ctx context.Context) (slipwick.StreamEvent, error) {
+	limit := r.Limits.BetweenTokens
+	if r.next == 0 {
+		limit = r.Limits.FirstToken
 	}
-	bounded, cancel := context.WithTimeout(ctx, limit)
+	limited, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	event, err := a.events.Next(bounded)
-	if err != nil && ctx.Err() == nil && bounded.Err() != nil {
-		return event, timedOut("the engine sent no further event in time")
+	event, err := r.events.Next(limited)
+	if err != nil && ctx.Err() == nil && limited.Err() != nil {
+		return event, timeoutError("the engine sent no further event before the timeout")
 	}
 	return event, err
 }
 
-// errSeen marks an event that was passed on before.
-var errSeen = errors.New("event seen before")
+// errDuplicate marks an event that Next has already returned.
+var errDuplicate = errors.New("duplicate event")
 
-func (a *Answer) check(event slipwick.StreamEvent) error {
+func (r *Answer) check(event slipwick.StreamEvent) error {
 	switch {
-	case event.Request != a.Request.ID:
-		return broken("an event of another answer arrived")
-	case event.Offset < a.next:
-		return errSeen
-	case event.Offset > a.next:
-		return broken("events of the answer are missing")
+	case event.Request != r.Request.ID:
+		return brokenStreamError("received an event of another response")
+	case event.Offset < r.next:
+		return errDuplicate
+	case event.Offset > r.next:
+		return brokenStreamError("events of the response are missing")
 	default:
 		return nil
 	}
 }
 
-// resume takes up a broken answer at the same engine; it gives the cause back
-// when that is not possible.
-func (a *Answer) resume(ctx context.Context, cause error) error {
-	if ctx.Err() != nil || !slipwick.IsKind(cause, slipwick.KindStreamBroken) || a.resumes >= a.Limits.Resumes {
+// resume continues a broken response at the same engine. It returns cause if that is not
+// possible.
+func (r *Answer) resume(ctx context.Context, cause error) error {
+	if ctx.Err() != nil || !slipwick.IsKind(cause, slipwick.KindStreamBroken) || r.resumes >= r.Limits.Resumes {
 		return cause
 	}
-	a.resumes++
-	a.closeConnection()
-	err := a.open(ctx, a.Limits.BetweenTokens, func(connection context.Context) (slipwick.EventStream, error) {
-		return a.Engine.Resume(connection, a.Request.ID, a.next)
+	r.resumes++
+	r.closeConnection()
+	err := r.open(ctx, r.Limits.BetweenTokens, func(ctx context.Context) (slipwick.EventStream, error) {
+		return r.Engine.Resume(ctx, r.Request.ID, r.next)
 	})
 	if err != nil {
 		return cause
@@ -130,32 +131,33 @@
 	return nil
 }
 
-// Close lets go of the answer; one that has not ended is cancelled.
-func (a *Answer) Close() {
-	a.closeConnection()
-	if a.ended {
+// Close closes the connection and cancels a response that has not ended. It blocks for up to
+// cancelTimeout.
+func (r *Answer) Close() {
+	r.closeConnection()
+	if r.ended {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), cancelTimeout)
 	defer cancel()
-	_ = a.Engine.Cancel(ctx, a.Request.ID)
+	_ = r.Engine.Cancel(ctx, r.Request.ID)
 }
 
-func (a *Answer) closeConnection() {
-	if a.events == nil {
+func (r *Answer) closeConnection() {
+	if r.events == nil {
 		return
 	}
-	_ = a.events.Close()
-	a.stop()
-	a.events = nil
+	_ = r.events.Close()
+	r.stop()
+	r.events = nil
 }
 
-// Started tells whether an event was passed on.
-func (a *Answer) Started() bool {
-	return a.next > 0
+// Started reports whether Next has returned an event.
+func (r *Answer) Started() bool {
+	return r.next > 0
 }
 
-func timedOut(message string) error {
+func timeoutError(message string) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindTimeout,
 		Message: message,
@@ -164,7 +166,7 @@
 	}
 }
 
-func broken(message string) error {
+func brokenStreamError(message string) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindStreamBroken,
 		Message: message,
--- a/stream/answer_test.go
+++ b/stream/answer_test.go
@@ -16,16 +16,16 @@
 	"github.com/slipwick/slipwick"
 )
 
-// fakeEngine answers with a fixed number of events, over connections that a
-// random fate cuts, doubles, delays, mixes up or ends early.
+// fakeEngine sends a fixed number of events. At random its streams break, repeat, skip or
+// delay events, or deliver an event of another response.
 type fakeEngine struct {
 	random *rand.Rand
 	length int
-	// fate gives the chance of each trouble at each event.
-	fate      float64
+	// faultRate is the probability of a fault at each event.
+	faultRate float64
 	started   int
 	cancelled bool
-	// wrap puts a fault into the connections.
+	// wrap, if not nil, wraps each stream to inject a fault that the checker has to find.
 	wrap func(slipwick.EventStream) slipwick.EventStream
 }
 
@@ -77,10 +77,10 @@
 		Data:    []byte(fmt.Sprintf("%s-%d", s.request, s.offset)),
 		End:     s.offset == f.length,
 	}
-	if f.random.Float64() < f.fate {
+	if f.random.Float64() < f.faultRate {
 		switch f.random.IntN(5) {
 		case 0:
-			return slipwick.StreamEvent{}, broken("cut")
+			return slipwick.StreamEvent{}, brokenStreamError("stream cut")
 		case 1:
 			event.Offset, event.End = max(0, s.offset-1), false
 			event.Data = []byte(fmt.Sprintf("%s-%d", s.request, event.Offset))
@@ -89,7 +89,7 @@
 			event.Request, event.Data = "another", []byte("another's")
 			return event, nil
 		case 3:
-			// A hole; what carries an offset is that offset's event.
+			// Skips an event; the data still matches the offset that is sent.
 			s.offset++
 			event.Offset, event.End = s.offset, s.offset == f.length
 			event.Data = []byte(fmt.Sprintf("%s-%d", s.request, s.offset))
@@ -109,9 +109,9 @@
 	return nil
 }
 
-// follow reads one answer and gives what the caller would see.
-func follow(f *fakeEngine) (seen []string, err error) {
-	a := &Answer{
+// readAll reads one response and returns the data of the events that the caller would see.
+func readAll(f *fakeEngine) (seen []string, err error) {
+	r := &Answer{
 		Engine: f,
 		Request: slipwick.ChatRequest{
 			ID: "mine",
@@ -122,12 +122,12 @@
 			Resumes:       4,
 		},
 	}
-	if err := a.Start(context.Background()); err != nil {
+	if err := r.Start(context.Background()); err != nil {
 		return nil, err
 	}
-	defer a.Close()
+	defer r.Close()
 	for {
-		event, err := a.Next(context.Background())
+		event, err := r.Next(context.Background())
 		if errors.Is(err, io.EOF) {
 			return seen, nil
 		}
@@ -140,16 +140,16 @@
 	}
 }
 
-// wrong says what a caller must never see: an answer called whole that is not,
-// or events that are not its own.
-func wrong(f *fakeEngine, seen []string, err error) string {
+// violation describes what a caller must never see: an incomplete response that is reported as
+// complete, or an event of another response. It returns "" if there is none.
+func violation(f *fakeEngine, seen []string, err error) string {
 	for i, got := range seen {
 		if want := fmt.Sprintf("mine-%d", i); got != want {
 			return fmt.Sprintf("got event %q, want %q", got, want)
 		}
 	}
 	if err == nil && len(seen) != f.length {
-		return fmt.Sprintf("got %d events as a whole answer, want %d", len(seen), f.length)
+		return fmt.Sprintf("got %d events as a complete response, want %d", len(seen), f.length)
 	}
 	failure, ok := slipwick.AsError(err)
 	if err != nil && (!ok || failure.Outcome != slipwick.OutcomeUnknown) {
@@ -158,42 +158,42 @@
 	return ""
 }
 
-func run(t *testing.T, f *fakeEngine) (found string, whole bool) {
+func run(t *testing.T, f *fakeEngine) (found string, complete bool) {
 	synctest.Test(t, func(*testing.T) {
-		seen, err := follow(f)
-		found, whole = wrong(f, seen, err), err == nil
+		seen, err := readAll(f)
+		found, complete = violation(f, seen, err), err == nil
 		if found == "" && f.started != 1 {
 			found = fmt.Sprintf("the request was sent %d times, want once", f.started)
 		}
-		if found == "" && !whole && !f.cancelled {
-			found = "an answer that nobody waits for was not cancelled"
+		if found == "" && !complete && !f.cancelled {
+			found = "a response that has no reader any more was not cancelled"
 		}
 	})
-	return found, whole
+	return found, complete
 }
 
-func TestAnswerIsWholeOrAnError(t *testing.T) {
-	whole, count := 0, 0
+func TestResponseIsCompleteOrAnError(t *testing.T) {
+	complete, count := 0, 0
 	rapid.Check(t, func(r *rapid.T) {
 		found, ended := run(t, &fakeEngine{
-			random: rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1)),
-			length: rapid.IntRange(0, 30).Draw(r, "length"),
-			fate:   float64(rapid.IntRange(0, 30).Draw(r, "fate")) / 100,
+			random:    rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1)),
+			length:    rapid.IntRange(0, 30).Draw(r, "length"),
+			faultRate: float64(rapid.IntRange(0, 30).Draw(r, "faultRate")) / 100,
 		})
 		if found != "" {
 			r.Fatal(found)
 		}
 		count++
 		if ended {
-			whole++
+			complete++
 		}
 	})
-	if whole == 0 || whole == count {
-		t.Errorf("got %d of %d answers whole: the checks mean nothing", whole, count)
+	if complete == 0 || complete == count {
+		t.Errorf("got %d of %d responses complete, want some complete and some broken", complete, count)
 	}
 }
 
-// truncating passes a cut answer off as whole.
+// truncating reports a broken stream as the end of a complete response.
 type truncating struct {
 	slipwick.EventStream
 
@@ -213,7 +213,7 @@
 	return event, err
 }
 
-// unchecked gives every event the ID and offset that the answer waits for.
+// unchecked overwrites the ID and offset of every event with the expected ones.
 type unchecked struct {
 	slipwick.EventStream
 
@@ -227,16 +227,16 @@
 	return event, err
 }
 
-// TestCheckerFindsPlantedFaults checks that the check above finds what the
-// end marker and the IDs are there to prevent.
-func TestCheckerFindsPlantedFaults(t *testing.T) {
+// TestCheckerFindsInjectedFaults guards the check of TestResponseIsCompleteOrAnError: it injects
+// the faults that the end marker, IDs and offsets prevent, and expects the check to find them.
+func TestCheckerFindsInjectedFaults(t *testing.T) {
 	for name, wrap := range map[string]func(slipwick.EventStream) slipwick.EventStream{
-		"truncated passed as whole": func(s slipwick.EventStream) slipwick.EventStream {
+		"broken stream reported as complete": func(s slipwick.EventStream) slipwick.EventStream {
 			return &truncating{
 				EventStream: s,
 			}
 		},
-		"id check off": func(s slipwick.EventStream) slipwick.EventStream {
+		"ID and offset check off": func(s slipwick.EventStream) slipwick.EventStream {
 			return &unchecked{
 				EventStream: s,
 			}
@@ -245,10 +245,10 @@
 		found := ""
 		for seed := uint64(0); seed < 200 && found == ""; seed++ {
 			found, _ = run(t, &fakeEngine{
-				random: rand.New(rand.NewPCG(seed, 1)),
-				length: 20,
-				fate:   0.2,
-				wrap:   wrap,
+				random:    rand.New(rand.NewPCG(seed, 1)),
+				length:    20,
+				faultRate: 0.2,
+				wrap:      wrap,
 			})
 		}
 		if !strings.HasPrefix(found, "got") {
--- a/stream/limits.go
+++ b/stream/limits.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Limits bound the waits within one answer.
+// Limits are the timeouts and the number of resumes of one response.
 type Limits struct {
-	// FirstToken bounds the wait for the first event.
+	// FirstToken is the timeout for the start of the response and for its first event.
 	FirstToken time.Duration
-	// BetweenTokens bounds the wait for each further event.
+	// BetweenTokens is the timeout for each further event and for a resume.
 	BetweenTokens time.Duration
-	// Resumes is how often one answer may be resumed.
+	// Resumes is the maximum number of times that one response is resumed.
 	Resumes int
 }
