--- a/chat/chunk.go
+++ b/chat/chunk.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Chunk is one streamed chunk of an answer.
+// Chunk is one chunk of a streamed response.
 type Chunk struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -19,7 +19,7 @@
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Delta is what a chunk adds to a message.
+// Delta is the part of a message that a chunk adds.
 type Delta struct {
 	Role      string     `json:"role,omitempty"`
 	Content   string     `json:"content,omitempty"`
@@ -27,7 +27,7 @@
 	ToolCalls []ToolCall `json:"tool_calls,omitempty"`
 }
 
-// ToolCall is a call of a tool, or a part of one.
+// ToolCall is a tool call or, in a chunk, a part of one.
 type ToolCall struct {
 	Index    int      `json:"index"`
 	ID       string   `json:"id,omitempty"`
@@ -35,7 +35,7 @@
 	Function Function `json:"function"`
 }
 
-// Function is the function of a tool call.
+// Function is the function that a tool call names, and its arguments as JSON text.
 type Function struct {
 	Name      string `json:"name,omitempty"`
 	Arguments string `json:"arguments,omitempty"`
--- a/chat/completion.go
+++ b/chat/completion.go
@@ -2,7 +2,7 @@
 
 import "encoding/json"
 
-// Completion is a whole, unstreamed answer.
+// Completion is a complete response that is not streamed.
 type Completion struct {
 	ID      string          `json:"id"`
 	Object  string          `json:"object"`
@@ -12,14 +12,14 @@
 	Usage   json.RawMessage `json:"usage,omitempty"`
 }
 
-// Choice is one choice of a whole answer.
+// Choice is one of the alternative messages of a Completion.
 type Choice struct {
 	Index        int     `json:"index"`
 	Message      Message `json:"message"`
 	FinishReason *string `json:"finish_reason"`
 }
 
-// Message is the message of a choice.
+// Message is the message of a Choice.
 type Message struct {
 	Role      string     `json:"role"`
 	Content   string     `json:"content"`
@@ -27,7 +27,7 @@
 	ToolCalls []ToolCall `json:"tool_calls,omitempty"`
 }
 
-// Add joins a chunk's JSON to the completion.
+// Add merges a chunk, as JSON, into the completion. The error is that of json.Unmarshal.
 func (c *Completion) Add(data []byte) error {
 	var chunk Chunk
 	if err := json.Unmarshal(data, &chunk); err != nil {
--- a/chat/doc.go
+++ b/chat/doc.go
@@ -1,3 +1,3 @@
-// Package chat reads OpenAI-style chat requests as far as routing needs them,
-// and joins streamed chunks into a whole answer.
+// Package chat parses the parts of OpenAI-style chat requests that routing needs, and joins
+// streamed chunks into a complete response.
 package chat
--- a/chat/request.go
+++ b/chat/request.go
@@ -9,15 +9,15 @@
 	"github.com/slipwick/slipwick"
 )
 
-// IdentityHeader names the chat that a request belongs to.
+// IdentityHeader is the request header that identifies the chat of a request.
 const IdentityHeader = "Slipwick-Chat"
 
-// Request is what routing needs of a chat request's body.
+// Request holds the fields of a chat request's body that routing needs.
 type Request struct {
 	Model    string    `json:"model"`
 	Stream   bool      `json:"stream"`
 	Messages []message `json:"messages"`
-	// CacheKey is the OpenAI field by which callers may name a chat.
+	// CacheKey is the OpenAI field with which callers may identify a chat.
 	CacheKey string `json:"prompt_cache_key"`
 }
 
@@ -26,34 +26,35 @@
 	Content json.RawMessage `json:"content"`
 }
 
-// Parse reads a body. The error is an *Error of KindInvalidRequest.
+// Parse parses a request body. The error is a *slipwick.Error of KindInvalidRequest with
+// OutcomeNotRun.
 func Parse(body []byte) (*Request, error) {
 	request := &Request{}
 	if err := json.Unmarshal(body, request); err != nil {
-		return nil, invalid("the body is no JSON chat request", err)
+		return nil, invalidRequest("the body is not a JSON chat request", err)
 	}
 	if request.Model == "" {
-		return nil, invalid("the body names no model", nil)
+		return nil, invalidRequest("the body has no model", nil)
 	}
 	if len(request.Messages) == 0 {
-		return nil, invalid("the body has no messages", nil)
+		return nil, invalidRequest("the body has no messages", nil)
 	}
 	return request, nil
 }
 
-func invalid(message string, cause error) error {
+func invalidRequest(message string, cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindInvalidRequest,
 		Message: message,
-		Remedy:  "send a chat completion request with model and messages",
+		Remedy:  "send a chat completion request with a model and messages",
 		Outcome: slipwick.OutcomeNotRun,
 		Cause:   cause,
 	}
 }
 
-// Identity names the chat: the header's value or the body's cache key, else a
-// hash of the messages up to the first one by the user, which stay the same
-// through all turns of a chat.
+// Identity returns the identity of the chat: the value of IdentityHeader, else the body's cache
+// key, else a hash of the messages up to the first user message. These messages are the same in
+// all turns of a chat.
 func (r *Request) Identity(header string) string {
 	switch {
 	case header != "":
@@ -72,11 +73,12 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// Streamed gives the body with streaming and the usage chunk asked for.
+// EnableStreaming returns the body with streaming and the usage chunk enabled. The error is a
+// *slipwick.Error of KindInvalidRequest if the body is not a JSON object.
 func Streamed(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return nil, invalid("the body is no JSON object", err)
+		return nil, invalidRequest("the body is not a JSON object", err)
 	}
 	fields["stream"] = json.RawMessage(`true`)
 	fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
--- a/chat/request_test.go
+++ b/chat/request_test.go
@@ -7,7 +7,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-func TestIdentityStaysThroughTurns(t *testing.T) {
+func TestIdentityIsSameInAllTurns(t *testing.T) {
 	first := `{"model":"m","messages":[{"role":"system","content":"s"},{"role":"user","content":"a"}]}`
 	second := `{"model":"m","messages":[{"role":"system","content":"s"},{"role":"user","content":"a"},` +
 		`{"role":"assistant","content":"b"},{"role":"user","content":"c"}]}`
@@ -26,7 +26,7 @@
 		t.Error("got the same identity for two chats")
 	}
 	if got := identity(first, "named"); got != "named" {
-		t.Errorf("got %s, want the header's name", got)
+		t.Errorf("got %s, want the identity of the header", got)
 	}
 }
 
@@ -53,8 +53,8 @@
 	}
 }
 
-// FuzzParse checks that any body is either refused as not run or can be passed
-// on in streamed form with its messages kept.
+// FuzzParse checks that any body is either refused with OutcomeNotRun, or can be converted to a
+// streamed request with the same messages.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"a"}]}`))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":[{"type":"text"}]}],"stream":false}`))
@@ -64,13 +64,13 @@
 		if err != nil {
 			failure, ok := slipwick.AsError(err)
 			if !ok || failure.Outcome != slipwick.OutcomeNotRun {
-				t.Fatalf("got %v, want a refusal that says not-run", err)
+				t.Fatalf("got %v, want an error with outcome not-run", err)
 			}
 			return
 		}
 		streamed, err := Streamed(body)
 		if err != nil {
-			t.Fatalf("a body that was taken can't be streamed: %v", err)
+			t.Fatalf("got %v for a body that Parse accepts, want a streamed request", err)
 		}
 		again, err := Parse(streamed)
 		if err != nil || !again.Stream {
--- a/sse/doc.go
+++ b/sse/doc.go
@@ -1,2 +1,2 @@
-// Package sse reads and writes server-sent events within bounds.
+// Package sse reads and writes server-sent events of limited size.
 package sse
--- a/sse/lines.go
+++ b/sse/lines.go
@@ -2,14 +2,14 @@
 
 import "bytes"
 
-// lineSplitter cuts a stream into lines that end with LF, CR or CRLF.
+// lineSplitter splits a stream into lines that end with LF, CR or CRLF.
 type lineSplitter struct {
-	// afterCR is set when the last line ended with a CR, of which a LF may follow.
+	// afterCR is true if the last line ended with a CR, so that an LF that follows belongs to it.
 	afterCR bool
 }
 
-// split is a bufio.SplitFunc. It gives a line at its CR without waiting for the
-// next byte, so that an event is known as soon as it has arrived.
+// split is a bufio.SplitFunc. It returns a line at its CR without waiting for the next byte, so
+// that the reader gets an event as soon as it has arrived.
 func (s *lineSplitter) split(data []byte, atEOF bool) (int, []byte, error) {
 	start := 0
 	if s.afterCR && len(data) > 0 {
--- a/sse/reader.go
+++ b/sse/reader.go
@@ -8,31 +8,32 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLong is an event above MaxEventBytes.
-var ErrTooLong = errors.New("server-sent event is too long; have the server send smaller events")
+// ErrTooLong is returned for an event larger than MaxEventBytes.
+var ErrTooLong = errors.New("server-sent event is too long; configure the server to send smaller events")
 
-// MaxEventBytes bounds one event.
+// MaxEventBytes is the size of the largest event that Reader accepts.
 const MaxEventBytes = 256 << 10
 
-const firstBuffer = 4 << 10
+// initialBufferBytes is the initial size of the read buffer, which grows up to MaxEventBytes.
+const initialBufferBytes = 4 << 10
 
-// Reader reads events from a response body.
+// Reader reads events from a response body. It is not safe for concurrent use.
 type Reader struct {
 	scanner *bufio.Scanner
 }
 
-// NewReader reads from r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(make([]byte, firstBuffer), MaxEventBytes)
+	scanner.Buffer(make([]byte, initialBufferBytes), MaxEventBytes)
 	scanner.Split((&lineSplitter{}).split)
 	return &Reader{
 		scanner: scanner,
 	}
 }
 
-// Next gives the next event with data. It returns io.EOF at the end of input;
-// an event that the input cuts off is dropped, as the standard has it.
+// Next blocks until the next event with data has arrived and returns it. It returns io.EOF at the
+// end of input; an event that is incomplete there is dropped, as the standard requires.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	var lines [][]byte
--- a/sse/reader_test.go
+++ b/sse/reader_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestNextDropsACutEvent(t *testing.T) {
+func TestNextDropsIncompleteEvent(t *testing.T) {
 	reader := NewReader(strings.NewReader(": comment\n\ndata: whole\n\ndata: cut\n"))
 	got, err := reader.Next()
 	if err != nil || string(got.Data) != "whole" {
@@ -40,16 +40,16 @@
 	}
 }
 
-// TestNextTakesEachLineEnd reads events whose lines end with LF, CR and CRLF, cut
-// into reads of one byte. A CR was taken for data unless a LF followed it, so that
-// an event came out of Write as another one; a drawn input showed it.
-func TestNextTakesEachLineEnd(t *testing.T) {
+// TestNextAcceptsEachLineEnd reads events whose lines end with LF, CR or CRLF, one byte per read.
+// It guards against a CR without LF being read as data, so that an event read again after Write
+// differs; the fuzz test found this.
+func TestNextAcceptsEachLineEnd(t *testing.T) {
 	for _, end := range []string{"\n", "\r", "\r\n"} {
 		input := strings.ReplaceAll("id: a\ndata: one\ndata: two\n\ndata:\n\n", "\n", end)
 		reader := NewReader(iotest.OneByteReader(strings.NewReader(input)))
 		first, err := reader.Next()
 		if err != nil || first.ID != "a" || string(first.Data) != "one\ntwo" {
-			t.Errorf("ends %q: got %q of %q, %v, want two lines of a", end, first.Data, first.ID, err)
+			t.Errorf("ends %q: got %q of %q, %v, want ID a and two lines of data", end, first.Data, first.ID, err)
 		}
 		second, err := reader.Next()
 		if err != nil || len(second.Data) != 0 {
@@ -61,17 +61,17 @@
 	}
 }
 
-// TestNextGivesAnEventAtItsCR reads an event that ends with CRs, and nothing after it:
-// whether a LF follows is not waited for.
-func TestNextGivesAnEventAtItsCR(t *testing.T) {
-	more := iotest.ErrReader(errors.New("read on after the event"))
+// TestNextReturnsEventAtCR reads an event that ends with CRs and is followed by nothing: Next must
+// return it without waiting to see whether an LF follows.
+func TestNextReturnsEventAtCR(t *testing.T) {
+	more := iotest.ErrReader(errors.New("read past the end of the event"))
 	got, err := NewReader(io.MultiReader(strings.NewReader("data: whole\r\r"), more)).Next()
 	if err != nil || string(got.Data) != "whole" {
 		t.Errorf("got %q, %v, want whole", got.Data, err)
 	}
 }
 
-func TestNextBoundsAnEvent(t *testing.T) {
+func TestNextLimitsEventSize(t *testing.T) {
 	for _, input := range []string{
 		"data: " + strings.Repeat("x", MaxEventBytes) + "\n\n",
 		strings.Repeat("data: "+strings.Repeat("x", 1000)+"\n", MaxEventBytes/1000+1) + "\n",
@@ -82,6 +82,8 @@
 	}
 }
 
+// FuzzReader checks that any event that can be read keeps its ID and data when it is written and
+// read again.
 func FuzzReader(f *testing.F) {
 	f.Add([]byte("id: a/1\ndata: {}\n\n"))
 	f.Add([]byte("data\n\n:\n\ndata: [DONE]\n\n"))
--- a/sse/write.go
+++ b/sse/write.go
@@ -7,11 +7,11 @@
 	"github.com/pkg/errors"
 )
 
-// Write sends one event in a single write.
+// Write writes one event with a single call of w.Write.
 func Write(w io.Writer, event Event) error {
 	var buffer bytes.Buffer
-	field(&buffer, "id", []byte(event.ID))
-	field(&buffer, "event", []byte(event.Type))
+	writeField(&buffer, "id", []byte(event.ID))
+	writeField(&buffer, "event", []byte(event.Type))
 	for line := range bytes.SplitSeq(event.Data, []byte("\n")) {
 		buffer.WriteString("data: ")
 		buffer.Write(line)
@@ -22,7 +22,7 @@
 	return errors.Wrap(err, "write event")
 }
 
-func field(buffer *bytes.Buffer, name string, value []byte) {
+func writeField(buffer *bytes.Buffer, name string, value []byte) {
 	if len(value) == 0 {
 		return
 	}
