--- a/engine/client.go
+++ b/engine/client.go
@@ -14,27 +14,28 @@
 
 var _ slipwick.Engine = (*Client)(nil)
 
-// controlTimeout bounds calls that carry no answer of a model.
+// controlTimeout bounds calls that do not stream a response of the model.
 const controlTimeout = 2 * time.Second
 
-// Client is one engine over HTTP. Set the fields before use.
+// Client calls one engine over HTTP. Set the fields before use.
 type Client struct {
 	// Address is host:port.
 	Address string
 	HTTP    *http.Client
-	// OnNotice is told what the engine says of itself in an answer; nil tells nobody.
+	// OnNotice, if not nil, is called with the notice in each response of the engine, including
+	// an empty one.
 	OnNotice func(slipwick.Notice)
 }
 
-// heed passes on what an answer says of the engine.
-func (c *Client) heed(response *http.Response) {
+// reportNotice calls OnNotice with the notice in the response.
+func (c *Client) reportNotice(response *http.Response) {
 	if c.OnNotice == nil {
 		return
 	}
 	c.OnNotice(httpclient.NoticeIn(response.StatusCode, response.Header, LeavingHeader, "true"))
 }
 
-// Stream sends the chat turn once.
+// Stream sends the chat turn exactly once and returns the response as a stream.
 func (c *Client) Stream(ctx context.Context, request slipwick.ChatRequest) (slipwick.EventStream, error) {
 	call, err := httpclient.Request(ctx, http.MethodPost, c.url(CompletionsPath), request.Body)
 	if err != nil {
@@ -50,7 +51,7 @@
 	return c.stream(call)
 }
 
-// Resume goes on with an answer from the event offset.
+// Resume continues the response to a request, from the event with the given offset.
 func (c *Client) Resume(ctx context.Context, request string, offset int) (slipwick.EventStream, error) {
 	path := fmt.Sprintf("%s%s?offset=%d", StreamsPath, request, offset)
 	call, err := httpclient.Request(ctx, http.MethodGet, c.url(path), nil)
@@ -63,16 +64,16 @@
 func (c *Client) stream(call *http.Request) (slipwick.EventStream, error) {
 	response, err := c.HTTP.Do(call)
 	if err != nil {
-		return nil, unreachable(err)
+		return nil, connectionError(err)
 	}
-	c.heed(response)
+	c.reportNotice(response)
 	if response.StatusCode != http.StatusOK {
-		return nil, answered(response)
+		return nil, responseError(response)
 	}
 	return newEventStream(response.Body), nil
 }
 
-// Cancel stops an answer; an unknown request is no error.
+// Cancel stops the response to a request; an unknown request ID is not an error.
 func (c *Client) Cancel(ctx context.Context, request string) error {
 	response, err := c.control(ctx, http.MethodDelete, StreamsPath+request)
 	if slipwick.IsKind(err, slipwick.KindNotFound) {
@@ -84,33 +85,34 @@
 	return response.Body.Close()
 }
 
-// Load reads the engine's load report.
+// Load fetches the engine's load report.
 func (c *Client) Load(ctx context.Context) (slipwick.LoadReport, error) {
 	var report slipwick.LoadReport
-	err := c.read(ctx, LoadPath, &report)
+	err := c.getJSON(ctx, LoadPath, &report)
 	return report, err
 }
 
-// CacheEvents reads the cache events after the sequence number.
+// CacheEvents fetches the cache events that follow the sequence number.
 func (c *Client) CacheEvents(ctx context.Context, after uint64) (slipwick.CacheEvents, error) {
 	var events slipwick.CacheEvents
-	err := c.read(ctx, fmt.Sprintf("%s?after=%d", CacheEventsPath, after), &events)
+	err := c.getJSON(ctx, fmt.Sprintf("%s?after=%d", CacheEventsPath, after), &events)
 	return events, err
 }
 
-func (c *Client) read(ctx context.Context, path string, into any) error {
+func (c *Client) getJSON(ctx context.Context, path string, into any) error {
 	response, err := c.control(ctx, http.MethodGet, path)
 	if err != nil {
 		return err
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
-		return unreachable(err)
+		return connectionError(err)
 	}
 	return nil
 }
 
-// control makes a short call; the body is closed when the time limit passes.
+// control makes a call that does not stream. The body can be read until controlTimeout has passed
+// since the call began; the caller closes it.
 func (c *Client) control(ctx context.Context, method, path string) (*http.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	context.AfterFunc(ctx, cancel)
@@ -122,12 +124,12 @@
 	response, err := c.HTTP.Do(call)
 	if err != nil {
 		cancel()
-		return nil, unreachable(err)
+		return nil, connectionError(err)
 	}
-	c.heed(response)
+	c.reportNotice(response)
 	if response.StatusCode/100 != 2 {
 		cancel()
-		return nil, answered(response)
+		return nil, responseError(response)
 	}
 	response.Body = &cancelOnClose{
 		ReadCloser: response.Body,
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -11,9 +11,9 @@
 	"github.com/slipwick/slipwick/httpclient"
 )
 
-// TestStreamSendsOnce drops the connection after the body was read, on a
-// connection used before and with a request key: the cases in which net/http
-// sends again by itself when it can.
+// TestStreamSendsOnce guards against net/http retrying a request by itself. It does so when a reused
+// connection breaks or when the request has an Idempotency-Key, so the server reads the body and
+// then drops a reused connection on which a request with a key was sent.
 func TestStreamSendsOnce(t *testing.T) {
 	var received atomic.Int64
 	var drop atomic.Bool
@@ -44,7 +44,7 @@
 		return err
 	}
 	if err := send(); !slipwick.IsKind(err, slipwick.KindBackendError) {
-		t.Fatalf("got %v, want the engine's own error", err)
+		t.Fatalf("got %v, want the engine's error response", err)
 	}
 	drop.Store(true)
 	err := send()
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestEventIDs(t *testing.T) {
+func TestParseEventID(t *testing.T) {
 	for _, tc := range []struct {
 		id      string
 		request string
--- a/engine/doc.go
+++ b/engine/doc.go
@@ -1,4 +1,4 @@
-// Package engine speaks to model engines: OpenAI-style chat completions with
-// server-sent events, and load, cache-event, resume and cancel calls.
-// docs/WIRE.md states the protocol.
+// Package engine is the client for model engines: OpenAI-style chat completions streamed as
+// server-sent events, and calls to resume or cancel a response and to fetch the load report and
+// the cache events. docs/WIRE.md describes the protocol.
 package engine
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -9,34 +9,35 @@
 	"github.com/slipwick/slipwick/httpclient"
 )
 
-// ErrLeaving is the cause of an *Error from an engine that takes no new work.
-var ErrLeaving = errors.New("the engine is leaving")
+// ErrLeaving is the Cause of the *slipwick.Error for an error response in which the engine
+// announces that it accepts no new requests.
+var ErrLeaving = errors.New("the engine is stopping and accepts no new requests")
 
-func unreachable(cause error) error {
+func connectionError(cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindBackendUnreachable,
-		Message: "no answer from the engine",
-		Remedy:  "try again; if it persists, check the engine",
+		Message: "no response from the engine",
+		Remedy:  "try again; if the error persists, check the engine",
 		Outcome: httpclient.OutcomeOf(cause),
 		Cause:   cause,
 	}
 }
 
-// answered turns an engine's error answer into an *Error.
-func answered(response *http.Response) error {
+// responseError converts an error response of an engine to a *slipwick.Error and closes the body.
+func responseError(response *http.Response) error {
 	text := httpclient.ErrorBody(response)
 	if response.StatusCode == http.StatusNotFound {
 		return &slipwick.Error{
 			Kind:    slipwick.KindNotFound,
 			Message: "the engine does not know this request or path",
-			Remedy:  "send the request again if it may be repeated",
+			Remedy:  "send the request again if it is safe to repeat",
 			Outcome: slipwick.OutcomeUnknown,
 		}
 	}
 	failure := &slipwick.Error{
 		Kind:    slipwick.KindBackendError,
-		Message: "the engine answered " + response.Status + ": " + text,
-		Remedy:  "correct the request, or ask the engine's operators",
+		Message: "the engine returned " + response.Status + ": " + text,
+		Remedy:  "correct the request, or contact the operators of the engine",
 		Outcome: slipwick.OutcomeFailed,
 	}
 	if response.Header.Get(NotRunHeader) == "true" {
--- a/engine/eventstream.go
+++ b/engine/eventstream.go
@@ -10,7 +10,7 @@
 	"github.com/slipwick/slipwick/sse"
 )
 
-// eventStream reads one answer from a response body.
+// eventStream reads the events of one response from its body.
 type eventStream struct {
 	body   io.ReadCloser
 	reader *sse.Reader
@@ -24,7 +24,8 @@
 	}
 }
 
-// Next gives the following event; ctx ending closes the connection.
+// Next blocks until the next event arrives and returns it. If ctx ends, Next closes the
+// connection.
 func (s *eventStream) Next(ctx context.Context) (slipwick.StreamEvent, error) {
 	if s.ended {
 		return slipwick.StreamEvent{}, io.EOF
@@ -36,11 +37,11 @@
 		return slipwick.StreamEvent{}, ctx.Err()
 	}
 	if err != nil {
-		return slipwick.StreamEvent{}, broken(err)
+		return slipwick.StreamEvent{}, brokenStreamError(err)
 	}
 	request, offset, ok := ParseEventID(event.ID)
 	if !ok {
-		return slipwick.StreamEvent{}, broken(errors.Errorf("event id %q has no request and offset", event.ID))
+		return slipwick.StreamEvent{}, brokenStreamError(errors.Errorf("event ID %q is not REQUEST/OFFSET", event.ID))
 	}
 	s.ended = string(event.Data) == EndMarker
 	if s.ended {
@@ -54,16 +55,16 @@
 	}, nil
 }
 
-// Close lets go of the connection.
+// Close closes the connection.
 func (s *eventStream) Close() error {
 	return s.body.Close()
 }
 
-func broken(cause error) error {
+func brokenStreamError(cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindStreamBroken,
-		Message: "the answer ended without its end marker",
-		Remedy:  "resume it or send the request again if it may be repeated",
+		Message: "the response ended without its end marker",
+		Remedy:  "resume the response, or send the request again if it is safe to repeat",
 		Outcome: slipwick.OutcomeUnknown,
 		Cause:   cause,
 	}
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -16,30 +16,30 @@
 	RequestHeader = "X-Request-Id"
 	// PriorityHeader carries the request's priority.
 	PriorityHeader = "X-Priority"
-	// ChatHeader carries the chat's identity, as a hint for the cache.
+	// ChatHeader carries the chat's identity, a hint for the engine's cache.
 	ChatHeader = "X-Chat"
-	// KeyHeader carries the caller's request key, if it gave one.
+	// KeyHeader carries the caller's request key, if the caller sent one.
 	KeyHeader = "Idempotency-Key"
-	// NotRunHeader on an error answer says that the request was not run.
+	// NotRunHeader on an error response says that the request was not run.
 	NotRunHeader = "X-Not-Run"
-	// LeavingHeader on an error answer says that the engine leaves.
+	// LeavingHeader says that the engine has begun a planned stop.
 	LeavingHeader = "X-Leaving"
 )
 
-// EndMarker is the data of the last event of a whole answer.
+// EndMarker is the data of the last event of a complete response.
 const EndMarker = "[DONE]"
 
-// EventID writes the id of an answer's event.
+// EventID formats the ID of a response's event: the request ID and the event's offset.
 func EventID(request string, offset int) string {
 	return request + "/" + strconv.Itoa(offset)
 }
 
-// ParseEventID reads what EventID wrote; ok is false for anything else.
+// ParseEventID parses the result of EventID; ok is false for any other text.
 func ParseEventID(id string) (request string, offset int, ok bool) {
-	cut := strings.LastIndexByte(id, '/')
-	if cut < 0 {
+	slash := strings.LastIndexByte(id, '/')
+	if slash < 0 {
 		return "", 0, false
 	}
-	offset, err := strconv.Atoi(id[cut+1:])
-	return id[:cut], offset, err == nil && offset >= 0
+	offset, err := strconv.Atoi(id[slash+1:])
+	return id[:slash], offset, err == nil && offset >= 0
 }
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -29,32 +29,35 @@
 
 	callTimeout = 5 * time.Second
 	watchWait   = 30 * time.Second
-	// watchMargin lets the platform end its wait before the client does.
+	// watchMargin is added to watchWait for the client's timeout, so that the platform ends its
+	// wait before the client gives up.
 	watchMargin = 5 * time.Second
 )
 
-// Client is the platform over HTTP. Set the fields before use.
+// Client calls the platform over HTTP. Set the fields before use; it is then safe for concurrent
+// use. Errors are *slipwick.Error.
 type Client struct {
-	// BaseURL is such as http://127.0.0.1:8500.
+	// BaseURL is the URL of the platform, for example http://127.0.0.1:8500.
 	BaseURL string
 	HTTP    *http.Client
 
 	calls atomic.Int64
 }
 
-// Calls counts the calls made so far.
+// Calls returns the number of calls made so far.
 func (c *Client) Calls() int64 {
 	return c.calls.Load()
 }
 
-// Get reads one object.
+// Get returns one object.
 func (c *Client) Get(ctx context.Context, key string) (slipwick.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	return c.read(ctx, key, "")
 }
 
-// Watch waits until the object is newer than after.
+// Watch blocks until the object has a version newer than after, for up to watchWait. If there is
+// none by then, the Object has Version after and no Value.
 func (c *Client) Watch(ctx context.Context, key string, after slipwick.Version) (slipwick.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWait+watchMargin)
 	defer cancel()
@@ -82,7 +85,7 @@
 	defer func() { _ = response.Body.Close() }()
 	value, err := io.ReadAll(io.LimitReader(response.Body, slipwick.MaxObjectBytes+1))
 	if err != nil {
-		return slipwick.Object{}, unavailable(err)
+		return slipwick.Object{}, unavailableError(err)
 	}
 	version, err := versionOf(response)
 	return slipwick.Object{
@@ -92,16 +95,16 @@
 	}, err
 }
 
-// Create writes an object that must not exist yet.
+// Create writes a new object; KindConflict if it exists.
 func (c *Client) Create(ctx context.Context, key string, value []byte) (slipwick.Version, error) {
 	return c.write(ctx, key, value, "If-None-Match", "*")
 }
 
-// Update replaces an object that must still have the version.
+// Update replaces an object; KindConflict if its version is no longer the given one.
 func (c *Client) Update(
 	ctx context.Context, key string, value []byte, version slipwick.Version,
 ) (slipwick.Version, error) {
-	return c.write(ctx, key, value, "If-Match", tag(version))
+	return c.write(ctx, key, value, "If-Match", etag(version))
 }
 
 func (c *Client) write(ctx context.Context, key string, value []byte, header, match string) (slipwick.Version, error) {
@@ -117,13 +120,13 @@
 	return versionOf(response)
 }
 
-// List gives the objects whose keys start with prefix.
+// List returns the objects whose keys start with prefix.
 func (c *Client) List(ctx context.Context, prefix string) ([]slipwick.Object, error) {
 	var objects []slipwick.Object
 	return objects, c.readJSON(ctx, objectsPath+"?prefix="+url.QueryEscape(prefix), &objects)
 }
 
-// Boxes gives the platform's list of boxes.
+// Boxes returns the platform's list of boxes.
 func (c *Client) Boxes(ctx context.Context) ([]slipwick.Box, error) {
 	var boxes []slipwick.Box
 	err := c.readJSON(ctx, boxesPath, &boxes)
@@ -139,12 +142,13 @@
 	}
 	defer func() { _ = response.Body.Close() }()
 	if err := json.NewDecoder(response.Body).Decode(into); err != nil {
-		return unavailable(err)
+		return unavailableError(err)
 	}
 	return nil
 }
 
-// call sends one request; an answer other than 2xx or 304 becomes an *Error.
+// call sends one request. A response with a status other than 2xx or 304 is returned as a
+// *slipwick.Error.
 func (c *Client) call(
 	ctx context.Context, method, path string, body []byte, header http.Header,
 ) (*http.Response, error) {
@@ -158,15 +162,15 @@
 	c.calls.Add(1)
 	response, err := c.HTTP.Do(request)
 	if err != nil {
-		return nil, unavailable(err)
+		return nil, unavailableError(err)
 	}
 	if response.StatusCode/100 == 2 || response.StatusCode == http.StatusNotModified {
 		return response, nil
 	}
-	return nil, refused(response, path)
+	return nil, responseError(response, path)
 }
 
-func refused(response *http.Response, path string) error {
+func responseError(response *http.Response, path string) error {
 	text := httpclient.ErrorBody(response)
 	switch response.StatusCode {
 	case http.StatusNotFound:
@@ -178,31 +182,31 @@
 	case http.StatusPreconditionFailed:
 		return &slipwick.Error{
 			Kind:    slipwick.KindConflict,
-			Message: path + " was written by another writer",
-			Remedy:  "read it again, compare, and write anew",
+			Message: path + " was changed by another writer",
+			Remedy:  "read it again, compare, and repeat the write",
 		}
 	default:
-		return unavailable(errors.Errorf("platform answered %d: %s", response.StatusCode, text))
+		return unavailableError(errors.Errorf("platform returned %d: %s", response.StatusCode, text))
 	}
 }
 
-func unavailable(cause error) error {
+func unavailableError(cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindUnavailable,
-		Message: "no usable answer from the platform",
-		Remedy:  "check its address and health, then try again",
+		Message: "no usable response from the platform",
+		Remedy:  "check the platform's address and health, then try again",
 		Cause:   cause,
 	}
 }
 
-func tag(version slipwick.Version) string {
+func etag(version slipwick.Version) string {
 	return fmt.Sprintf("%q", strconv.FormatUint(uint64(version), 10))
 }
 
 func versionOf(response *http.Response) (slipwick.Version, error) {
 	version, err := strconv.ParseUint(strings.Trim(response.Header.Get("ETag"), `"`), 10, 64)
 	if err != nil {
-		return 0, unavailable(errors.Wrap(err, "ETag is no version"))
+		return 0, unavailableError(errors.Wrap(err, "parse ETag as a version"))
 	}
 	return slipwick.Version(version), nil
 }
--- a/objectapi/doc.go
+++ b/objectapi/doc.go
@@ -1,3 +1,3 @@
-// Package objectapi speaks the platform's published HTTP protocol: its object
-// API and its list of boxes. docs/WIRE.md states the protocol.
+// Package objectapi is the client for the platform's public HTTP protocol: its object API and its
+// list of boxes. docs/WIRE.md describes the protocol.
 package objectapi
--- a/service/doc.go
+++ b/service/doc.go
@@ -1,2 +1,2 @@
-// Package service calls plain backend servers over HTTP.
+// Package service is the HTTP client for backend servers that are not model engines.
 package service
