--- a/burn/counts.go
+++ b/burn/counts.go
@@ -1,17 +1,18 @@
 package burn
 
-// Counts are the requests of one workspace in one window.
+// Counts are the numbers of requests of one workspace in one window.
 type Counts struct {
+	// Total is the number of all requests.
 	Total uint64 `json:"total"`
-	// Bad are those that did not complete, through no fault of the caller.
+	// Bad is the number of requests that did not complete for a reason other than the caller.
 	Bad uint64 `json:"bad"`
-	// Tokens are those that had a first token, Slow those of them whose
-	// first token came later than the objective.
+	// FirstTokens is the number of requests that received a first token, SlowFirstTokens the
+	// number of those that received it later than the objective.
 	Tokens uint64 `json:"tokens"`
 	Slow   uint64 `json:"slow"`
 }
 
-// Add adds other to c.
+// Add adds each count of other to c.
 func (c *Counts) Add(other Counts) {
 	c.Total += other.Total
 	c.Bad += other.Bad
--- a/burn/doc.go
+++ b/burn/doc.go
@@ -1,3 +1,3 @@
-// Package burn counts how requests ended, over sliding windows, and works out
-// how fast each workspace's error budget burns.
+// Package burn counts the results of requests in sliding windows and computes the burn rate of
+// each workspace's error budget.
 package burn
--- a/burn/rate.go
+++ b/burn/rate.go
@@ -1,27 +1,28 @@
 package burn
 
-// firstTokenShare is the share of requests that the first-token objective is
-// for: 95 of 100.
-const firstTokenShare = 0.95
+// firstTokenObjective is the share of requests whose first token must arrive within the
+// first-token objective: 95 of 100.
+const firstTokenObjective = 0.95
 
-// Rate is how fast an error budget burns: 1 spends it exactly, above 1 it runs
-// out early. Nil stands for no objective or no requests.
+// Rate is the burn rate of an error budget: 1 uses it up exactly by the end of its period, more
+// than 1 earlier. It is nil without an objective or without requests.
 type Rate *float64
 
-// Availability works out the burn of an availability objective, 0 to 1.
+// Availability returns the burn rate for an availability objective between 0 and 1, exclusive;
+// any other objective counts as none.
 func Availability(counts Counts, objective float64) Rate {
 	return rate(counts.Bad, counts.Total, objective)
 }
 
-// FirstToken works out the burn of a first-token objective.
+// FirstToken returns the burn rate for the first-token objective.
 func FirstToken(counts Counts) Rate {
-	return rate(counts.Slow, counts.Tokens, firstTokenShare)
+	return rate(counts.Slow, counts.Tokens, firstTokenObjective)
 }
 
 func rate(bad, total uint64, objective float64) Rate {
 	if total == 0 || objective <= 0 || objective >= 1 {
 		return nil
 	}
-	burned := float64(bad) / float64(total) / (1 - objective)
-	return &burned
+	burnRate := float64(bad) / float64(total) / (1 - objective)
+	return &burnRate
 }
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -5,28 +5,31 @@
 	"time"
 )
 
-// Windows are the lengths over which burn is worked out, shortest first.
+// Windows are the lengths of the windows for which burn rates are computed, shortest first.
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
 const (
-	step = time.Minute
-	kept = 360
+	bucketWidth = time.Minute
+	// bucketCount covers the longest of Windows.
+	bucketCount = 360
 )
 
-// Recorder counts requests by workspace and minute, for the longest window. It
-// keeps nothing beyond the process. The zero value is ready.
+// Recorder counts requests by workspace and minute for the longest of Windows. The counts are kept
+// in memory only and are lost when the process ends. The zero value is ready to use. Its methods
+// are safe for concurrent use.
 type Recorder struct {
 	mu         sync.Mutex
 	workspaces map[string]*ring
 }
 
-// ring holds the counts of the last minutes; minute m is at m modulo kept.
+// ring is a ring buffer of the counts of the last bucketCount minutes. The counts of minute m, in
+// minutes since the Unix epoch, are at index m modulo bucketCount, if minutes has m there.
 type ring struct {
-	counts  [kept]Counts
-	minutes [kept]int64
+	counts  [bucketCount]Counts
+	minutes [bucketCount]int64
 }
 
-// Record adds counts to a workspace's current minute.
+// Record adds counts to the current minute of a workspace.
 func (r *Recorder) Record(workspace string, counts Counts) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,7 +42,7 @@
 		r.workspaces[workspace] = current
 	}
 	minute := minuteOf(time.Now())
-	at := minute % kept
+	at := minute % bucketCount
 	if current.minutes[at] != minute {
 		current.minutes[at] = minute
 		current.counts[at] = Counts{}
@@ -47,7 +50,7 @@
 	current.counts[at].Add(counts)
 }
 
-// Report gives each workspace's counts in each of Windows.
+// Report returns, by workspace, the counts in each of Windows, in the same order.
 func (r *Recorder) Report() map[string][]Counts {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -56,7 +59,7 @@
 	for workspace, minutes := range r.workspaces {
 		windows := make([]Counts, len(Windows))
 		for i, window := range Windows {
-			windows[i] = minutes.sum(now, int64(window/step))
+			windows[i] = minutes.sum(now, int64(window/bucketWidth))
 		}
 		report[workspace] = windows
 	}
@@ -74,5 +77,5 @@
 }
 
 func minuteOf(t time.Time) int64 {
-	return t.Unix() / int64(step/time.Second)
+	return t.Unix() / int64(bucketWidth/time.Second)
 }
--- a/burn/recorder_test.go
+++ b/burn/recorder_test.go
@@ -6,7 +6,9 @@
 	"time"
 )
 
-func TestReportSlides(t *testing.T) {
+// TestReportCountsSlidingWindows checks that a window counts the requests within its length and no
+// older ones.
+func TestReportCountsSlidingWindows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var r Recorder
 		r.Record("w", Counts{
--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -15,14 +15,15 @@
 )
 
 const (
-	dialTimeout   = 2 * time.Second
-	idleTimeout   = 90 * time.Second
-	idlePerHost   = 64
-	bufferBytes   = 4 << 10
-	maxErrorBytes = 4 << 10
+	dialTimeout    = 2 * time.Second
+	idleTimeout    = 90 * time.Second
+	maxIdlePerHost = 64
+	bufferBytes    = 4 << 10
+	maxErrorBytes  = 4 << 10
 )
 
-// New makes a client without an overall time limit; contexts bound calls.
+// New returns a client without an overall timeout, so that the context of a call bounds it. It
+// does not follow redirects.
 func New() *http.Client {
 	dialer := &net.Dialer{
 		Timeout: dialTimeout,
@@ -30,7 +31,7 @@
 	return &http.Client{
 		Transport: &http.Transport{
 			DialContext:         dialer.DialContext,
-			MaxIdleConnsPerHost: idlePerHost,
+			MaxIdleConnsPerHost: maxIdlePerHost,
 			IdleConnTimeout:     idleTimeout,
 			ReadBufferSize:      bufferBytes,
 			WriteBufferSize:     bufferBytes,
@@ -42,7 +43,8 @@
 	}
 }
 
-// NewCounted makes a client whose connections count their bytes.
+// NewCounting returns a client like New that adds the bytes of its connections to sent and
+// received.
 func NewCounted(sent, received *atomic.Int64) *http.Client {
 	client := New()
 	transport := client.Transport.(*http.Transport)
@@ -57,38 +59,39 @@
 	return client
 }
 
-// NewSingleUse makes a client that opens a connection for each request: one
-// that may not be repeated must not meet a connection closing under it.
+// NewSingleUse returns a client like New that opens a connection for each request. With a reused
+// connection the server may close it just as the request is sent, and a request that must not be
+// repeated would then end with an unknown outcome.
 func NewSingleUse() *http.Client {
 	client := New()
 	client.Transport.(*http.Transport).DisableKeepAlives = true
 	return client
 }
 
-// Request makes a request that net/http can't re-send: it has no GetBody, so
-// that a dropped connection gives an error instead of a second sending.
+// Request returns a request that net/http cannot retry: it has no GetBody, so that a dropped
+// connection is an error and not a second attempt.
 func Request(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	var reader io.Reader
 	if len(body) > 0 {
-		reader = &sentOnce{
+		reader = &singleUseReader{
 			Reader: bytes.NewReader(body),
 		}
 	}
 	request, err := http.NewRequestWithContext(ctx, method, url, reader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	request.ContentLength = int64(len(body))
 	return request, nil
 }
 
-// sentOnce hides the reader's type, from which net/http would make a GetBody.
-type sentOnce struct {
+// singleUseReader hides the reader's type, for which net/http would set GetBody.
+type singleUseReader struct {
 	io.Reader
 }
 
-// OutcomeOf tells what is known of a request whose call gave err: a connection
-// that could not be made has carried no byte.
+// OutcomeOf returns the outcome of a request whose call returned err: OutcomeNotRun if the
+// connection could not be established, because no byte was sent then, else OutcomeUnknown.
 func OutcomeOf(err error) slipwick.Outcome {
 	var operation *net.OpError
 	if errors.As(err, &operation) && operation.Op == "dial" {
@@ -97,7 +100,8 @@
 	return slipwick.OutcomeUnknown
 }
 
-// ErrorBody reads the start of an error answer and closes it.
+// ErrorBody returns the first maxErrorBytes of the body of an error response, or the text of the
+// error if it cannot be read, and closes the body.
 func ErrorBody(response *http.Response) string {
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxErrorBytes))
--- a/httpclient/countedconn.go
+++ b/httpclient/countedconn.go
@@ -5,31 +5,31 @@
 	"sync/atomic"
 )
 
-// countedConn counts a connection's bytes.
-type countedConn struct {
+// countingConn is a connection that counts its bytes.
+type countingConn struct {
 	net.Conn
 
 	sent, received *atomic.Int64
 }
 
-// Counted gives a connection that counts its bytes.
+// NewCountingConn returns a connection that adds the bytes of connection to sent and received.
 func Counted(connection net.Conn, sent, received *atomic.Int64) net.Conn {
-	return &countedConn{
+	return &countingConn{
 		Conn:     connection,
 		sent:     sent,
 		received: received,
 	}
 }
 
-// Read counts what it reads.
-func (c *countedConn) Read(b []byte) (int, error) {
+// Read reads from the connection and adds the number of bytes to received.
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.received.Add(int64(n))
 	return n, err
 }
 
-// Write counts what it writes.
-func (c *countedConn) Write(b []byte) (int, error) {
+// Write writes to the connection and adds the number of bytes to sent.
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sent.Add(int64(n))
 	return n, err
--- a/httpclient/doc.go
+++ b/httpclient/doc.go
@@ -1,3 +1,3 @@
-// Package httpclient builds the HTTP clients towards the platform and backend
-// servers. They never send a request a second time by themselves.
+// Package httpclient creates the HTTP clients for the platform and for backend servers. These
+// clients never retry a request by themselves.
 package httpclient
--- a/httpclient/notice.go
+++ b/httpclient/notice.go
@@ -10,23 +10,23 @@
 	"github.com/slipwick/slipwick"
 )
 
-// mostRest bounds the rest that a backend server may ask for: a mistaken figure leaves it
-// without requests for minutes, not for good. Overload lasts seconds to a few minutes.
-const mostRest = 10 * time.Minute
+// maxPause is the longest pause that a backend server may ask for, so that a wrong value keeps
+// requests away from it for minutes only and not forever. Overload lasts seconds to a few minutes.
+const maxPause = 10 * time.Minute
 
-// NoticeIn reads what a backend server says of itself in an answer. One that leaves gives
-// the header named leaving the value.
+// ParseNotice returns the notice in the status and header of a backend server's response. A server
+// that leaves sets the header named leaving to value.
 func NoticeIn(status int, header http.Header, leaving, value string) slipwick.Notice {
 	return slipwick.Notice{
 		Leaving: header.Get(leaving) == value,
-		Rest:    restAsked(status, header),
+		Rest:    requestedPause(status, header),
 	}
 }
 
-// restAsked gives for how long the sender of a refusal wants nothing from this router: the
-// Retry-After of a 503, in seconds, fractions included, or as a date. 0 asks for none. A 429
-// speaks of the caller, not of the server.
-func restAsked(status int, header http.Header) time.Duration {
+// requestedPause returns how long the server wants no requests from this router, 0 for no pause:
+// the Retry-After of a 503, either in seconds, with fractions, or as a date. The Retry-After of a
+// 429 does not count because it concerns the caller and not the server.
+func requestedPause(status int, header http.Header) time.Duration {
 	text := strings.TrimSpace(header.Get("Retry-After"))
 	if status != http.StatusServiceUnavailable || text == "" {
 		return 0
@@ -35,11 +35,11 @@
 		if math.IsNaN(seconds) || seconds <= 0 {
 			return 0
 		}
-		return time.Duration(min(seconds, mostRest.Seconds()) * float64(time.Second))
+		return time.Duration(min(seconds, maxPause.Seconds()) * float64(time.Second))
 	}
 	at, err := http.ParseTime(text)
 	if err != nil {
 		return 0
 	}
-	return min(max(time.Until(at), 0), mostRest)
+	return min(max(time.Until(at), 0), maxPause)
 }
--- a/httpclient/notice_test.go
+++ b/httpclient/notice_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-func TestRestOfAnAnswer(t *testing.T) {
+func TestParsePause(t *testing.T) {
 	for _, test := range []struct {
 		status int
 		text   string
@@ -14,14 +14,14 @@
 	}{
 		{http.StatusServiceUnavailable, "3", 3 * time.Second},
 		{http.StatusServiceUnavailable, " 0.25 ", 250 * time.Millisecond},
-		{http.StatusServiceUnavailable, "1e300", mostRest},
-		{http.StatusServiceUnavailable, "Inf", mostRest},
+		{http.StatusServiceUnavailable, "1e300", maxPause},
+		{http.StatusServiceUnavailable, "Inf", maxPause},
 		{http.StatusServiceUnavailable, "NaN", 0},
 		{http.StatusServiceUnavailable, "-1", 0},
 		{http.StatusServiceUnavailable, "soon", 0},
 		{http.StatusServiceUnavailable, "", 0},
 		{http.StatusServiceUnavailable, "Mon, 02 Jan 2006 15:04:05 GMT", 0},
-		{http.StatusServiceUnavailable, "Fri, 31 Dec 9999 23:59:59 GMT", mostRest},
+		{http.StatusServiceUnavailable, "Fri, 31 Dec 9999 23:59:59 GMT", maxPause},
 		{http.StatusTooManyRequests, "3", 0},
 		{http.StatusOK, "3", 0},
 	} {
@@ -33,7 +33,7 @@
 	}
 }
 
-func TestLeaveInAnAnswer(t *testing.T) {
+func TestParseLeaving(t *testing.T) {
 	for value, want := range map[string]bool{"1": true, "0": false, "true": false, "": false} {
 		header := http.Header{}
 		header.Set("Leaving", value)
--- a/internal/fixedseed/main.go
+++ b/internal/fixedseed/main.go
@@ -1,5 +1,5 @@
-// Package fixedseed runs tests with the same random choices each time, unless
-// the command line chooses others.
+// Package fixedseed runs property-based tests with a fixed random seed, unless the command line
+// sets another one.
 package fixedseed
 
 import (
@@ -8,24 +8,24 @@
 	"strconv"
 )
 
-// runner is a testing.M.
+// runner is implemented by *testing.M.
 type runner interface {
 	Run() int
 }
 
-// Main runs a package's tests with rapid's seed fixed and checks random runs
-// for each property; it is for TestMain and does not return. The flags
-// -rapid.seed and -rapid.checks go before.
+// Main runs a package's tests with a fixed seed for rapid and the given number of checks of each
+// property. Call it from TestMain; it exits the process. The flags -rapid.seed, -rapid.checks and
+// -rapid.nofailfile take precedence if they are set on the command line.
 func Main(m runner, checks int) {
 	flag.Parse()
-	given := make(map[string]bool)
-	flag.Visit(func(f *flag.Flag) { given[f.Name] = true })
+	isSet := make(map[string]bool)
+	flag.Visit(func(f *flag.Flag) { isSet[f.Name] = true })
 	for name, value := range map[string]string{
 		"rapid.seed":       "1",
 		"rapid.checks":     strconv.Itoa(checks),
 		"rapid.nofailfile": "true",
 	} {
-		if given[name] {
+		if isSet[name] {
 			continue
 		}
 		if err := flag.Set(name, value); err != nil {
