--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -47,7 +47,7 @@
 	ctx context.Context, call Call, request slipwick.ChatRequest, sink func(slipwick.StreamEvent) error,
 ) error {
 	return d.runWithRetries(ctx, call, func(ctx context.Context, backend slipwick.Backend) (bool, error) {
-		answer := &stream.Answer{
+		answer := &stream.Response{
 			Engine:  d.Engine(backend),
 			Request: request,
 			Limits:  d.Limits,
@@ -62,7 +62,7 @@
 
 // relay passes the events of the answer to sink until the answer ends. It returns whether the
 // caller may have received a part of it.
-func relay(ctx context.Context, answer *stream.Answer, sink func(slipwick.StreamEvent) error) (bool, error) {
+func relay(ctx context.Context, answer *stream.Response, sink func(slipwick.StreamEvent) error) (bool, error) {
 	for {
 		event, err := answer.Next(ctx)
 		if errors.Is(err, io.EOF) {
--- a/stream/response.go
+++ b/stream/response.go
@@ -15,7 +15,7 @@
 
 // Response reads the streamed response to one request. It is not safe for concurrent use. Set
 // the exported fields before Start.
-type Answer struct {
+type Response struct {
 	Engine  slipwick.Engine
 	Request slipwick.ChatRequest
 	Limits  Limits
@@ -29,14 +29,14 @@
 
 // Start sends the request exactly once and blocks until the response has started. The Outcome of
 // the error tells whether the request may have reached the engine.
-func (r *Answer) Start(ctx context.Context) error {
+func (r *Response) Start(ctx context.Context) error {
 	return r.open(ctx, r.Limits.FirstToken, func(ctx context.Context) (slipwick.EventStream, error) {
 		return r.Engine.Stream(ctx, r.Request)
 	})
 }
 
 // open connects within limit; the connection itself stays open after the limit.
-func (r *Answer) open(
+func (r *Response) open(
 	ctx context.Context, limit time.Duration,
 	connect func(context.Context) (slipwick.EventStream, error),
 ) error {
@@ -61,7 +61,7 @@
 // Next blocks until the next event of the response arrives and returns it. It returns each offset
 // once and in order, and io.EOF after the end marker. Timeouts and broken streams that could not
 // be resumed are *Error with OutcomeUnknown.
-func (r *Answer) Next(ctx context.Context) (slipwick.StreamEvent, error) {
+func (r *Response) Next(ctx context.Context) (slipwick.StreamEvent, error) {
 	if r.ended {
 		return slipwick.StreamEvent{}, io.EOF
 	}
@@ -84,7 +84,7 @@
 	}
 }
 
-func (r *Answer) receive(ctx context.Context) (slipwick.StreamEvent, error) {
+func (r *Response) receive(ctx context.Context) (slipwick.StreamEvent, error) {
 	limit := r.Limits.BetweenTokens
 	if r.next == 0 {
 		limit = r.Limits.FirstToken
@@ -101,7 +101,7 @@
 // errDuplicate marks an event that Next has already returned.
 var errDuplicate = errors.New("duplicate event")
 
-func (r *Answer) check(event slipwick.StreamEvent) error {
+func (r *Response) check(event slipwick.StreamEvent) error {
 	switch {
 	case event.Request != r.Request.ID:
 		return brokenStreamError("received an event of another response")
@@ -116,7 +116,7 @@
 
 // resume continues a broken response at the same engine. It returns cause if that is not
 // possible.
-func (r *Answer) resume(ctx context.Context, cause error) error {
+func (r *Response) resume(ctx context.Context, cause error) error {
 	if ctx.Err() != nil || !slipwick.IsKind(cause, slipwick.KindStreamBroken) || r.resumes >= r.Limits.Resumes {
 		return cause
 	}
@@ -133,7 +133,7 @@
 
 // Close closes the connection and cancels a response that has not ended. It blocks for up to
 // cancelTimeout.
-func (r *Answer) Close() {
+func (r *Response) Close() {
 	r.closeConnection()
 	if r.ended {
 		return
@@ -143,7 +143,7 @@
 	_ = r.Engine.Cancel(ctx, r.Request.ID)
 }
 
-func (r *Answer) closeConnection() {
+func (r *Response) closeConnection() {
 	if r.events == nil {
 		return
 	}
@@ -153,7 +153,7 @@
 }
 
 // Started reports whether Next has returned an event.
-func (r *Answer) Started() bool {
+func (r *Response) Started() bool {
 	return r.next > 0
 }
 
--- a/stream/response_test.go
+++ b/stream/response_test.go
@@ -111,7 +111,7 @@
 
 // readAll reads one response and returns the data of the events that the caller would see.
 func readAll(f *fakeEngine) (seen []string, err error) {
-	r := &Answer{
+	r := &Response{
 		Engine: f,
 		Request: slipwick.ChatRequest{
 			ID: "mine",
