--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -69,7 +69,7 @@
 			return true, nil
 		}
 		if err != nil {
-			return answer.Started(), err
+			return answer.HasStarted(), err
 		}
 		if err := sink(event); err != nil {
 			return true, cancelledError(err)
--- a/stream/response.go
+++ b/stream/response.go
@@ -152,8 +152,8 @@
 	r.events = nil
 }
 
-// Started reports whether Next has returned an event.
-func (r *Response) Started() bool {
+// HasStarted reports whether Next has returned an event.
+func (r *Response) HasStarted() bool {
 	return r.next > 0
 }
 
