--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -25,7 +25,7 @@
 func (r *Router) assemble() {
 	r.platform = &objectapi.Client{
 		BaseURL: r.Settings.Platform.URL,
-		HTTP:    httpclient.NewCounted(&r.platformSent, &r.platformReceived),
+		HTTP:    httpclient.NewCounting(&r.platformSent, &r.platformReceived),
 	}
 	r.follower = &configuration.Follower{
 		Store:    r.platform,
--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -45,7 +45,7 @@
 
 // NewCounting returns a client like New that adds the bytes of its connections to sent and
 // received.
-func NewCounted(sent, received *atomic.Int64) *http.Client {
+func NewCounting(sent, received *atomic.Int64) *http.Client {
 	client := New()
 	transport := client.Transport.(*http.Transport)
 	dial := transport.DialContext
