--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -54,7 +54,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return Counted(connection, sent, received), nil
+		return NewCountingConn(connection, sent, received), nil
 	}
 	return client
 }
--- a/httpclient/countingconn.go
+++ b/httpclient/countingconn.go
@@ -13,7 +13,7 @@
 }
 
 // NewCountingConn returns a connection that adds the bytes of connection to sent and received.
-func Counted(connection net.Conn, sent, received *atomic.Int64) net.Conn {
+func NewCountingConn(connection net.Conn, sent, received *atomic.Int64) net.Conn {
 	return &countingConn{
 		Conn:     connection,
 		sent:     sent,
--- a/peer/counting.go
+++ b/peer/counting.go
@@ -23,5 +23,5 @@
 }
 
 func (m *Mesh) count(connection net.Conn) net.Conn {
-	return httpclient.Counted(connection, &m.Sent, &m.Received)
+	return httpclient.NewCountingConn(connection, &m.Sent, &m.Received)
 }
