--- a/engine/client.go
+++ b/engine/client.go
@@ -32,7 +32,7 @@
 	if c.OnNotice == nil {
 		return
 	}
-	c.OnNotice(httpclient.NoticeIn(response.StatusCode, response.Header, LeavingHeader, "true"))
+	c.OnNotice(httpclient.ParseNotice(response.StatusCode, response.Header, LeavingHeader, "true"))
 }
 
 // Stream sends the chat turn exactly once and returns the response as a stream.
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -24,7 +24,7 @@
 	if response.Status == http.StatusMisdirectedRequest {
 		return slipwick.Notice{}
 	}
-	return httpclient.NoticeIn(response.Status, response.Header, c.gateway.Headers.Leaving, "1")
+	return httpclient.ParseNotice(response.Status, response.Header, c.gateway.Headers.Leaving, "1")
 }
 
 // handleResponse classifies a response, reports it to the balancer, and forwards it to the caller
--- a/httpclient/notice.go
+++ b/httpclient/notice.go
@@ -16,7 +16,7 @@
 
 // ParseNotice returns the notice in the status and header of a backend server's response. A server
 // that leaves sets the header named leaving to value.
-func NoticeIn(status int, header http.Header, leaving, value string) slipwick.Notice {
+func ParseNotice(status int, header http.Header, leaving, value string) slipwick.Notice {
 	return slipwick.Notice{
 		Leaving: header.Get(leaving) == value,
 		Rest:    requestedPause(status, header),
--- a/httpclient/notice_test.go
+++ b/httpclient/notice_test.go
@@ -27,7 +27,7 @@
 	} {
 		header := http.Header{}
 		header.Set("Retry-After", test.text)
-		if got := NoticeIn(test.status, header, "Leaving", "1").Rest; got != test.want {
+		if got := ParseNotice(test.status, header, "Leaving", "1").Rest; got != test.want {
 			t.Errorf("%d with Retry-After %q: got %v, want %v", test.status, test.text, got, test.want)
 		}
 	}
@@ -37,7 +37,7 @@
 	for value, want := range map[string]bool{"1": true, "0": false, "true": false, "": false} {
 		header := http.Header{}
 		header.Set("Leaving", value)
-		if got := NoticeIn(http.StatusOK, header, "Leaving", "1").Leaving; got != want {
+		if got := ParseNotice(http.StatusOK, header, "Leaving", "1").Leaving; got != want {
 			t.Errorf("value %q: got %t, want %t", value, got, want)
 		}
 	}
--- a/service/client.go
+++ b/service/client.go
@@ -36,7 +36,7 @@
 	if c.OnNotice == nil {
 		return
 	}
-	c.OnNotice(httpclient.NoticeIn(response.StatusCode, response.Header, "X-Leaving", "true"))
+	c.OnNotice(httpclient.ParseNotice(response.StatusCode, response.Header, "X-Leaving", "true"))
 }
 
 // Call sends the request exactly once and blocks until the response is complete. A response with
