--- a/chat/request.go
+++ b/chat/request.go
@@ -75,7 +75,7 @@
 
 // EnableStreaming returns the body with streaming and the usage chunk enabled. The error is a
 // *slipwick.Error of KindInvalidRequest if the body is not a JSON object.
-func Streamed(body []byte) ([]byte, error) {
+func EnableStreaming(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
 		return nil, invalidRequest("the body is not a JSON object", err)
--- a/chat/request_test.go
+++ b/chat/request_test.go
@@ -68,7 +68,7 @@
 			}
 			return
 		}
-		streamed, err := Streamed(body)
+		streamed, err := EnableStreaming(body)
 		if err != nil {
 			t.Fatalf("got %v for a body that Parse accepts, want a streamed request", err)
 		}
--- a/cmd/internal/daemon/chathandler.go
+++ b/cmd/internal/daemon/chathandler.go
@@ -77,7 +77,7 @@
 		return slipwick.ChatRequest{}, nil, err
 	}
 	if !parsed.Stream {
-		if body, err = chat.Streamed(body); err != nil {
+		if body, err = chat.EnableStreaming(body); err != nil {
 			return slipwick.ChatRequest{}, nil, err
 		}
 	}
