--- a/burn/counts.go
+++ b/burn/counts.go
@@ -8,7 +8,7 @@
 	Bad uint64 `json:"bad"`
 	// FirstTokens is the number of requests that received a first token, SlowFirstTokens the
 	// number of those that received it later than the objective.
-	Tokens uint64 `json:"tokens"`
+	FirstTokens uint64 `json:"tokens"`
 	Slow   uint64 `json:"slow"`
 }
 
@@ -16,6 +16,6 @@
 func (c *Counts) Add(other Counts) {
 	c.Total += other.Total
 	c.Bad += other.Bad
-	c.Tokens += other.Tokens
+	c.FirstTokens += other.FirstTokens
 	c.Slow += other.Slow
 }
--- a/cmd/internal/daemon/frontend.go
+++ b/cmd/internal/daemon/frontend.go
@@ -186,7 +186,7 @@
 		counts.Bad = 1
 	}
 	if cr.firstToken > 0 {
-		counts.Tokens = 1
+		counts.FirstTokens = 1
 		objective := time.Duration(cr.workspace.Objectives.FirstToken)
 		if objective > 0 && cr.firstToken > objective {
 			counts.Slow = 1
