--- a/burn/counts.go
+++ b/burn/counts.go
@@ -9,7 +9,7 @@
 	// FirstTokens is the number of requests that received a first token, SlowFirstTokens the
 	// number of those that received it later than the objective.
 	FirstTokens uint64 `json:"tokens"`
-	Slow   uint64 `json:"slow"`
+	SlowFirstTokens   uint64 `json:"slow"`
 }
 
 // Add adds each count of other to c.
@@ -17,5 +17,5 @@
 	c.Total += other.Total
 	c.Bad += other.Bad
 	c.FirstTokens += other.FirstTokens
-	c.Slow += other.Slow
+	c.SlowFirstTokens += other.SlowFirstTokens
 }
--- a/burn/rate.go
+++ b/burn/rate.go
@@ -16,7 +16,7 @@
 
 // FirstToken returns the burn rate for the first-token objective.
 func FirstToken(counts Counts) Rate {
-	return rate(counts.Slow, counts.FirstTokens, firstTokenObjective)
+	return rate(counts.SlowFirstTokens, counts.FirstTokens, firstTokenObjective)
 }
 
 func rate(bad, total uint64, objective float64) Rate {
--- a/cmd/internal/daemon/frontend.go
+++ b/cmd/internal/daemon/frontend.go
@@ -189,7 +189,7 @@
 		counts.FirstTokens = 1
 		objective := time.Duration(cr.workspace.Objectives.FirstToken)
 		if objective > 0 && cr.firstToken > objective {
-			counts.Slow = 1
+			counts.SlowFirstTokens = 1
 		}
 	}
 	return counts
