--- a/admission.go
+++ b/admission.go
@@ -10,7 +10,7 @@
 	Chat     uint64
 	Priority int
 	// Exclude lists backend servers that have already failed this request.
-	Avoid []string
+	Exclude []string
 }
 
 // Grant is one acquired slot at a backend server. The holder must pass it to Admission.Release.
--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -62,7 +62,7 @@
 		a.deadline = time.Now().Add(defaultAcquireTimeout)
 	}
 	a.ranking = slices.DeleteFunc(pool.Rank(make([]int, 0, len(pool.Usable)), request.Chat), func(index int) bool {
-		return slices.Contains(request.Avoid, pool.Backends[index].ID)
+		return slices.Contains(request.Exclude, pool.Backends[index].ID)
 	})
 	if len(a.ranking) == 0 {
 		return nil, noBackend(pool.Name)
--- a/admission/local.go
+++ b/admission/local.go
@@ -56,7 +56,7 @@
 	defer l.mu.Unlock()
 	for _, index := range pool.Rank(nil, ask.Chat) {
 		backend := pool.Backends[index]
-		if slices.Contains(ask.Avoid, backend.ID) || !l.hasRoom(pool, backend) {
+		if slices.Contains(ask.Exclude, backend.ID) || !l.hasRoom(pool, backend) {
 			continue
 		}
 		l.lastID++
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -110,7 +110,7 @@
 		if !retryable || attempts == maxAttempts || d.isQuarantined(call.Key) || !budget.TryRetry() {
 			return finalError(ambiguousErr, err)
 		}
-		ask.Avoid = append(ask.Avoid, backend)
+		ask.Exclude = append(ask.Exclude, backend)
 		if !isNotRun(err) {
 			ambiguousErr = err
 		}
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -22,7 +22,7 @@
 func (f *fakeAdmission) Acquire(_ context.Context, ask slipwick.Ask) (slipwick.Grant, error) {
 	f.asked = append(f.asked, ask)
 	for _, id := range f.engines {
-		if !slices.Contains(ask.Avoid, id) {
+		if !slices.Contains(ask.Exclude, id) {
 			return slipwick.Grant{
 				Backend: slipwick.Backend{
 					ID: id,
--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -64,7 +64,7 @@
 	if len(ranked) > 1 {
 		first, second := pool.Backends[ranked[0]].ID, pool.Backends[ranked[1]].ID
 		if t.meter.reported(first) > t.meter.reported(second) {
-			ask.Avoid = append(ask.Avoid, first)
+			ask.Exclude = append(ask.Exclude, first)
 		}
 	}
 	return t.Local.Acquire(ctx, ask)
--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -115,7 +115,7 @@
 		if !errors.Is(err, errLost) {
 			break
 		}
-		ask.Avoid = append(ask.Avoid, at)
+		ask.Exclude = append(ask.Exclude, at)
 	}
 	if err != nil && !errors.Is(err, errLost) {
 		w.Meter.refuse(c.workspace)
