--- a/admission.go
+++ b/admission.go
@@ -3,7 +3,7 @@
 import "context"
 
 // AcquireRequest describes a request that needs a slot at one of a pool's backend servers.
-type Ask struct {
+type AcquireRequest struct {
 	Pool      string
 	Workspace string
 	// Chat is the hash of workspace and chat that placement.ChatKey returns.
@@ -24,7 +24,7 @@
 type Admission interface {
 	// Acquire blocks until a slot is free or ctx ends. Errors are *Error with
 	// OutcomeNotRun.
-	Acquire(ctx context.Context, ask Ask) (Grant, error)
+	Acquire(ctx context.Context, ask AcquireRequest) (Grant, error)
 	// Release returns the slot and records what the request showed of the backend server's health.
 	Release(grant Grant, evidence Evidence)
 }
--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -21,7 +21,7 @@
 // Acquire asks the owners of the pool's backend servers for a slot, in the order of the chat's
 // ranking, until one grants it. The last attempt waits in the owner's queue. Acquire blocks until
 // it has a slot, is refused or ctx ends; errors are *slipwick.Error with OutcomeNotRun.
-func (c *Coordinator) Acquire(ctx context.Context, request slipwick.Ask) (slipwick.Grant, error) {
+func (c *Coordinator) Acquire(ctx context.Context, request slipwick.AcquireRequest) (slipwick.Grant, error) {
 	a, err := c.startAcquire(ctx, request)
 	if err != nil {
 		return slipwick.Grant{}, err
@@ -45,7 +45,7 @@
 }
 
 // startAcquire ranks the backend servers for the request and sends the first attempt.
-func (c *Coordinator) startAcquire(ctx context.Context, request slipwick.Ask) (*acquisition, error) {
+func (c *Coordinator) startAcquire(ctx context.Context, request slipwick.AcquireRequest) (*acquisition, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	pool, err := poolOf(c.view, request.Pool)
--- a/admission/acquisition.go
+++ b/admission/acquisition.go
@@ -9,7 +9,7 @@
 
 // acquisition is the state of one call of Acquire.
 type acquisition struct {
-	request  slipwick.Ask
+	request  slipwick.AcquireRequest
 	pool     *placement.Pool
 	deadline time.Time
 	// ranking holds the backend servers as indexes of the pool, the best for the chat first.
--- a/admission/coordinator_test.go
+++ b/admission/coordinator_test.go
@@ -48,7 +48,7 @@
 			requests.Go(func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 				defer cancel()
-				_, err := c.Acquire(ctx, slipwick.Ask{
+				_, err := c.Acquire(ctx, slipwick.AcquireRequest{
 					Pool:      "p",
 					Workspace: "w",
 					Chat:      uint64(i),
@@ -85,7 +85,7 @@
 				ID: "silent",
 			},
 		}))
-		ask := slipwick.Ask{
+		ask := slipwick.AcquireRequest{
 			Pool: "p",
 		}
 		var grants []slipwick.Grant
--- a/admission/local.go
+++ b/admission/local.go
@@ -47,7 +47,7 @@
 
 // Acquire grants a slot at the first backend server of the chat's ranking that has room, or fails
 // if none has. It does not wait.
-func (l *Local) Acquire(_ context.Context, ask slipwick.Ask) (slipwick.Grant, error) {
+func (l *Local) Acquire(_ context.Context, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
 	pool, err := poolOf(l.view.Load(), ask.Pool)
 	if err != nil {
 		return slipwick.Grant{}, err
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -120,7 +120,7 @@
 // runAttempt acquires a slot and makes one attempt. It returns the ID of the backend server and, if
 // the attempt failed, whether the request may be retried at another one.
 func (d *Dispatcher) runAttempt(
-	ctx context.Context, call Call, ask slipwick.Ask, isTrial bool, attempt attemptFunc,
+	ctx context.Context, call Call, ask slipwick.AcquireRequest, isTrial bool, attempt attemptFunc,
 ) (backend string, retryable bool, err error) {
 	grant, err := d.acquire(ctx, call.Pools, ask)
 	if err != nil {
@@ -161,7 +161,7 @@
 }
 
 // acquire waits for a slot in the first pool that has a usable backend server.
-func (d *Dispatcher) acquire(ctx context.Context, pools []string, ask slipwick.Ask) (slipwick.Grant, error) {
+func (d *Dispatcher) acquire(ctx context.Context, pools []string, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.MaxSlotWait)
 	defer cancel()
 	var grant slipwick.Grant
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -15,11 +15,11 @@
 // fakeAdmission grants a slot of the first engine that the request does not avoid.
 type fakeAdmission struct {
 	engines  []string
-	asked    []slipwick.Ask
+	asked    []slipwick.AcquireRequest
 	evidence []slipwick.Evidence
 }
 
-func (f *fakeAdmission) Acquire(_ context.Context, ask slipwick.Ask) (slipwick.Grant, error) {
+func (f *fakeAdmission) Acquire(_ context.Context, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
 	f.asked = append(f.asked, ask)
 	for _, id := range f.engines {
 		if !slices.Contains(ask.Exclude, id) {
@@ -260,7 +260,7 @@
 		Admission:   admission,
 		MaxSlotWait: time.Second,
 	}
-	_, err := d.acquire(context.Background(), []string{"p", "fallback"}, slipwick.Ask{})
+	_, err := d.acquire(context.Background(), []string{"p", "fallback"}, slipwick.AcquireRequest{})
 	both := len(admission.asked) == 2 && admission.asked[1].Pool == "fallback"
 	if !slipwick.IsKind(err, slipwick.KindNoBackend) || !both {
 		t.Errorf("got %v after asking %v, want both pools asked", err, admission.asked)
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -21,7 +21,7 @@
 	onAcquire func(asked int)
 }
 
-func (e *crashingEngines) Acquire(ctx context.Context, ask slipwick.Ask) (slipwick.Grant, error) {
+func (e *crashingEngines) Acquire(ctx context.Context, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
 	grant, err := e.fakeAdmission.Acquire(ctx, ask)
 	if e.onAcquire != nil {
 		e.onAcquire(len(e.asked))
--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -56,7 +56,7 @@
 }
 
 // Acquire avoids the busier of the first two choices.
-func (t *twoChoices) Acquire(ctx context.Context, ask slipwick.Ask) (slipwick.Grant, error) {
+func (t *twoChoices) Acquire(ctx context.Context, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
 	t.mu.Lock()
 	pool := t.view.Pools[ask.Pool]
 	t.mu.Unlock()
--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -102,7 +102,7 @@
 func (c *Chat) Turn() error {
 	w := c.world
 	w.Meter.arrived(c.workspace)
-	ask := slipwick.Ask{
+	ask := slipwick.AcquireRequest{
 		Pool:      poolName,
 		Workspace: c.workspace,
 		Chat:      c.key,
@@ -123,7 +123,7 @@
 	return err
 }
 
-func (c *Chat) try(ask slipwick.Ask) (engine string, err error) {
+func (c *Chat) try(ask slipwick.AcquireRequest) (engine string, err error) {
 	w := c.world
 	admits := w.anyRouter(c.random)
 	ctx, cancel := context.WithTimeout(context.Background(), hold)
