--- a/admission/notice.go
+++ b/admission/notice.go
@@ -11,7 +11,7 @@
 // ForwardNotice forwards what a backend server announced in a response to this router to the
 // server's owner, since the owner grants its slots to all routers.
 func (c *Coordinator) ForwardNotice(backend string, notice slipwick.Notice) {
-	if !notice.Leaving && notice.Rest <= 0 {
+	if !notice.Leaving && notice.Pause <= 0 {
 		return
 	}
 	c.withLock(func() {
@@ -24,7 +24,7 @@
 		envelope.Notices = append(envelope.Notices, &peerpb.BackendNotice{
 			Engine:  engine,
 			Leaving: notice.Leaving,
-			RestMs:  uint32(min(notice.Rest, maxRest).Milliseconds()),
+			RestMs:  uint32(min(notice.Pause, maxRest).Milliseconds()),
 		})
 	})
 }
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -101,7 +101,7 @@
 // RecordNotice takes what a backend server announced about itself in the response to the
 // lease's request.
 func (b *Balancer) RecordNotice(lease *Lease, notice slipwick.Notice) {
-	if !notice.Leaving && notice.Rest <= 0 {
+	if !notice.Leaving && notice.Pause <= 0 {
 		return
 	}
 	b.mu.Lock()
@@ -113,7 +113,7 @@
 // something other than a request. It is ignored unless the incarnation that was asked is the
 // one listed.
 func (b *Balancer) RecordNoticeFrom(backend *slipwick.Backend, notice slipwick.Notice) {
-	if !notice.Leaving && notice.Rest <= 0 {
+	if !notice.Leaving && notice.Pause <= 0 {
 		return
 	}
 	b.mu.Lock()
@@ -151,11 +151,11 @@
 func (b *Balancer) applyNoticeLocked(s *server, notice slipwick.Notice) bool {
 	// The entry may have expired, and reappeared, while the request was in flight.
 	now, known := clock.Now(), b.ensureNoticesLocked(s.hash)
-	isNew := notice.Leaving && !known.saysLeaving() || notice.Rest > 0 && !known.isResting(now)
+	isNew := notice.Leaving && !known.saysLeaving() || notice.Pause > 0 && !known.isResting(now)
 	if notice.Leaving {
 		known.leavingAt = now
 	}
-	if until := now.Add(notice.Rest); notice.Rest > 0 && until.After(known.restUntil) {
+	if until := now.Add(notice.Pause); notice.Pause > 0 && until.After(known.restUntil) {
 		known.restUntil = until
 	}
 	if b.hashes[s.hash] == nil {
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -41,7 +41,7 @@
 		Leaving: true,
 	}
 	pauseNotice = slipwick.Notice{
-		Rest: 3 * time.Second,
+		Pause: 3 * time.Second,
 	}
 )
 
@@ -152,7 +152,7 @@
 		announce(t, b, "p-0", pauseNotice)
 		time.Sleep(time.Second)
 		announce(t, b, "p-0", slipwick.Notice{
-			Rest: time.Second,
+			Pause: time.Second,
 		})
 		time.Sleep(1999 * time.Millisecond)
 		if got := countChosen(t, b, 20)["p-0"]; got > 0 {
@@ -172,7 +172,7 @@
 		b := newTestBalancer(3)
 		announce(t, b, "p-0", pauseNotice)
 		announce(t, b, "p-1", slipwick.Notice{
-			Rest: 2 * time.Second,
+			Pause: 2 * time.Second,
 		})
 		announce(t, b, "p-2", leavingNotice)
 		time.Sleep(500 * time.Millisecond)
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -48,7 +48,7 @@
 		f.rejected++
 		request.Exclude = append(request.Exclude, lease.Backend.ID)
 		b.RecordNotice(lease, slipwick.Notice{
-			Rest: f.rest,
+			Pause: f.rest,
 		})
 		b.Release(lease, evidence)
 	}
--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -147,7 +147,7 @@
 // asPause turns a plain server's announcement that it leaves into a request for a pause.
 func asPause(notice slipwick.Notice) slipwick.Notice {
 	if notice.Leaving {
-		notice.Leaving, notice.Rest = false, max(notice.Rest, serviceLeavingPause)
+		notice.Leaving, notice.Pause = false, max(notice.Pause, serviceLeavingPause)
 	}
 	return notice
 }
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -185,7 +185,7 @@
 
 func (p *Process) onNotice(backend slipwick.Backend, notice slipwick.Notice) {
 	events.BackendNotice.On(&p.Log).Str("backend", backend.ID).Str("address", backend.Address).
-		Bool("leaving", notice.Leaving).Dur("rest_ms", notice.Rest).Send()
+		Bool("leaving", notice.Leaving).Dur("rest_ms", notice.Pause).Send()
 }
 
 const (
--- a/cmd/internal/gatewayd/observer.go
+++ b/cmd/internal/gatewayd/observer.go
@@ -53,7 +53,7 @@
 	events.AttemptFailed.On(&o.log).Str("request", attempt.RequestID).Stringer("key", attempt.Key).
 		Str("route", attempt.Route).Str("backend", attempt.Backend).Str("address", attempt.Address).
 		Str("result", attempt.Result).Int("status", attempt.Status).Int("events", attempt.Events).
-		Dur("took_ms", attempt.Duration).Bool("leaving", attempt.Notice.Leaving).Dur("rest_ms", attempt.Notice.Rest).
+		Dur("took_ms", attempt.Duration).Bool("leaving", attempt.Notice.Leaving).Dur("rest_ms", attempt.Notice.Pause).
 		AnErr("cause", attempt.Err).Send()
 }
 
--- a/httpclient/notice_test.go
+++ b/httpclient/notice_test.go
@@ -27,7 +27,7 @@
 	} {
 		header := http.Header{}
 		header.Set("Retry-After", test.text)
-		if got := ParseNotice(test.status, header, "Leaving", "1").Rest; got != test.want {
+		if got := ParseNotice(test.status, header, "Leaving", "1").Pause; got != test.want {
 			t.Errorf("%d with Retry-After %q: got %v, want %v", test.status, test.text, got, test.want)
 		}
 	}
--- a/notice.go
+++ b/notice.go
@@ -9,5 +9,5 @@
 	Leaving bool
 	// Pause is how long the server wants no requests from the router that receives the
 	// response; 0 means no pause.
-	Rest time.Duration
+	Pause time.Duration
 }
