--- a/admission/health.go
+++ b/admission/health.go
@@ -47,7 +47,7 @@
 		if h.ejections > 0 && now.Sub(h.restoredAt) > h.rampUp {
 			h.ejections = 0
 		}
-	case evidence.Bad():
+	case evidence.IsFailure():
 		h.consecutiveBad++
 	}
 	return h.state == HealthGood && h.consecutiveBad >= threshold
--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -138,7 +138,7 @@
 	evidence := c.serve(id)
 	w.Meter.released(id)
 	admits.Release(grant, evidence)
-	if evidence.Bad() {
+	if evidence.IsFailure() {
 		w.Meter.broke()
 		return id, errLost
 	}
--- a/evidence.go
+++ b/evidence.go
@@ -27,7 +27,7 @@
 )
 
 // IsFailure reports whether the evidence counts as a failure of the backend server.
-func (e Evidence) Bad() bool {
+func (e Evidence) IsFailure() bool {
 	switch e {
 	case EvidenceError, EvidenceTimeout, EvidenceUnreachable, EvidenceRefused:
 		return true
