--- a/backend.go
+++ b/backend.go
@@ -18,17 +18,17 @@
 	ChecksKeys bool `json:"checks_keys"`
 	// StartTime is when this incarnation started, in Unix milliseconds, as reported by the
 	// server; 0 if it reports none. A server that ended may restart under the same ID.
-	Born int64 `json:"-"`
+	StartTime int64 `json:"-"`
 }
 
 // Incarnation returns an identifier of one run of the backend server between start and end: the
 // ID and, if known, the start time. Without a start time all incarnations share the ID.
 func (b Backend) Life() string {
-	if b.Born == 0 {
+	if b.StartTime == 0 {
 		return b.ID
 	}
 	const base = 10
-	return b.ID + "@" + strconv.FormatInt(b.Born, base)
+	return b.ID + "@" + strconv.FormatInt(b.StartTime, base)
 }
 
 // DefaultSlots is the maximum number of requests in flight at a backend server that declares none.
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -17,9 +17,9 @@
 func entriesStartedAt(id string, born int64) []Entry {
 	list := testEntries(restartEngines)
 	for i := range list {
-		list[i].Born = 1_000
+		list[i].StartTime = 1_000
 		if list[i].ID == id {
-			list[i].Born = born
+			list[i].StartTime = born
 		}
 	}
 	return list
@@ -163,7 +163,7 @@
 		for i, born := range starts {
 			list := testEntries(restartEngines)
 			for j := range list {
-				list[j].Born = born
+				list[j].StartTime = born
 			}
 			b.SetBackends(list)
 			if i == 0 {
--- a/balance/list.go
+++ b/balance/list.go
@@ -90,8 +90,8 @@
 		}
 	}
 	current := *entry
-	if current.Born == 0 {
-		current.Born = s.Born
+	if current.StartTime == 0 {
+		current.StartTime = s.StartTime
 	}
 	if !isNew && current.Pool != s.Pool {
 		b.removeFromPoolLocked(s)
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -54,7 +54,7 @@
 					delete(state, entry.ID)
 					continue
 				}
-				entry.Born = rapid.Int64Range(1, 3).Draw(t, "born")
+				entry.StartTime = rapid.Int64Range(1, 3).Draw(t, "born")
 				entry.Pool = rapid.SampledFrom([]string{"p", "q"}).Draw(t, "pool")
 				entry.Leaving = rapid.Bool().Draw(t, "leaving")
 				state[entry.ID] = entry
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -50,7 +50,7 @@
 func TestNoticeAppliesToItsIncarnationAlone(t *testing.T) {
 	startedAt := func(at int64) []Entry {
 		list := testEntries(2)
-		list[0].Born = at
+		list[0].StartTime = at
 		return list
 	}
 	for name, test := range map[string]struct {
@@ -89,12 +89,12 @@
 func TestLateNoticeOfEarlierIncarnationIsIgnored(t *testing.T) {
 	b := New("dc-0")
 	list := testEntries(2)
-	list[0].Born = 1
+	list[0].StartTime = 1
 	b.SetBackends(list)
 	before := leaseAt(t, b, "p-0")
 	hash := before.server.hash
 	list = testEntries(2)
-	list[0].Born = 2
+	list[0].StartTime = 2
 	b.SetBackends(list)
 	b.RecordNotice(before, leavingNotice)
 	b.RecordNotice(before, pauseNotice)
@@ -109,7 +109,7 @@
 func TestNoticeInOtherResponsesApplies(t *testing.T) {
 	b := newTestBalancer(3)
 	first, second := leaseAt(t, b, "p-0").Backend, leaseAt(t, b, "p-1").Backend
-	second.Born = 7
+	second.StartTime = 7
 	b.RecordNoticeFrom(&first, leavingNotice)
 	b.RecordNoticeFrom(&second, leavingNotice)
 	got := countChosen(t, b, 30)
--- a/balance/server.go
+++ b/balance/server.go
@@ -95,7 +95,7 @@
 // isSameIncarnation reports whether an entry is of the same incarnation. An entry without a
 // start time matches any.
 func (s *server) isSameIncarnation(entry *Entry) bool {
-	return entry.Born == 0 || entry.Born == s.Born
+	return entry.StartTime == 0 || entry.StartTime == s.StartTime
 }
 
 // inFlightElsewhere returns how many requests the other routers have there by the latest load
--- a/directory/departures.go
+++ b/directory/departures.go
@@ -70,7 +70,7 @@
 // before the restore, nil if there was none; an incarnation that started before the known one
 // has ended.
 func (d *departures) checkRestored(name string, known, received *balance.Entry) {
-	if known != nil && received.Born != 0 && received.Born < known.Born {
+	if known != nil && received.StartTime != 0 && received.StartTime < known.StartTime {
 		d.suspect[name] = true
 		return
 	}
--- a/directory/firstlist_bench_test.go
+++ b/directory/firstlist_bench_test.go
@@ -32,7 +32,7 @@
 							Address:    fmt.Sprint("10.0.0.1:", i),
 							DataCentre: "z",
 							Slots:      16,
-							Born:       int64(i + 1),
+							StartTime:       int64(i + 1),
 						},
 						Pool: "pool",
 					},
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -144,7 +144,7 @@
 	return balance.Entry{
 		Backend: slipwick.Backend{
 			ID:   name,
-			Born: born,
+			StartTime: born,
 		},
 		Leaving: state == "leaving",
 	}, nil
@@ -197,7 +197,7 @@
 		if changes.Entries[i].Leaving {
 			state = "leaving"
 		}
-		r.listed[changes.Entries[i].ID] = modelEntry(state, changes.Entries[i].Born)
+		r.listed[changes.Entries[i].ID] = modelEntry(state, changes.Entries[i].StartTime)
 	}
 }
 
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -82,7 +82,7 @@
 	e.engine, e.began, e.number = engine, s.now, s.executions
 	attempt, ok := s.tracker.Begin(e.key, &slipwick.Backend{
 		ID:   fmt.Sprint(engine),
-		Born: s.engines[engine],
+		StartTime: s.engines[engine],
 	}, false, func() { delete(s.running, &e) })
 	if !ok {
 		return
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -144,7 +144,7 @@
 		crash: Crash{
 			Key:         key,
 			Server:      placement.IDHash(backend.ID),
-			Incarnation: backend.Born,
+			Incarnation: backend.StartTime,
 		},
 		stop: stop,
 	}
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	attempt, ok := tracker.Begin(key, &slipwick.Backend{
 		ID:   id,
-		Born: born,
+		StartTime: born,
 	}, false, func() {})
 	if !ok {
 		t.Fatalf("request %v at %s: got it quarantined, want it sent", key, id)
