--- a/backend.go
+++ b/backend.go
@@ -23,7 +23,7 @@
 
 // Incarnation returns an identifier of one run of the backend server between start and end: the
 // ID and, if known, the start time. Without a start time all incarnations share the ID.
-func (b Backend) Life() string {
+func (b Backend) Incarnation() string {
 	if b.StartTime == 0 {
 		return b.ID
 	}
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -97,7 +97,7 @@
 	for name, pool := range b.pools {
 		for i, s := range pool {
 			lines = append(lines, fmt.Sprint(
-				name, s.Life(), s.Leaving, s.remoteInFlight, s.poolIndex == i, b.hashes[s.hash] == s,
+				name, s.Incarnation(), s.Leaving, s.remoteInFlight, s.poolIndex == i, b.hashes[s.hash] == s,
 			))
 		}
 	}
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -118,7 +118,7 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if s := b.servers[backend.ID]; s != nil && s.Life() == backend.Life() {
+	if s := b.servers[backend.ID]; s != nil && s.Incarnation() == backend.Incarnation() {
 		b.receiveNoticeLocked(s, notice)
 	}
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -84,7 +84,7 @@
 func newServer(entry Entry, listedAt time.Time) *server {
 	return &server{
 		Entry:     entry,
-		hash:      placement.IDHash(entry.Life()),
+		hash:      placement.IDHash(entry.Incarnation()),
 		poolIndex: -1,
 		listedAt:  listedAt,
 		// The cache of a server that starts after the router is empty.
--- a/directory/departures.go
+++ b/directory/departures.go
@@ -54,9 +54,9 @@
 		d.sweptAt = now
 		maps.DeleteFunc(d.departed, func(_ string, departed departure) bool { return now.Sub(departed.at) > departureTTL })
 	}
-	d.departed[listed.Life()] = departure{
+	d.departed[listed.Incarnation()] = departure{
 		at:        now,
-		announced: listed.Leaving || d.departed[listed.Life()].announced,
+		announced: listed.Leaving || d.departed[listed.Incarnation()].announced,
 	}
 }
 
@@ -77,7 +77,7 @@
 	if received.Leaving {
 		d.record(received)
 	}
-	departed, ok := d.departed[received.Life()]
+	departed, ok := d.departed[received.Incarnation()]
 	if ok && !received.Leaving && clock.Since(departed.at) <= departureTTL {
 		d.suspect[name] = true
 		return
@@ -88,15 +88,15 @@
 // checkWritten handles an entry that its server wrote. The incarnation that it replaces has
 // ended.
 func (d *departures) checkWritten(name string, known, received *balance.Entry) {
-	if known != nil && known.Life() != received.Life() {
+	if known != nil && known.Incarnation() != received.Incarnation() {
 		d.removed(name, known)
 	}
 	switch {
 	case received.Leaving:
 		d.record(received)
 		delete(d.suspect, name)
-	case !d.departed[received.Life()].announced:
-		delete(d.departed, received.Life())
+	case !d.departed[received.Incarnation()].announced:
+		delete(d.departed, received.Incarnation())
 		delete(d.suspect, name)
 	}
 }
--- a/exchange/syncer_test.go
+++ b/exchange/syncer_test.go
@@ -364,7 +364,7 @@
 			update := balance.Update{}
 			for _, listed := range testBackends(inFlight - round) {
 				update.InFlight = append(update.InFlight, balance.InFlight{
-					Server: placement.IDHash(listed.Life()),
+					Server: placement.IDHash(listed.Incarnation()),
 					Count:  1 + round,
 				})
 			}
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -118,5 +118,5 @@
 func (w *crashWatch) hasCrashed() bool {
 	backend := &w.lease.Backend
 	return w.call.gateway.Balancer.IsStaying(w.lease) &&
-		w.call.gateway.Client.RefusesConnections(w.call.ctx, backend.Life(), backend.Address)
+		w.call.gateway.Client.RefusesConnections(w.call.ctx, backend.Incarnation(), backend.Address)
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -211,7 +211,7 @@
 	c.selection.Exclude = append(c.selection.Exclude, lease.Backend.ID)
 	request := c.upstreamRequest(lease)
 	c.gateway.Balancer.RecordSend(lease)
-	response, err := c.gateway.Client.Do(watch.ctx, lease.Backend.Life(), lease.Backend.Address, request)
+	response, err := c.gateway.Client.Do(watch.ctx, lease.Backend.Incarnation(), lease.Backend.Address, request)
 	attempt := &FailedAttempt{
 		RequestID: c.id,
 		Key:       c.key,
