--- a/directory/encoding.go
+++ b/directory/encoding.go
@@ -46,7 +46,7 @@
 		}
 		_, err = protodelim.MarshalTo(w, &directorypb.Entry{
 			Name:  batch.Entries[i].Name,
-			Gone:  batch.Entries[i].Gone,
+			Gone:  batch.Entries[i].Removed,
 			Value: batch.Entries[i].Value,
 		})
 	}
@@ -94,7 +94,7 @@
 		}
 		batch.Entries = append(batch.Entries, slipwick.FeedEntry{
 			Name:  entry.GetName(),
-			Gone:  entry.GetGone(),
+			Removed:  entry.GetGone(),
 			Value: entry.GetValue(),
 		})
 	}
--- a/directory/encoding_test.go
+++ b/directory/encoding_test.go
@@ -25,9 +25,9 @@
 		for i := range rapid.IntRange(0, 5).Draw(r, "entries") {
 			e := slipwick.FeedEntry{
 				Name: fmt.Sprint(rapid.String().Draw(r, "name"), i),
-				Gone: rapid.Bool().Draw(r, "gone"),
+				Removed: rapid.Bool().Draw(r, "gone"),
 			}
-			if !e.Gone {
+			if !e.Removed {
 				e.Value = rapid.SliceOfN(rapid.Byte(), 1, 20).Draw(r, "value")
 			}
 			want.Entries = append(want.Entries, e)
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -204,7 +204,7 @@
 	for i := range batch.Entries {
 		e := &batch.Entries[i]
 		value, ok := f.Mirror.lookup(e.Name)
-		if !ok || e.Gone || bytes.Equal(value, e.Value) {
+		if !ok || e.Removed || bytes.Equal(value, e.Value) {
 			continue
 		}
 		known, isKnown := f.latest[e.Name]
@@ -244,9 +244,9 @@
 	for _, e := range entries {
 		change := Change[T]{
 			Name: e.Name,
-			Gone: e.Gone,
+			Gone: e.Removed,
 		}
-		if !e.Gone {
+		if !e.Removed {
 			var err error
 			change.Value, err = f.decodeOnce(&e)
 			change.Invalid = err != nil
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -124,7 +124,7 @@
 		if !present[name] {
 			e := slipwick.FeedEntry{
 				Name: name,
-				Gone: true,
+				Removed: true,
 			}
 			removals = append(removals, e)
 		}
@@ -138,7 +138,7 @@
 func (m *Mirror) applyLocked(e slipwick.FeedEntry, revision uint64, whole bool) (differs bool) {
 	known, isKnown := m.entries[e.Name]
 	switch {
-	case e.Gone:
+	case e.Removed:
 		differs = isKnown
 		delete(m.entries, e.Name)
 	case !isKnown || !bytes.Equal(known, e.Value):
@@ -329,7 +329,7 @@
 		value, isListed := m.entries[c.name]
 		batch.Entries = append(batch.Entries, slipwick.FeedEntry{
 			Name:  c.name,
-			Gone:  !isListed,
+			Removed:  !isListed,
 			Value: value,
 		})
 	}
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -20,7 +20,7 @@
 	for _, text := range entries {
 		b.Entries = append(b.Entries, slipwick.FeedEntry{
 			Name:  text[:1],
-			Gone:  len(text) == 1,
+			Removed:  len(text) == 1,
 			Value: []byte(text[1:]),
 		})
 	}
@@ -31,7 +31,7 @@
 func entryTexts(entries []slipwick.FeedEntry) []string {
 	var list []string
 	for _, e := range entries {
-		if e.Gone {
+		if e.Removed {
 			list = append(list, "-"+e.Name)
 		} else {
 			list = append(list, e.Name+string(e.Value))
@@ -189,7 +189,7 @@
 		if i%2 == 0 {
 			removals.Entries = append(removals.Entries, slipwick.FeedEntry{
 				Name: fmt.Sprint("s", i),
-				Gone: true,
+				Removed: true,
 			})
 		}
 	}
--- a/directory/modelstore_test.go
+++ b/directory/modelstore_test.go
@@ -253,7 +253,7 @@
 		if w.kind == f.kind && w.revision > after {
 			batch.Entries = append(batch.Entries, slipwick.FeedEntry{
 				Name:  w.name,
-				Gone:  w.gone,
+				Removed:  w.gone,
 				Value: []byte(w.value),
 			})
 		}
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -216,7 +216,7 @@
 	for _, e := range entries {
 		digest.Reset()
 		state := "\x00is\x00"
-		if e.Gone {
+		if e.Removed {
 			state = "\x00gone\x00"
 		}
 		// Writes to a digest never fail.
--- a/directory/wirebatch.go
+++ b/directory/wirebatch.go
@@ -36,7 +36,7 @@
 	for _, e := range batch.Entries {
 		entry := wireEntry{
 			Name: e.Name,
-			Gone: e.Gone,
+			Gone: e.Removed,
 		}
 		if utf8.Valid(e.Value) {
 			entry.Text = string(e.Value)
@@ -58,7 +58,7 @@
 	for _, e := range w.Entries {
 		entry := slipwick.FeedEntry{
 			Name:  e.Name,
-			Gone:  e.Gone,
+			Removed:  e.Gone,
 			Value: e.Bytes,
 		}
 		if e.Text != "" {
--- a/feed.go
+++ b/feed.go
@@ -9,7 +9,7 @@
 type FeedEntry struct {
 	Name string `json:"name"`
 	// Removed is true if the object was removed; Value is empty then.
-	Gone bool `json:"gone,omitempty"`
+	Removed bool `json:"gone,omitempty"`
 	// Value has the encoding in which the store keeps it.
 	Value []byte `json:"value,omitempty"`
 }
