--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -63,7 +63,7 @@
 func (f *fixture) put(mirror *directory.Mirror, names ...string) {
 	f.revision++
 	batch := &slipwick.FeedBatch{
-		Whole:    true,
+		IsSnapshot:    true,
 		Timeline: f.timeline,
 		Revision: f.revision,
 	}
--- a/directory/decodeonce_test.go
+++ b/directory/decodeonce_test.go
@@ -21,7 +21,7 @@
 					Value: []byte("1"),
 				},
 			},
-			Whole:    true,
+			IsSnapshot:    true,
 			Revision: 1,
 		})
 		decodeCounts, latest := make(map[string]int), ""
--- a/directory/encoding.go
+++ b/directory/encoding.go
@@ -35,7 +35,7 @@
 	}
 	_, err := protodelim.MarshalTo(w, &directorypb.Batch{
 		Entries:  uint32(len(batch.Entries)),
-		Whole:    batch.Whole,
+		Whole:    batch.IsSnapshot,
 		Skipping: batch.Skipping,
 		Timeline: batch.Timeline,
 		Revision: batch.Revision,
@@ -82,7 +82,7 @@
 	}
 	batch := slipwick.FeedBatch{
 		Entries:  make([]slipwick.FeedEntry, 0, min(head.GetEntries(), maxPreallocated)),
-		Whole:    head.GetWhole(),
+		IsSnapshot:    head.GetWhole(),
 		Skipping: head.GetSkipping(),
 		Timeline: head.GetTimeline(),
 		Revision: head.GetRevision(),
--- a/directory/encoding_test.go
+++ b/directory/encoding_test.go
@@ -17,7 +17,7 @@
 func TestEncodingsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		want := slipwick.FeedBatch{
-			Whole:    rapid.Bool().Draw(r, "whole"),
+			IsSnapshot:    rapid.Bool().Draw(r, "whole"),
 			Skipping: rapid.Bool().Draw(r, "skipping"),
 			Timeline: rapid.Uint64().Draw(r, "timeline"),
 			Revision: rapid.Uint64().Draw(r, "revision"),
@@ -84,7 +84,7 @@
 		b.Run(encoding, func(b *testing.B) {
 			mirror := NewMirror()
 			whole := slipwick.FeedBatch{
-				Whole:    true,
+				IsSnapshot:    true,
 				Revision: 1,
 			}
 			for i := range 10_000 {
--- a/directory/firstlist_bench_test.go
+++ b/directory/firstlist_bench_test.go
@@ -14,7 +14,7 @@
 	for _, size := range []int{2_500, 5_000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			whole := slipwick.FeedBatch{
-				Whole:    true,
+				IsSnapshot:    true,
 				Revision: 1,
 			}
 			changes := make([]Change[balance.Entry], 0, size)
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -269,7 +269,7 @@
 	switch {
 	case batch.Position().Before(known):
 		return olderError(batch, known)
-	case !batch.Whole && batch.Timeline != 0 && batch.Timeline != known.Timeline:
+	case !batch.IsSnapshot && batch.Timeline != 0 && batch.Timeline != known.Timeline:
 		return timelineChangedError()
 	}
 	return nil
--- a/directory/invalid_test.go
+++ b/directory/invalid_test.go
@@ -18,7 +18,7 @@
 // "invalid" cannot be decoded.
 func serverBatch(revision uint64, whole bool, values ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
-		Whole:    whole,
+		IsSnapshot:    whole,
 		Revision: revision,
 	}
 	for _, text := range values {
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -65,11 +65,11 @@
 		m.entries = make(map[string][]byte, len(batch.Entries))
 		differing = make([]slipwick.FeedEntry, 0, len(batch.Entries))
 	}
-	if batch.Whole {
+	if batch.IsSnapshot {
 		differing = append(differing, m.removeMissingLocked(batch)...)
 	}
 	for _, e := range batch.Entries {
-		if m.applyLocked(e, batch.Revision, batch.Whole) {
+		if m.applyLocked(e, batch.Revision, batch.IsSnapshot) {
 			differing = append(differing, e)
 		}
 	}
@@ -79,7 +79,7 @@
 	switch {
 	case isNewTimeline || m.position.IsZero():
 		m.changes, m.gaps, m.discardedThrough = nil, nil, batch.Revision
-	case (batch.Whole || batch.Skipping) && m.position.Revision < batch.Revision:
+	case (batch.IsSnapshot || batch.Skipping) && m.position.Revision < batch.Revision:
 		m.addGapLocked(batch.Revision)
 	}
 	if isNewTimeline || m.position.Revision < batch.Revision {
@@ -130,7 +130,7 @@
 		}
 	}
 	for _, e := range removals {
-		m.applyLocked(e, batch.Revision, batch.Whole)
+		m.applyLocked(e, batch.Revision, batch.IsSnapshot)
 	}
 	return removals
 }
@@ -203,7 +203,7 @@
 
 func (m *Mirror) batchLocked(whole bool) slipwick.FeedBatch {
 	return slipwick.FeedBatch{
-		Whole:    whole,
+		IsSnapshot:    whole,
 		Timeline: m.position.Timeline,
 		Revision: m.position.Revision,
 		Age:      clock.Since(m.confirmedAt),
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -14,7 +14,7 @@
 // without a value is a removal.
 func batch(revision uint64, whole bool, entries ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
-		Whole:    whole,
+		IsSnapshot:    whole,
 		Revision: revision,
 	}
 	for _, text := range entries {
--- a/directory/modelstore_test.go
+++ b/directory/modelstore_test.go
@@ -175,7 +175,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	batch := slipwick.FeedBatch{
-		Whole:    true,
+		IsSnapshot:    true,
 		Timeline: s.timeline,
 		Revision: s.revision,
 	}
--- a/directory/reassigned_test.go
+++ b/directory/reassigned_test.go
@@ -114,7 +114,7 @@
 	}
 	for timeline, value := range []string{"ready", "leaving"} {
 		mirror.Apply(&slipwick.FeedBatch{
-			Whole:    true,
+			IsSnapshot:    true,
 			Timeline: uint64(timeline + 1),
 			Revision: 7,
 			Entries: []slipwick.FeedEntry{
--- a/directory/refused_test.go
+++ b/directory/refused_test.go
@@ -22,7 +22,7 @@
 	for _, size := range []int{10_000, 20_000, 40_000} {
 		mirror := NewMirror()
 		whole := slipwick.FeedBatch{
-			Whole:    true,
+			IsSnapshot:    true,
 			Revision: 1,
 		}
 		for i := range size {
--- a/directory/relay_test.go
+++ b/directory/relay_test.go
@@ -28,18 +28,18 @@
 	}
 	mirror.Apply(batch(3, true, "a1", "b1"))
 	got, err := relay.List(t.Context())
-	if err != nil || !got.Whole || got.Revision != 3 {
+	if err != nil || !got.IsSnapshot || got.Revision != 3 {
 		t.Errorf("got %+v, %v; want the whole copy at revision 3", got, err)
 	}
 	expectEntries(t, "list", got.Entries, "a1", "b1")
 	time.AfterFunc(20*time.Millisecond, func() { mirror.Apply(batch(4, false, "b")) })
 	got, err = relay.Watch(t.Context(), at(3), time.Second)
-	if err != nil || got.Whole || got.Age > time.Second {
+	if err != nil || got.IsSnapshot || got.Age > time.Second {
 		t.Errorf("got %+v, %v; want recent changes", got, err)
 	}
 	expectEntries(t, "watch", got.Entries, "-b")
 	got, err = relay.Watch(t.Context(), at(1), time.Second)
-	if err != nil || !got.Whole {
+	if err != nil || !got.IsSnapshot {
 		t.Errorf("watch from before the copy: got %+v, %v; want the whole copy", got, err)
 	}
 	relay.FeedName = "none"
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -174,7 +174,7 @@
 func (s *RelayServer) writeAnswer(w http.ResponseWriter, encoding string, batch *slipwick.FeedBatch, isReserved bool) {
 	body, err := s.encodeCached(answerKey{
 		encoding: encoding,
-		whole:    batch.Whole,
+		whole:    batch.IsSnapshot,
 		skipping: batch.Skipping,
 		position: batch.Position(),
 		entries:  hashEntries(batch.Entries),
--- a/directory/relayserver_test.go
+++ b/directory/relayserver_test.go
@@ -22,7 +22,7 @@
 	}
 	text.WriteString(`{}]}`)
 	return &slipwick.FeedBatch{
-		Whole:    true,
+		IsSnapshot:    true,
 		Revision: revision,
 		Entries: []slipwick.FeedEntry{
 			{
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -111,7 +111,7 @@
 func (f *simFleet) setValue(value string) {
 	f.revision++
 	f.store.Apply(&slipwick.FeedBatch{
-		Whole:    f.revision == 1,
+		IsSnapshot:    f.revision == 1,
 		Revision: f.revision,
 		Entries: []slipwick.FeedEntry{
 			{
--- a/directory/wirebatch.go
+++ b/directory/wirebatch.go
@@ -28,7 +28,7 @@
 func wireBatchOf(batch *slipwick.FeedBatch) *wireBatch {
 	wire := &wireBatch{
 		Entries:  make([]wireEntry, 0, len(batch.Entries)),
-		Whole:    batch.Whole,
+		Whole:    batch.IsSnapshot,
 		Skipping: batch.Skipping,
 		Timeline: batch.Timeline,
 		Revision: batch.Revision,
@@ -50,7 +50,7 @@
 
 func (w *wireBatch) batch() slipwick.FeedBatch {
 	batch := slipwick.FeedBatch{
-		Whole:    w.Whole,
+		IsSnapshot:    w.Whole,
 		Skipping: w.Skipping,
 		Timeline: w.Timeline,
 		Revision: w.Revision,
--- a/feed.go
+++ b/feed.go
@@ -18,7 +18,7 @@
 type FeedBatch struct {
 	Entries []FeedEntry `json:"entries"`
 	// IsSnapshot is true if the entries are all objects of the feed, not just the changes.
-	Whole bool `json:"whole,omitempty"`
+	IsSnapshot bool `json:"whole,omitempty"`
 	// IsCompacted is true if the entries are the difference from the requested position;
 	// changes in between that were undone again may be missing.
 	Skipping bool `json:"skipping,omitempty"`
--- a/tablefile/feed.go
+++ b/tablefile/feed.go
@@ -135,7 +135,7 @@
 	entries, err := f.entries(file, source)
 	return slipwick.FeedBatch{
 		Entries:  entries,
-		Whole:    true,
+		IsSnapshot:    true,
 		Revision: f.revisionOf(source),
 	}, err
 }
