--- a/directory/encoding.go
+++ b/directory/encoding.go
@@ -36,7 +36,7 @@
 	_, err := protodelim.MarshalTo(w, &directorypb.Batch{
 		Entries:  uint32(len(batch.Entries)),
 		Whole:    batch.IsSnapshot,
-		Skipping: batch.Skipping,
+		Skipping: batch.IsCompacted,
 		Timeline: batch.Timeline,
 		Revision: batch.Revision,
 	})
@@ -83,7 +83,7 @@
 	batch := slipwick.FeedBatch{
 		Entries:  make([]slipwick.FeedEntry, 0, min(head.GetEntries(), maxPreallocated)),
 		IsSnapshot:    head.GetWhole(),
-		Skipping: head.GetSkipping(),
+		IsCompacted: head.GetSkipping(),
 		Timeline: head.GetTimeline(),
 		Revision: head.GetRevision(),
 	}
--- a/directory/encoding_test.go
+++ b/directory/encoding_test.go
@@ -18,7 +18,7 @@
 	rapid.Check(t, func(r *rapid.T) {
 		want := slipwick.FeedBatch{
 			IsSnapshot:    rapid.Bool().Draw(r, "whole"),
-			Skipping: rapid.Bool().Draw(r, "skipping"),
+			IsCompacted: rapid.Bool().Draw(r, "skipping"),
 			Timeline: rapid.Uint64().Draw(r, "timeline"),
 			Revision: rapid.Uint64().Draw(r, "revision"),
 		}
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -79,7 +79,7 @@
 	switch {
 	case isNewTimeline || m.position.IsZero():
 		m.changes, m.gaps, m.discardedThrough = nil, nil, batch.Revision
-	case (batch.IsSnapshot || batch.Skipping) && m.position.Revision < batch.Revision:
+	case (batch.IsSnapshot || batch.IsCompacted) && m.position.Revision < batch.Revision:
 		m.addGapLocked(batch.Revision)
 	}
 	if isNewTimeline || m.position.Revision < batch.Revision {
@@ -318,7 +318,7 @@
 		}
 	}
 	batch := m.batchLocked(false)
-	batch.Skipping = slices.ContainsFunc(m.gaps, func(g gap) bool { return g.from >= after.Revision })
+	batch.IsCompacted = slices.ContainsFunc(m.gaps, func(g gap) bool { return g.from >= after.Revision })
 	changed := m.changes[m.firstAfterLocked(after.Revision):]
 	seen := make(map[string]bool, len(changed))
 	for _, c := range changed {
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -175,7 +175,7 @@
 	body, err := s.encodeCached(answerKey{
 		encoding: encoding,
 		whole:    batch.IsSnapshot,
-		skipping: batch.Skipping,
+		skipping: batch.IsCompacted,
 		position: batch.Position(),
 		entries:  hashEntries(batch.Entries),
 	}, batch)
--- a/directory/wirebatch.go
+++ b/directory/wirebatch.go
@@ -29,7 +29,7 @@
 	wire := &wireBatch{
 		Entries:  make([]wireEntry, 0, len(batch.Entries)),
 		Whole:    batch.IsSnapshot,
-		Skipping: batch.Skipping,
+		Skipping: batch.IsCompacted,
 		Timeline: batch.Timeline,
 		Revision: batch.Revision,
 	}
@@ -51,7 +51,7 @@
 func (w *wireBatch) batch() slipwick.FeedBatch {
 	batch := slipwick.FeedBatch{
 		IsSnapshot:    w.Whole,
-		Skipping: w.Skipping,
+		IsCompacted: w.Skipping,
 		Timeline: w.Timeline,
 		Revision: w.Revision,
 	}
--- a/feed.go
+++ b/feed.go
@@ -21,7 +21,7 @@
 	IsSnapshot bool `json:"whole,omitempty"`
 	// IsCompacted is true if the entries are the difference from the requested position;
 	// changes in between that were undone again may be missing.
-	Skipping bool `json:"skipping,omitempty"`
+	IsCompacted bool `json:"skipping,omitempty"`
 	// Timeline and Revision are the store's position as of this batch, from which the next
 	// Watch continues.
 	Timeline uint64 `json:"timeline,omitempty"`
