--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -31,7 +31,7 @@
 	follower.OnError, follower.OnAnswer = monitor.failed, monitor.succeeded
 	evacuated := directory.NewEvacuations(p.Settings.Bounds.EvacuationTime, p.setEvacuated)
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
-		evacuated.StoreRestored(batch.Steady)
+		evacuated.StoreRestored(batch.StableFor)
 		monitor.storeRestored(known, batch)
 	}
 	isFirst := true
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -77,11 +77,11 @@
 	follower.OnChange = p.backends.Change
 	monitor := p.newFeedMonitor(feedBackends)
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) {
-		p.backends.Answered(batch.Age, batch.Steady)
+		p.backends.Answered(batch.Age, batch.StableFor)
 		monitor.succeeded(batch)
 	}
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
-		p.backends.StoreRestored(batch.Age, batch.Steady)
+		p.backends.StoreRestored(batch.Age, batch.StableFor)
 		monitor.storeRestored(known, batch)
 	}
 	follower.OnError = func(err error) {
@@ -119,7 +119,7 @@
 	events.StoreFellBack.On(&m.process.Log).Str("feed", m.feed).
 		Uint64("from_timeline", known.Timeline).Uint64("from_revision", known.Revision).
 		Uint64("timeline", batch.Timeline).Uint64("revision", batch.Revision).
-		Dur("steady_ms", batch.Steady).Int("hops", batch.Hops).Send()
+		Dur("steady_ms", batch.StableFor).Int("hops", batch.Hops).Send()
 	m.process.storeRestores.Add(1)
 }
 
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -74,7 +74,7 @@
 		}
 	}
 	if isNewTimeline || m.failing {
-		m.steadySince = clock.Now().Add(-batch.Steady)
+		m.steadySince = clock.Now().Add(-batch.StableFor)
 	}
 	switch {
 	case isNewTimeline || m.position.IsZero():
@@ -207,7 +207,7 @@
 		Timeline: m.position.Timeline,
 		Revision: m.position.Revision,
 		Age:      clock.Since(m.confirmedAt),
-		Steady:   clock.Since(m.steadySince),
+		StableFor:   clock.Since(m.steadySince),
 		Hops:     m.hops,
 	}
 }
--- a/directory/relay.go
+++ b/directory/relay.go
@@ -148,7 +148,7 @@
 		steady = 0
 	}
 	batch.Age, batch.Hops = time.Duration(age)*time.Millisecond, hops+1
-	batch.Steady = time.Duration(steady) * time.Millisecond
+	batch.StableFor = time.Duration(steady) * time.Millisecond
 	return batch, nil
 }
 
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -195,7 +195,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.Header().Set(hopsHeader, strconv.Itoa(batch.Hops))
 	w.Header().Set(ageHeader, strconv.FormatInt(batch.Age.Milliseconds(), 10))
-	w.Header().Set(steadyHeader, strconv.FormatInt(batch.Steady.Milliseconds(), 10))
+	w.Header().Set(steadyHeader, strconv.FormatInt(batch.StableFor.Milliseconds(), 10))
 	// An error means that the other router is gone and needs no answer.
 	_, _ = w.Write(body)
 }
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -162,7 +162,7 @@
 	defer s.mu.Unlock()
 	at := clock.Now().Add(-batch.Age)
 	if batch.Hops == 0 {
-		batch.Steady = s.sinceRestoreLocked()
+		batch.StableFor = s.sinceRestoreLocked()
 	}
 	if s.position.Before(batch.Position()) {
 		s.position = batch.Position()
--- a/feed.go
+++ b/feed.go
@@ -30,7 +30,7 @@
 	Age time.Duration `json:"age,omitempty"`
 	// StableFor is how long the store has answered without an outage or a restore from a
 	// backup, as far as the routers on the way know; 0 if one has just ended or if unknown.
-	Steady time.Duration `json:"steady,omitempty"`
+	StableFor time.Duration `json:"steady,omitempty"`
 	// Hops is the number of routers that relayed the batch; 0 if it comes from the store.
 	Hops int `json:"hops,omitempty"`
 }
