--- a/admission.go
+++ b/admission.go
@@ -24,7 +24,7 @@
 type Admission interface {
 	// Acquire blocks until a slot is free or ctx ends. Errors are *Error with
 	// OutcomeNotRun.
-	Acquire(ctx context.Context, ask AcquireRequest) (Grant, error)
+	Acquire(ctx context.Context, request AcquireRequest) (Grant, error)
 	// Release returns the slot and records what the request showed of the backend server's health.
 	Release(grant Grant, evidence Evidence)
 }
--- a/burn/counts.go
+++ b/burn/counts.go
@@ -8,8 +8,8 @@
 	Bad uint64 `json:"bad"`
 	// FirstTokens is the number of requests that received a first token, SlowFirstTokens the
 	// number of those that received it later than the objective.
-	FirstTokens uint64 `json:"tokens"`
-	SlowFirstTokens   uint64 `json:"slow"`
+	FirstTokens     uint64 `json:"tokens"`
+	SlowFirstTokens uint64 `json:"slow"`
 }
 
 // Add adds each count of other to c.
--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -63,9 +63,9 @@
 func (f *fixture) put(mirror *directory.Mirror, names ...string) {
 	f.revision++
 	batch := &slipwick.FeedBatch{
-		IsSnapshot:    true,
-		Timeline: f.timeline,
-		Revision: f.revision,
+		IsSnapshot: true,
+		Timeline:   f.timeline,
+		Revision:   f.revision,
 	}
 	for _, name := range names {
 		batch.Entries = append(batch.Entries, slipwick.FeedEntry{
--- a/directory/decodeonce_test.go
+++ b/directory/decodeonce_test.go
@@ -21,8 +21,8 @@
 					Value: []byte("1"),
 				},
 			},
-			IsSnapshot:    true,
-			Revision: 1,
+			IsSnapshot: true,
+			Revision:   1,
 		})
 		decodeCounts, latest := make(map[string]int), ""
 		follower := NewFollower[string](feed, NewMirror())
--- a/directory/encoding.go
+++ b/directory/encoding.go
@@ -81,11 +81,11 @@
 		return slipwick.FeedBatch{}, err
 	}
 	batch := slipwick.FeedBatch{
-		Entries:  make([]slipwick.FeedEntry, 0, min(head.GetEntries(), maxPreallocated)),
-		IsSnapshot:    head.GetWhole(),
+		Entries:     make([]slipwick.FeedEntry, 0, min(head.GetEntries(), maxPreallocated)),
+		IsSnapshot:  head.GetWhole(),
 		IsCompacted: head.GetSkipping(),
-		Timeline: head.GetTimeline(),
-		Revision: head.GetRevision(),
+		Timeline:    head.GetTimeline(),
+		Revision:    head.GetRevision(),
 	}
 	for range head.GetEntries() {
 		var entry directorypb.Entry
@@ -93,9 +93,9 @@
 			return slipwick.FeedBatch{}, err
 		}
 		batch.Entries = append(batch.Entries, slipwick.FeedEntry{
-			Name:  entry.GetName(),
-			Removed:  entry.GetGone(),
-			Value: entry.GetValue(),
+			Name:    entry.GetName(),
+			Removed: entry.GetGone(),
+			Value:   entry.GetValue(),
 		})
 	}
 	return batch, nil
--- a/directory/encoding_test.go
+++ b/directory/encoding_test.go
@@ -17,14 +17,14 @@
 func TestEncodingsRoundTrip(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		want := slipwick.FeedBatch{
-			IsSnapshot:    rapid.Bool().Draw(r, "whole"),
+			IsSnapshot:  rapid.Bool().Draw(r, "whole"),
 			IsCompacted: rapid.Bool().Draw(r, "skipping"),
-			Timeline: rapid.Uint64().Draw(r, "timeline"),
-			Revision: rapid.Uint64().Draw(r, "revision"),
+			Timeline:    rapid.Uint64().Draw(r, "timeline"),
+			Revision:    rapid.Uint64().Draw(r, "revision"),
 		}
 		for i := range rapid.IntRange(0, 5).Draw(r, "entries") {
 			e := slipwick.FeedEntry{
-				Name: fmt.Sprint(rapid.String().Draw(r, "name"), i),
+				Name:    fmt.Sprint(rapid.String().Draw(r, "name"), i),
 				Removed: rapid.Bool().Draw(r, "gone"),
 			}
 			if !e.Removed {
@@ -84,8 +84,8 @@
 		b.Run(encoding, func(b *testing.B) {
 			mirror := NewMirror()
 			whole := slipwick.FeedBatch{
-				IsSnapshot:    true,
-				Revision: 1,
+				IsSnapshot: true,
+				Revision:   1,
 			}
 			for i := range 10_000 {
 				whole.Entries = append(whole.Entries, slipwick.FeedEntry{
--- a/directory/firstlist_bench_test.go
+++ b/directory/firstlist_bench_test.go
@@ -14,8 +14,8 @@
 	for _, size := range []int{2_500, 5_000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			whole := slipwick.FeedBatch{
-				IsSnapshot:    true,
-				Revision: 1,
+				IsSnapshot: true,
+				Revision:   1,
 			}
 			changes := make([]Change[balance.Entry], 0, size)
 			for i := range size {
@@ -32,7 +32,7 @@
 							Address:    fmt.Sprint("10.0.0.1:", i),
 							DataCentre: "z",
 							Slots:      16,
-							StartTime:       int64(i + 1),
+							StartTime:  int64(i + 1),
 						},
 						Pool: "pool",
 					},
--- a/directory/invalid_test.go
+++ b/directory/invalid_test.go
@@ -18,8 +18,8 @@
 // "invalid" cannot be decoded.
 func serverBatch(revision uint64, whole bool, values ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
-		IsSnapshot:    whole,
-		Revision: revision,
+		IsSnapshot: whole,
+		Revision:   revision,
 	}
 	for _, text := range values {
 		name, value, _ := strings.Cut(text, "=")
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -123,7 +123,7 @@
 	for name := range m.entries {
 		if !present[name] {
 			e := slipwick.FeedEntry{
-				Name: name,
+				Name:    name,
 				Removed: true,
 			}
 			removals = append(removals, e)
@@ -203,12 +203,12 @@
 
 func (m *Mirror) batchLocked(whole bool) slipwick.FeedBatch {
 	return slipwick.FeedBatch{
-		IsSnapshot:    whole,
-		Timeline: m.position.Timeline,
-		Revision: m.position.Revision,
-		Age:      clock.Since(m.confirmedAt),
-		StableFor:   clock.Since(m.steadySince),
-		Hops:     m.hops,
+		IsSnapshot: whole,
+		Timeline:   m.position.Timeline,
+		Revision:   m.position.Revision,
+		Age:        clock.Since(m.confirmedAt),
+		StableFor:  clock.Since(m.steadySince),
+		Hops:       m.hops,
 	}
 }
 
@@ -328,9 +328,9 @@
 		seen[c.name] = true
 		value, isListed := m.entries[c.name]
 		batch.Entries = append(batch.Entries, slipwick.FeedEntry{
-			Name:  c.name,
-			Removed:  !isListed,
-			Value: value,
+			Name:    c.name,
+			Removed: !isListed,
+			Value:   value,
 		})
 	}
 	return batch, m.changed, nil
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -14,14 +14,14 @@
 // without a value is a removal.
 func batch(revision uint64, whole bool, entries ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
-		IsSnapshot:    whole,
-		Revision: revision,
+		IsSnapshot: whole,
+		Revision:   revision,
 	}
 	for _, text := range entries {
 		b.Entries = append(b.Entries, slipwick.FeedEntry{
-			Name:  text[:1],
-			Removed:  len(text) == 1,
-			Value: []byte(text[1:]),
+			Name:    text[:1],
+			Removed: len(text) == 1,
+			Value:   []byte(text[1:]),
 		})
 	}
 	return b
@@ -188,7 +188,7 @@
 		})
 		if i%2 == 0 {
 			removals.Entries = append(removals.Entries, slipwick.FeedEntry{
-				Name: fmt.Sprint("s", i),
+				Name:    fmt.Sprint("s", i),
 				Removed: true,
 			})
 		}
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -143,7 +143,7 @@
 	born, _ := strconv.ParseInt(incarnation, 10, 64)
 	return balance.Entry{
 		Backend: slipwick.Backend{
-			ID:   name,
+			ID:        name,
 			StartTime: born,
 		},
 		Leaving: state == "leaving",
--- a/directory/modelstore_test.go
+++ b/directory/modelstore_test.go
@@ -175,9 +175,9 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	batch := slipwick.FeedBatch{
-		IsSnapshot:    true,
-		Timeline: s.timeline,
-		Revision: s.revision,
+		IsSnapshot: true,
+		Timeline:   s.timeline,
+		Revision:   s.revision,
 	}
 	for name, w := range s.stateLocked(f.kind) {
 		batch.Entries = append(batch.Entries, slipwick.FeedEntry{
@@ -252,9 +252,9 @@
 	for _, w := range s.writes {
 		if w.kind == f.kind && w.revision > after {
 			batch.Entries = append(batch.Entries, slipwick.FeedEntry{
-				Name:  w.name,
-				Removed:  w.gone,
-				Value: []byte(w.value),
+				Name:    w.name,
+				Removed: w.gone,
+				Value:   []byte(w.value),
 			})
 		}
 	}
--- a/directory/reassigned_test.go
+++ b/directory/reassigned_test.go
@@ -114,9 +114,9 @@
 	}
 	for timeline, value := range []string{"ready", "leaving"} {
 		mirror.Apply(&slipwick.FeedBatch{
-			IsSnapshot:    true,
-			Timeline: uint64(timeline + 1),
-			Revision: 7,
+			IsSnapshot: true,
+			Timeline:   uint64(timeline + 1),
+			Revision:   7,
 			Entries: []slipwick.FeedEntry{
 				{
 					Name:  "a",
--- a/directory/refused_test.go
+++ b/directory/refused_test.go
@@ -22,8 +22,8 @@
 	for _, size := range []int{10_000, 20_000, 40_000} {
 		mirror := NewMirror()
 		whole := slipwick.FeedBatch{
-			IsSnapshot:    true,
-			Revision: 1,
+			IsSnapshot: true,
+			Revision:   1,
 		}
 		for i := range size {
 			whole.Entries = append(whole.Entries, slipwick.FeedEntry{
--- a/directory/relayserver_test.go
+++ b/directory/relayserver_test.go
@@ -22,8 +22,8 @@
 	}
 	text.WriteString(`{}]}`)
 	return &slipwick.FeedBatch{
-		IsSnapshot:    true,
-		Revision: revision,
+		IsSnapshot: true,
+		Revision:   revision,
 		Entries: []slipwick.FeedEntry{
 			{
 				Name:  "main",
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -111,8 +111,8 @@
 func (f *simFleet) setValue(value string) {
 	f.revision++
 	f.store.Apply(&slipwick.FeedBatch{
-		IsSnapshot:    f.revision == 1,
-		Revision: f.revision,
+		IsSnapshot: f.revision == 1,
+		Revision:   f.revision,
 		Entries: []slipwick.FeedEntry{
 			{
 				Name:  "a",
--- a/directory/wirebatch.go
+++ b/directory/wirebatch.go
@@ -50,16 +50,16 @@
 
 func (w *wireBatch) batch() slipwick.FeedBatch {
 	batch := slipwick.FeedBatch{
-		IsSnapshot:    w.Whole,
+		IsSnapshot:  w.Whole,
 		IsCompacted: w.Skipping,
-		Timeline: w.Timeline,
-		Revision: w.Revision,
+		Timeline:    w.Timeline,
+		Revision:    w.Revision,
 	}
 	for _, e := range w.Entries {
 		entry := slipwick.FeedEntry{
-			Name:  e.Name,
-			Removed:  e.Gone,
-			Value: e.Bytes,
+			Name:    e.Name,
+			Removed: e.Gone,
+			Value:   e.Bytes,
 		}
 		if e.Text != "" {
 			entry.Value = []byte(e.Text)
--- a/httpclient/notice.go
+++ b/httpclient/notice.go
@@ -19,7 +19,7 @@
 func ParseNotice(status int, header http.Header, leaving, value string) slipwick.Notice {
 	return slipwick.Notice{
 		Leaving: header.Get(leaving) == value,
-		Pause:    requestedPause(status, header),
+		Pause:   requestedPause(status, header),
 	}
 }
 
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -81,7 +81,7 @@
 	s.executions++
 	e.engine, e.began, e.number = engine, s.now, s.executions
 	attempt, ok := s.tracker.Begin(e.key, &slipwick.Backend{
-		ID:   fmt.Sprint(engine),
+		ID:        fmt.Sprint(engine),
 		StartTime: s.engines[engine],
 	}, false, func() { delete(s.running, &e) })
 	if !ok {
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -17,7 +17,7 @@
 func runAttempt(t *testing.T, tracker *Tracker, key Key, id string, born int64, outcome Outcome) {
 	t.Helper()
 	attempt, ok := tracker.Begin(key, &slipwick.Backend{
-		ID:   id,
+		ID:        id,
 		StartTime: born,
 	}, false, func() {})
 	if !ok {
--- a/tablefile/feed.go
+++ b/tablefile/feed.go
@@ -134,9 +134,9 @@
 	}
 	entries, err := f.entries(file, source)
 	return slipwick.FeedBatch{
-		Entries:  entries,
-		IsSnapshot:    true,
-		Revision: f.revisionOf(source),
+		Entries:    entries,
+		IsSnapshot: true,
+		Revision:   f.revisionOf(source),
 	}, err
 }
 
