--- a/directory/backends.go
+++ b/directory/backends.go
@@ -72,7 +72,7 @@
 // StoreRestored starts a grace period after the store was restored from a backup. Call it before
 // Change with the resulting changes. Entries that the backup lacks may have been written after
 // it, and are treated as if they had expired; entries that it has may belong to servers that
-// have left since. StableFor is how long ago the fleet noticed the restore. This router had no
+// have left since. Steady is how long ago the fleet noticed the restore. This router had no
 // outage of its own, so servers get the full time to write their entries again. Age is how long
 // ago the store was in the state of the answer.
 func (b *Backends) StoreRestored(age, steady time.Duration) {
