--- a/constants_test.go
+++ b/constants_test.go
@@ -58,11 +58,11 @@
 				t.Fatal(err)
 			}
 			for _, decl := range file.Decls {
-				general, ok := decl.(*ast.GenDecl)
-				if !ok || general.Tok != token.CONST {
+				genDecl, ok := decl.(*ast.GenDecl)
+				if !ok || genDecl.Tok != token.CONST {
 					continue
 				}
-				for _, name := range numericConstants(&ast.File{Decls: []ast.Decl{general}, Name: file.Name}) {
+				for _, name := range numericConstants(&ast.File{Decls: []ast.Decl{genDecl}, Name: file.Name}) {
 					if !strings.Contains(string(page), "`"+name+"`") {
 						t.Errorf("%s: got no entry for %s, want one in docs/CONSTANTS.md", path, name)
 					}
--- a/evidence.go
+++ b/evidence.go
@@ -12,7 +12,7 @@
 	EvidenceGood
 	// EvidenceError is an error response or a broken stream.
 	EvidenceError
-	// EvidenceTimeout is a request that timed out because the backend server hangs.
+	// EvidenceTimeout is a request that timed out, as when the backend server hangs.
 	EvidenceTimeout
 	// EvidenceUnreachable is a connection that could not be established.
 	EvidenceUnreachable
--- a/knownred_test.go
+++ b/knownred_test.go
@@ -21,19 +21,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	red := 0
+	count := 0
 	for line := range strings.Lines(string(list)) {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
 			continue
 		}
-		red++
+		count++
 		fields := strings.Split(line, " | ")
 		if got, want := len(fields), 5; got != want || !strings.HasPrefix(line, "Test") {
 			t.Errorf("got %d fields in %q, want %d that begin with the test's name", got, line, want)
 		}
 	}
-	if red > maxKnownRed {
-		t.Errorf("got %d known failing tests, want at most %d", red, maxKnownRed)
+	if count > maxKnownRed {
+		t.Errorf("got %d known failing tests, want at most %d", count, maxKnownRed)
 	}
 }
