--- a/cmd/slipwickd/soak/backend_test.go
+++ b/cmd/slipwickd/soak/backend_test.go
@@ -14,41 +14,41 @@
 )
 
 // usualFailures is how many of 100 requests fail after they ran in any case.
-const usualFailures = 2
+const baseFailurePercent = 2
 
 // backend is a stand-in of a backend server, behind a proxy.
 type backend struct {
-	id     string
-	pool   string
-	zone   string
-	ledger *ledger
-	store  *store
-	proxy  *proxy
+	id       string
+	pool     string
+	zone     string
+	recorder *recorder
+	store    *store
+	proxy    *proxy
 
 	mu     sync.Mutex
 	server *http.Server
 	// born is when this life of it began, gone that it has no other.
-	born int64
-	gone bool
+	startedAt int64
+	isRetired bool
 
 	// words are what this life of it tells the gateways.
-	words atomic.Pointer[words]
+	notices atomic.Pointer[notices]
 	// failing is how many of 100 requests fail after they ran.
 	failing atomic.Int32
 	// leftAt is when the store took that it leaves, in nanoseconds; 0 before.
-	leftAt atomic.Int64
+	leavingAt atomic.Int64
 }
 
-func newBackend(t *testing.T, s *store, l *ledger, host, id, pool, zone string) *backend {
+func newBackend(t *testing.T, s *store, r *recorder, host, id, pool, zone string) *backend {
 	t.Helper()
 	b := &backend{
-		id:     id,
-		pool:   pool,
-		zone:   zone,
-		ledger: l,
-		store:  s,
+		id:       id,
+		pool:     pool,
+		zone:     zone,
+		recorder: r,
+		store:    s,
 	}
-	address, err := b.live(host)
+	address, err := b.startIncarnation(host)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -58,7 +58,7 @@
 }
 
 // live begins a life of it, and gives where it listens.
-func (b *backend) live(host string) (string, error) {
+func (b *backend) startIncarnation(host string) (string, error) {
 	listener, err := net.Listen("tcp4", host+":0")
 	if err != nil {
 		return "", err
@@ -66,9 +66,9 @@
 	server := &http.Server{
 		Handler: b,
 	}
-	b.words.Store(newWords())
+	b.notices.Store(newNotices())
 	b.mu.Lock()
-	b.server, b.born = server, time.Now().UnixMilli()
+	b.server, b.startedAt = server, time.Now().UnixMilli()
 	b.mu.Unlock()
 	go func() { _ = server.Serve(listener) }()
 	return listener.Addr().String(), nil
@@ -79,14 +79,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return map[string]any{
-		"service": b.pool, "address": b.proxy.address, "zone": b.zone, "slots": 16, "state": state, "born": b.born,
+		"service": b.pool, "address": b.proxy.address, "zone": b.zone, "slots": 16, "state": state, "born": b.startedAt,
 	}
 }
 
 // crash ends it at once, for good, with all connections.
 func (b *backend) crash() {
 	b.mu.Lock()
-	b.gone = true
+	b.isRetired = true
 	server := b.server
 	b.mu.Unlock()
 	b.proxy.setMode(pathResets)
@@ -94,39 +94,39 @@
 }
 
 // awayTime is for how long a backend server is away that ended under a request.
-const awayTime = 700 * time.Millisecond
+const restartDelay = 700 * time.Millisecond
 
 // end ends it, with all connections; it is back under its ID, at its address.
-func (b *backend) end() {
+func (b *backend) crashAndRestart() {
 	b.mu.Lock()
-	server, born := b.server, b.born
+	server, startedAt := b.server, b.startedAt
 	// One that leaves, or sheds, is not to begin anew meanwhile.
-	words := b.words.Load()
-	words.mu.Lock()
-	isBusy := words.leaves || words.sheds
-	words.mu.Unlock()
-	isLate := isBusy || b.gone || time.Since(time.UnixMilli(born)) < awayTime
+	notices := b.notices.Load()
+	notices.mu.Lock()
+	isBusy := notices.leaving || notices.shedding
+	notices.mu.Unlock()
+	isUnavailable := isBusy || b.isRetired || time.Since(time.UnixMilli(startedAt)) < restartDelay
 	b.mu.Unlock()
-	if isLate || b.leftAt.Load() != 0 {
+	if isUnavailable || b.leavingAt.Load() != 0 {
 		return
 	}
 	b.proxy.close()
 	_ = server.Close()
-	b.ledger.endedUnder(b)
-	time.Sleep(awayTime)
+	b.recorder.recordCrash(b)
+	time.Sleep(restartDelay)
 	host, _, _ := net.SplitHostPort(b.proxy.address)
-	address, err := b.live(host)
+	address, err := b.startIncarnation(host)
 	if err != nil {
 		return
 	}
 	b.mu.Lock()
-	gone := b.gone
+	isRetired := b.isRetired
 	b.mu.Unlock()
-	if gone || b.proxy.open(b.proxy.address, address) != nil {
+	if isRetired || b.proxy.open(b.proxy.address, address) != nil {
 		return
 	}
-	b.proxy.setMode(pathPasses)
-	if b.leftAt.Load() == 0 {
+	b.proxy.setMode(pathForwards)
+	if b.leavingAt.Load() == 0 {
 		b.store.put("servers", b.id, b.specification("ready"))
 	}
 }
@@ -139,12 +139,12 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	leaves, sheds := b.arrived(b.ledger.find(id))
-	if leaves {
+	leaving, shedding := b.checkArrival(b.recorder.find(id))
+	if leaving {
 		w.Header().Set("Server-Leaving", "1")
 	}
-	if sheds {
-		shed(w)
+	if shedding {
+		rejectRequest(w)
 		return
 	}
 	if rand.IntN(50) == 0 {
@@ -156,18 +156,18 @@
 	if err != nil {
 		return
 	}
-	b.ledger.ran(id, b)
-	if string(body) == endingBody {
+	b.recorder.recordRun(id, b)
+	if string(body) == crashBody {
 		time.Sleep(10 * time.Millisecond)
-		go b.end()
+		go b.crashAndRestart()
 		<-r.Context().Done()
 		return
 	}
 	w.Header().Set("Response-Stamp", b.id)
-	if r.Header.Get("Authorization") != "" || string(body) != bodyOf(id) && string(body) != endingBody {
-		b.ledger.violated("request %s reached %s with a key, or with another body", id, b.id)
+	if r.Header.Get("Authorization") != "" || string(body) != requestBody(id) && string(body) != crashBody {
+		b.recorder.addViolation("request %s reached %s with a key, or with another body", id, b.id)
 	}
-	if rand.Int32N(100) < b.failing.Load()+usualFailures {
+	if rand.Int32N(100) < b.failing.Load()+baseFailurePercent {
 		if rand.IntN(2) == 0 {
 			// The answer is lost with its connection.
 			panic(http.ErrAbortHandler)
@@ -180,7 +180,7 @@
 		return
 	}
 	time.Sleep(time.Duration(10+rand.IntN(40)) * time.Millisecond)
-	_, _ = io.WriteString(w, answerOf(id))
+	_, _ = io.WriteString(w, responseBody(id))
 }
 
 // stream writes the request's events, from the one after the last it has.
@@ -188,7 +188,7 @@
 	w.Header().Set("Content-Type", "text/event-stream")
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
 	flusher := http.NewResponseController(w)
-	for n := last + 1; n <= eventsOf(id); n++ {
+	for n := last + 1; n <= eventCount(id); n++ {
 		time.Sleep(time.Duration(5+rand.IntN(20)) * time.Millisecond)
 		if _, err := fmt.Fprintf(w, "id: %d\ndata: %s\n\n", n, id); err != nil {
 			return
--- a/cmd/slipwickd/soak/caller_test.go
+++ b/cmd/slipwickd/soak/caller_test.go
@@ -39,7 +39,7 @@
 // run calls until ctx ends.
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		g := c.fleet.choose(c.random)
+		g := c.fleet.randomReadyGateway(c.random)
 		if g == nil {
 			time.Sleep(20 * time.Millisecond)
 			continue
@@ -51,28 +51,28 @@
 
 // call makes one request and notes how it ended; true says it was served.
 func (c *caller) call(g *gateway, route string) bool {
-	return c.ask(g, route, "")
+	return c.send(g, route, "")
 }
 
 // ask does so with a body; an empty one stands for the request's own.
-func (c *caller) ask(g *gateway, route, body string) bool {
-	s := &sent{
-		id:      fmt.Sprintf("%s-%d", c.name, c.requests.Add(1)),
-		route:   route,
-		gateway: g,
-		at:      time.Now(),
-		ends:    body != "",
+func (c *caller) send(g *gateway, route, body string) bool {
+	s := &sentRequest{
+		id:             fmt.Sprintf("%s-%d", c.name, c.requests.Add(1)),
+		route:          route,
+		gateway:        g,
+		sentAt:         time.Now(),
+		crashesServers: body != "",
 	}
 	if body == "" {
-		body = bodyOf(s.id)
+		body = requestBody(s.id)
 	}
-	c.fleet.ledger.sends(s)
+	c.fleet.recorder.addRequest(s)
 	ctx, cancel := context.WithTimeout(context.Background(), 6*time.Second)
 	defer cancel()
 	address := fmt.Sprintf("http://%s:%d/%s/x", g.host, callersPort, route)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, strings.NewReader(body))
 	if err != nil {
-		c.fleet.ledger.violated("the soak's own request: %v", err)
+		c.fleet.recorder.addViolation("the soak's own request: %v", err)
 		return false
 	}
 	// The transport is not to repeat requests by itself.
@@ -87,19 +87,19 @@
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		c.fleet.ledger.end(s, 0, "", err)
+		c.fleet.recorder.recordOutcome(s, 0, "", err)
 		time.Sleep(20 * time.Millisecond)
 		return false
 	}
-	answer, err := io.ReadAll(response.Body)
+	received, err := io.ReadAll(response.Body)
 	_ = response.Body.Close()
-	c.fleet.ledger.end(s, response.StatusCode, string(answer), err)
+	c.fleet.recorder.recordOutcome(s, response.StatusCode, string(received), err)
 	if response.Header.Get("Server-Leaving") != "" {
-		c.fleet.passedOn(s, response.Header.Get("Response-Stamp"))
+		c.fleet.recordLeavingNotice(s, response.Header.Get("Response-Stamp"))
 	}
 	if response.StatusCode == http.StatusServiceUnavailable {
 		if response.Header.Get("Retry-After") == "" {
-			c.fleet.ledger.violated("request %s was refused without a time to come back", s.id)
+			c.fleet.recorder.addViolation("request %s was refused without a time to come back", s.id)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/cmd/slipwickd/soak/fleet_test.go
+++ b/cmd/slipwickd/soak/fleet_test.go
@@ -16,19 +16,19 @@
 )
 
 const (
-	gateways       = 4
-	startEngines   = 5
-	startPlain     = 3
-	poolEngines    = "engines"
-	poolPlain      = "plain"
-	readyEvery     = 200 * time.Millisecond
-	firstReadyTime = 5 * time.Second
+	gatewayCount  = 4
+	engineCount   = 5
+	plainCount    = 3
+	poolEngines   = "engines"
+	poolPlain     = "plain"
+	readyInterval = 200 * time.Millisecond
+	startTimeout  = 5 * time.Second
 )
 
 // fleet is the system under the soak and what stands around it.
 type fleet struct {
 	t        *testing.T
-	ledger   *ledger
+	recorder *recorder
 	store    *store
 	gateways []*gateway
 
@@ -36,26 +36,26 @@
 	ready    []*gateway
 	backends []*backend
 	// leavers are those that said in answers that they leave.
-	leavers []*backend
-	made    int
+	announcers   []*backend
+	backendCount int
 	// version is the newest configuration, which the store took at took.
-	version int
-	took    time.Time
+	version    int
+	acceptedAt time.Time
 }
 
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	host := loopback.Host()
 	f := &fleet{
-		t:      t,
-		ledger: newLedger(),
-		store:  newStore(t, host),
+		t:        t,
+		recorder: newRecorder(),
+		store:    newStore(t, host),
 	}
-	f.ledger.store = f.store
-	for range startEngines {
+	f.recorder.store = f.store
+	for range engineCount {
 		f.addBackend(poolEngines)
 	}
-	for range startPlain {
+	for range plainCount {
 		f.addBackend(poolPlain)
 	}
 	f.configure()
@@ -66,7 +66,7 @@
 	folder := t.TempDir()
 	prefix := strings.TrimSuffix(host, "1")
 	var seeds []string
-	for i := range gateways {
+	for i := range gatewayCount {
 		g := &gateway{
 			name:   fmt.Sprintf("g%d", i),
 			host:   fmt.Sprintf("%s%d", prefix, 10+i),
@@ -79,9 +79,9 @@
 		}
 	}
 	for i, g := range f.gateways {
-		g.write(t, f.store.address, fmt.Sprintf("zone-%d", i%2), seeds, true)
+		g.writeSettings(t, f.store.address, fmt.Sprintf("zone-%d", i%2), seeds, true)
 		g.start(t)
-		g.write(t, f.store.address, fmt.Sprintf("zone-%d", i%2), seeds, false)
+		g.writeSettings(t, f.store.address, fmt.Sprintf("zone-%d", i%2), seeds, false)
 		t.Cleanup(g.kill)
 	}
 	return f
@@ -91,15 +91,15 @@
 func (f *fleet) addBackend(pool string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.made++
-	id, zone := fmt.Sprintf("b%d", f.made), fmt.Sprintf("zone-%d", f.made%2)
-	b := newBackend(f.t, f.store, f.ledger, loopback.Host(), id, pool, zone)
+	f.backendCount++
+	id, zone := fmt.Sprintf("b%d", f.backendCount), fmt.Sprintf("zone-%d", f.backendCount%2)
+	b := newBackend(f.t, f.store, f.recorder, loopback.Host(), id, pool, zone)
 	f.backends = append(f.backends, b)
 	f.store.put("servers", b.id, b.specification("ready"))
 }
 
 // take takes a backend server out of the list, one that its pool can spare.
-func (f *fleet) take(random *rand.Rand) *backend {
+func (f *fleet) takeBackend(random *rand.Rand) *backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, i := range random.Perm(len(f.backends)) {
@@ -130,7 +130,7 @@
 }
 
 // some gives a backend server that is listed.
-func (f *fleet) some(random *rand.Rand) *backend {
+func (f *fleet) randomBackend(random *rand.Rand) *backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.backends[random.IntN(len(f.backends))]
@@ -141,7 +141,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.version++
-	list := []map[string]any{
+	routeList := []map[string]any{
 		{
 			"name": "probe", "host": "probe.example", "path_prefix": fmt.Sprintf("/v%d/", f.version), "kind": "safe",
 			"timeout_ms": 1000, "service": "nobody", "max_attempts": 1, "allow_anonymous": true,
@@ -159,14 +159,14 @@
 		if route == routeRepeatable || route == routeResumable {
 			attempts = 2
 		}
-		list = append(list, map[string]any{
+		routeList = append(routeList, map[string]any{
 			"name": route, "host": "soak.example", "path_prefix": "/" + route + "/", "kind": kinds[route],
 			"timeout_ms": 4000, "target_latency_ms": 300, "service": service, "max_attempts": attempts,
 			"session_affinity": isStream, "resume_streams": route == routeResumable,
 		})
 	}
 	f.store.put("config", "main", map[string]any{
-		"version": f.version, "routes": list,
+		"version": f.version, "routes": routeList,
 		"services": []map[string]any{
 			{"name": poolPlain, "max_connections": 300},
 			{"name": poolEngines, "max_connections": 300, "inference_engine": map[string]any{"link_mbps": 0}},
@@ -175,12 +175,12 @@
 		"limits":  map[string]int{"max_header_bytes": 16384, "max_body_bytes": 1 << 20, "idle_timeout_ms": 15000},
 		"tenants": []map[string]any{{"name": "w", "api_keys": []string{"a-long-key-of-the-soak"}}},
 	})
-	f.took = time.Now()
+	f.acceptedAt = time.Now()
 }
 
 // watch keeps the list of gateways that are ready, as the platform's balancer
 // does, and probes the configuration in force.
-func (f *fleet) watch(done <-chan struct{}) {
+func (f *fleet) pollGateways(done <-chan struct{}) {
 	for {
 		var ready []*gateway
 		for _, g := range f.gateways {
@@ -195,7 +195,7 @@
 		select {
 		case <-done:
 			return
-		case <-time.After(readyEvery):
+		case <-time.After(readyInterval):
 		}
 	}
 }
@@ -204,27 +204,28 @@
 // and none may be older than one that was.
 func (f *fleet) probe(g *gateway) {
 	f.mu.Lock()
-	version, took := f.version, f.took
+	version, acceptedAt := f.version, f.acceptedAt
 	f.mu.Unlock()
 	g.mu.Lock()
-	seen, process := g.version, g.life
+	lastSeen, process := g.version, g.running
 	g.mu.Unlock()
-	if seen > 0 && seen == version && f.inForce(g, version) == http.StatusNotFound {
-		f.reverted(g, process, version)
+	if lastSeen > 0 && lastSeen == version && f.probeStatus(g, version) == http.StatusNotFound {
+		f.checkReverted(g, process, version)
 	}
-	if seen == version {
+	if lastSeen == version {
 		return
 	}
-	switch f.inForce(g, version) {
+	switch f.probeStatus(g, version) {
 	case 0:
 	case http.StatusNotFound:
-		isDue := time.Since(took) > configBound
-		if isDue && f.store.healthyFor() > settleTime && g.calmFor() > settleTime {
-			f.ledger.violated("%s has not version %d in force %v after it was accepted", g.name, version, time.Since(took))
+		isDue := time.Since(acceptedAt) > maxConfigDelay
+		if isDue && f.store.healthyFor() > settleTime && g.undisturbedFor() > settleTime {
+			f.recorder.addViolation("%s has not applied version %d %v after the store accepted it",
+				g.name, version, time.Since(acceptedAt))
 		}
 	default:
 		g.mu.Lock()
-		if g.life == process {
+		if g.running == process {
 			g.version = version
 		}
 		g.mu.Unlock()
@@ -232,19 +233,19 @@
 }
 
 // reverted notes a version that is no longer in force though no newer one is.
-func (f *fleet) reverted(g *gateway, process *life, version int) {
+func (f *fleet) checkReverted(g *gateway, process *gatewayProcess, version int) {
 	f.mu.Lock()
 	newest := f.version
 	f.mu.Unlock()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if newest == version && g.life == process {
-		f.ledger.violated("%s went back behind version %d", g.name, version)
+	if newest == version && g.running == process {
+		f.recorder.addViolation("%s went back behind version %d", g.name, version)
 	}
 }
 
 // inForce gives the status of a version's probing route; 0 without an answer.
-func (f *fleet) inForce(g *gateway, version int) int {
+func (f *fleet) probeStatus(g *gateway, version int) int {
 	client := &http.Client{
 		Timeout: 300 * time.Millisecond,
 	}
@@ -262,7 +263,7 @@
 }
 
 // choose gives a gateway that is ready.
-func (f *fleet) choose(random *rand.Rand) *gateway {
+func (f *fleet) randomReadyGateway(random *rand.Rand) *gateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.ready) == 0 {
--- a/cmd/slipwickd/soak/gateway_test.go
+++ b/cmd/slipwickd/soak/gateway_test.go
@@ -23,7 +23,7 @@
 )
 
 // grace is how long a gateway has from SIGTERM to its end.
-const grace = 6 * time.Second
+const gracePeriod = 6 * time.Second
 
 // gateway is one real gateway process after the other, at one address.
 type gateway struct {
@@ -34,24 +34,24 @@
 
 	mu sync.Mutex
 	// life is the process that runs; nil when none does.
-	life *life
+	running *gatewayProcess
 	// output is what the latest process wrote.
 	output *bytes.Buffer
 	// disturbed is when something last befell it; held says that it goes on.
 	disturbed time.Time
-	held      bool
+	isLasting bool
 	// version is the newest configuration seen in force in this life.
 	version int
 }
 
 // life is one process of a gateway.
-type life struct {
+type gatewayProcess struct {
 	process *os.Process
 	exited  chan struct{}
 }
 
 // write writes the settings file that the platform would.
-func (g *gateway) write(t *testing.T, storeAddress, zone string, seeds []string, first bool) {
+func (g *gateway) writeSettings(t *testing.T, storeAddress, zone string, seeds []string, bootstrap bool) {
 	t.Helper()
 	settings := map[string]any{
 		"node_name": g.name, "ip_address": g.host, "zone": zone, "region": "r",
@@ -61,10 +61,10 @@
 		},
 		"internal_port_range": []int{peersPort, peersPort + 9},
 		"seed_nodes":          seeds,
-		"bootstrap":           first,
+		"bootstrap":           bootstrap,
 		"limits":              map[string]int{"memory_mb": 284},
 		"bounds": map[string]float64{
-			"grace_period_s": grace.Seconds(), "retry_budget_ratio": 0.2, "retry_budget_extra": 50, "retry_window_s": 10,
+			"grace_period_s": gracePeriod.Seconds(), "retry_budget_ratio": 0.2, "retry_budget_extra": 50, "retry_window_s": 10,
 		},
 		"platform_settings": map[string]string{"address": storeAddress},
 	}
@@ -72,30 +72,30 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(g.settings(), text, 0o600); err != nil {
+	if err := os.WriteFile(g.settingsPath(), text, 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-func (g *gateway) settings() string { return filepath.Join(g.folder, g.name+".json") }
+func (g *gateway) settingsPath() string { return filepath.Join(g.folder, g.name+".json") }
 
 // start starts a process, unless one runs.
 func (g *gateway) start(t *testing.T) {
 	t.Helper()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.life != nil {
+	if g.running != nil {
 		return
 	}
 	process := exec.Command(g.binary, "gateway")
-	process.Env = append(os.Environ(), "SLIPWICK_NODE_FILE="+g.settings())
+	process.Env = append(os.Environ(), "SLIPWICK_NODE_FILE="+g.settingsPath())
 	output := &bytes.Buffer{}
 	process.Stdout, process.Stderr = output, output
 	if err := process.Start(); err != nil {
 		t.Errorf("start %s: %v", g.name, err)
 		return
 	}
-	started := &life{
+	started := &gatewayProcess{
 		process: process.Process,
 		exited:  make(chan struct{}),
 	}
@@ -104,50 +104,50 @@
 		_ = process.Wait()
 		close(started.exited)
 	}()
-	g.life, g.output, g.disturbed, g.held, g.version = started, output, time.Now(), false, 0
+	g.running, g.output, g.disturbed, g.isLasting, g.version = started, output, time.Now(), false, 0
 }
 
 // signal sends a signal, and gives the process that got it; held says that it
 // leaves the gateway disturbed until the next one.
-func (g *gateway) signal(signal syscall.Signal, held bool) *life {
+func (g *gateway) signal(signal syscall.Signal, isLasting bool) *gatewayProcess {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.life == nil {
+	if g.running == nil {
 		return nil
 	}
 	// A process that has ended needs no signal.
-	_ = g.life.process.Signal(signal)
+	_ = g.running.process.Signal(signal)
 	if signal != syscall.SIGHUP && signal != syscall.SIGTERM {
-		g.disturbed, g.held = time.Now(), held
+		g.disturbed, g.isLasting = time.Now(), isLasting
 	}
-	return g.life
+	return g.running
 }
 
 // kill ends the process at once.
 func (g *gateway) kill() {
 	if killed := g.signal(syscall.SIGKILL, true); killed != nil {
 		<-killed.exited
-		g.ended(killed)
+		g.clearProcess(killed)
 	}
 }
 
 // terminate asks the process to end, and waits until it has. Nobody who has a
 // request there is to notice, so that it does not count as a disturbance.
-func (g *gateway) terminate(l *ledger) {
+func (g *gateway) terminate(r *recorder) {
 	stopped := g.signal(syscall.SIGTERM, false)
 	if stopped == nil {
 		return
 	}
-	for asked := time.Now(); ; time.Sleep(readyEvery) {
+	for signaledAt := time.Now(); ; time.Sleep(readyInterval) {
 		select {
 		case <-stopped.exited:
-			g.ended(stopped)
+			g.clearProcess(stopped)
 			return
 		default:
 		}
 		// A pause meanwhile puts the end off.
-		if calm := min(g.calmFor(), time.Since(asked)); calm > grace+time.Second {
-			l.violated("%s still runs %v after SIGTERM", g.name, time.Since(asked))
+		if undisturbed := min(g.undisturbedFor(), time.Since(signaledAt)); undisturbed > gracePeriod+time.Second {
+			r.addViolation("%s still runs %v after SIGTERM", g.name, time.Since(signaledAt))
 			g.kill()
 			return
 		}
@@ -155,19 +155,19 @@
 }
 
 // ended forgets a process, unless another runs by now.
-func (g *gateway) ended(process *life) {
+func (g *gateway) clearProcess(process *gatewayProcess) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.life == process {
-		g.life = nil
+	if g.running == process {
+		g.running = nil
 	}
 }
 
 // calmFor is for how long nothing but planned work has befallen it.
-func (g *gateway) calmFor() time.Duration {
+func (g *gateway) undisturbedFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.held {
+	if g.isLasting {
 		return 0
 	}
 	return time.Since(g.disturbed)
--- a/cmd/slipwickd/soak/notices_test.go
+++ b/cmd/slipwickd/soak/notices_test.go
@@ -11,120 +11,120 @@
 const (
 	// wordBound is how long after a gateway passed on an answer that says so it may send
 	// on to a server that leaves what callers send later.
-	wordBound = time.Second
+	maxAnnounceDelay = time.Second
 	// askedRest is what servers that shed ask for. Within it, but for restOnWay at its
 	// start, a gateway may send at most mostInRest requests.
-	askedRest  = 1500 * time.Millisecond
-	restOnWay  = 500 * time.Millisecond
-	mostInRest = 2
+	requestedPause = 1500 * time.Millisecond
+	pauseDelay     = 500 * time.Millisecond
+	maxDuringPause = 2
 )
 
 // words are what one life of a backend server told each gateway.
-type words struct {
+type notices struct {
 	mu sync.Mutex
 	// leaves and sheds are what it says of itself now.
-	leaves, sheds bool
+	leaving, shedding bool
 	// heard is when a caller of a gateway first got an answer that says that it leaves.
-	heard map[*gateway]time.Time
+	announcedAt map[*gateway]time.Time
 	// asked is when it asked a gateway for rest last, inRest what came since.
-	asked  map[*gateway]time.Time
-	inRest map[*gateway]int
+	pausedAt    map[*gateway]time.Time
+	duringPause map[*gateway]int
 }
 
-func newWords() *words {
-	return &words{
-		heard:  make(map[*gateway]time.Time),
-		asked:  make(map[*gateway]time.Time),
-		inRest: make(map[*gateway]int),
+func newNotices() *notices {
+	return &notices{
+		announcedAt: make(map[*gateway]time.Time),
+		pausedAt:    make(map[*gateway]time.Time),
+		duringPause: make(map[*gateway]int),
 	}
 }
 
 // isOfThisLife tells whether a gateway knows what it was told then: nothing befell it since.
-func isOfThisLife(g *gateway, told time.Time) bool {
-	return !told.IsZero() && g.calmFor() > time.Since(told)
+func isRemembered(g *gateway, noticedAt time.Time) bool {
+	return !noticedAt.IsZero() && g.undisturbedFor() > time.Since(noticedAt)
 }
 
 // arrived checks that a request may come, and gives what the answer has to say.
-func (b *backend) arrived(s *sent) (leaves, sheds bool) {
+func (b *backend) checkArrival(s *sentRequest) (leaving, shedding bool) {
 	if s == nil {
 		return false, false
 	}
-	w, g := b.words.Load(), s.gateway
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if at := w.heard[g]; isOfThisLife(g, at) && s.at.Sub(at) > wordBound {
-		b.ledger.violated("%s got request %s of %s, sent %v after an answer said that it leaves",
-			b.id, s.id, g.name, s.at.Sub(at))
+	n, g := b.notices.Load(), s.gateway
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if at := n.announcedAt[g]; isRemembered(g, at) && s.sentAt.Sub(at) > maxAnnounceDelay {
+		b.recorder.addViolation("%s got request %s of %s, sent %v after an answer said that it leaves",
+			b.id, s.id, g.name, s.sentAt.Sub(at))
 	}
-	if at := w.asked[g]; isOfThisLife(g, at) && time.Since(at) > restOnWay && time.Since(at) < askedRest {
-		w.inRest[g]++
-		if w.inRest[g] > mostInRest {
-			b.ledger.violated("%s got %d requests of %s in the rest that it asked for", b.id, w.inRest[g], g.name)
+	if at := n.pausedAt[g]; isRemembered(g, at) && time.Since(at) > pauseDelay && time.Since(at) < requestedPause {
+		n.duringPause[g]++
+		if n.duringPause[g] > maxDuringPause {
+			b.recorder.addViolation("%s got %d requests of %s in the rest that it asked for", b.id, n.duringPause[g], g.name)
 		}
 	}
-	if w.sheds {
-		if time.Since(w.asked[g]) > askedRest {
-			w.inRest[g] = 0
+	if n.shedding {
+		if time.Since(n.pausedAt[g]) > requestedPause {
+			n.duringPause[g] = 0
 		}
-		w.asked[g] = time.Now()
+		n.pausedAt[g] = time.Now()
 	}
-	return w.leaves, w.sheds
+	return n.leaving, n.shedding
 }
 
 // shed turns a request away.
-func shed(w http.ResponseWriter) {
+func rejectRequest(w http.ResponseWriter) {
 	w.Header().Set("Not-Executed", "1")
-	w.Header().Set("Retry-After", strconv.FormatFloat(askedRest.Seconds(), 'f', -1, 64))
+	w.Header().Set("Retry-After", strconv.FormatFloat(requestedPause.Seconds(), 'f', -1, 64))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
 // passedOn notes an answer that a caller got, and that says that its server leaves.
-func (f *fleet) passedOn(s *sent, server string) {
+func (f *fleet) recordLeavingNotice(s *sentRequest, server string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, b := range f.leavers {
+	for _, b := range f.announcers {
 		if b.id != server {
 			continue
 		}
-		w := b.words.Load()
-		w.mu.Lock()
-		if !isOfThisLife(s.gateway, w.heard[s.gateway]) {
-			w.heard[s.gateway] = time.Now()
+		n := b.notices.Load()
+		n.mu.Lock()
+		if !isRemembered(s.gateway, n.announcedAt[s.gateway]) {
+			n.announcedAt[s.gateway] = time.Now()
 		}
-		w.mu.Unlock()
+		n.mu.Unlock()
 	}
 }
 
 // leaveUnheard has a backend server say in its answers that it leaves before its entry
 // can, serve on, and end.
-func leaveUnheard(f *fleet, random *rand.Rand, _ time.Duration) {
-	b := f.take(random)
+func announceLeaving(f *fleet, random *rand.Rand, _ time.Duration) {
+	b := f.takeBackend(random)
 	if b == nil {
 		return
 	}
 	f.addBackend(b.pool)
 	f.mu.Lock()
-	f.leavers = append(f.leavers, b)
+	f.announcers = append(f.announcers, b)
 	f.mu.Unlock()
-	w := b.words.Load()
-	w.mu.Lock()
-	w.leaves = true
-	w.mu.Unlock()
-	time.Sleep(leaveBound)
+	n := b.notices.Load()
+	n.mu.Lock()
+	n.leaving = true
+	n.mu.Unlock()
+	time.Sleep(maxLeaveDelay)
 	f.store.put("servers", b.id, b.specification("draining"))
-	b.leftAt.Store(time.Now().UnixNano())
-	time.Sleep(leaveBound + time.Second)
+	b.leavingAt.Store(time.Now().UnixNano())
+	time.Sleep(maxLeaveDelay + time.Second)
 	f.store.removeServer(b.id)
 	b.crash()
 }
 
 // shedLoad has a backend server turn all away for a while, and ask for rest.
-func shedLoad(f *fleet, random *rand.Rand, length time.Duration) {
-	w := f.some(random).words.Load()
-	for _, sheds := range []bool{true, false} {
-		w.mu.Lock()
-		w.sheds = sheds
-		w.mu.Unlock()
-		time.Sleep(length)
+func shedLoad(f *fleet, random *rand.Rand, duration time.Duration) {
+	n := f.randomBackend(random).notices.Load()
+	for _, shedding := range []bool{true, false} {
+		n.mu.Lock()
+		n.shedding = shedding
+		n.mu.Unlock()
+		time.Sleep(duration)
 	}
 }
--- a/cmd/slipwickd/soak/proxy_test.go
+++ b/cmd/slipwickd/soak/proxy_test.go
@@ -14,17 +14,17 @@
 type pathMode int32
 
 const (
-	pathPasses pathMode = iota
+	pathForwards pathMode = iota
 	// pathDelays holds each piece for a while.
 	pathDelays
 	// pathSilent passes nothing, pathOneWay nothing back; connections stay.
-	pathSilent
-	pathOneWay
+	pathStalls
+	pathStallsResponses
 	// pathResets resets connections that are there and that come.
 	pathResets
 )
 
-const pathDelay = 80 * time.Millisecond
+const readDelay = 80 * time.Millisecond
 
 // proxy stands between gateways and one backend server.
 type proxy struct {
@@ -99,9 +99,9 @@
 	_ = conn.Close()
 }
 
-func (p *proxy) serve(caller net.Conn) {
+func (p *proxy) serve(client net.Conn) {
 	if pathMode(p.mode.Load()) == pathResets {
-		reset(caller)
+		reset(client)
 		return
 	}
 	p.mu.Lock()
@@ -109,28 +109,28 @@
 	p.mu.Unlock()
 	server, err := net.Dial("tcp4", target)
 	if err != nil {
-		reset(caller)
+		reset(client)
 		return
 	}
 	p.mu.Lock()
-	p.conns[caller], p.conns[server] = true, true
+	p.conns[client], p.conns[server] = true, true
 	p.mu.Unlock()
-	var both sync.WaitGroup
-	both.Go(func() { p.pass(server, caller, false) })
-	both.Go(func() { p.pass(caller, server, true) })
-	both.Wait()
+	var copies sync.WaitGroup
+	copies.Go(func() { p.copyBytes(server, client, false) })
+	copies.Go(func() { p.copyBytes(client, server, true) })
+	copies.Wait()
 	p.mu.Lock()
-	delete(p.conns, caller)
+	delete(p.conns, client)
 	delete(p.conns, server)
 	p.mu.Unlock()
 }
 
 // pass copies until either side ends, and ends the other side alike.
-func (p *proxy) pass(to, from net.Conn, isBack bool) {
+func (p *proxy) copyBytes(to, from net.Conn, isResponse bool) {
 	buffer := make([]byte, 16<<10)
 	for {
 		n, err := from.Read(buffer)
-		for p.isHeld(isBack) {
+		for p.isStalled(isResponse) {
 			time.Sleep(5 * time.Millisecond)
 		}
 		if n > 0 {
@@ -151,14 +151,14 @@
 }
 
 // isHeld tells whether bytes have to wait; a delay is waited for here.
-func (p *proxy) isHeld(isBack bool) bool {
+func (p *proxy) isStalled(isResponse bool) bool {
 	switch pathMode(p.mode.Load()) {
 	case pathDelays:
-		time.Sleep(pathDelay)
-	case pathSilent:
+		time.Sleep(readDelay)
+	case pathStalls:
 		return true
-	case pathOneWay:
-		return isBack
+	case pathStallsResponses:
+		return isResponse
 	default:
 	}
 	return false
--- a/cmd/slipwickd/soak/soak_test.go
+++ b/cmd/slipwickd/soak/soak_test.go
@@ -12,12 +12,12 @@
 )
 
 var (
-	seedFlag = flag.Uint64("soak-seed", 0, "the seed of one run; without it the short runs of CI")
-	forFlag  = flag.Duration("soak-for", 20*time.Second, "how long faults come in a run of -soak-seed")
+	seedFlag     = flag.Uint64("soak-seed", 0, "the seed of one run; without it the short runs of CI")
+	durationFlag = flag.Duration("soak-for", 20*time.Second, "how long faults come in a run of -soak-seed")
 )
 
 // seedsThatFailed are seeds that broke a promise once, with the cause.
-var seedsThatFailed = []struct {
+var regressionSeeds = []struct {
 	seed  uint64
 	cause string
 }{
@@ -25,62 +25,62 @@
 }
 
 const (
-	callers  = 24
-	shortRun = 8 * time.Second
+	callerCount = 24
+	shortRun    = 8 * time.Second
 	// quietEnd is how long everything is left alone at the end of a run, and
 	// endShare the part of the requests after it that has to be served.
-	quietEnd = 5 * time.Second
-	endShare = 0.9
+	recoveryTime      = 5 * time.Second
+	minRecoveredShare = 0.9
 	// leastServed is how many requests of each route make a run worth its name.
-	leastServed = 50
+	minServedPerRoute = 50
 )
 
 func TestSoak(t *testing.T) {
 	if *seedFlag != 0 {
-		soak(t, *seedFlag, *forFlag)
+		soak(t, *seedFlag, *durationFlag)
 		return
 	}
 	t.Run("seed 1", func(t *testing.T) { soak(t, 1, shortRun) })
-	for _, failed := range seedsThatFailed {
+	for _, failed := range regressionSeeds {
 		t.Run(fmt.Sprintf("seed %d", failed.seed), func(t *testing.T) { soak(t, failed.seed, shortRun) })
 	}
 }
 
 // soak runs the fleet under the faults of a seed and checks what was seen.
-func soak(t *testing.T, seed uint64, length time.Duration) {
+func soak(t *testing.T, seed uint64, duration time.Duration) {
 	f := newFleet(t)
 	done := make(chan struct{})
-	var parts sync.WaitGroup
-	parts.Go(func() { f.watch(done) })
-	for started := time.Now(); ; time.Sleep(readyEvery) {
-		if f.choose(rand.New(rand.NewPCG(seed, 0))) != nil {
+	var tasks sync.WaitGroup
+	tasks.Go(func() { f.pollGateways(done) })
+	for started := time.Now(); ; time.Sleep(readyInterval) {
+		if f.randomReadyGateway(rand.New(rand.NewPCG(seed, 0))) != nil {
 			break
 		}
-		if time.Since(started) > firstReadyTime {
-			t.Fatalf("no gateway is ready after %v: %s", firstReadyTime, f.gateways[0].output)
+		if time.Since(started) > startTimeout {
+			t.Fatalf("no gateway is ready after %v: %s", startTimeout, f.gateways[0].output)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	for i := range callers {
-		parts.Go(func() { newCaller(f, fmt.Sprintf("c%d", i), seed+uint64(i)).run(ctx) })
+	for i := range callerCount {
+		tasks.Go(func() { newCaller(f, fmt.Sprintf("c%d", i), seed+uint64(i)).run(ctx) })
 	}
-	f.disturb(rand.New(rand.NewPCG(seed, 1)), length)
-	time.Sleep(quietEnd)
+	f.injectFaults(rand.New(rand.NewPCG(seed, 1)), duration)
+	time.Sleep(recoveryTime)
 	stop()
 	f.checkRecovered(seed)
 	close(done)
-	parts.Wait()
-	f.ledger.checkRefusals()
-	ends, late := f.ledger.checkEndings()
-	t.Logf("seed %d: %d backend servers ended under a request, which reached others %d times later", seed, ends, late)
-	served, statuses := f.ledger.totals()
+	tasks.Wait()
+	f.recorder.checkRefusals()
+	crashes, late := f.recorder.checkQuarantine()
+	t.Logf("seed %d: %d backend servers ended under a request, which reached others %d times later", seed, crashes, late)
+	served, statuses := f.recorder.totals()
 	t.Logf("seed %d: served %v, by status %v", seed, served, statuses)
 	for _, route := range routes {
-		if served[route] < leastServed {
+		if served[route] < minServedPerRoute {
 			t.Errorf("got %d %s requests served, want enough to tell anything", served[route], route)
 		}
 	}
-	for _, v := range f.ledger.violations {
+	for _, v := range f.recorder.violations {
 		t.Errorf("seed %d: %s", seed, v)
 	}
 	if t.Failed() {
@@ -93,23 +93,23 @@
 
 // checkRecovered has callers make requests when all is calm again.
 func (f *fleet) checkRecovered(seed uint64) {
-	const tries = 80
+	const requestCount = 80
 	c := newCaller(f, "end", seed)
 	served := 0
-	for i := range tries {
-		if g := f.choose(c.random); g != nil && c.call(g, routes[i%len(routes)]) {
+	for i := range requestCount {
+		if g := f.randomReadyGateway(c.random); g != nil && c.call(g, routes[i%len(routes)]) {
 			served++
 		}
 	}
-	if served < int(endShare*tries) {
-		f.ledger.violated("at the end %d of %d requests were served", served, tries)
+	if served < int(minRecoveredShare*requestCount) {
+		f.recorder.addViolation("at the end %d of %d requests were served", served, requestCount)
 	}
 }
 
 // fault is one thing that befalls the fleet; it returns when it is over.
 type fault struct {
 	name   string
-	befall func(f *fleet, random *rand.Rand, length time.Duration)
+	inject func(f *fleet, random *rand.Rand, duration time.Duration)
 }
 
 var faults = []fault{
@@ -117,38 +117,38 @@
 	{"pause a gateway", pauseGateway},
 	{"stop a gateway", stopGateway},
 	{"stop a gateway", stopGateway},
-	{"hang up", hangUp},
-	{"kill all gateways", killAll},
-	{"disturb the store", disturbStore},
-	{"have the store come back from a copy", fallBackStore},
-	{"have the store come back from a copy", fallBackStore},
-	{"disturb a path", disturbPath},
-	{"disturb a path", disturbPath},
+	{"hang up", sendHangUp},
+	{"kill all gateways", killAllGateways},
+	{"disturb the store", degradeStore},
+	{"have the store come back from a copy", restoreStore},
+	{"have the store come back from a copy", restoreStore},
+	{"disturb a path", degradePath},
+	{"disturb a path", degradePath},
 	{"fail a backend server", failBackend},
 	{"fail a backend server", failBackend},
 	{"crash a backend server", crashBackend},
 	{"drain a backend server", drainBackend},
 	{"drain a backend server", drainBackend},
-	{"leave before the entry says so", leaveUnheard},
+	{"leave before the entry says so", announceLeaving},
 	{"shed and ask for rest", shedLoad},
 	{"shed and ask for rest", shedLoad},
-	{"new versions", newVersions},
-	{"end servers under a request", endServers},
-	{"write foreign entries", writeForeign},
+	{"new versions", writeVersions},
+	{"end servers under a request", sendCrashRequests},
+	{"write foreign entries", writeInvalidEntries},
 }
 
 // disturb brings faults about for a time, several at once, and waits until they
 // are over.
-func (f *fleet) disturb(random *rand.Rand, length time.Duration) {
+func (f *fleet) injectFaults(random *rand.Rand, duration time.Duration) {
 	var running sync.WaitGroup
 	began := time.Now()
-	for time.Since(began) < length {
+	for time.Since(began) < duration {
 		time.Sleep(time.Duration(50+random.IntN(400)) * time.Millisecond)
-		befalls := faults[random.IntN(len(faults))]
-		own := rand.New(rand.NewPCG(random.Uint64(), 2))
-		lasts := time.Duration(300+random.IntN(2500)) * time.Millisecond
-		f.t.Logf("%6.2f s: %s, %v", time.Since(began).Seconds(), befalls.name, lasts)
-		running.Go(func() { befalls.befall(f, own, lasts) })
+		drawn := faults[random.IntN(len(faults))]
+		faultRandom := rand.New(rand.NewPCG(random.Uint64(), 2))
+		faultTime := time.Duration(300+random.IntN(2500)) * time.Millisecond
+		f.t.Logf("%6.2f s: %s, %v", time.Since(began).Seconds(), drawn.name, faultTime)
+		running.Go(func() { drawn.inject(f, faultRandom, faultTime) })
 	}
 	running.Wait()
 	f.store.setMode(storeServes)
@@ -158,95 +158,95 @@
 	}
 }
 
-func (f *fleet) someGateway(random *rand.Rand) *gateway {
+func (f *fleet) randomGateway(random *rand.Rand) *gateway {
 	return f.gateways[random.IntN(len(f.gateways))]
 }
 
-func killGateway(f *fleet, random *rand.Rand, length time.Duration) {
-	g := f.someGateway(random)
+func killGateway(f *fleet, random *rand.Rand, duration time.Duration) {
+	g := f.randomGateway(random)
 	g.kill()
-	time.Sleep(length / 2)
+	time.Sleep(duration / 2)
 	g.start(f.t)
 }
 
-func pauseGateway(f *fleet, random *rand.Rand, length time.Duration) {
-	g := f.someGateway(random)
+func pauseGateway(f *fleet, random *rand.Rand, duration time.Duration) {
+	g := f.randomGateway(random)
 	g.signal(syscall.SIGSTOP, true)
-	time.Sleep(length)
+	time.Sleep(duration)
 	g.signal(syscall.SIGCONT, false)
 }
 
 func stopGateway(f *fleet, random *rand.Rand, _ time.Duration) {
-	g := f.someGateway(random)
-	g.terminate(f.ledger)
+	g := f.randomGateway(random)
+	g.terminate(f.recorder)
 	g.start(f.t)
 }
 
-func hangUp(f *fleet, random *rand.Rand, _ time.Duration) {
-	f.someGateway(random).signal(syscall.SIGHUP, false)
+func sendHangUp(f *fleet, random *rand.Rand, _ time.Duration) {
+	f.randomGateway(random).signal(syscall.SIGHUP, false)
 }
 
-func killAll(f *fleet, _ *rand.Rand, length time.Duration) {
+func killAllGateways(f *fleet, _ *rand.Rand, duration time.Duration) {
 	for _, g := range f.gateways {
 		g.kill()
 	}
-	f.ledger.forgetEndings()
-	time.Sleep(length / 4)
+	f.recorder.resetCrashes()
+	time.Sleep(duration / 4)
 	for _, g := range f.gateways {
 		g.start(f.t)
 	}
 }
 
-func disturbStore(f *fleet, random *rand.Rand, length time.Duration) {
-	modes := []storeMode{storeRefuses, storeSilent, storeSlow, storeForgets}
+func degradeStore(f *fleet, random *rand.Rand, duration time.Duration) {
+	modes := []storeMode{storeRefuses, storeUnresponsive, storeSlow, storeHistoryLost}
 	f.store.setMode(modes[random.IntN(len(modes))])
-	time.Sleep(length)
+	time.Sleep(duration)
 	f.store.setMode(storeServes)
 }
 
-func disturbPath(f *fleet, random *rand.Rand, length time.Duration) {
-	modes := []pathMode{pathDelays, pathSilent, pathOneWay, pathResets}
-	b := f.some(random)
+func degradePath(f *fleet, random *rand.Rand, duration time.Duration) {
+	modes := []pathMode{pathDelays, pathStalls, pathStallsResponses, pathResets}
+	b := f.randomBackend(random)
 	b.proxy.setMode(modes[random.IntN(len(modes))])
-	time.Sleep(length)
-	b.proxy.setMode(pathPasses)
+	time.Sleep(duration)
+	b.proxy.setMode(pathForwards)
 }
 
-func failBackend(f *fleet, random *rand.Rand, length time.Duration) {
-	b := f.some(random)
+func failBackend(f *fleet, random *rand.Rand, duration time.Duration) {
+	b := f.randomBackend(random)
 	b.failing.Store(int32(20 + random.IntN(80)))
-	time.Sleep(length)
+	time.Sleep(duration)
 	b.failing.Store(0)
 }
 
 // crashBackend has a backend server end without a word; its entry lapses.
-func crashBackend(f *fleet, random *rand.Rand, length time.Duration) {
-	b := f.take(random)
+func crashBackend(f *fleet, random *rand.Rand, duration time.Duration) {
+	b := f.takeBackend(random)
 	if b == nil {
 		return
 	}
 	b.crash()
-	time.Sleep(length)
+	time.Sleep(duration)
 	f.store.removeServer(b.id)
 	f.addBackend(b.pool)
 }
 
 // drainBackend has a backend server say that it leaves, serve on, and end.
 func drainBackend(f *fleet, random *rand.Rand, _ time.Duration) {
-	b := f.take(random)
+	b := f.takeBackend(random)
 	if b == nil {
 		return
 	}
 	f.addBackend(b.pool)
 	f.store.put("servers", b.id, b.specification("draining"))
-	b.leftAt.Store(time.Now().UnixNano())
-	time.Sleep(leaveBound + time.Second)
+	b.leavingAt.Store(time.Now().UnixNano())
+	time.Sleep(maxLeaveDelay + time.Second)
 	f.store.removeServer(b.id)
 	b.crash()
 }
 
 // newVersions has the operator write versions in quick succession.
-func newVersions(f *fleet, random *rand.Rand, _ time.Duration) {
+func writeVersions(f *fleet, random *rand.Rand, _ time.Duration) {
 	for range 1 + random.IntN(4) {
 		f.configure()
 		time.Sleep(time.Duration(random.IntN(400)) * time.Millisecond)
--- a/cmd/slipwickd/soak/store_test.go
+++ b/cmd/slipwickd/soak/store_test.go
@@ -17,12 +17,12 @@
 type storeMode string
 
 const (
-	storeServes  storeMode = "serves"
-	storeRefuses storeMode = "refuses"
-	storeSilent  storeMode = "silent"
-	storeSlow    storeMode = "slow"
+	storeServes       storeMode = "serves"
+	storeRefuses      storeMode = "refuses"
+	storeUnresponsive storeMode = "silent"
+	storeSlow         storeMode = "slow"
 	// storeForgets answers each watch that its history is gone.
-	storeForgets storeMode = "forgets"
+	storeHistoryLost storeMode = "forgets"
 )
 
 // object is an object as the platform's pages have it.
@@ -46,27 +46,27 @@
 type store struct {
 	address string
 
-	mu      sync.Mutex
-	mode    storeMode
-	healthy time.Time
+	mu           sync.Mutex
+	mode         storeMode
+	healthySince time.Time
 	// era counts the returns from copies.
-	era, revision int
-	objects       map[string]map[string]object
-	events        []storeEvent
+	timeline, revision int
+	objects            map[string]map[string]object
+	events             []storeEvent
 	// written is what the operator and the servers wrote last, gone or not.
-	written map[string]storeEvent
-	changed chan struct{}
+	lastWrites map[string]storeEvent
+	changed    chan struct{}
 }
 
 func newStore(t *testing.T, host string) *store {
 	t.Helper()
 	s := &store{
-		mode:    storeServes,
-		healthy: time.Now(),
-		era:     1,
-		objects: make(map[string]map[string]object),
-		written: make(map[string]storeEvent),
-		changed: make(chan struct{}),
+		mode:         storeServes,
+		healthySince: time.Now(),
+		timeline:     1,
+		objects:      make(map[string]map[string]object),
+		lastWrites:   make(map[string]storeEvent),
+		changed:      make(chan struct{}),
 	}
 	listener, err := net.Listen("tcp4", host+":0")
 	if err != nil {
@@ -86,7 +86,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
-	s.healthy = time.Now()
+	s.healthySince = time.Now()
 	s.wakeLocked()
 }
 
@@ -97,7 +97,7 @@
 	if s.mode != storeServes {
 		return 0
 	}
-	return time.Since(s.healthy)
+	return time.Since(s.healthySince)
 }
 
 func (s *store) wakeLocked() {
@@ -111,20 +111,20 @@
 
 func (s *store) removeServer(name string) { s.write("servers", name, nil, true) }
 
-func (s *store) write(kind, name string, specification any, gone bool) {
+func (s *store) write(kind, name string, specification any, isTombstone bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.written[kind+"/"+name] = s.writeLocked(kind, name, specification, gone)
+	s.lastWrites[kind+"/"+name] = s.writeLocked(kind, name, specification, isTombstone)
 }
 
-func (s *store) writeLocked(kind, name string, specification any, gone bool) storeEvent {
+func (s *store) writeLocked(kind, name string, specification any, isTombstone bool) storeEvent {
 	s.revision++
 	o := object{
 		Specification: specification,
 	}
 	o.Metadata.Name, o.Metadata.Revision = name, s.revision
 	e := storeEvent{
-		Tombstone: gone,
+		Tombstone: isTombstone,
 		Object:    o,
 		kind:      kind,
 		at:        time.Now(),
@@ -150,14 +150,14 @@
 	kind := strings.TrimPrefix(r.URL.Path, "/-/objects/")
 	query := r.URL.Query()
 	s.mu.Lock()
-	mode, era := s.mode, s.era
+	mode, timeline := s.mode, s.timeline
 	s.mu.Unlock()
-	w.Header().Set("Store-Era", strconv.Itoa(era))
+	w.Header().Set("Store-Era", strconv.Itoa(timeline))
 	switch mode {
 	case storeRefuses:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
-	case storeSilent:
+	case storeUnresponsive:
 		<-r.Context().Done()
 		return
 	case storeSlow:
@@ -167,13 +167,13 @@
 	if !query.Has("watch") {
 		s.mu.Lock()
 		items := slices.Collect(maps.Values(s.objects[kind]))
-		answer := map[string]any{"items": items, "truncated": false, "as_of": s.revision}
-		w.Header().Set("Store-Era", strconv.Itoa(s.era))
+		response := map[string]any{"items": items, "truncated": false, "as_of": s.revision}
+		w.Header().Set("Store-Era", strconv.Itoa(s.timeline))
 		s.mu.Unlock()
-		_ = json.NewEncoder(w).Encode(answer)
+		_ = json.NewEncoder(w).Encode(response)
 		return
 	}
-	if mode == storeForgets {
+	if mode == storeHistoryLost {
 		w.WriteHeader(http.StatusGone)
 		return
 	}
@@ -185,10 +185,10 @@
 func (s *store) watch(w http.ResponseWriter, r *http.Request, kind string, after int, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for ended := false; ; {
+	for timedOut := false; ; {
 		s.mu.Lock()
 		mode, asOf, changed := s.mode, s.revision, s.changed
-		w.Header().Set("Store-Era", strconv.Itoa(s.era))
+		w.Header().Set("Store-Era", strconv.Itoa(s.timeline))
 		events := []storeEvent{}
 		for _, e := range s.events {
 			if e.kind == kind && e.Object.Metadata.Revision > after {
@@ -197,12 +197,12 @@
 		}
 		s.mu.Unlock()
 		switch {
-		case mode == storeRefuses || mode == storeSilent:
+		case mode == storeRefuses || mode == storeUnresponsive:
 			panic(http.ErrAbortHandler)
 		case after > asOf:
 			w.WriteHeader(http.StatusGone)
 			return
-		case ended || len(events) > 0:
+		case timedOut || len(events) > 0:
 			_ = json.NewEncoder(w).Encode(map[string]any{"events": events, "as_of": asOf})
 			return
 		}
@@ -210,7 +210,7 @@
 		case <-r.Context().Done():
 			return
 		case <-timer.C:
-			ended = true
+			timedOut = true
 		case <-changed:
 		}
 	}
