--- a/cmd/slipwickd/soak/backend_test.go
+++ b/cmd/slipwickd/soak/backend_test.go
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// usualFailures is how many of 100 requests fail after they ran in any case.
+// baseFailurePercent is the percentage of requests that always fail after they ran.
 const baseFailurePercent = 2
 
-// backend is a stand-in of a backend server, behind a proxy.
+// backend is a fake backend server behind a proxy.
 type backend struct {
 	id       string
 	pool     string
@@ -27,15 +27,16 @@
 
 	mu     sync.Mutex
 	server *http.Server
-	// born is when this life of it began, gone that it has no other.
+	// startedAt is when the current incarnation started, in Unix milliseconds. isRetired says
+	// that no other follows.
 	startedAt int64
 	isRetired bool
 
-	// words are what this life of it tells the gateways.
+	// notices has what the current incarnation tells the gateways.
 	notices atomic.Pointer[notices]
-	// failing is how many of 100 requests fail after they ran.
-	failing atomic.Int32
-	// leftAt is when the store took that it leaves, in nanoseconds; 0 before.
+	// failurePercent is the percentage of requests that fail after they ran, besides baseFailurePercent.
+	failurePercent atomic.Int32
+	// leavingAt is when the store accepted that the server leaves, in Unix nanoseconds; 0 before.
 	leavingAt atomic.Int64
 }
 
@@ -57,7 +58,7 @@
 	return b
 }
 
-// live begins a life of it, and gives where it listens.
+// startIncarnation starts an incarnation of the server and returns its listen address.
 func (b *backend) startIncarnation(host string) (string, error) {
 	listener, err := net.Listen("tcp4", host+":0")
 	if err != nil {
@@ -74,7 +75,7 @@
 	return listener.Addr().String(), nil
 }
 
-// specification is what it enters of itself.
+// specification returns the content of the server's entry in the store.
 func (b *backend) specification(state string) map[string]any {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -83,7 +84,7 @@
 	}
 }
 
-// crash ends it at once, for good, with all connections.
+// crash closes the server and all its connections at once. It does not restart.
 func (b *backend) crash() {
 	b.mu.Lock()
 	b.isRetired = true
@@ -93,14 +94,15 @@
 	_ = server.Close()
 }
 
-// awayTime is for how long a backend server is away that ended under a request.
+// restartDelay is the time after which a server restarts that crashed running the crash request.
 const restartDelay = 700 * time.Millisecond
 
-// end ends it, with all connections; it is back under its ID, at its address.
+// crashAndRestart closes the server and all its connections, and then restarts it under its ID
+// and at its address.
 func (b *backend) crashAndRestart() {
 	b.mu.Lock()
 	server, startedAt := b.server, b.startedAt
-	// One that leaves, or sheds, is not to begin anew meanwhile.
+	// A server that leaves or sheds load must not restart in the meantime.
 	notices := b.notices.Load()
 	notices.mu.Lock()
 	isBusy := notices.leaving || notices.shedding
@@ -131,7 +133,7 @@
 	}
 }
 
-// ServeHTTP runs a request: a stream if it asks for events, else one answer.
+// ServeHTTP runs a request. It responds with an event stream if the request accepts one.
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Request-Id")
 	w.Header().Set("Request-Id", id)
@@ -139,7 +141,7 @@
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
-	leaving, shedding := b.checkArrival(b.recorder.find(id))
+	leaving, shedding := b.checkArrival(b.recorder.findRequest(id))
 	if leaving {
 		w.Header().Set("Server-Leaving", "1")
 	}
@@ -165,11 +167,11 @@
 	}
 	w.Header().Set("Response-Stamp", b.id)
 	if r.Header.Get("Authorization") != "" || string(body) != requestBody(id) && string(body) != crashBody {
-		b.recorder.addViolation("request %s reached %s with a key, or with another body", id, b.id)
+		b.recorder.addViolation("request %s reached %s with an API key or with a changed body", id, b.id)
 	}
-	if rand.Int32N(100) < b.failing.Load()+baseFailurePercent {
+	if rand.Int32N(100) < b.failurePercent.Load()+baseFailurePercent {
 		if rand.IntN(2) == 0 {
-			// The answer is lost with its connection.
+			// Abort the connection, which loses the response.
 			panic(http.ErrAbortHandler)
 		}
 		w.WriteHeader(http.StatusInternalServerError)
@@ -183,7 +185,7 @@
 	_, _ = io.WriteString(w, responseBody(id))
 }
 
-// stream writes the request's events, from the one after the last it has.
+// stream writes the events of the request, starting after its Last-Event-Id.
 func (b *backend) stream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	last, _ := strconv.Atoi(r.Header.Get("Last-Event-Id"))
--- a/cmd/slipwickd/soak/caller_test.go
+++ b/cmd/slipwickd/soak/caller_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// caller makes one request after the other, over connections that it keeps.
+// caller sends one request after the other over kept connections.
 type caller struct {
 	name     string
 	fleet    *fleet
@@ -36,7 +36,7 @@
 
 var routes = []string{routeSingle, routeRepeatable, routeStream, routeResumable}
 
-// run calls until ctx ends.
+// run sends requests to random routes until ctx is canceled.
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		g := c.fleet.randomReadyGateway(c.random)
@@ -49,12 +49,12 @@
 	c.client.CloseIdleConnections()
 }
 
-// call makes one request and notes how it ended; true says it was served.
+// call sends one request, records its outcome and reports whether it was served.
 func (c *caller) call(g *gateway, route string) bool {
 	return c.send(g, route, "")
 }
 
-// ask does so with a body; an empty one stands for the request's own.
+// send does the same with the given body. If body is empty, the request gets a body made from its ID.
 func (c *caller) send(g *gateway, route, body string) bool {
 	s := &sentRequest{
 		id:             fmt.Sprintf("%s-%d", c.name, c.requests.Add(1)),
@@ -72,10 +72,10 @@
 	address := fmt.Sprintf("http://%s:%d/%s/x", g.host, callersPort, route)
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, address, strings.NewReader(body))
 	if err != nil {
-		c.fleet.recorder.addViolation("the soak's own request: %v", err)
+		c.fleet.recorder.addViolation("create a request of the soak test: %v", err)
 		return false
 	}
-	// The transport is not to repeat requests by itself.
+	// Without GetBody, the transport cannot repeat requests by itself.
 	request.GetBody = nil
 	request.Host = "soak.example"
 	request.Header.Set("Request-Id", s.id)
@@ -99,7 +99,7 @@
 	}
 	if response.StatusCode == http.StatusServiceUnavailable {
 		if response.Header.Get("Retry-After") == "" {
-			c.fleet.recorder.addViolation("request %s was refused without a time to come back", s.id)
+			c.fleet.recorder.addViolation("request %s was refused without Retry-After", s.id)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
--- a/cmd/slipwickd/soak/doc.go
+++ b/cmd/slipwickd/soak/doc.go
@@ -1,6 +1,7 @@
-// Package soak has the randomized fault soak of the gateway; it is all tests. Real
-// gateway processes serve callers before stand-ins of backend servers and of the
-// platform's store, on loopback, while signals, a proxy and the stand-ins bring
-// about faults that a seed draws. What callers and backend servers saw is then
-// held against what slipwick promises. `make soak SEED=7 FOR=30s` runs one.
+// Package soak contains a randomized soak test of the gateway and no other code.
+// Real gateway processes run on loopback between test callers and fake backend
+// servers, with a fake of the platform's store. Signals, proxies and the fakes
+// inject faults that are drawn from a seed. The test then checks what callers and
+// backend servers observed against the guarantees of slipwick.
+// `make soak SEED=7 FOR=30s` runs it with one seed.
 package soak
--- a/cmd/slipwickd/soak/ending_test.go
+++ b/cmd/slipwickd/soak/ending_test.go
@@ -8,48 +8,51 @@
 )
 
 const (
-	// endingBody is the body of the request that ends each backend server which runs it.
+	// crashBody is the body of the request that crashes each backend server which runs it.
 	crashBody = "ends servers"
-	// endingKnown is how long after the third end gateways have to know it, and
-	// endingMore what may be on its way then. Both hold while all of them live.
+	// maxQuarantineDelay is the time after the third crash by which all gateways must have
+	// quarantined the request. maxLateAttempts attempts may be under way at that time. Both
+	// hold while gateways live: attempts through a gateway disturbed within settleTime are not
+	// counted, and killing all gateways resets the counts.
 	maxQuarantineDelay = 2 * time.Second
 	maxLateAttempts    = 3
-	// endingPause lies between two tries of its caller, whose patience is endingTime
-	// more than faults last.
+	// crashRequestInterval is the pause between two requests of a caller, which goes on for
+	// crashRequestExtraTime after the time of the fault.
 	crashRequestInterval  = 60 * time.Millisecond
 	crashRequestExtraTime = 6 * time.Second
-	// endingConnections is how many tries there may be at a time.
+	// crashCallerCount is the number of callers, and so of concurrent crash requests.
 	crashCallerCount = 4
 )
 
-// endings are the ends of backend servers under the request that ends them. The ledger's
-// lock guards it.
+// crashLog has the times at which backend servers crashed running the crash request, and
+// those of the attempts that reached one. It is guarded by the mutex of recorder.
 type crashLog struct {
 	crashes  []time.Time
 	attempts []time.Time
 }
 
-// endedUnder notes that a backend server ended under the request.
+// recordCrash records that a backend server crashed running the crash request.
 func (r *recorder) recordCrash(*backend) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crashLog.crashes = append(r.crashLog.crashes, time.Now())
 }
 
-// forgetEndings begins to count anew: no gateway is left that remembers any.
+// resetCrashes clears the crash log: all gateways were killed, and none remembers a crash.
 func (r *recorder) resetCrashes() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crashLog = crashLog{}
 }
 
-// triedLocked notes that a backend server got the request, through a gateway that was calm.
+// recordAttemptLocked records that a backend server got the crash request through an
+// undisturbed gateway.
 func (r *recorder) recordAttemptLocked() {
 	r.crashLog.attempts = append(r.crashLog.attempts, time.Now())
 }
 
-// checkEndings tells whether the request went on to reach backend servers, and gives how
-// many ended and how often it reached others later.
+// checkQuarantine checks that the crash request stopped reaching backend servers after three
+// crashes. It returns the number of crashes and of attempts after maxQuarantineDelay.
 func (r *recorder) checkQuarantine() (crashes, late int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,13 +64,13 @@
 	}
 	if late > maxLateAttempts {
 		r.violations = append(r.violations, fmt.Sprintf(
-			"the request under which three servers had ended reached servers %d times more; %d ended", late, crashes))
+			"the crash request reached servers %d more times after three crashes; %d servers crashed in all", late, crashes))
 	}
 	return crashes, late
 }
 
-// endServers has a caller ask for the same again and again, over several connections
-// and at any gateway.
+// sendCrashRequests sends the crash request again and again from several callers, each
+// with connections of its own, to gateways chosen at random.
 func sendCrashRequests(f *fleet, random *rand.Rand, duration time.Duration) {
 	var tasks sync.WaitGroup
 	for range crashCallerCount {
@@ -84,8 +87,8 @@
 	tasks.Wait()
 }
 
-// writeForeign leaves entries of another writer among those of backend servers, for a
-// while also in place of one that serves.
+// writeInvalidEntries writes an invalid entry, as another writer might, among those of the
+// backend servers, and for a while also replaces the entry of a running backend server.
 func writeInvalidEntries(f *fleet, random *rand.Rand, duration time.Duration) {
 	invalid := []any{nil, 5, "text", map[string]any{"service": poolEngines}, map[string]any{
 		"service": poolPlain, "address": "10.0.0.1", "zone": 7, "slots": -1, "state": "asleep",
--- a/cmd/slipwickd/soak/eras_test.go
+++ b/cmd/slipwickd/soak/eras_test.go
@@ -6,14 +6,14 @@
 )
 
 const (
-	// renewEvery is how often servers and the operator look whether what they wrote is
-	// still there; after lapseTime the store drops what nobody renews.
+	// renewInterval is how often servers and the operator check that their entries are still
+	// stored. The store removes entries that nobody has renewed for entryLifetime.
 	renewInterval = 1200 * time.Millisecond
 	entryLifetime = 3 * renewInterval
 )
 
-// fallBack has the store come back from a copy of that age: what was written since is gone,
-// and its revisions are given out again.
+// restore restores the store from a backup of the given age. Later writes are lost, and
+// their revisions are assigned again.
 func (s *store) restore(age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,10 +30,10 @@
 	}
 	s.timeline++
 	s.mode, s.healthySince = storeServes, time.Now()
-	s.wakeLocked()
+	s.wakeWatchesLocked()
 }
 
-// writeAgain has the operator and the servers write what the copy lacks.
+// rewriteMissing writes the entries that the backup lacks, as the operator and the servers would.
 func (s *store) rewriteMissing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// dropDead drops what the copy lists and nobody renews.
+// removeExpired removes entries that the backup lists though they had been removed, so that nobody renews them.
 func (s *store) removeExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,8 +57,8 @@
 	}
 }
 
-// fallBackStore has the store be away for a moment and come back from a copy, sometimes right
-// after it took a version or that a server leaves.
+// restoreStore restores the store from a backup after a short outage. Sometimes the store has
+// accepted a configuration version or the draining state of a server just before.
 func restoreStore(f *fleet, random *rand.Rand, duration time.Duration) {
 	switch random.IntN(3) {
 	case 0:
--- a/cmd/slipwickd/soak/fleet_test.go
+++ b/cmd/slipwickd/soak/fleet_test.go
@@ -25,7 +25,7 @@
 	startTimeout  = 5 * time.Second
 )
 
-// fleet is the system under the soak and what stands around it.
+// fleet has the gateways under test and the fakes around them.
 type fleet struct {
 	t        *testing.T
 	recorder *recorder
@@ -35,10 +35,10 @@
 	mu       sync.Mutex
 	ready    []*gateway
 	backends []*backend
-	// leavers are those that said in answers that they leave.
+	// announcers are backend servers that announce in responses that they leave.
 	announcers   []*backend
 	backendCount int
-	// version is the newest configuration, which the store took at took.
+	// version is the newest configuration version, which the store accepted at acceptedAt.
 	version    int
 	acceptedAt time.Time
 }
@@ -87,7 +87,7 @@
 	return f
 }
 
-// addBackend starts a backend server and enters it.
+// addBackend starts a backend server and writes its entry to the store.
 func (f *fleet) addBackend(pool string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -98,7 +98,8 @@
 	f.store.put("servers", b.id, b.specification("ready"))
 }
 
-// take takes a backend server out of the list, one that its pool can spare.
+// takeBackend removes a random backend server from the list and returns it. It leaves at least
+// two in each pool, and returns nil if no pool has more.
 func (f *fleet) takeBackend(random *rand.Rand) *backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -112,7 +113,7 @@
 	return nil
 }
 
-// isListed tells whether a backend server was not taken out.
+// isListed reports whether a backend server is still in the list.
 func (f *fleet) isListed(b *backend) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,14 +130,15 @@
 	return n
 }
 
-// some gives a backend server that is listed.
+// randomBackend returns one of the backend servers in the list.
 func (f *fleet) randomBackend(random *rand.Rand) *backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.backends[random.IntN(len(f.backends))]
 }
 
-// configure writes the next version; its probing route tells which is in force.
+// configure writes the next configuration version. Its probe route has the version in its
+// path, which shows whether a gateway has that version in force.
 func (f *fleet) configure() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,8 +180,8 @@
 	f.acceptedAt = time.Now()
 }
 
-// watch keeps the list of gateways that are ready, as the platform's balancer
-// does, and probes the configuration in force.
+// pollGateways updates the list of ready gateways, as the platform's load balancer does,
+// and probes which configuration version they have in force.
 func (f *fleet) pollGateways(done <-chan struct{}) {
 	for {
 		var ready []*gateway
@@ -200,8 +202,8 @@
 	}
 }
 
-// probe asks a gateway which version is in force: the newest has to be in time,
-// and none may be older than one that was.
+// probe checks the configuration version that a gateway has in force: the newest one
+// after at most maxConfigDelay, and never an older one than before.
 func (f *fleet) probe(g *gateway) {
 	f.mu.Lock()
 	version, acceptedAt := f.version, f.acceptedAt
@@ -220,7 +222,7 @@
 	case http.StatusNotFound:
 		isDue := time.Since(acceptedAt) > maxConfigDelay
 		if isDue && f.store.healthyFor() > settleTime && g.undisturbedFor() > settleTime {
-			f.recorder.addViolation("%s has not applied version %d %v after the store accepted it",
+			f.recorder.addViolation("%s does not have version %d in force %v after the store accepted it",
 				g.name, version, time.Since(acceptedAt))
 		}
 	default:
@@ -232,7 +234,8 @@
 	}
 }
 
-// reverted notes a version that is no longer in force though no newer one is.
+// checkReverted reports a violation if a version is no longer in force in the same process
+// although no newer one was written.
 func (f *fleet) checkReverted(g *gateway, process *gatewayProcess, version int) {
 	f.mu.Lock()
 	newest := f.version
@@ -240,11 +243,11 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if newest == version && g.running == process {
-		f.recorder.addViolation("%s went back behind version %d", g.name, version)
+		f.recorder.addViolation("%s reverted to a version before %d", g.name, version)
 	}
 }
 
-// inForce gives the status of a version's probing route; 0 without an answer.
+// probeStatus returns the response status of a version's probe route, or 0 without a response.
 func (f *fleet) probeStatus(g *gateway, version int) int {
 	client := &http.Client{
 		Timeout: 300 * time.Millisecond,
@@ -262,7 +265,7 @@
 	return response.StatusCode
 }
 
-// choose gives a gateway that is ready.
+// randomReadyGateway returns one of the ready gateways, or nil if there is none.
 func (f *fleet) randomReadyGateway(random *rand.Rand) *gateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/cmd/slipwickd/soak/gateway_test.go
+++ b/cmd/slipwickd/soak/gateway_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// The ports of every gateway; each has an address of its own.
+// All gateways use the same ports, each on an IP address of its own.
 const (
 	callersPort = 18080
 	readyPort   = 18081
@@ -22,10 +22,10 @@
 	peersPort   = 18090
 )
 
-// grace is how long a gateway has from SIGTERM to its end.
+// gracePeriod is how long a gateway may take to exit after SIGTERM.
 const gracePeriod = 6 * time.Second
 
-// gateway is one real gateway process after the other, at one address.
+// gateway runs real gateway processes at one address, one at a time.
 type gateway struct {
 	name   string
 	host   string
@@ -33,24 +33,24 @@
 	folder string
 
 	mu sync.Mutex
-	// life is the process that runs; nil when none does.
+	// running is the current process, or nil.
 	running *gatewayProcess
-	// output is what the latest process wrote.
+	// output has the standard output and error of the latest process.
 	output *bytes.Buffer
-	// disturbed is when something last befell it; held says that it goes on.
-	disturbed time.Time
+	// disturbedAt is the time of the last disturbance. isLasting is set while it goes on.
+	disturbedAt time.Time
 	isLasting bool
-	// version is the newest configuration seen in force in this life.
+	// version is the newest configuration version seen in force in the current process.
 	version int
 }
 
-// life is one process of a gateway.
+// gatewayProcess is one process of a gateway.
 type gatewayProcess struct {
 	process *os.Process
 	exited  chan struct{}
 }
 
-// write writes the settings file that the platform would.
+// writeSettings writes the settings file that the platform would write.
 func (g *gateway) writeSettings(t *testing.T, storeAddress, zone string, seeds []string, bootstrap bool) {
 	t.Helper()
 	settings := map[string]any{
@@ -79,7 +79,7 @@
 
 func (g *gateway) settingsPath() string { return filepath.Join(g.folder, g.name+".json") }
 
-// start starts a process, unless one runs.
+// start starts a process unless one is running.
 func (g *gateway) start(t *testing.T) {
 	t.Helper()
 	g.mu.Lock()
@@ -87,43 +87,44 @@
 	if g.running != nil {
 		return
 	}
-	process := exec.Command(g.binary, "gateway")
-	process.Env = append(os.Environ(), "SLIPWICK_NODE_FILE="+g.settingsPath())
+	command := exec.Command(g.binary, "gateway")
+	command.Env = append(os.Environ(), "SLIPWICK_NODE_FILE="+g.settingsPath())
 	output := &bytes.Buffer{}
-	process.Stdout, process.Stderr = output, output
-	if err := process.Start(); err != nil {
+	command.Stdout, command.Stderr = output, output
+	if err := command.Start(); err != nil {
 		t.Errorf("start %s: %v", g.name, err)
 		return
 	}
 	started := &gatewayProcess{
-		process: process.Process,
+		process: command.Process,
 		exited:  make(chan struct{}),
 	}
 	go func() {
-		// How it ended is told by what callers saw.
-		_ = process.Wait()
+		// The exit status is not checked: callers observe how the process ended.
+		_ = command.Wait()
 		close(started.exited)
 	}()
-	g.running, g.output, g.disturbed, g.isLasting, g.version = started, output, time.Now(), false, 0
+	g.running, g.output, g.disturbedAt, g.isLasting, g.version = started, output, time.Now(), false, 0
 }
 
-// signal sends a signal, and gives the process that got it; held says that it
-// leaves the gateway disturbed until the next one.
+// signal sends a signal to the current process and returns that process, or nil if there is
+// none. Signals except SIGHUP and SIGTERM count as disturbances; isLasting says that the
+// disturbance goes on until the next such signal or start.
 func (g *gateway) signal(signal syscall.Signal, isLasting bool) *gatewayProcess {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.running == nil {
 		return nil
 	}
-	// A process that has ended needs no signal.
+	// Sending fails only if the process has already exited.
 	_ = g.running.process.Signal(signal)
 	if signal != syscall.SIGHUP && signal != syscall.SIGTERM {
-		g.disturbed, g.isLasting = time.Now(), isLasting
+		g.disturbedAt, g.isLasting = time.Now(), isLasting
 	}
 	return g.running
 }
 
-// kill ends the process at once.
+// kill kills the process and waits until it has exited.
 func (g *gateway) kill() {
 	if killed := g.signal(syscall.SIGKILL, true); killed != nil {
 		<-killed.exited
@@ -131,8 +132,8 @@
 	}
 }
 
-// terminate asks the process to end, and waits until it has. Nobody who has a
-// request there is to notice, so that it does not count as a disturbance.
+// terminate sends SIGTERM and waits until the process has exited. It does not count as a
+// disturbance because callers with a request there must not be affected.
 func (g *gateway) terminate(r *recorder) {
 	stopped := g.signal(syscall.SIGTERM, false)
 	if stopped == nil {
@@ -145,16 +146,16 @@
 			return
 		default:
 		}
-		// A pause meanwhile puts the end off.
+		// A SIGSTOP in the meantime delays the exit.
 		if undisturbed := min(g.undisturbedFor(), time.Since(signaledAt)); undisturbed > gracePeriod+time.Second {
-			r.addViolation("%s still runs %v after SIGTERM", g.name, time.Since(signaledAt))
+			r.addViolation("%s is still running %v after SIGTERM", g.name, time.Since(signaledAt))
 			g.kill()
 			return
 		}
 	}
 }
 
-// ended forgets a process, unless another runs by now.
+// clearProcess clears the current process unless it is already a later one.
 func (g *gateway) clearProcess(process *gatewayProcess) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,17 +164,18 @@
 	}
 }
 
-// calmFor is for how long nothing but planned work has befallen it.
+// undisturbedFor returns the time since the last disturbance. Planned stops and reloads of
+// the settings are no disturbances.
 func (g *gateway) undisturbedFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.isLasting {
 		return 0
 	}
-	return time.Since(g.disturbed)
+	return time.Since(g.disturbedAt)
 }
 
-// isReady asks as the platform's balancer does.
+// isReady checks readiness as the platform's load balancer does.
 func (g *gateway) isReady() bool {
 	client := &http.Client{
 		Timeout: 300 * time.Millisecond,
--- a/cmd/slipwickd/soak/ledger_test.go
+++ b/cmd/slipwickd/soak/ledger_test.go
@@ -10,17 +10,17 @@
 	"time"
 )
 
-// leaveBound is how long after the store took that a backend server leaves it
-// may still get new requests; configBound is how long after the store took a
-// version it has to be in force. Both hold while nothing disturbs who has to
-// keep them, and for settleTime after that.
+// maxLeaveDelay is how long a backend server may still get new requests after the
+// store accepted that it leaves. maxConfigDelay is the time after which a version that
+// the store accepted must be in force. Both are checked only if the gateway and the
+// store have been undisturbed for longer than settleTime.
 const (
 	maxLeaveDelay  = 2500 * time.Millisecond
 	maxConfigDelay = 2500 * time.Millisecond
 	settleTime     = 4 * time.Second
 )
 
-// The kinds of request, by their route.
+// The routes, each for one kind of request.
 const (
 	routeSingle     = "single"
 	routeRepeatable = "repeatable"
@@ -28,20 +28,20 @@
 	routeResumable  = "resumable"
 )
 
-// sent is a request that a caller made, and how it ended for the caller.
+// sentRequest is a request that a caller sent, and its outcome.
 type sentRequest struct {
 	id, route       string
 	gateway         *gateway
 	sentAt, endedAt time.Time
-	// ends says that it ends each backend server that runs it.
+	// crashesServers is set if the request crashes each backend server that runs it.
 	crashesServers bool
-	// status is 0 without an answer.
+	// status is 0 if there was no response.
 	status int
-	// runs counts what the backend servers ran.
+	// runs counts how often backend servers ran the request.
 	runs atomic.Int32
 }
 
-// ledger has what callers and backend servers saw.
+// recorder records what callers and backend servers observed, and the violations found.
 type recorder struct {
 	store *store
 
@@ -65,24 +65,24 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, arguments...))
 }
 
-// sends notes a request before it is made.
+// addRequest records a request before it is sent.
 func (r *recorder) addRequest(s *sentRequest) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.requests[s.id] = s
 }
 
-func (r *recorder) find(id string) *sentRequest {
+func (r *recorder) findRequest(id string) *sentRequest {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.requests[id]
 }
 
-// ran notes that a backend server runs a request.
+// recordRun records that a backend server runs a request, and checks that it may.
 func (r *recorder) recordRun(id string, b *backend) {
-	s := r.find(id)
+	s := r.findRequest(id)
 	if s == nil {
-		r.addViolation("%s runs request %q, which nobody sent", b.id, id)
+		r.addViolation("%s runs request %q, which no caller sent", b.id, id)
 		return
 	}
 	if s.crashesServers && s.gateway.undisturbedFor() > settleTime {
@@ -99,12 +99,13 @@
 		return
 	}
 	if r.store.healthyFor() > settleTime && s.gateway.undisturbedFor() > settleTime {
-		r.addViolation("%s got request %s through %s %v after it began to leave",
+		r.addViolation("%s got request %s through %s %v after the store accepted that it leaves",
 			b.id, id, s.gateway.name, time.Since(time.Unix(0, leavingAt)))
 	}
 }
 
-// end notes how a request ended, with the body that came and why no more did.
+// recordOutcome records and checks the outcome of a request: the status and body that
+// arrived, and the error if the response is incomplete or missing.
 func (r *recorder) recordOutcome(s *sentRequest, status int, body string, failure error) {
 	s.status, s.endedAt = status, time.Now()
 	isStream := s.route == routeStream || s.route == routeResumable
@@ -121,20 +122,21 @@
 	}
 }
 
-// checkAnswer tells whether a success is the request's own, whole if it looks
-// so, with its events in order.
+// checkResponse checks that the body of a successful response belongs to the request, with
+// its events in order. It must be the full body if the response ended without an error.
 func (r *recorder) checkResponse(s *sentRequest, body string, isStream, isComplete bool) {
 	want := responseBody(s.id)
 	if isStream {
 		want = eventsText(s.id, eventCount(s.id))
 	}
 	if isComplete && body != want || !strings.HasPrefix(want, body) {
-		r.addViolation("%s request %s got %q, which looks whole: %v", s.route, s.id, body, isComplete)
+		r.addViolation("%s request %s got the wrong body %q (ended without an error: %v)", s.route, s.id, body, isComplete)
 	}
 }
 
-// checkLost tells whether a request may end without an answer: if its gateway
-// was killed, paused or gone, or if it crossed the close of its connection.
+// checkNoResponse checks that a request without a response had a reason to fail: its
+// gateway was killed, paused or not running, or the request was sent while the gateway
+// closed the connection.
 func (r *recorder) checkNoResponse(s *sentRequest, failure error) {
 	const closeRaceTime = 200 * time.Millisecond
 	if s.gateway.undisturbedFor() < time.Since(s.sentAt)+time.Second {
@@ -143,11 +145,12 @@
 	if s.runs.Load() == 0 && s.endedAt.Sub(s.sentAt) < closeRaceTime {
 		return
 	}
-	r.addViolation("%s request %s at %s got no answer after %v: %v", s.route, s.id, s.gateway.name,
+	r.addViolation("%s request %s at %s got no response after %v: %v", s.route, s.id, s.gateway.name,
 		s.endedAt.Sub(s.sentAt), failure)
 }
 
-// checkRefusals finds requests that ran though callers were told that not.
+// checkRefusals finds requests that ran although their callers got a refusal, which
+// guarantees that a request did not run.
 func (r *recorder) checkRefusals() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -155,12 +158,12 @@
 		isRefused := s.status == 503 || s.status == 429
 		if isRefused && s.runs.Load() > 0 && (s.route == routeSingle || s.route == routeStream) {
 			r.violations = append(r.violations,
-				fmt.Sprintf("%s request %s was refused with %d and ran", s.route, s.id, s.status))
+				fmt.Sprintf("%s request %s was refused with %d but ran", s.route, s.id, s.status))
 		}
 	}
 }
 
-// totals counts the requests that were served, by route, and all by status.
+// totals returns the number of served requests by route, and of all requests by status.
 func (r *recorder) totals() (served map[string]int, statuses map[int]int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,7 +177,7 @@
 func requestBody(id string) string  { return "body of " + id }
 func responseBody(id string) string { return strings.Repeat("answer to "+id+"\n", 20) }
 
-// eventsOf is how many events the stream of a request has.
+// eventCount returns the number of events in the stream of a request.
 func eventCount(id string) int {
 	const maxEvents = 20
 	h := fnv.New32a()
--- a/cmd/slipwickd/soak/notices_test.go
+++ b/cmd/slipwickd/soak/notices_test.go
@@ -9,24 +9,26 @@
 )
 
 const (
-	// wordBound is how long after a gateway passed on an answer that says so it may send
-	// on to a server that leaves what callers send later.
+	// maxAnnounceDelay is the time after a gateway forwarded a response with a leaving notice
+	// in which callers' new requests may still be sent to that server.
 	maxAnnounceDelay = time.Second
-	// askedRest is what servers that shed ask for. Within it, but for restOnWay at its
-	// start, a gateway may send at most mostInRest requests.
+	// requestedPause is the pause that shedding servers ask for. A gateway may send at most
+	// maxDuringPause requests within it; those in its first pauseDelay are not counted, as
+	// they may have been under way.
 	requestedPause = 1500 * time.Millisecond
 	pauseDelay     = 500 * time.Millisecond
 	maxDuringPause = 2
 )
 
-// words are what one life of a backend server told each gateway.
+// notices records what one incarnation of a backend server told each gateway.
 type notices struct {
 	mu sync.Mutex
-	// leaves and sheds are what it says of itself now.
+	// leaving and shedding are what the server currently announces.
 	leaving, shedding bool
-	// heard is when a caller of a gateway first got an answer that says that it leaves.
+	// announcedAt is when a caller of a gateway first got a response with the leaving notice.
 	announcedAt map[*gateway]time.Time
-	// asked is when it asked a gateway for rest last, inRest what came since.
+	// pausedAt is when the server last asked a gateway for a pause, duringPause the number of
+	// requests counted since.
 	pausedAt    map[*gateway]time.Time
 	duringPause map[*gateway]int
 }
@@ -39,12 +41,14 @@
 	}
 }
 
-// isOfThisLife tells whether a gateway knows what it was told then: nothing befell it since.
+// isRemembered reports whether a gateway must still know what it was told at noticedAt:
+// it has been undisturbed since.
 func isRemembered(g *gateway, noticedAt time.Time) bool {
 	return !noticedAt.IsZero() && g.undisturbedFor() > time.Since(noticedAt)
 }
 
-// arrived checks that a request may come, and gives what the answer has to say.
+// checkArrival checks that the gateway may send the request to this server, and returns
+// which notices the response must carry.
 func (b *backend) checkArrival(s *sentRequest) (leaving, shedding bool) {
 	if s == nil {
 		return false, false
@@ -53,13 +57,14 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if at := n.announcedAt[g]; isRemembered(g, at) && s.sentAt.Sub(at) > maxAnnounceDelay {
-		b.recorder.addViolation("%s got request %s of %s, sent %v after an answer said that it leaves",
+		b.recorder.addViolation("%s got request %s through %s, sent %v after a response announced that the server leaves",
 			b.id, s.id, g.name, s.sentAt.Sub(at))
 	}
 	if at := n.pausedAt[g]; isRemembered(g, at) && time.Since(at) > pauseDelay && time.Since(at) < requestedPause {
 		n.duringPause[g]++
 		if n.duringPause[g] > maxDuringPause {
-			b.recorder.addViolation("%s got %d requests of %s in the rest that it asked for", b.id, n.duringPause[g], g.name)
+			b.recorder.addViolation("%s got %d requests through %s in the pause that it asked for",
+				b.id, n.duringPause[g], g.name)
 		}
 	}
 	if n.shedding {
@@ -71,14 +76,15 @@
 	return n.leaving, n.shedding
 }
 
-// shed turns a request away.
+// rejectRequest rejects a request as not run, and asks for a pause.
 func rejectRequest(w http.ResponseWriter) {
 	w.Header().Set("Not-Executed", "1")
 	w.Header().Set("Retry-After", strconv.FormatFloat(requestedPause.Seconds(), 'f', -1, 64))
 	w.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// passedOn notes an answer that a caller got, and that says that its server leaves.
+// recordLeavingNotice records that a caller got a response in which its server announced
+// that it leaves.
 func (f *fleet) recordLeavingNotice(s *sentRequest, server string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -95,8 +101,8 @@
 	}
 }
 
-// leaveUnheard has a backend server say in its answers that it leaves before its entry
-// can, serve on, and end.
+// announceLeaving has a backend server announce in its responses that it leaves before its
+// entry in the store does. The server still serves for a while and then ends.
 func announceLeaving(f *fleet, random *rand.Rand, _ time.Duration) {
 	b := f.takeBackend(random)
 	if b == nil {
@@ -118,7 +124,7 @@
 	b.crash()
 }
 
-// shedLoad has a backend server turn all away for a while, and ask for rest.
+// shedLoad has a backend server reject all requests for a while and ask for a pause each time.
 func shedLoad(f *fleet, random *rand.Rand, duration time.Duration) {
 	n := f.randomBackend(random).notices.Load()
 	for _, shedding := range []bool{true, false} {
--- a/cmd/slipwickd/soak/proxy_test.go
+++ b/cmd/slipwickd/soak/proxy_test.go
@@ -10,23 +10,24 @@
 	"time"
 )
 
-// pathMode is what a proxy does with bytes.
+// pathMode is how a proxy treats connections and their data.
 type pathMode int32
 
 const (
 	pathForwards pathMode = iota
-	// pathDelays holds each piece for a while.
+	// pathDelays delays the data of each read by readDelay.
 	pathDelays
-	// pathSilent passes nothing, pathOneWay nothing back; connections stay.
+	// pathStalls forwards no data and pathStallsResponses none from the server; connections
+	// stay open.
 	pathStalls
 	pathStallsResponses
-	// pathResets resets connections that are there and that come.
+	// pathResets resets open and new connections.
 	pathResets
 )
 
 const readDelay = 80 * time.Millisecond
 
-// proxy stands between gateways and one backend server.
+// proxy forwards connections of gateways to one backend server.
 type proxy struct {
 	address string
 	mode    atomic.Int32
@@ -50,7 +51,7 @@
 	return p
 }
 
-// open listens, and passes on to the target.
+// open listens on address and forwards connections to target.
 func (p *proxy) open(address, target string) error {
 	listener, err := net.Listen("tcp4", address)
 	if err != nil {
@@ -71,8 +72,8 @@
 	return nil
 }
 
-// close has connections refused from now on, and resets those that are there: the
-// server has ended.
+// close stops listening, so that new connections are refused, and resets the open ones, as
+// if the server had ended.
 func (p *proxy) close() {
 	p.mu.Lock()
 	_ = p.listener.Close()
@@ -125,7 +126,8 @@
 	p.mu.Unlock()
 }
 
-// pass copies until either side ends, and ends the other side alike.
+// copyBytes copies data until either side closes or resets its connection, and then does
+// the same to the other side.
 func (p *proxy) copyBytes(to, from net.Conn, isResponse bool) {
 	buffer := make([]byte, 16<<10)
 	for {
@@ -150,7 +152,7 @@
 	_ = from.Close()
 }
 
-// isHeld tells whether bytes have to wait; a delay is waited for here.
+// isStalled reports whether data must wait. The delay of pathDelays is spent here.
 func (p *proxy) isStalled(isResponse bool) bool {
 	switch pathMode(p.mode.Load()) {
 	case pathDelays:
--- a/cmd/slipwickd/soak/soak_test.go
+++ b/cmd/slipwickd/soak/soak_test.go
@@ -12,42 +12,42 @@
 )
 
 var (
-	seedFlag     = flag.Uint64("soak-seed", 0, "the seed of one run; without it the short runs of CI")
-	durationFlag = flag.Duration("soak-for", 20*time.Second, "how long faults come in a run of -soak-seed")
+	seedFlag     = flag.Uint64("soak-seed", 0, "run only this seed; 0 runs the short tests of CI")
+	durationFlag = flag.Duration("soak-for", 20*time.Second, "how long faults are injected in a run with -soak-seed")
 )
 
-// seedsThatFailed are seeds that broke a promise once, with the cause.
+// regressionSeeds are seeds that once found a violation, with its cause.
 var regressionSeeds = []struct {
 	seed  uint64
 	cause string
 }{
-	{361, "a copy named a life of before, to which the word of the later one did not belong"},
+	{361, "a copy listed an earlier incarnation, to which the notice of the later one did not apply"},
 }
 
 const (
 	callerCount = 24
 	shortRun    = 8 * time.Second
-	// quietEnd is how long everything is left alone at the end of a run, and
-	// endShare the part of the requests after it that has to be served.
+	// recoveryTime is how long no faults are injected at the end of a run.
+	// minRecoveredShare is the share of the requests after it that must be served.
 	recoveryTime      = 5 * time.Second
 	minRecoveredShare = 0.9
-	// leastServed is how many requests of each route make a run worth its name.
+	// minServedPerRoute is the number of served requests per route below which a run proves too little.
 	minServedPerRoute = 50
 )
 
 func TestSoak(t *testing.T) {
 	if *seedFlag != 0 {
-		soak(t, *seedFlag, *durationFlag)
+		runSoak(t, *seedFlag, *durationFlag)
 		return
 	}
-	t.Run("seed 1", func(t *testing.T) { soak(t, 1, shortRun) })
+	t.Run("seed 1", func(t *testing.T) { runSoak(t, 1, shortRun) })
 	for _, failed := range regressionSeeds {
-		t.Run(fmt.Sprintf("seed %d", failed.seed), func(t *testing.T) { soak(t, failed.seed, shortRun) })
+		t.Run(fmt.Sprintf("seed %d", failed.seed), func(t *testing.T) { runSoak(t, failed.seed, shortRun) })
 	}
 }
 
-// soak runs the fleet under the faults of a seed and checks what was seen.
-func soak(t *testing.T, seed uint64, duration time.Duration) {
+// runSoak runs the fleet with the faults of a seed and checks what callers and backend servers observed.
+func runSoak(t *testing.T, seed uint64, duration time.Duration) {
 	f := newFleet(t)
 	done := make(chan struct{})
 	var tasks sync.WaitGroup
@@ -57,7 +57,7 @@
 			break
 		}
 		if time.Since(started) > startTimeout {
-			t.Fatalf("no gateway is ready after %v: %s", startTimeout, f.gateways[0].output)
+			t.Fatalf("no gateway is ready after %v; output of the first: %s", startTimeout, f.gateways[0].output)
 		}
 	}
 	ctx, stop := context.WithCancel(t.Context())
@@ -72,12 +72,13 @@
 	tasks.Wait()
 	f.recorder.checkRefusals()
 	crashes, late := f.recorder.checkQuarantine()
-	t.Logf("seed %d: %d backend servers ended under a request, which reached others %d times later", seed, crashes, late)
+	t.Logf("seed %d: %d backend servers crashed running the crash request, which later reached others %d times",
+		seed, crashes, late)
 	served, statuses := f.recorder.totals()
 	t.Logf("seed %d: served %v, by status %v", seed, served, statuses)
 	for _, route := range routes {
 		if served[route] < minServedPerRoute {
-			t.Errorf("got %d %s requests served, want enough to tell anything", served[route], route)
+			t.Errorf("got %d served %s requests, too few for a meaningful run", served[route], route)
 		}
 	}
 	for _, v := range f.recorder.violations {
@@ -86,12 +87,12 @@
 	if t.Failed() {
 		for _, g := range f.gateways {
 			g.kill()
-			t.Logf("%s wrote: %s", g.name, g.output)
+			t.Logf("output of %s: %s", g.name, g.output)
 		}
 	}
 }
 
-// checkRecovered has callers make requests when all is calm again.
+// checkRecovered sends requests after the faults have ended and checks that enough are served.
 func (f *fleet) checkRecovered(seed uint64) {
 	const requestCount = 80
 	c := newCaller(f, "end", seed)
@@ -102,11 +103,11 @@
 		}
 	}
 	if served < int(minRecoveredShare*requestCount) {
-		f.recorder.addViolation("at the end %d of %d requests were served", served, requestCount)
+		f.recorder.addViolation("only %d of %d requests were served after the faults had ended", served, requestCount)
 	}
 }
 
-// fault is one thing that befalls the fleet; it returns when it is over.
+// fault is a kind of fault. inject returns when the fault is over.
 type fault struct {
 	name   string
 	inject func(f *fleet, random *rand.Rand, duration time.Duration)
@@ -117,28 +118,28 @@
 	{"pause a gateway", pauseGateway},
 	{"stop a gateway", stopGateway},
 	{"stop a gateway", stopGateway},
-	{"hang up", sendHangUp},
+	{"send SIGHUP to a gateway", sendHangUp},
 	{"kill all gateways", killAllGateways},
-	{"disturb the store", degradeStore},
-	{"have the store come back from a copy", restoreStore},
-	{"have the store come back from a copy", restoreStore},
-	{"disturb a path", degradePath},
-	{"disturb a path", degradePath},
+	{"degrade the store", degradeStore},
+	{"restore the store from a backup", restoreStore},
+	{"restore the store from a backup", restoreStore},
+	{"degrade the path to a backend server", degradePath},
+	{"degrade the path to a backend server", degradePath},
 	{"fail a backend server", failBackend},
 	{"fail a backend server", failBackend},
 	{"crash a backend server", crashBackend},
 	{"drain a backend server", drainBackend},
 	{"drain a backend server", drainBackend},
-	{"leave before the entry says so", announceLeaving},
-	{"shed and ask for rest", shedLoad},
-	{"shed and ask for rest", shedLoad},
-	{"new versions", writeVersions},
-	{"end servers under a request", sendCrashRequests},
-	{"write foreign entries", writeInvalidEntries},
+	{"announce leaving before the entry does", announceLeaving},
+	{"shed load and ask for a pause", shedLoad},
+	{"shed load and ask for a pause", shedLoad},
+	{"write new configuration versions", writeVersions},
+	{"send requests that crash servers", sendCrashRequests},
+	{"write invalid entries", writeInvalidEntries},
 }
 
-// disturb brings faults about for a time, several at once, and waits until they
-// are over.
+// injectFaults starts faults for the given duration, several of them at once, and waits
+// until all are over. It then brings the store and all gateways back.
 func (f *fleet) injectFaults(random *rand.Rand, duration time.Duration) {
 	var running sync.WaitGroup
 	began := time.Now()
@@ -147,7 +148,7 @@
 		drawn := faults[random.IntN(len(faults))]
 		faultRandom := rand.New(rand.NewPCG(random.Uint64(), 2))
 		faultTime := time.Duration(300+random.IntN(2500)) * time.Millisecond
-		f.t.Logf("%6.2f s: %s, %v", time.Since(began).Seconds(), drawn.name, faultTime)
+		f.t.Logf("%6.2f s: %s for %v", time.Since(began).Seconds(), drawn.name, faultTime)
 		running.Go(func() { drawn.inject(f, faultRandom, faultTime) })
 	}
 	running.Wait()
@@ -214,12 +215,12 @@
 
 func failBackend(f *fleet, random *rand.Rand, duration time.Duration) {
 	b := f.randomBackend(random)
-	b.failing.Store(int32(20 + random.IntN(80)))
+	b.failurePercent.Store(int32(20 + random.IntN(80)))
 	time.Sleep(duration)
-	b.failing.Store(0)
+	b.failurePercent.Store(0)
 }
 
-// crashBackend has a backend server end without a word; its entry lapses.
+// crashBackend crashes a backend server without notice. Its entry is removed later, as if it expired.
 func crashBackend(f *fleet, random *rand.Rand, duration time.Duration) {
 	b := f.takeBackend(random)
 	if b == nil {
@@ -231,7 +232,7 @@
 	f.addBackend(b.pool)
 }
 
-// drainBackend has a backend server say that it leaves, serve on, and end.
+// drainBackend marks a backend server as draining in the store. It still serves for a while and then ends.
 func drainBackend(f *fleet, random *rand.Rand, _ time.Duration) {
 	b := f.takeBackend(random)
 	if b == nil {
@@ -245,7 +246,7 @@
 	b.crash()
 }
 
-// newVersions has the operator write versions in quick succession.
+// writeVersions writes several configuration versions in quick succession, as an operator would.
 func writeVersions(f *fleet, random *rand.Rand, _ time.Duration) {
 	for range 1 + random.IntN(4) {
 		f.configure()
--- a/cmd/slipwickd/soak/store_test.go
+++ b/cmd/slipwickd/soak/store_test.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// storeMode is how the store treats calls.
+// storeMode is how the store responds to requests.
 type storeMode string
 
 const (
@@ -21,11 +21,11 @@
 	storeRefuses      storeMode = "refuses"
 	storeUnresponsive storeMode = "silent"
 	storeSlow         storeMode = "slow"
-	// storeForgets answers each watch that its history is gone.
+	// storeHistoryLost responds to each watch that the history is gone.
 	storeHistoryLost storeMode = "forgets"
 )
 
-// object is an object as the platform's pages have it.
+// object is an object in the JSON format of the platform.
 type object struct {
 	Metadata struct {
 		Name     string `json:"name"`
@@ -42,18 +42,19 @@
 	at   time.Time
 }
 
-// store is a stand-in of the platform's metadata store.
+// store is a fake of the platform's metadata store.
 type store struct {
 	address string
 
 	mu           sync.Mutex
 	mode         storeMode
 	healthySince time.Time
-	// era counts the returns from copies.
+	// timeline starts at 1 and grows by one each time the store is restored from a backup.
 	timeline, revision int
 	objects            map[string]map[string]object
 	events             []storeEvent
-	// written is what the operator and the servers wrote last, gone or not.
+	// lastWrites has the last write of the operator and the servers to each object, removals
+	// included, by kind and name.
 	lastWrites map[string]storeEvent
 	changed    chan struct{}
 }
@@ -81,16 +82,16 @@
 	return s
 }
 
-// setMode changes how calls are treated from now on; waiting ones end.
+// setMode changes how the store responds. Pending watches wake up and apply the new mode.
 func (s *store) setMode(mode storeMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.mode = mode
 	s.healthySince = time.Now()
-	s.wakeLocked()
+	s.wakeWatchesLocked()
 }
 
-// healthyFor tells for how long the store has served.
+// healthyFor returns how long the store has served without a change of mode.
 func (s *store) healthyFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +101,7 @@
 	return time.Since(s.healthySince)
 }
 
-func (s *store) wakeLocked() {
+func (s *store) wakeWatchesLocked() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -131,7 +132,7 @@
 	}
 	s.events = append(s.events, e)
 	s.applyLocked(&e)
-	s.wakeLocked()
+	s.wakeWatchesLocked()
 	return e
 }
 
@@ -145,7 +146,7 @@
 	}
 }
 
-// ServeHTTP lists objects of a kind or waits for changes.
+// ServeHTTP lists the objects of a kind or, with the query parameter watch, waits for changes.
 func (s *store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	kind := strings.TrimPrefix(r.URL.Path, "/-/objects/")
 	query := r.URL.Query()
