--- a/cmd/slipwickd/soak/crash_test.go
+++ b/cmd/slipwickd/soak/crash_test.go
@@ -12,12 +12,12 @@
 	crashBody = "ends servers"
 	// maxQuarantineDelay is the time after the third crash by which all gateways must have
 	// quarantined the request. maxLateAttempts attempts may be under way at that time. Both
-	// hold while gateways live: attempts through a gateway disturbed within settleTime are not
-	// counted, and killing all gateways resets the counts.
+	// hold only while the gateways live: attempts through a gateway disturbed within settleTime
+	// are not counted, and killing all gateways resets the counts.
 	maxQuarantineDelay = 2 * time.Second
 	maxLateAttempts    = 3
-	// crashRequestInterval is the pause between two requests of a caller, which goes on for
-	// crashRequestExtraTime after the time of the fault.
+	// crashRequestInterval is the pause between two crash requests of a caller. Callers keep
+	// sending for crashRequestExtraTime longer than the duration of the fault.
 	crashRequestInterval  = 60 * time.Millisecond
 	crashRequestExtraTime = 6 * time.Second
 	// crashCallerCount is the number of callers, and so of concurrent crash requests.
--- a/cmd/slipwickd/soak/gateway_test.go
+++ b/cmd/slipwickd/soak/gateway_test.go
@@ -39,7 +39,7 @@
 	output *bytes.Buffer
 	// disturbedAt is the time of the last disturbance. isLasting is set while it goes on.
 	disturbedAt time.Time
-	isLasting bool
+	isLasting   bool
 	// version is the newest configuration version seen in force in the current process.
 	version int
 }
@@ -164,8 +164,8 @@
 	}
 }
 
-// undisturbedFor returns the time since the last disturbance. Planned stops and reloads of
-// the settings are no disturbances.
+// undisturbedFor returns the time since the last disturbance, or 0 while one goes on. A start
+// is a disturbance; SIGTERM and SIGHUP are not.
 func (g *gateway) undisturbedFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
