--- a/cmd/slipwick/apply/apply.go
+++ b/cmd/slipwick/apply/apply.go
@@ -109,7 +109,9 @@
 
 // explainConflict adds to a conflict how the files differ from the version that another operator has
 // applied. Other errors are returned unchanged.
-func explainConflict(ctx context.Context, keeper *configuration.Repository, state *configuration.State, err error) error {
+func explainConflict(
+	ctx context.Context, keeper *configuration.Repository, state *configuration.State, err error,
+) error {
 	if !slipwick.IsKind(err, slipwick.KindConflict) {
 		return err
 	}
