--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -9,21 +9,22 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Baseline makes one router's admission, to measure owners against.
+// Baseline creates the admission of one router that admission by owners is
+// compared with.
 type Baseline func(meter *Meter) ViewedAdmission
 
-// ViewedAdmission is admission that follows views.
+// BaselineAdmission is an admission that is told of each new view.
 type ViewedAdmission interface {
 	slipwick.Admission
 	SetView(view *placement.View)
 }
 
-// HashAlone sends each chat to its first choice, without a bound.
+// HashOnly sends each chat to its first choice, without a load limit.
 func HashAlone(*Meter) ViewedAdmission {
 	return admission.NewLocal()
 }
 
-// LocalBound keeps each router to the limit by its own counts.
+// LocalLimit has each router enforce the load limit by its own counts only.
 func LocalBound(*Meter) ViewedAdmission {
 	local := admission.NewLocal()
 	local.EnforceLimit = true
@@ -31,7 +32,7 @@
 }
 
 // TwoChoices sends each request to the less loaded of its chat's first two
-// choices, by load reports that are half a second old on average.
+// choices. The load reports it compares are half a second old on average.
 func TwoChoices(meter *Meter) ViewedAdmission {
 	return &twoChoices{
 		Local: admission.NewLocal(),
@@ -47,7 +48,7 @@
 	view  *placement.View
 }
 
-// SetView puts a newer view in force.
+// SetView replaces the view.
 func (t *twoChoices) SetView(view *placement.View) {
 	t.mu.Lock()
 	t.view = view
@@ -55,7 +56,7 @@
 	t.Local.SetView(view)
 }
 
-// Acquire avoids the busier of the first two choices.
+// Acquire grants a slot, and avoids the more loaded of the first two choices.
 func (t *twoChoices) Acquire(ctx context.Context, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
 	t.mu.Lock()
 	pool := t.view.Pools[ask.Pool]
@@ -63,7 +64,7 @@
 	ranked := pool.Rank(nil, ask.Chat)
 	if len(ranked) > 1 {
 		first, second := pool.Backends[ranked[0]].ID, pool.Backends[ranked[1]].ID
-		if t.meter.reported(first) > t.meter.reported(second) {
+		if t.meter.reportedLoad(first) > t.meter.reportedLoad(second) {
 			ask.Exclude = append(ask.Exclude, first)
 		}
 	}
--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -11,10 +11,10 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// hold bounds a request's wait for a slot.
-const hold = 10 * time.Second
+// maxSlotWait limits how long a request waits for a slot.
+const maxSlotWait = 10 * time.Second
 
-// Chat is one emulated chat.
+// Chat is an emulated chat. It sends one request at a time.
 type Chat struct {
 	world     *World
 	random    *rand.Rand
@@ -23,7 +23,8 @@
 	turns     int
 }
 
-// NewChat makes the i-th chat.
+// NewChat creates the i-th chat, in the workspace. Its random numbers and its
+// key follow from i and the seed of the setup.
 func (w *World) NewChat(workspace string, i int) *Chat {
 	return &Chat{
 		world:     w,
@@ -33,12 +34,12 @@
 	}
 }
 
-// StartChats has all chats of the setup think and return until Close. Those of
-// the last workspace are started by Surge alone.
+// StartChats starts all chats of the setup, which send requests until
+// StopChats. None is in the last workspace; only Surge starts chats there.
 func (w *World) StartChats() {
 	for i := range w.Setup.Chats {
 		c := w.NewChat(workspaces[i%(len(workspaces)-1)], i)
-		w.parts.Go(c.run)
+		w.goroutines.Go(c.run)
 	}
 }
 
@@ -49,7 +50,8 @@
 		const cold = 10
 		think *= cold
 	}
-	// The fleet starts in its steady state, not with a burst.
+	// The first requests are spread out, so that the fleet starts in its steady
+	// state and not with a burst.
 	wait := time.Duration(c.random.Float64() * float64(think+w.Setup.Service))
 	for c.think(wait) {
 		_ = c.Turn()
@@ -57,11 +59,12 @@
 	}
 }
 
-// think waits, or returns within a second when all chats are called back.
+// think waits before the next request. When ReturnChats is called, it returns
+// within a second. It reports false when the world has ended.
 func (c *Chat) think(wait time.Duration) bool {
 	w := c.world
 	w.mu.Lock()
-	back := w.back
+	returning := w.returnChats
 	w.mu.Unlock()
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -70,24 +73,26 @@
 		return false
 	case <-timer.C:
 		return true
-	case <-back:
+	case <-returning:
 		return w.pause(time.Duration(c.random.Int64N(int64(time.Second))))
 	}
 }
 
-// CallBack has all chats that think return within one second.
+// ReturnChats makes all chats that wait send their next request within one
+// second.
 func (w *World) CallBack() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	close(w.back)
-	w.back = make(chan struct{})
+	close(w.returnChats)
+	w.returnChats = make(chan struct{})
 }
 
-// Surge has count new chats of a workspace arrive within one second.
+// Surge sends the first request of count new chats of a workspace within one
+// second. The chats are numbered from the given index.
 func (w *World) Surge(workspace string, count, from int) {
 	for i := range count {
 		c := w.NewChat(workspace, from+i)
-		w.parts.Go(func() {
+		w.goroutines.Go(func() {
 			if w.pause(time.Duration(c.random.Int64N(int64(time.Second)))) {
 				_ = c.Turn()
 			}
@@ -95,97 +100,100 @@
 	}
 }
 
-// errLost is a request that its engine took down with it.
-var errLost = errors.New("the engine was lost")
+// errEngineFailed says that the engine failed or hung while it had the request.
+var errEngineFailed = errors.New("engine failed")
 
-// Turn has one request through a random router and gives how it ended.
+// SendRequest sends one request through a random router and retries it at
+// other engines if its engine fails. It returns the last error.
 func (c *Chat) Turn() error {
 	w := c.world
-	w.Meter.arrived(c.workspace)
+	w.Meter.recordArrival(c.workspace)
 	ask := slipwick.AcquireRequest{
 		Pool:      poolName,
 		Workspace: c.workspace,
 		Chat:      c.key,
 	}
-	const tries = 3
+	const maxAttempts = 3
 	var err error
-	for range tries {
-		var at string
-		at, err = c.try(ask)
-		if !errors.Is(err, errLost) {
+	for range maxAttempts {
+		var engine string
+		engine, err = c.attempt(ask)
+		if !errors.Is(err, errEngineFailed) {
 			break
 		}
-		ask.Exclude = append(ask.Exclude, at)
+		ask.Exclude = append(ask.Exclude, engine)
 	}
-	if err != nil && !errors.Is(err, errLost) {
-		w.Meter.refuse(c.workspace)
+	if err != nil && !errors.Is(err, errEngineFailed) {
+		w.Meter.recordRefusal(c.workspace)
 	}
 	return err
 }
 
-func (c *Chat) try(ask slipwick.AcquireRequest) (engine string, err error) {
+func (c *Chat) attempt(ask slipwick.AcquireRequest) (engine string, err error) {
 	w := c.world
-	admits := w.anyRouter(c.random)
-	ctx, cancel := context.WithTimeout(context.Background(), hold)
+	router := w.anyRouter(c.random)
+	ctx, cancel := context.WithTimeout(context.Background(), maxSlotWait)
 	defer cancel()
 	started := time.Now()
-	grant, err := admits.Acquire(ctx, ask)
+	grant, err := router.Acquire(ctx, ask)
 	if err != nil {
 		return "", err
 	}
 	id := grant.Backend.ID
-	w.Meter.granted(id, time.Since(started))
+	w.Meter.recordGrant(id, time.Since(started))
 	evidence := c.serve(id)
-	w.Meter.released(id)
-	admits.Release(grant, evidence)
+	w.Meter.recordRelease(id)
+	router.Release(grant, evidence)
 	if evidence.IsFailure() {
-		w.Meter.broke()
-		return id, errLost
+		w.Meter.recordFailure()
+		return id, errEngineFailed
 	}
 	return id, nil
 }
 
-// serve has the engine answer, and gives what it showed of its health.
+// serve runs the request at the engine and returns the evidence of the engine's
+// health that a router would get from it.
 func (c *Chat) serve(id string) slipwick.Evidence {
 	w := c.world
 	w.mu.Lock()
 	e := w.engines[id]
-	hangs := e.hangs
+	hanging := e.hanging
 	w.mu.Unlock()
-	if e.isLost() {
+	if e.isCrashed() {
 		return slipwick.EvidenceUnreachable
 	}
 	service := time.Duration((0.5 + c.random.Float64()) * float64(w.Setup.Service))
-	if hangs {
-		const firstTokenLimit = 2 * time.Second
-		time.Sleep(firstTokenLimit)
+	if hanging {
+		const firstTokenTimeout = 2 * time.Second
+		time.Sleep(firstTokenTimeout)
 		return slipwick.EvidenceTimeout
 	}
 	cached := e.serve(c.key)
 	if !cached {
-		service += prefill
+		service += prefillTime
 	}
 	if c.turns++; c.turns > 1 {
-		w.Meter.turn(cached)
+		w.Meter.recordReturn(cached)
 	}
 	timer := time.NewTimer(service)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return slipwick.EvidenceGood
-	case <-e.lost:
+	case <-e.crashed:
 		return slipwick.EvidenceError
 	}
 }
 
-// anyRouter is the platform's balancer: any router that runs.
+// anyRouter returns the admission of a random running router, as the platform's
+// balancer would choose it.
 func (w *World) anyRouter(random *rand.Rand) slipwick.Admission {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for {
 		r := w.routers[random.IntN(len(w.routers))]
 		if !r.isStopped() {
-			return w.admits[r.Self.ID]
+			return w.admissions[r.Self.ID]
 		}
 	}
 }
--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -8,20 +8,20 @@
 	"github.com/slipwick/slipwick/configuration"
 )
 
-// Case is a setup and what befalls it.
+// Case is a setup and the events that are played against it.
 type Case struct {
 	Name  string
 	Setup Setup
-	// Run lasts as long as the measurement.
+	// Run plays the events; the measurement ends when it returns.
 	Run func(w *World)
 }
 
-// length is how long cases without another need last.
-const length = time.Minute
+// caseDuration is how long a case is measured unless its events take longer.
+const caseDuration = time.Minute
 
-// today is the size of one of the first users: about 20 requests a second and
-// 10 in flight at each of 20 engines.
-func today() Setup {
+// todaySetup has the size of one of the first users: about 20 requests a second
+// and 10 in flight at each of 20 engines.
+func todaySetup() Setup {
 	return Setup{
 		Routers:     8,
 		Engines:     20,
@@ -39,29 +39,29 @@
 	}
 }
 
-// large is one model at the size of two years: 370 requests a second, 40 in
-// flight at each of 93 engines.
-func large() Setup {
-	setup := today()
+// largeSetup has the size expected for one model in two years: 370 requests a
+// second and 40 in flight at each of 93 engines.
+func largeSetup() Setup {
+	setup := todaySetup()
 	setup.Routers, setup.Engines, setup.DataCentres = 330, 93, 10
 	setup.Chats, setup.CacheChats = 20_000, 1000
 	setup.WarmUp = time.Minute
 	return setup
 }
 
-// Cases lists what is measured.
+// Cases returns the cases that TestMeasure runs.
 func Cases() []Case {
-	churning := large()
+	churning := largeSetup()
 	churning.Routers = 32
 	return []Case{
 		{
 			Name:  "today",
-			Setup: today(),
-			Run:   func(w *World) { w.pause(length) },
+			Setup: todaySetup(),
+			Run:   func(w *World) { w.pause(caseDuration) },
 		},
 		{
 			Name:  "burst",
-			Setup: today(),
+			Setup: todaySetup(),
 			Run:   burst,
 		},
 		{
@@ -71,43 +71,43 @@
 		},
 		{
 			Name:  "disagree",
-			Setup: today(),
-			Run:   disagree,
+			Setup: todaySetup(),
+			Run:   partition,
 		},
 		{
 			Name:  "lag",
-			Setup: today(),
+			Setup: todaySetup(),
 			Run: func(w *World) {
 				w.Meter.SetReportLag(time.Second)
-				w.pause(length)
+				w.pause(caseDuration)
 			},
 		},
 		{
 			Name:  "late-totals",
-			Setup: today(),
+			Setup: todaySetup(),
 			Run: func(w *World) {
 				w.Network.SetFaults(Faults{
 					LoadDelay: time.Second,
 					LoadLose:  1.0 / 3,
 				})
-				w.pause(length)
+				w.pause(caseDuration)
 			},
 		},
 		{
 			Name:  "large",
-			Setup: large(),
+			Setup: largeSetup(),
 			Run: func(w *World) {
 				const extra = 4000
-				w.pause(length / 2)
+				w.pause(caseDuration / 2)
 				w.Surge(workspaces[0], extra, w.Setup.Chats)
-				w.pause(length / 2)
+				w.pause(caseDuration / 2)
 			},
 		},
 	}
 }
 
-// burst calls all chats back within one second, twice, and has a workspace
-// surge to 20 times its share.
+// burst makes all chats return within one second, twice, while one workspace
+// sends a surge of 20 times its share.
 func burst(w *World) {
 	const quiet = 20 * time.Second
 	surge := 20 * w.Setup.Chats / len(workspaces) / 5
@@ -119,17 +119,17 @@
 	w.pause(quiet)
 }
 
-// churn replaces an engine every 10 seconds, in turn by a planned stop and
-// after a loss, while another flaps.
+// churn replaces an engine every 10 seconds, alternately after a planned stop
+// and after a crash, while another engine flaps.
 func churn(w *World) {
-	const every, notice, flap = 10 * time.Second, 3 * time.Second, 3 * time.Second
+	const interval, notice, flapInterval = 10 * time.Second, 3 * time.Second, 3 * time.Second
 	flapping := w.Engines()[0]
-	w.parts.Go(func() {
-		for leaving := true; w.pause(flap); leaving = !leaving {
+	w.goroutines.Go(func() {
+		for leaving := true; w.pause(flapInterval); leaving = !leaving {
 			w.SetLeaving(flapping, leaving)
 		}
 	})
-	for i := 1; w.pause(every - notice); i++ {
+	for i := 1; w.pause(interval - notice); i++ {
 		id := w.Engines()[i]
 		if i%2 == 0 {
 			w.SetLeaving(id, true)
@@ -138,16 +138,16 @@
 		}
 		w.pause(notice)
 		w.Replace(id, fmt.Sprintf("new-%03d", i))
-		if i == int(length/every) {
+		if i == int(caseDuration/interval) {
 			return
 		}
 	}
 }
 
-// disagree cuts half of the routers off from the other half for 5 seconds,
-// long enough for each half to bury the other, and again.
-func disagree(w *World) {
-	const quiet, apart = 15 * time.Second, 5 * time.Second
+// partition separates one half of the routers from the other for 5 seconds,
+// twice. That is long enough for each half to declare the other dead.
+func partition(w *World) {
+	const quiet, partitionTime = 15 * time.Second, 5 * time.Second
 	half := make(map[string]bool)
 	for i := range w.Setup.Routers / 2 {
 		half[w.Router(i).Self.ID] = true
@@ -157,7 +157,7 @@
 		w.Network.SetFaults(Faults{
 			Cut: func(from, to string) bool { return half[from] != half[to] },
 		})
-		w.pause(apart)
+		w.pause(partitionTime)
 		w.Network.SetFaults(Faults{})
 	}
 	w.pause(quiet)
--- a/emulation/doc.go
+++ b/emulation/doc.go
@@ -1,4 +1,5 @@
-// Package emulation runs the real decision code of many routers in one
-// process, over in-memory links with latency and faults, before fakes of
-// engines. Under testing/synctest hours pass in seconds.
+// Package emulation runs the production admission, membership and
+// configuration code of many routers in one process. The routers talk over
+// in-memory links with latency and faults and use fake engines. Under
+// testing/synctest hours pass in seconds.
 package emulation
--- a/emulation/engine.go
+++ b/emulation/engine.go
@@ -6,7 +6,7 @@
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Engine is a fake engine: a bounded cache of chats' prefixes.
+// Engine is a fake engine. It holds a bounded LRU cache of chats' prefixes.
 type Engine struct {
 	ID string
 
@@ -22,7 +22,7 @@
 	return e
 }
 
-// serve keeps the chat's prefix and tells whether it was cached.
+// serve caches the chat's prefix and reports whether it was cached before.
 func (e *Engine) serve(chat uint64) (cached bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -11,7 +11,7 @@
 
 // small is a fleet that runs fast; its chats are busy.
 func small() Setup {
-	setup := today()
+	setup := todaySetup()
 	setup.Routers, setup.Engines, setup.Chats = 6, 10, 300
 	setup.Think, setup.Service = 4*time.Second, 4*time.Second
 	return setup
--- a/emulation/faults.go
+++ b/emulation/faults.go
@@ -2,13 +2,16 @@
 
 import "time"
 
-// Faults are what the links of a Network do to messages.
+// Faults describes the faults that a Network injects into its messages.
 type Faults struct {
-	// Lose, Double and Reorder are the shares of envelopes affected.
+	// LossRate, DuplicateRate and ReorderRate are the shares of affected
+	// envelopes, 0 to 1. LossRate applies to packets too.
 	Lose, Double, Reorder float64
-	// LoadDelay and LoadLose affect envelopes that carry load reports alone.
+	// LoadDelay and LoadLossRate apply only to envelopes that carry nothing but
+	// load reports.
 	LoadDelay time.Duration
 	LoadLose  float64
-	// Cut tells whether nothing passes between two routers.
+	// Cut reports whether messages from one router to another are dropped; nil
+	// drops none.
 	Cut func(from, to string) bool
 }
--- a/emulation/follow.go
+++ b/emulation/follow.go
@@ -9,22 +9,22 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// following is a router's part in following the configuration.
-type following struct {
+// configSync is the state with which a router follows the configuration.
+type configSync struct {
 	follower *configuration.Follower
-	sharing  *configuration.Syncer
+	syncer   *configuration.Syncer
 
 	mu sync.Mutex
-	// versions are those that were in force, in order.
+	// versions lists the versions that have been in force, in order.
 	versions []slipwick.Version
 }
 
-// Follow has the router follow the configuration in the store.
+// Follow starts to follow the configuration in the store, until ctx ends.
 func (r *Router) Follow(ctx context.Context, network *Network, store slipwick.Store) {
-	f := &following{}
+	f := &configSync{}
 	f.follower = &configuration.Follower{
 		Store:   store,
-		Watches: r.watches,
+		Watches: r.watchesPlatform,
 		OnChange: func(snapshot *configuration.Snapshot) {
 			f.mu.Lock()
 			f.versions = append(f.versions, snapshot.Version)
@@ -32,35 +32,38 @@
 			r.Node.SetVersion(uint64(snapshot.Version))
 		},
 	}
-	f.sharing = &configuration.Syncer{
+	f.syncer = &configuration.Syncer{
 		Follower: f.follower,
-		Transport: &link{
+		Transport: &envelopeTransport{
 			network: network,
 			from:    r,
 		},
 	}
 	r.mu.Lock()
-	r.following = f
+	r.configSync = f
 	r.mu.Unlock()
 	go f.follower.Run(ctx)
 }
 
-func (r *Router) watches() bool {
+// watchesPlatform reports whether the router watches the platform itself. It
+// does so too until it has a view.
+func (r *Router) watchesPlatform() bool {
 	r.mu.Lock()
 	view := r.view
 	r.mu.Unlock()
 	return view == nil || fleet.IsPlatformWatcher(r.Self, view.Routers)
 }
 
-func (r *Router) followed() *following {
+func (r *Router) currentConfigSync() *configSync {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.following
+	return r.configSync
 }
 
-// Versions lists the versions that were in force at the router, in order.
+// Versions returns the versions that have been in force at the router, in
+// order. Follow must have been called.
 func (r *Router) Versions() []slipwick.Version {
-	f := r.followed()
+	f := r.currentConfigSync()
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return append([]slipwick.Version(nil), f.versions...)
--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -8,7 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Meter knows all engines' true loads and records what is measured.
+// Meter counts the requests that are in flight at each engine and records the
+// measurements of a Report. It may be used by several goroutines.
 type Meter struct {
 	mu       sync.Mutex
 	factor   float64
@@ -16,55 +17,58 @@
 	total    int
 	usable   map[string]bool
 
-	requests, refused  int
-	broken             int
-	grants             map[string]int
-	returning, reused  int
-	excess, skewGrant  float64
-	skewSampled        float64
-	skews, holds       *hdrhistogram.Histogram
-	refusedByWorkspace map[string]int
-	requestsBy         map[string]int
-	// reports are the loads as baselines see them: up to a second old.
-	reports    map[string]int
-	reportedAt time.Time
-	reportLag  time.Duration
+	requests, refused       int
+	failed                  int
+	grants                  map[string]int
+	returning, reused       int
+	maxExcess, maxGrantSkew float64
+	maxSampledSkew          float64
+	sampledSkews, slotWaits *hdrhistogram.Histogram
+	refusedByWorkspace      map[string]int
+	requestsByWorkspace     map[string]int
+	// reportedLoads are the loads as baselines see them: up to a second old, and
+	// older by reportDelay.
+	reportedLoads map[string]int
+	reportedAt    time.Time
+	reportDelay   time.Duration
 }
 
 const (
 	histogramDigits = 3
-	maxHoldMillis   = 120_000
+	maxWaitMillis   = 120_000
 	maxSkewPercent  = 100_000
-	// enough is the mean from which on a sampled skew is recorded: below,
-	// rounding to whole requests is all there is.
-	enough = 4
+	// minMeanLoad is the mean load from which on skews are recorded. Below it a
+	// skew shows only the rounding to whole requests.
+	minMeanLoad = 4
 )
 
 func newMeter(factor float64) *Meter {
 	return &Meter{
-		factor:             factor,
-		inFlight:           make(map[string]int),
-		grants:             make(map[string]int),
-		usable:             make(map[string]bool),
-		skews:              hdrhistogram.New(1, maxSkewPercent, histogramDigits),
-		holds:              hdrhistogram.New(1, maxHoldMillis, histogramDigits),
-		refusedByWorkspace: make(map[string]int),
-		requestsBy:         make(map[string]int),
+		factor:              factor,
+		inFlight:            make(map[string]int),
+		grants:              make(map[string]int),
+		usable:              make(map[string]bool),
+		sampledSkews:        hdrhistogram.New(1, maxSkewPercent, histogramDigits),
+		slotWaits:           hdrhistogram.New(1, maxWaitMillis, histogramDigits),
+		refusedByWorkspace:  make(map[string]int),
+		requestsByWorkspace: make(map[string]int),
 	}
 }
 
-// reset forgets what was recorded, but not what is in flight.
+// reset clears the measurements, but not the requests in flight, the grants by
+// engine and the failed requests.
 func (m *Meter) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	fresh := newMeter(m.factor)
 	m.requests, m.refused, m.returning, m.reused = 0, 0, 0, 0
-	m.excess, m.skewGrant, m.skewSampled = 0, 0, 0
-	m.skews, m.holds = fresh.skews, fresh.holds
-	m.refusedByWorkspace, m.requestsBy = fresh.refusedByWorkspace, fresh.requestsBy
+	m.maxExcess, m.maxGrantSkew, m.maxSampledSkew = 0, 0, 0
+	m.sampledSkews, m.slotWaits = fresh.sampledSkews, fresh.slotWaits
+	m.refusedByWorkspace, m.requestsByWorkspace = fresh.refusedByWorkspace, fresh.requestsByWorkspace
 }
 
-// setUsable says whether an engine may get work, as a matter of fact.
+// setUsable records whether an engine can take requests, whatever the routers
+// know of it.
 func (m *Meter) setUsable(engine string, usable bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -75,28 +79,29 @@
 	}
 }
 
-// granted records a grant and how far the engine is above the mean after it.
-func (m *Meter) granted(engine string, waited time.Duration) {
+// recordGrant records a grant, how long it was waited for, and how far it put
+// the engine above the mean.
+func (m *Meter) recordGrant(engine string, waited time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight[engine]++
 	m.grants[engine]++
 	m.total++
-	_ = m.holds.RecordValue(max(1, waited.Milliseconds()))
+	_ = m.slotWaits.RecordValue(max(1, waited.Milliseconds()))
 	mean := m.mean()
 	if !m.usable[engine] {
-		// Nobody knows yet that it may not get work; it has no part in the
-		// mean.
+		// The router does not know yet that the engine cannot take requests.
+		// Such an engine is not part of the mean.
 		return
 	}
 	load := float64(m.inFlight[engine])
-	m.excess = max(m.excess, load-m.factor*mean)
-	if mean >= enough {
-		m.skewGrant = max(m.skewGrant, (load-1)/mean)
+	m.maxExcess = max(m.maxExcess, load-m.factor*mean)
+	if mean >= minMeanLoad {
+		m.maxGrantSkew = max(m.maxGrantSkew, (load-1)/mean)
 	}
 }
 
-// mean is that over the engines that may get work.
+// mean returns the mean load of the usable engines; m.mu is held.
 func (m *Meter) mean() float64 {
 	total := 0
 	for engine := range m.usable {
@@ -105,19 +110,19 @@
 	return float64(total) / float64(max(1, len(m.usable)))
 }
 
-func (m *Meter) released(engine string) {
+func (m *Meter) recordRelease(engine string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight[engine]--
 	m.total--
 }
 
-// sample records the skew at one moment.
+// sample records the current skew.
 func (m *Meter) sample() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mean := m.mean()
-	if mean < enough {
+	if mean < minMeanLoad {
 		return
 	}
 	busiest := 0
@@ -125,26 +130,26 @@
 		busiest = max(busiest, m.inFlight[engine])
 	}
 	skew := float64(busiest) / mean
-	m.skewSampled = max(m.skewSampled, skew)
-	_ = m.skews.RecordValue(int64(skew * 100))
+	m.maxSampledSkew = max(m.maxSampledSkew, skew)
+	_ = m.sampledSkews.RecordValue(int64(skew * 100))
 }
 
-func (m *Meter) arrived(workspace string) {
+func (m *Meter) recordArrival(workspace string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.requests++
-	m.requestsBy[workspace]++
+	m.requestsByWorkspace[workspace]++
 }
 
-func (m *Meter) refuse(workspace string) {
+func (m *Meter) recordRefusal(workspace string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.refused++
 	m.refusedByWorkspace[workspace]++
 }
 
-// turn records whether a returning chat found its prefix.
-func (m *Meter) turn(reused bool) {
+// recordReturn records whether the prefix of a returning chat was cached.
+func (m *Meter) recordReturn(reused bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.returning++
@@ -153,54 +158,56 @@
 	}
 }
 
-// Total is the number of requests in flight.
+// InFlight returns the number of requests in flight at all engines.
 func (m *Meter) Total() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.total
 }
 
-// reported is an engine's load as reported within the last second.
-func (m *Meter) reported(engine string) int {
-	const every = time.Second
+// reportedLoad returns an engine's load by its last report. Reports are made at
+// most once a second, and take reportDelay to arrive.
+func (m *Meter) reportedLoad(engine string) int {
+	const interval = time.Second
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if now := time.Now(); now.Sub(m.reportedAt) >= every {
-		taken := maps.Clone(m.inFlight)
+	if now := time.Now(); now.Sub(m.reportedAt) >= interval {
+		loads := maps.Clone(m.inFlight)
 		m.reportedAt = now
-		time.AfterFunc(m.reportLag, func() {
+		time.AfterFunc(m.reportDelay, func() {
 			m.mu.Lock()
 			defer m.mu.Unlock()
-			m.reports = taken
+			m.reportedLoads = loads
 		})
 	}
-	return m.reports[engine]
+	return m.reportedLoads[engine]
 }
 
-// SetReportLag makes the engines' own load reports late. Owners count slots
-// and do not use them.
-func (m *Meter) SetReportLag(lag time.Duration) {
+// SetReportDelay delays the engines' own load reports. Only baselines use them;
+// owners count slots.
+func (m *Meter) SetReportLag(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.reportLag = lag
+	m.reportDelay = delay
 }
 
-// Grants is the number of slots granted at an engine since the start.
+// Grants returns the number of slots granted at an engine since the start.
 func (m *Meter) Grants(engine string) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.grants[engine]
 }
 
-// Broken is the number of requests that their engine took down with it.
+// FailedRequests returns the number of attempts since the start whose engine
+// failed or hung.
 func (m *Meter) Broken() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.broken
+	return m.failed
 }
 
-func (m *Meter) broke() {
+func (m *Meter) recordFailure() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.broken++
+	m.failed++
 }
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -12,31 +12,33 @@
 
 // Network carries envelopes and packets between emulated routers.
 type Network struct {
-	// Latency is the time one way between two routers.
+	// Latency returns the one-way latency between two routers.
 	Latency func(from, to *Router) time.Duration
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	routers  map[string]*Router
-	address  map[string]*Router
-	faults   Faults
-	traffic  map[string]*Traffic
-	requests int
-	spy      func(*peerpb.Envelope, int)
+	mu           sync.Mutex
+	random       *rand.Rand
+	routers      map[string]*Router
+	byAddress    map[string]*Router
+	faults       Faults
+	traffic      map[string]*Traffic
+	slotRequests int
+	// onSend, if set, is called with each envelope and its bytes.
+	onSend func(*peerpb.Envelope, int)
 }
 
-// NewNetwork makes a network without routers.
+// NewNetwork creates a network without routers, where each message takes a
+// millisecond. The seed decides which messages the faults affect.
 func NewNetwork(seed uint64) *Network {
 	return &Network{
-		Latency: func(*Router, *Router) time.Duration { return time.Millisecond },
-		random:  rand.New(rand.NewPCG(seed, 1)),
-		routers: make(map[string]*Router),
-		address: make(map[string]*Router),
-		traffic: make(map[string]*Traffic),
+		Latency:   func(*Router, *Router) time.Duration { return time.Millisecond },
+		random:    rand.New(rand.NewPCG(seed, 1)),
+		routers:   make(map[string]*Router),
+		byAddress: make(map[string]*Router),
+		traffic:   make(map[string]*Traffic),
 	}
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the faults; the zero value injects none.
 func (n *Network) SetFaults(faults Faults) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,7 +49,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.routers[r.Self.ID] = r
-	n.address[r.Self.Address] = r
+	n.byAddress[r.Self.Address] = r
 	if n.traffic[r.Self.ID] == nil {
 		n.traffic[r.Self.ID] = &Traffic{}
 	}
@@ -56,13 +58,14 @@
 func (n *Network) reset() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.requests = 0
+	n.slotRequests = 0
 	for _, t := range n.traffic {
 		*t = Traffic{}
 	}
 }
 
-// Traffic gives what each router has sent and received so far.
+// Traffic returns the control traffic of each router by its ID, since the start
+// or the end of the warm-up.
 func (n *Network) Traffic() map[string]Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -73,64 +76,67 @@
 	return traffic
 }
 
-// SlotRequests counts the slot requests sent so far.
+// SlotRequests returns the number of slot requests sent between routers, since
+// the start or the end of the warm-up.
 func (n *Network) SlotRequests() int {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.requests
+	return n.slotRequests
 }
 
-// deliver has a message arrive later, if the faults let it.
+// deliver counts a message and calls arrive after the latency and the delay,
+// unless the message is cut; n.mu is held.
 func (n *Network) deliver(from, to *Router, size int, delay time.Duration, arrive func()) {
 	n.traffic[from.Self.ID].add(size)
 	if n.faults.Cut != nil && n.faults.Cut(from.Self.ID, to.Self.ID) {
 		return
 	}
 	n.traffic[to.Self.ID].add(size)
-	time.AfterFunc(n.Latency(from, to)+delay, func() { to.whenRunning(arrive) })
+	time.AfterFunc(n.Latency(from, to)+delay, func() { to.accept(arrive) })
 }
 
-// link is one router's way to send envelopes.
-type link struct {
+// envelopeTransport sends one router's envelopes.
+type envelopeTransport struct {
 	network *Network
 	from    *Router
 }
 
-// Send carries an envelope.
-func (l *link) Send(router string, envelope *peerpb.Envelope) {
-	n := l.network
+// Send sends an envelope to a router. It does not block.
+func (t *envelopeTransport) Send(router string, envelope *peerpb.Envelope) {
+	n := t.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to := n.routers[router]
-	if to == nil || l.from.isStopped() {
+	if to == nil || t.from.isStopped() {
 		return
 	}
-	n.requests += len(envelope.GetRequests())
+	n.slotRequests += len(envelope.GetRequests())
 	size := proto.Size(envelope) + streamFraming + tcpHeaders
-	if n.spy != nil {
-		n.spy(envelope, size)
+	if n.onSend != nil {
+		n.onSend(envelope, size)
 	}
-	// The receiver may not see later changes to what the sender keeps.
-	arrive := func() { to.receive(l.from.Self.ID, envelope) }
-	times, delay := n.fate(envelope)
-	for range times {
-		n.deliver(l.from, to, size, delay, arrive)
+	// The envelope is not copied, so neither side may change it later.
+	arrive := func() { to.receive(t.from.Self.ID, envelope) }
+	copies, delay := n.applyFaults(envelope)
+	for range copies {
+		n.deliver(t.from, to, size, delay, arrive)
 	}
 }
 
-// fate tells how often an envelope arrives, and how much later.
-func (n *Network) fate(envelope *peerpb.Envelope) (times int, delay time.Duration) {
-	const reorderDelay = 20 * time.Millisecond
-	lose := n.faults.Lose
+// applyFaults returns how many copies of an envelope arrive, and with which
+// delay on top of the latency; n.mu is held.
+func (n *Network) applyFaults(envelope *peerpb.Envelope) (copies int, delay time.Duration) {
+	const maxReorderDelay = 20 * time.Millisecond
+	lossRate := n.faults.Lose
 	if loadsOnly(envelope) {
-		lose = max(lose, n.faults.LoadLose)
+		lossRate = max(lossRate, n.faults.LoadLose)
 		delay = n.faults.LoadDelay
 	}
-	if n.random.Float64() < lose {
+	if n.random.Float64() < lossRate {
 		return 0, 0
 	}
 	if n.random.Float64() < n.faults.Reorder {
-		delay += time.Duration(n.random.Int64N(int64(reorderDelay)))
+		delay += time.Duration(n.random.Int64N(int64(maxReorderDelay)))
 	}
 	if n.random.Float64() < n.faults.Double {
 		return 2, delay
@@ -138,27 +144,28 @@
 	return 1, delay
 }
 
+// loadsOnly reports whether an envelope carries nothing but load reports.
 func loadsOnly(e *peerpb.Envelope) bool {
 	others := len(e.GetRequests()) + len(e.GetAnswers()) + len(e.GetReleases()) + len(e.GetRenewals()) +
 		len(e.GetHandovers()) + len(e.GetPlaced())
 	return others == 0
 }
 
-// wire is one router's way to send packets.
-type wire struct {
+// packetTransport sends one router's packets.
+type packetTransport struct {
 	network *Network
 	from    *Router
 }
 
-// Send carries a packet.
-func (w *wire) Send(address string, packet []byte) {
-	n := w.network
+// Send sends a packet to an address. It does not block.
+func (t *packetTransport) Send(address string, packet []byte) {
+	n := t.network
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	to := n.address[address]
-	if to == nil || w.from.isStopped() || n.random.Float64() < n.faults.Lose {
+	to := n.byAddress[address]
+	if to == nil || t.from.isStopped() || n.random.Float64() < n.faults.Lose {
 		return
 	}
-	from := w.from.Self.Address
-	n.deliver(w.from, to, len(packet)+udpHeaders, 0, func() { to.receivePacket(from, packet) })
+	from := t.from.Self.Address
+	n.deliver(t.from, to, len(packet)+udpHeaders, 0, func() { to.receivePacket(from, packet) })
 }
--- a/emulation/report.go
+++ b/emulation/report.go
@@ -5,31 +5,38 @@
 	"time"
 )
 
-// Report is what a run of a World measured.
+// Report holds the measurements of a run of a World.
 type Report struct {
-	// Reuse is the share of returning chats that found their prefix.
+	// Reuse is the share of requests of returning chats whose prefix was cached.
 	Reuse float64
-	// SkewMax is the highest load over the mean at a grant, less the one
-	// request granted, while the mean is at least 4.
+	// SkewMax is the highest ratio of an engine's load to the mean at a grant.
+	// The load does not count the granted request, and grants count only while
+	// the mean is at least 4.
 	SkewMax float64
-	// Excess is how many requests, at most, a grant put an engine above the
-	// limit's exact multiple of the mean; up to 1 is rounding.
+	// Excess is the most requests by which a grant put an engine above
+	// LoadFactor times the mean. Values up to 1 are rounding.
 	Excess float64
-	// SkewSampled is the highest load over the mean at any moment, which
-	// rises above the limit while loads fall, as nothing running is cut.
+	// SkewSampled and SkewP50 are the highest and the median ratio of the
+	// highest load to the mean in regular samples. They rise above the limit
+	// while loads fall, because running requests are not stopped.
 	SkewSampled, SkewP50 float64
-	CallsPerRequest      float64
-	// Control is bytes a second sent and received, as the mean over routers,
-	// and ControlMax that of the busiest.
+	// CallsPerRequest is the number of slot requests between routers for each
+	// request.
+	CallsPerRequest float64
+	// Control is the control traffic sent and received, in bytes per second, as
+	// the mean over routers; ControlMax is that of the busiest router.
 	Control, ControlMax float64
-	HoldP99             time.Duration
-	Refused             float64
-	// RefusedInShare is the same for workspaces that did not surge.
+	// WaitP99 is the 99th percentile of the time requests waited for a slot.
+	HoldP99 time.Duration
+	// Refused is the share of requests that were refused.
+	Refused float64
+	// RefusedInShare is the same for the workspaces that did not surge.
 	RefusedInShare float64
 	Requests       int
 }
 
-// WarmUp runs the fleet and then forgets what was measured.
+// WarmUp blocks for the warm-up time of the setup and then resets the
+// measurements.
 func (w *World) WarmUp() {
 	w.pause(w.Setup.WarmUp)
 	w.Meter.reset()
@@ -37,22 +44,22 @@
 	w.started = time.Now()
 }
 
-// Report gives what was measured since the start, or the end of the warm-up.
+// Report returns the measurements since the start, or the end of the warm-up.
 func (w *World) Report() Report {
 	m := w.Meter
 	elapsed := time.Since(w.started).Seconds()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	surging := workspaces[len(workspaces)-1]
-	inShare := m.requests - m.requestsBy[surging]
+	inShare := m.requests - m.requestsByWorkspace[surging]
 	r := Report{
 		Reuse:           ratio(m.reused, m.returning),
-		SkewMax:         m.skewGrant,
-		Excess:          m.excess,
-		SkewSampled:     m.skewSampled,
-		SkewP50:         float64(m.skews.ValueAtQuantile(50)) / 100,
+		SkewMax:         m.maxGrantSkew,
+		Excess:          m.maxExcess,
+		SkewSampled:     m.maxSampledSkew,
+		SkewP50:         float64(m.sampledSkews.ValueAtQuantile(50)) / 100,
 		CallsPerRequest: ratio(w.Network.SlotRequests(), m.requests),
-		HoldP99:         time.Duration(m.holds.ValueAtQuantile(99)) * time.Millisecond,
+		HoldP99:         time.Duration(m.slotWaits.ValueAtQuantile(99)) * time.Millisecond,
 		Refused:         ratio(m.refused, m.requests),
 		RefusedInShare:  ratio(m.refused-m.refusedByWorkspace[surging], inShare),
 		Requests:        m.requests,
@@ -73,7 +80,7 @@
 	return float64(part) / float64(whole)
 }
 
-// Benchmark writes the report as a line of a benchmark's output.
+// Benchmark returns the report as a line of Go benchmark output.
 func (r Report) Benchmark(name string) string {
 	return fmt.Sprintf("%-40s 1 %.3f reuse-ratio %.3f skew-max %.2f excess-requests %.3f skew-sampled-max "+
 		"%.2f skew-p50 %.3f calls/request %.0f control-B/s %.0f control-max-B/s %d hold-p99-ms "+
--- a/emulation/router.go
+++ b/emulation/router.go
@@ -15,7 +15,8 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Router is one emulated router: the real admission and membership.
+// Router is an emulated router. It runs the production admission and
+// membership.
 type Router struct {
 	Self        slipwick.Router
 	Coordinator *admission.Coordinator
@@ -24,16 +25,17 @@
 
 	cancel context.CancelFunc
 
-	mu        sync.Mutex
-	view      *placement.View
-	following *following
-	stopped   bool
-	// paused holds what arrives while the router is paused.
-	paused  bool
+	mu         sync.Mutex
+	view       *placement.View
+	configSync *configSync
+	stopped    bool
+	paused     bool
+	// backlog holds the messages that arrived while the router was paused.
 	backlog []func()
 }
 
-// newRouter makes and starts a router that knows the boxes.
+// newRouter creates and starts a router that has the list of boxes and the
+// configuration.
 func newRouter(
 	network *Network, self slipwick.Router, policy admission.Policy, snapshot *configuration.Snapshot,
 	boxes []slipwick.Box, seed uint64,
@@ -42,7 +44,7 @@
 		Self: self,
 	}
 	network.add(r)
-	r.Coordinator = admission.NewCoordinator(self.ID, &link{
+	r.Coordinator = admission.NewCoordinator(self.ID, &envelopeTransport{
 		network: network,
 		from:    r,
 	}, policy)
@@ -52,18 +54,19 @@
 		OnView: r.SetView,
 	}
 	random := rand.New(rand.NewPCG(seed, membership.IDSeed(self.ID)))
-	r.Node = membership.NewNode(self, &wire{
+	r.Node = membership.NewNode(self, &packetTransport{
 		network: network,
 		from:    r,
 	}, membership.DefaultPolicy(), random)
 	r.Node.OnChange = r.onChange
 	r.Node.OnVersion = func(from string, version uint64) {
-		if f := r.followed(); f != nil {
-			f.sharing.OnVersion(from, version)
+		if f := r.currentConfigSync(); f != nil {
+			f.syncer.OnVersion(from, version)
 		}
 	}
 	r.Coordinator.OnHealth = func(backend string, health admission.Health) {
-		// The coordinator must not be called back from here.
+		// The coordinator calls this with its lock held, so its methods must not
+		// be called from here.
 		go r.Node.SetBackend(backend, fleet.MemberState(health))
 	}
 	r.Node.MergeListing(boxes)
@@ -75,6 +78,7 @@
 	return r
 }
 
+// shares returns a function that looks up a workspace's share by its name.
 func shares(snapshot *configuration.Snapshot) func(string) admission.Share {
 	byName := make(map[string]admission.Share)
 	for _, w := range snapshot.State.Workspaces {
@@ -93,7 +97,8 @@
 	}
 }
 
-// Owners lists the routers that this router thinks may own engines.
+// Owners returns the IDs of the routers in this router's view, which can own
+// engines.
 func (r *Router) Owners() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -104,14 +109,15 @@
 	return ids
 }
 
-// Usable counts the engines of a pool that this router thinks may get work.
+// UsableCount returns the number of usable engines of a pool in this router's
+// view.
 func (r *Router) Usable(pool string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.view.Pools[pool].Usable)
 }
 
-// SetView puts a newer view in force.
+// SetView replaces the router's view.
 func (r *Router) SetView(view *placement.View) {
 	r.mu.Lock()
 	r.view = view
@@ -119,7 +125,7 @@
 	r.Coordinator.SetView(view)
 }
 
-// Kill ends the router at once: nothing leaves or reaches it any more.
+// Kill stops the router at once. It sends and receives nothing afterwards.
 func (r *Router) Kill() {
 	r.mu.Lock()
 	r.stopped = true
@@ -127,15 +133,15 @@
 	r.cancel()
 }
 
-// Pause keeps what arrives until Resume. Requests that the router has in
-// progress go on, as only its control is paused.
+// Pause queues arriving messages until Resume. Requests in progress continue,
+// because only control messages are paused.
 func (r *Router) Pause() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.paused = true
 }
 
-// Resume takes in what arrived meanwhile.
+// Resume delivers the messages that arrived since Pause.
 func (r *Router) Resume() {
 	r.mu.Lock()
 	backlog := r.backlog
@@ -152,7 +158,9 @@
 	return r.stopped
 }
 
-func (r *Router) whenRunning(arrive func()) {
+// accept calls arrive, or queues it while the router is paused, or drops it once
+// the router has stopped.
+func (r *Router) accept(arrive func()) {
 	r.mu.Lock()
 	switch {
 	case r.stopped:
@@ -168,8 +176,8 @@
 
 func (r *Router) receive(from string, envelope *peerpb.Envelope) {
 	r.Coordinator.Receive(from, envelope)
-	if f := r.followed(); f != nil {
-		f.sharing.Receive(from, envelope)
+	if f := r.currentConfigSync(); f != nil {
+		f.syncer.Receive(from, envelope)
 	}
 }
 
@@ -177,7 +185,8 @@
 	r.Node.Receive(address, packet)
 }
 
-// SetBackend spreads a backend server's state, as its owner does on probing it.
+// SetBackend broadcasts a backend server's state, as its owner does after a
+// probe.
 func (r *Router) SetBackend(id string, state memberpb.State) {
 	r.Node.SetBackend(id, state)
 }
--- a/emulation/setup.go
+++ b/emulation/setup.go
@@ -6,33 +6,36 @@
 	"github.com/slipwick/slipwick/admission"
 )
 
-// Setup is the size of an emulated fleet and what its callers do.
+// Setup describes the size of an emulated fleet and the load from its callers.
 type Setup struct {
 	Routers, Engines, DataCentres int
-	// Chats return again and again: each thinks for about Think, then has a
-	// request of about Service.
+	// Chats is the number of chats that send requests repeatedly. Each waits
+	// for about ThinkTime, then sends a request that takes about ServiceTime.
 	Chats   int
 	Think   time.Duration
 	Service time.Duration
-	// Hot is the share of chats that return at once; the others think ten
-	// times as long.
+	// HotShare is the share of chats that wait for ThinkTime; the others wait
+	// ten times as long.
 	Hot float64
-	// CacheChats is how many chats' prefixes an engine keeps.
+	// CachedChats is how many chats' prefixes an engine caches.
 	CacheChats int
-	// Slots bounds requests in flight at an engine.
-	Slots  int
+	// Slots limits the requests in flight at an engine.
+	Slots int
+	// LoadFactor is the pool's maximum load factor: an engine's limit as a multiple
+	// of the mean load.
 	Factor float64
 	Policy admission.Policy
-	// Baseline takes the place of owners; nil keeps them.
+	// Baseline replaces admission by owners; nil keeps admission by owners.
 	Baseline Baseline
 	Seed     uint64
-	// WarmUp is how long the fleet runs before it is measured: until chats
-	// have returned and the routers' start is over.
+	// WarmUp is how long the fleet runs before it is measured. It covers the
+	// start of the routers and the first return of the chats.
 	WarmUp time.Duration
 }
 
-// prefill is how much longer a request takes whose prefix is not cached.
-const prefill = 400 * time.Millisecond
+// prefillTime is added to a request whose prefix is not cached.
+const prefillTime = 400 * time.Millisecond
 
-// workspaces of an emulated fleet; the last surges in some cases.
+// workspaces are those of an emulated fleet. The last one sends a surge of
+// requests in some cases and none otherwise.
 var workspaces = []string{"w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "surging"}
--- a/emulation/store.go
+++ b/emulation/store.go
@@ -12,15 +12,18 @@
 
 var _ slipwick.Store = (*Store)(nil)
 
-// Store is the platform's object API in memory. The zero value is ready.
+// Store is an in-memory implementation of the platform's object API. The zero
+// value is an empty store that is ready to use.
 type Store struct {
-	mu      sync.Mutex
-	objects map[string]slipwick.Object
-	last    slipwick.Version
-	changed chan struct{}
-	outage  bool
-	lose    int
-	calls   int
+	mu          sync.Mutex
+	objects     map[string]slipwick.Object
+	lastVersion slipwick.Version
+	changed     chan struct{}
+	outage      bool
+	// lostResponses is how many of the next writes return an error though they
+	// take effect.
+	lostResponses int
+	calls         int
 }
 
 const (
@@ -28,7 +31,7 @@
 	watchWait    = 30 * time.Second
 )
 
-// SetOutage makes every call fail until it is switched off.
+// SetOutage switches an outage on or off. All calls fail during an outage.
 func (s *Store) SetOutage(outage bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -36,20 +39,22 @@
 	s.wakeLocked()
 }
 
-// LoseAnswers has the next n writes take effect without an answer.
+// LoseResponses makes the next n writes take effect but return an error, as if
+// the response was lost.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.lostResponses = n
 }
 
-// Calls counts the calls so far.
+// Calls returns the number of calls so far.
 func (s *Store) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.calls
 }
 
+// wakeLocked wakes all watches; s.mu is held.
 func (s *Store) wakeLocked() {
 	if s.changed != nil {
 		close(s.changed)
@@ -57,18 +62,19 @@
 	s.changed = make(chan struct{})
 }
 
-// begin counts a call and lets its time pass; s.mu is held afterwards.
-func (s *Store) begin() error {
+// beginCall sleeps for the latency of a call, counts the call and returns an
+// error in an outage. It returns with s.mu locked.
+func (s *Store) beginCall() error {
 	time.Sleep(storeLatency)
 	s.mu.Lock()
 	s.calls++
 	if s.outage {
-		return outage()
+		return outageError()
 	}
 	return nil
 }
 
-func outage() error {
+func outageError() error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindUnavailable,
 		Message: "the platform is down",
@@ -76,9 +82,9 @@
 	}
 }
 
-// Get reads one object.
+// Get returns an object, or an error of KindNotFound.
 func (s *Store) Get(_ context.Context, key string) (slipwick.Object, error) {
-	err := s.begin()
+	err := s.beginCall()
 	defer s.mu.Unlock()
 	if err != nil {
 		return slipwick.Object{}, err
@@ -94,16 +100,18 @@
 	return object, nil
 }
 
-// Create writes an object that must not exist yet.
+// Create writes an object and returns its version. It returns an error of
+// KindConflict if the object exists.
 func (s *Store) Create(ctx context.Context, key string, value []byte) (slipwick.Version, error) {
 	return s.Update(ctx, key, value, 0)
 }
 
-// Update replaces an object that must still have the version.
+// Update replaces an object and returns its new version. It returns an error of
+// KindConflict if the object no longer has the given version.
 func (s *Store) Update(
 	_ context.Context, key string, value []byte, version slipwick.Version,
 ) (slipwick.Version, error) {
-	err := s.begin()
+	err := s.beginCall()
 	defer s.mu.Unlock()
 	if err != nil {
 		return 0, err
@@ -118,37 +126,38 @@
 	if s.objects == nil {
 		s.objects = make(map[string]slipwick.Object)
 	}
-	s.last++
+	s.lastVersion++
 	s.objects[key] = slipwick.Object{
 		Key:     key,
 		Value:   value,
-		Version: s.last,
+		Version: s.lastVersion,
 	}
 	s.wakeLocked()
-	if s.lose > 0 {
-		s.lose--
-		return 0, outage()
+	if s.lostResponses > 0 {
+		s.lostResponses--
+		return 0, outageError()
 	}
-	return s.last, nil
+	return s.lastVersion, nil
 }
 
-// Watch waits until the object is newer than after.
+// Watch blocks until the object is newer than after and returns it. After 30
+// seconds, or when ctx ends, it returns an object without a value.
 func (s *Store) Watch(ctx context.Context, key string, after slipwick.Version) (slipwick.Object, error) {
 	ctx, cancel := context.WithTimeout(ctx, watchWait)
 	defer cancel()
-	if err := s.begin(); err != nil {
+	if err := s.beginCall(); err != nil {
 		s.mu.Unlock()
 		return slipwick.Object{}, err
 	}
 	for {
-		object, down := s.objects[key], s.outage
+		object, outage := s.objects[key], s.outage
 		if s.changed == nil {
 			s.changed = make(chan struct{})
 		}
 		changed := s.changed
 		s.mu.Unlock()
-		if down {
-			return slipwick.Object{}, outage()
+		if outage {
+			return slipwick.Object{}, outageError()
 		}
 		if object.Version > after {
 			return object, nil
@@ -165,9 +174,9 @@
 	}
 }
 
-// List gives the objects whose keys start with prefix.
+// List returns the objects whose keys start with prefix, sorted by key.
 func (s *Store) List(_ context.Context, prefix string) ([]slipwick.Object, error) {
-	err := s.begin()
+	err := s.beginCall()
 	defer s.mu.Unlock()
 	if err != nil {
 		return nil, err
--- a/emulation/traffic.go
+++ b/emulation/traffic.go
@@ -1,15 +1,16 @@
 package emulation
 
-// Framing on the wire, on top of the encoded message. The first was measured
-// on a real connection by TestStreamFraming of package peer; packet headers are
-// those of IPv4 with TCP timestamps, and of IPv4 with UDP.
+// Bytes that are added to an encoded message. TestStreamFraming of package peer
+// measures the stream framing on a real connection. The headers are those of
+// IPv4 and TCP with timestamps, and of IPv4 and UDP.
 const (
 	streamFraming = 14
 	tcpHeaders    = 52
 	udpHeaders    = 28
 )
 
-// Traffic is what one router sent and received for control.
+// Traffic counts the control messages that one router sent and received, and
+// their bytes with framing and headers.
 type Traffic struct {
 	Bytes    int
 	Messages int
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -13,56 +13,58 @@
 
 const poolName = "pool"
 
-// World is an emulated fleet.
+// World is an emulated fleet with its network, engines and callers.
 type World struct {
 	Setup   Setup
 	Network *Network
 	Meter   *Meter
 
-	mu       sync.Mutex
-	random   *rand.Rand
-	routers  []*Router
-	admits   map[string]slipwick.Admission
-	engines  map[string]*runningEngine
-	snapshot *configuration.Snapshot
-	started  time.Time
-	boxes    []slipwick.Box
-	back     chan struct{}
-	done     chan struct{}
-	stop     sync.Once
-	parts    sync.WaitGroup
+	mu         sync.Mutex
+	random     *rand.Rand
+	routers    []*Router
+	admissions map[string]slipwick.Admission
+	engines    map[string]*runningEngine
+	snapshot   *configuration.Snapshot
+	started    time.Time
+	boxes      []slipwick.Box
+	// returnChats is closed to make all waiting chats return, and then replaced.
+	returnChats chan struct{}
+	done        chan struct{}
+	stopOnce    sync.Once
+	goroutines  sync.WaitGroup
 }
 
-// runningEngine is an engine and what befell it.
+// runningEngine is an engine with its current faults.
 type runningEngine struct {
 	*Engine
 
-	lost    chan struct{}
+	// crashed is closed when the engine crashes.
+	crashed chan struct{}
 	leaving bool
-	hangs   bool
+	hanging bool
 }
 
-func (e *runningEngine) isLost() bool {
+func (e *runningEngine) isCrashed() bool {
 	select {
-	case <-e.lost:
+	case <-e.crashed:
 		return true
 	default:
 		return false
 	}
 }
 
-// NewWorld makes a fleet and starts its routers. Close ends it.
+// NewWorld creates a fleet and starts its routers. Close stops them.
 func NewWorld(setup Setup) *World {
 	w := &World{
-		Setup:   setup,
-		Network: NewNetwork(setup.Seed),
-		Meter:   newMeter(setup.Factor),
-		random:  rand.New(rand.NewPCG(setup.Seed, 2)),
-		admits:  make(map[string]slipwick.Admission),
-		engines: make(map[string]*runningEngine),
-		started: time.Now(),
-		back:    make(chan struct{}),
-		done:    make(chan struct{}),
+		Setup:       setup,
+		Network:     NewNetwork(setup.Seed),
+		Meter:       newMeter(setup.Factor),
+		random:      rand.New(rand.NewPCG(setup.Seed, 2)),
+		admissions:  make(map[string]slipwick.Admission),
+		engines:     make(map[string]*runningEngine),
+		started:     time.Now(),
+		returnChats: make(chan struct{}),
+		done:        make(chan struct{}),
 	}
 	w.Network.Latency = latency
 	state := configuration.State{
@@ -87,7 +89,7 @@
 		Version: 1,
 	}
 	for i := range setup.Routers {
-		self := w.routerAt(i)
+		self := w.routerIdentity(i)
 		w.boxes = append(w.boxes, slipwick.Box{
 			ID:         self.ID,
 			Kind:       slipwick.BoxRouter,
@@ -100,12 +102,13 @@
 	for i := range setup.Routers {
 		w.StartRouter(i)
 	}
-	w.parts.Go(w.probe)
-	w.parts.Go(w.sample)
+	w.goroutines.Go(w.probeEngines)
+	w.goroutines.Go(w.sampleLoads)
 	return w
 }
 
-// latency is that between data centres of one region, or between regions.
+// latency returns the one-way latency within a data centre, between data centres
+// of one region, or between regions.
 func latency(from, to *Router) time.Duration {
 	switch {
 	case from.Self.DataCentre == to.Self.DataCentre:
@@ -117,16 +120,17 @@
 	}
 }
 
-// dataCentresPerRegion matches three regions with ten data centres.
+// dataCentresPerRegion gives three regions for ten data centres.
 const dataCentresPerRegion = 4
 
-func (w *World) place(i int) (dataCentre, region string) {
-	at := i % w.Setup.DataCentres
-	return fmt.Sprintf("dc-%d", at), fmt.Sprintf("region-%d", at/dataCentresPerRegion)
+// location returns the data centre and region of the i-th router or engine.
+func (w *World) location(i int) (dataCentre, region string) {
+	index := i % w.Setup.DataCentres
+	return fmt.Sprintf("dc-%d", index), fmt.Sprintf("region-%d", index/dataCentresPerRegion)
 }
 
-func (w *World) routerAt(i int) slipwick.Router {
-	dataCentre, region := w.place(i)
+func (w *World) routerIdentity(i int) slipwick.Router {
+	dataCentre, region := w.location(i)
 	return slipwick.Router{
 		ID:         fmt.Sprintf("router-%03d", i),
 		Address:    fmt.Sprintf("10.0.%d.%d:9091", i/250, i%250),
@@ -135,13 +139,13 @@
 	}
 }
 
-// StartRouter starts the i-th router, anew if it ran before.
+// StartRouter starts the i-th router, or restarts it after Kill.
 func (w *World) StartRouter(i int) *Router {
 	w.mu.Lock()
 	snapshot := w.snapshot
 	w.mu.Unlock()
-	r := newRouter(w.Network, w.routerAt(i), w.Setup.Policy, snapshot, w.boxes, w.Setup.Seed)
-	var admits slipwick.Admission = r.Coordinator
+	r := newRouter(w.Network, w.routerIdentity(i), w.Setup.Policy, snapshot, w.boxes, w.Setup.Seed)
+	var admission slipwick.Admission = r.Coordinator
 	if w.Setup.Baseline != nil {
 		baseline := w.Setup.Baseline(w.Meter)
 		r.Viewer.OnView = func(view *placement.View) {
@@ -149,11 +153,11 @@
 			r.SetView(view)
 		}
 		r.Viewer.SetConfiguration(snapshot)
-		admits = baseline
+		admission = baseline
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.admits[r.Self.ID] = admits
+	w.admissions[r.Self.ID] = admission
 	if i < len(w.routers) {
 		w.routers[i] = r
 	} else {
@@ -162,7 +166,7 @@
 	return r
 }
 
-// Router gives the i-th router.
+// Router returns the i-th router.
 func (w *World) Router(i int) *Router {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -170,10 +174,10 @@
 }
 
 func (w *World) addEngine(id string, i int) slipwick.Backend {
-	dataCentre, region := w.place(i)
+	dataCentre, region := w.location(i)
 	w.engines[id] = &runningEngine{
-		Engine: newEngine(id, w.Setup.CacheChats),
-		lost:   make(chan struct{}),
+		Engine:  newEngine(id, w.Setup.CacheChats),
+		crashed: make(chan struct{}),
 	}
 	w.Meter.setUsable(id, true)
 	return slipwick.Backend{
@@ -185,15 +189,15 @@
 	}
 }
 
-// Lose makes an engine vanish with all that it has in progress.
+// CrashEngine stops an engine; its requests in progress fail.
 func (w *World) Lose(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	close(w.engines[id].lost)
+	close(w.engines[id].crashed)
 	w.Meter.setUsable(id, false)
 }
 
-// SetLeaving begins or ends an engine's planned stop.
+// SetLeaving starts or cancels an engine's planned stop.
 func (w *World) SetLeaving(id string, leaving bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -201,16 +205,17 @@
 	w.Meter.setUsable(id, !leaving)
 }
 
-// SetHanging has an engine accept requests and not answer them.
-func (w *World) SetHanging(id string, hangs bool) {
+// SetHanging makes an engine accept requests without responding to them, or
+// respond again.
+func (w *World) SetHanging(id string, hanging bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.engines[id].hangs = hangs
+	w.engines[id].hanging = hanging
 }
 
-// Replace puts a new engine, with an empty cache, in the place of another, in
-// a new version of the configuration.
-func (w *World) Replace(id, by string) {
+// ReplaceEngine replaces an engine by a new one with an empty cache, in a new
+// version of the configuration, and tells all routers.
+func (w *World) Replace(id, newID string) {
 	w.mu.Lock()
 	next := *w.snapshot
 	next.Version++
@@ -219,7 +224,7 @@
 	copy(backends, pool.Backends)
 	for i := range backends {
 		if backends[i].ID == id {
-			backends[i] = w.addEngine(by, i)
+			backends[i] = w.addEngine(newID, i)
 		}
 	}
 	pool.Backends = backends
@@ -233,7 +238,7 @@
 	}
 }
 
-// Engines lists the engines in the configuration.
+// Engines returns the IDs of the engines in the configuration.
 func (w *World) Engines() []string {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -244,10 +249,11 @@
 	return ids
 }
 
-// probe stands for the owners' probing of their engines.
-func (w *World) probe() {
-	const every = time.Second
-	for w.pause(every) {
+// probeEngines has each running router probe the engines it owns once a second,
+// until the world ends.
+func (w *World) probeEngines() {
+	const interval = time.Second
+	for w.pause(interval) {
 		w.mu.Lock()
 		routers := append([]*Router(nil), w.routers...)
 		w.mu.Unlock()
@@ -256,19 +262,19 @@
 				continue
 			}
 			for _, id := range r.Coordinator.Owned() {
-				w.probeOne(r, id)
+				w.probeEngine(r, id)
 			}
 		}
 	}
 }
 
-func (w *World) probeOne(r *Router, id string) {
+func (w *World) probeEngine(r *Router, id string) {
 	w.mu.Lock()
 	e := w.engines[id]
 	leaving := e.leaving
 	w.mu.Unlock()
 	switch {
-	case e.isLost():
+	case e.isCrashed():
 		r.Coordinator.Observe(id, slipwick.EvidenceUnreachable)
 	case leaving:
 		r.Coordinator.Observe(id, slipwick.EvidenceLeaving)
@@ -277,16 +283,17 @@
 	}
 }
 
-func (w *World) sample() {
-	const every = 100 * time.Millisecond
-	for w.pause(every) {
+// sampleLoads samples the skew ten times a second until the world ends.
+func (w *World) sampleLoads() {
+	const interval = 100 * time.Millisecond
+	for w.pause(interval) {
 		w.Meter.sample()
 	}
 }
 
-// pause sleeps; false says that the world ended meanwhile.
-func (w *World) pause(length time.Duration) bool {
-	timer := time.NewTimer(length)
+// pause sleeps. It reports false if the world ended in the meantime.
+func (w *World) pause(duration time.Duration) bool {
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-w.done:
@@ -296,13 +303,13 @@
 	}
 }
 
-// StopChats ends the callers and waits for their last requests.
+// StopChats stops the callers and waits until their last requests have ended.
 func (w *World) StopChats() {
-	w.stop.Do(func() { close(w.done) })
-	w.parts.Wait()
+	w.stopOnce.Do(func() { close(w.done) })
+	w.goroutines.Wait()
 }
 
-// Close ends callers, then routers.
+// Close stops the callers, then the routers, and waits for both.
 func (w *World) Close() {
 	w.StopChats()
 	w.mu.Lock()
