--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -9,17 +9,18 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// small is a fleet that runs fast; its chats are busy.
-func small() Setup {
+// smallSetup is a small fleet whose chats send requests often, so that tests run
+// fast.
+func smallSetup() Setup {
 	setup := todaySetup()
 	setup.Routers, setup.Engines, setup.Chats = 6, 10, 300
 	setup.Think, setup.Service = 4*time.Second, 4*time.Second
 	return setup
 }
 
-// settled checks, once all callers are gone, that no slot leaked: every owner's
-// count returns to zero, within the time of a lease.
-func settled(t *testing.T, w *World) {
+// checkNoLeakedSlots checks that no slot leaked: once the callers have stopped,
+// every owner's counts return to zero within the lease time and 5 seconds.
+func checkNoLeakedSlots(t *testing.T, w *World) {
 	t.Helper()
 	time.Sleep(w.Setup.Policy.LeaseTime + 5*time.Second)
 	for i := range w.Setup.Routers {
@@ -29,12 +30,12 @@
 		}
 		for engine, got := range r.Coordinator.InFlight() {
 			if got != 0 {
-				t.Errorf("%s counts %d slots of %s, want 0", r.Self.ID, got, engine)
+				t.Errorf("%s counts %d slots in use at %s, want 0", r.Self.ID, got, engine)
 			}
 		}
 		for _, status := range r.Coordinator.Status() {
 			if status.Held != 0 {
-				t.Errorf("%s holds %d requests for %s, want 0", r.Self.ID, status.Held, status.Backend)
+				t.Errorf("%s queues %d requests for %s, want 0", r.Self.ID, status.Held, status.Backend)
 			}
 		}
 	}
@@ -43,22 +44,24 @@
 	}
 }
 
-// TestFailures brings about one failure each under load, and checks that every
-// request ends, that the limit is kept as far as the failure allows, that few
-// are refused, and that no slot leaks.
+// TestFailures causes one failure per case under load. Every request must end,
+// few may be refused, no slot may leak, and the load limit must hold as far as
+// the failure allows.
 func TestFailures(t *testing.T) {
 	for _, tc := range []struct {
 		name string
 		fail func(t *testing.T, w *World)
-		// excess bounds how far a grant may put an engine above the limit.
-		excess  float64
-		refused float64
+		// maxExcess is by how many requests a grant may put an engine above the
+		// limit.
+		maxExcess float64
+		// maxRefused is the share of requests that may be refused.
+		maxRefused float64
 	}{
 		{
-			name:    "none",
-			fail:    func(*testing.T, *World) {},
-			excess:  1,
-			refused: 0,
+			name:       "none",
+			fail:       func(*testing.T, *World) {},
+			maxExcess:  1,
+			maxRefused: 0,
 		},
 		{
 			name: "owner killed mid-grant",
@@ -67,8 +70,8 @@
 				w.pause(300 * time.Millisecond)
 				w.Router(0).Kill()
 			},
-			excess:  8,
-			refused: 0.05,
+			maxExcess:  8,
+			maxRefused: 0.05,
 		},
 		{
 			name: "two owners at once",
@@ -79,8 +82,8 @@
 				w.pause(5 * time.Second)
 				w.Network.SetFaults(Faults{})
 			},
-			excess:  8,
-			refused: 0.05,
+			maxExcess:  8,
+			maxRefused: 0.05,
 		},
 		{
 			name: "router paused",
@@ -89,8 +92,8 @@
 				w.pause(10 * time.Second)
 				w.Router(0).Resume()
 			},
-			excess:  8,
-			refused: 0.2,
+			maxExcess:  8,
+			maxRefused: 0.2,
 		},
 		{
 			name: "messages lost, doubled and reordered",
@@ -103,8 +106,8 @@
 				w.pause(20 * time.Second)
 				w.Network.SetFaults(Faults{})
 			},
-			excess:  8,
-			refused: 0.05,
+			maxExcess:  8,
+			maxRefused: 0.05,
 		},
 		{
 			name: "router flapping",
@@ -116,38 +119,39 @@
 					w.pause(4 * time.Second)
 				}
 			},
-			excess:  8,
-			refused: 0.05,
+			maxExcess:  8,
+			maxRefused: 0.05,
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := NewWorld(small())
+				w := NewWorld(smallSetup())
 				w.StartChats()
 				w.WarmUp()
 				tc.fail(t, w)
 				w.pause(10 * time.Second)
 				report := w.Report()
 				w.StopChats()
-				settled(t, w)
+				checkNoLeakedSlots(t, w)
 				w.Close()
 				t.Log(report.Benchmark(tc.name))
-				if report.Excess > tc.excess {
-					t.Errorf("got %.2f requests above the limit, want at most %.2f", report.Excess, tc.excess)
+				if report.Excess > tc.maxExcess {
+					t.Errorf("got %.2f requests above the limit, want at most %.2f", report.Excess, tc.maxExcess)
 				}
-				if report.Refused > tc.refused {
-					t.Errorf("got a share of %.3f refused, want at most %.3f", report.Refused, tc.refused)
+				if report.Refused > tc.maxRefused {
+					t.Errorf("got a share of %.3f refused, want at most %.3f", report.Refused, tc.maxRefused)
 				}
 			})
 		})
 	}
 }
 
-// TestLeavingEngineGetsNoNewWork checks that an engine that begins to leave
-// gets nothing after 3 seconds, and that what it has in progress finishes.
+// TestLeavingEngineGetsNoNewWork checks that an engine gets no requests from 3
+// seconds after it announces that it is leaving, that its requests in progress
+// finish, and that it gets requests again when it no longer leaves.
 func TestLeavingEngineGetsNoNewWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWorld(small())
+		w := NewWorld(smallSetup())
 		w.StartChats()
 		w.WarmUp()
 		id := w.Engines()[3]
@@ -160,29 +164,28 @@
 			t.Errorf("got %d grants after 3 seconds, want 0", got-after)
 		}
 		if before == 0 {
-			t.Error("the engine had no work before it left")
+			t.Error("got no grants at the engine before it left")
 		}
 		report := w.Report()
 		if report.Refused > 0 || w.Meter.Broken() > 0 {
-			t.Errorf("got %.3f refused and %d broken, want none", report.Refused, w.Meter.Broken())
+			t.Errorf("got a share of %.3f refused and %d failed, want none", report.Refused, w.Meter.Broken())
 		}
-		// It comes back, and is used again.
 		w.SetLeaving(id, false)
 		w.pause(20 * time.Second)
 		if got := w.Meter.Grants(id); got == after {
-			t.Error("got no grants after the engine came back")
+			t.Error("got no grants after the engine stopped leaving")
 		}
 		w.StopChats()
-		settled(t, w)
+		checkNoLeakedSlots(t, w)
 		w.Close()
 	})
 }
 
-// TestHangingEngineIsEjected checks that an engine that accepts requests and
-// does not answer soon gets almost none, and comes back when it answers.
+// TestHangingEngineIsEjected checks that an engine that accepts requests without
+// responding soon gets almost none, and is used again when it responds.
 func TestHangingEngineIsEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := NewWorld(small())
+		w := NewWorld(smallSetup())
 		w.StartChats()
 		w.WarmUp()
 		id := w.Engines()[3]
@@ -190,7 +193,8 @@
 		w.pause(10 * time.Second)
 		before := w.Meter.Grants(id)
 		w.pause(20 * time.Second)
-		// Ejections double from 5 seconds; each return costs a few requests.
+		// The ejection time starts at 5 seconds and doubles. Each time it ends,
+		// the engine gets a few requests.
 		if got := w.Meter.Grants(id) - before; got > 30 {
 			t.Errorf("got %d grants to a hanging engine in 20 seconds, want at most 30", got)
 		}
@@ -199,19 +203,19 @@
 		before = w.Meter.Grants(id)
 		w.pause(20 * time.Second)
 		if got := w.Meter.Grants(id) - before; got < 20 {
-			t.Errorf("got %d grants after the engine answers again, want at least 20", got)
+			t.Errorf("got %d grants after the engine responds again, want at least 20", got)
 		}
 		w.StopChats()
-		settled(t, w)
+		checkNoLeakedSlots(t, w)
 		w.Close()
 	})
 }
 
-// TestLastEngineIsNotEjected checks that a pool of hanging engines is not
-// emptied.
+// TestLastEngineIsNotEjected checks that at least one engine of a pool stays in
+// use when all of them hang.
 func TestLastEngineIsNotEjected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		setup := small()
+		setup := smallSetup()
 		setup.Engines, setup.Chats = 2, 20
 		w := NewWorld(setup)
 		w.StartChats()
@@ -224,20 +228,22 @@
 		before := grants()
 		w.pause(5 * time.Second)
 		if grants() == before {
-			t.Error("got no grants, want some engine to stay in use")
+			t.Error("got no grants, want at least one engine to stay in use")
 		}
 		w.StopChats()
 		w.Close()
 	})
 }
 
-// TestMembershipConverges checks how fast news reaches every router, and that
-// a router's traffic does not grow with the fleet.
+// TestMembershipConverges checks how fast updates reach every router: within a
+// second that a router left or a backend server leaves, within 6 seconds that a
+// router was killed. The control traffic of a router must not grow with the
+// number of routers.
 func TestMembershipConverges(t *testing.T) {
 	traffic := make(map[int]float64)
 	for _, routers := range []int{20, 80} {
 		synctest.Test(t, func(t *testing.T) {
-			setup := small()
+			setup := smallSetup()
 			setup.Routers, setup.Chats = routers, 0
 			w := NewWorld(setup)
 			w.WarmUp()
@@ -245,10 +251,10 @@
 			traffic[routers] = w.Report().Control
 			w.Router(1).Node.Leave()
 			w.pause(time.Second)
-			owners(t, w, 1, 1)
+			checkNotOwner(t, w, 1, 1)
 			w.Router(2).Kill()
 			w.pause(6 * time.Second)
-			owners(t, w, 2, 2)
+			checkNotOwner(t, w, 2, 2)
 			w.Router(3).SetBackend(w.Engines()[0], memberpb.State_STATE_LEAVING)
 			w.pause(time.Second)
 			for i := 4; i < routers; i++ {
@@ -265,14 +271,15 @@
 	t.Logf("control B/s by routers: %v", fmt.Sprint(traffic))
 }
 
-// owners checks that no router counts the i-th among those that may own.
-func owners(t *testing.T, w *World, i, from int) {
+// checkNotOwner checks that the i-th router is not an owner in the view of any
+// router after the given index.
+func checkNotOwner(t *testing.T, w *World, i, after int) {
 	t.Helper()
-	out := w.Router(i).Self.ID
-	for j := from + 1; j < w.Setup.Routers; j++ {
+	gone := w.Router(i).Self.ID
+	for j := after + 1; j < w.Setup.Routers; j++ {
 		for _, id := range w.Router(j).Owners() {
-			if id == out {
-				t.Errorf("router %d still counts %s as an owner", j, out)
+			if id == gone {
+				t.Errorf("router %d still counts %s as an owner", j, gone)
 			}
 		}
 	}
--- a/emulation/follow_test.go
+++ b/emulation/follow_test.go
@@ -11,24 +11,24 @@
 	"github.com/slipwick/slipwick/configuration"
 )
 
-// followed is a fleet that follows the configuration in a store.
-type followed struct {
+// configFleet is a fleet whose routers follow the configuration in a store.
+type configFleet struct {
 	*World
 
-	store  *Store
-	keeper *configuration.Repository
-	stop   context.CancelFunc
-	ctx    context.Context
+	store      *Store
+	repository *configuration.Repository
+	stop       context.CancelFunc
+	ctx        context.Context
 }
 
-func newFollowed(routers int) *followed {
-	setup := small()
+func newConfigFleet(routers int) *configFleet {
+	setup := smallSetup()
 	setup.Routers, setup.Chats, setup.DataCentres = routers, 0, 10
-	f := &followed{
+	f := &configFleet{
 		World: NewWorld(setup),
 		store: &Store{},
 	}
-	f.keeper = &configuration.Repository{
+	f.repository = &configuration.Repository{
 		Store: f.store,
 	}
 	f.ctx, f.stop = context.WithCancel(context.Background())
@@ -38,19 +38,19 @@
 	return f
 }
 
-func (f *followed) close() {
+func (f *configFleet) close() {
 	f.stop()
 	f.Close()
 }
 
-// apply puts the n-th state in force.
-func (f *followed) apply(t *testing.T, n int) slipwick.Version {
+// apply applies stateOf(n) and returns its version.
+func (f *configFleet) apply(t *testing.T, n int) slipwick.Version {
 	t.Helper()
-	_, version, err := f.keeper.Current(f.ctx)
+	_, version, err := f.repository.Current(f.ctx)
 	if err != nil {
 		t.Fatal(err)
 	}
-	version, err = f.keeper.Apply(f.ctx, stateOf(n), version)
+	version, err = f.repository.Apply(f.ctx, stateOf(n), version)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -67,10 +67,11 @@
 	}
 }
 
-// until waits until every router has the version, and gives how long that took.
-func (f *followed) until(t *testing.T, version slipwick.Version, most time.Duration) time.Duration {
+// waitForVersion waits until every router has the version or a newer one and
+// returns how long that took. The test fails if it takes longer than limit.
+func (f *configFleet) waitForVersion(t *testing.T, version slipwick.Version, limit time.Duration) time.Duration {
 	t.Helper()
-	began := time.Now()
+	started := time.Now()
 	for i := range f.Setup.Routers {
 		r := f.Router(i)
 		for {
@@ -78,17 +79,17 @@
 			if len(versions) > 0 && versions[len(versions)-1] >= version {
 				break
 			}
-			if time.Since(began) > most {
-				t.Fatalf("%s has versions %v after %s, want %d", r.Self.ID, versions, most, version)
+			if time.Since(started) > limit {
+				t.Fatalf("%s has versions %v after %s, want %d", r.Self.ID, versions, limit, version)
 			}
 			time.Sleep(10 * time.Millisecond)
 		}
 	}
-	return time.Since(began)
+	return time.Since(started)
 }
 
-// neverBack checks that no router stepped back.
-func (f *followed) neverBack(t *testing.T) {
+// checkVersionsRise checks that no router went back to an older version.
+func (f *configFleet) checkVersionsRise(t *testing.T) {
 	t.Helper()
 	for i := range f.Setup.Routers {
 		versions := f.Router(i).Versions()
@@ -100,45 +101,47 @@
 	}
 }
 
-// TestVersionsSpread checks how fast a version is in force everywhere, what it
-// costs in calls to the platform, and that a version is known with a third of
-// all messages lost.
-func TestVersionsSpread(t *testing.T) {
+// TestConfigurationReachesAllRouters checks that a new version is in force at
+// all routers within 5 seconds, and within 9 seconds while a third of all
+// messages is lost. It logs the times and the rate of calls to the platform
+// without changes.
+func TestConfigurationReachesAllRouters(t *testing.T) {
 	sizes := []int{8, 60}
 	if *measure {
 		sizes = append(sizes, 330)
 	}
 	for _, routers := range sizes {
 		synctest.Test(t, func(t *testing.T) {
-			f := newFollowed(routers)
+			f := newConfigFleet(routers)
 			version := f.apply(t, 0)
 			time.Sleep(40 * time.Second)
-			f.until(t, version, time.Second)
+			f.waitForVersion(t, version, time.Second)
 			calls := f.store.Calls()
 			time.Sleep(time.Minute)
-			rest := float64(f.store.Calls()-calls) / time.Minute.Seconds()
-			quick := f.until(t, f.apply(t, 1), 5*time.Second)
+			idleRate := float64(f.store.Calls()-calls) / time.Minute.Seconds()
+			quick := f.waitForVersion(t, f.apply(t, 1), 5*time.Second)
 			f.Network.SetFaults(Faults{
 				Lose: 1.0 / 3,
 			})
-			lossy := f.until(t, f.apply(t, 2), 9*time.Second)
-			f.neverBack(t)
+			lossy := f.waitForVersion(t, f.apply(t, 2), 9*time.Second)
+			f.checkVersionsRise(t)
 			f.close()
-			t.Logf("%d routers: in force after %s, with a third of messages lost %s; %.2f calls/s at rest",
-				routers, quick, lossy, rest)
+			t.Logf("%d routers: in force after %s, with a third of messages lost %s; %.2f calls/s without changes",
+				routers, quick, lossy, idleRate)
 		})
 	}
 }
 
-// TestOutageWithReplacement takes the platform away for an hour while routers
-// are replaced: the new ones take the version of their peers, and none steps
-// back, then or afterwards.
-func TestOutageWithReplacement(t *testing.T) {
+// TestRoutersReplacedDuringOutage restarts six routers during a platform outage
+// of an hour. The new ones must get the version from their peers, and no router
+// may go back to an older version, during the outage or afterwards. The calls to
+// the platform must stay at 2 per second or less.
+func TestRoutersReplacedDuringOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFollowed(8)
+		f := newConfigFleet(8)
 		f.apply(t, 0)
 		version := f.apply(t, 1)
-		f.until(t, version, 30*time.Second)
+		f.waitForVersion(t, version, 30*time.Second)
 		f.store.SetOutage(true)
 		calls := f.store.Calls()
 		for i := range 6 {
@@ -147,84 +150,86 @@
 			f.StartRouter(i).Follow(f.ctx, f.Network, f.store)
 		}
 		rate := float64(f.store.Calls()-calls) / time.Hour.Seconds()
-		f.until(t, version, 30*time.Second)
+		f.waitForVersion(t, version, 30*time.Second)
 		f.store.SetOutage(false)
-		f.until(t, f.apply(t, 2), 90*time.Second)
-		f.neverBack(t)
+		f.waitForVersion(t, f.apply(t, 2), 90*time.Second)
+		f.checkVersionsRise(t)
 		f.close()
-		t.Logf("%.2f calls/s in the outage", rate)
+		t.Logf("%.2f calls/s during the outage", rate)
 		if rate > 2 {
-			t.Errorf("got %.2f calls/s in the outage, want at most 2", rate)
+			t.Errorf("got %.2f calls/s during the outage, want at most 2", rate)
 		}
 	})
 }
 
-// TestRouterCutOff cuts a router off from the others and the platform while
-// versions are applied, and joins it again: it goes on with what it has.
-func TestRouterCutOff(t *testing.T) {
+// TestRestartOfIsolatedRouter restarts a router that reaches neither its peers
+// nor the platform. It must not have a version until it reaches its peers again,
+// and then get the current one, though its calls to the platform still fail.
+func TestRestartOfIsolatedRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFollowed(8)
+		f := newConfigFleet(8)
 		before := f.apply(t, 0)
-		f.until(t, before, 30*time.Second)
-		out := f.Router(3)
-		id := out.Self.ID
+		f.waitForVersion(t, before, 30*time.Second)
+		isolated := f.Router(3)
+		id := isolated.Self.ID
 		f.Network.SetFaults(Faults{
 			Cut: func(from, to string) bool { return (from == id) != (to == id) },
 		})
 		// Its calls to the platform fail as well.
-		away := &Store{}
-		away.SetOutage(true)
-		alone, cancel := context.WithCancel(f.ctx)
-		out.Kill()
-		out = f.StartRouter(3)
-		out.Follow(alone, f.Network, away)
+		failing := &Store{}
+		failing.SetOutage(true)
+		ctx, cancel := context.WithCancel(f.ctx)
+		isolated.Kill()
+		isolated = f.StartRouter(3)
+		isolated.Follow(ctx, f.Network, failing)
 		time.Sleep(time.Minute)
-		if got := out.Versions(); len(got) > 0 {
-			t.Errorf("got versions %v from nowhere, want none: the router is not ready", got)
+		if got := isolated.Versions(); len(got) > 0 {
+			t.Errorf("got versions %v of an isolated router, want none", got)
 		}
 		version := f.apply(t, 1)
 		f.Network.SetFaults(Faults{})
-		f.until(t, version, 30*time.Second)
-		f.neverBack(t)
+		f.waitForVersion(t, version, 30*time.Second)
+		f.checkVersionsRise(t)
 		cancel()
 		f.close()
 	})
 }
 
-// TestTwoOperators has two operators apply at once: one wins, the other is told
-// of the conflict, and a lost answer is not taken for a failure.
-func TestTwoOperators(t *testing.T) {
+// TestConcurrentApply has two operators apply at the same time. One must succeed
+// and the other get a conflict. An apply whose response is lost must succeed if
+// the write took effect.
+func TestConcurrentApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := &Store{}
-		keeper := &configuration.Repository{
+		repository := &configuration.Repository{
 			Store: store,
 		}
 		ctx := t.Context()
-		version, err := keeper.Apply(ctx, stateOf(0), 0)
+		version, err := repository.Apply(ctx, stateOf(0), 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		results := make(chan error, 2)
 		for n := range 2 {
 			go func() {
-				_, err := keeper.Apply(ctx, stateOf(n+1), version)
+				_, err := repository.Apply(ctx, stateOf(n+1), version)
 				results <- err
 			}()
 		}
 		first, second := <-results, <-results
 		if (first == nil) == (second == nil) {
-			t.Errorf("got %v and %v, want one winner", first, second)
+			t.Errorf("got %v and %v, want one error", first, second)
 		}
-		loser := first
+		failed := first
 		if first == nil {
-			loser = second
+			failed = second
 		}
-		if !slipwick.IsKind(loser, slipwick.KindConflict) {
-			t.Errorf("got %v, want a conflict", loser)
+		if !slipwick.IsKind(failed, slipwick.KindConflict) {
+			t.Errorf("got %v, want a conflict", failed)
 		}
 		store.LoseAnswers(1)
-		_, version, _ = keeper.Current(ctx)
-		if _, err := keeper.Apply(ctx, stateOf(7), version); err != nil {
+		_, version, _ = repository.Current(ctx)
+		if _, err := repository.Apply(ctx, stateOf(7), version); err != nil {
 			t.Errorf("got %v for a write that took effect, want none", err)
 		}
 	})
--- a/emulation/measure_test.go
+++ b/emulation/measure_test.go
@@ -9,15 +9,15 @@
 
 var (
 	measure = flag.Bool("measure", false, "run and print all measurements")
-	policy  = flag.String("policy", "", "run the policy of that name alone")
-	only    = flag.String("case", "", "run the case of that name alone")
+	policy  = flag.String("policy", "", "run only the policy with this name")
+	only    = flag.String("case", "", "run only the case with this name")
 )
 
-// TestMeasure prints, in the format of benchmarks, what each policy reaches in
-// each case. It is a test, as the test clock is not to be had in a benchmark.
+// TestMeasure prints the measurements of each policy in each case as Go benchmark
+// output. It is a test because synctest is not available in benchmarks.
 func TestMeasure(t *testing.T) {
 	if !*measure {
-		t.Skip("make measure runs it")
+		t.Skip("run with make measure")
 	}
 	policies := []struct {
 		name     string
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -15,39 +15,41 @@
 	fixedseed.Main(m, schedules)
 }
 
-// disturbance is one thing that befalls a fleet, and how long it lasts.
+// disturbance is a fault or a burst, how long it lasts, and the index of the
+// router or engine it affects.
 type disturbance struct {
-	kind   string
-	length time.Duration
-	target int
+	kind     string
+	duration time.Duration
+	target   int
 }
 
 func drawDisturbance(r *rapid.T) disturbance {
 	kinds := []string{"kill", "pause", "cut", "messages", "leave engine", "lose engine", "hang", "call back"}
 	return disturbance{
-		kind:   rapid.SampledFrom(kinds).Draw(r, "kind"),
-		length: time.Duration(rapid.IntRange(1, 10).Draw(r, "seconds")) * time.Second,
-		target: rapid.IntRange(0, 3).Draw(r, "target"),
+		kind:     rapid.SampledFrom(kinds).Draw(r, "kind"),
+		duration: time.Duration(rapid.IntRange(1, 10).Draw(r, "seconds")) * time.Second,
+		target:   rapid.IntRange(0, 3).Draw(r, "target"),
 	}
 }
 
-func (d disturbance) befall(w *World) {
+// apply causes the disturbance and waits until it is over.
+func (d disturbance) apply(w *World) {
 	engine := w.Engines()[d.target]
 	switch d.kind {
 	case "kill":
 		w.Router(d.target).Kill()
-		w.pause(d.length)
+		w.pause(d.duration)
 		w.StartRouter(d.target)
 	case "pause":
 		w.Router(d.target).Pause()
-		w.pause(d.length)
+		w.pause(d.duration)
 		w.Router(d.target).Resume()
 	case "cut":
-		border := w.Router(d.target).Self.ID
+		boundary := w.Router(d.target).Self.ID
 		w.Network.SetFaults(Faults{
-			Cut: func(from, to string) bool { return (from <= border) != (to <= border) },
+			Cut: func(from, to string) bool { return (from <= boundary) != (to <= boundary) },
 		})
-		w.pause(d.length)
+		w.pause(d.duration)
 		w.Network.SetFaults(Faults{})
 	case "messages":
 		w.Network.SetFaults(Faults{
@@ -55,58 +57,58 @@
 			Double:  0.2,
 			Reorder: 0.5,
 		})
-		w.pause(d.length)
+		w.pause(d.duration)
 		w.Network.SetFaults(Faults{})
 	case "leave engine":
 		w.SetLeaving(engine, true)
-		w.pause(d.length)
+		w.pause(d.duration)
 		w.SetLeaving(engine, false)
 	case "lose engine":
 		w.Replace(engine, engine+"'")
 	case "hang":
 		w.SetHanging(engine, true)
-		w.pause(d.length)
+		w.pause(d.duration)
 		w.SetHanging(engine, false)
 	default:
 		w.CallBack()
-		w.pause(d.length)
+		w.pause(d.duration)
 	}
 }
 
-// TestRandomSchedules checks, whatever befalls a fleet, that the limit is kept
-// up to what two owners may grant, that every request ends, and that no slot
-// leaks.
+// TestRandomSchedules plays random sequences of disturbances. The load limit
+// must hold up to what two owners of an engine can grant, every request must
+// end, and no slot may leak.
 func TestRandomSchedules(t *testing.T) {
 	schedules, requests, worst := 0, 0, 0.0
 	rapid.Check(t, func(r *rapid.T) {
-		setup := small()
+		setup := smallSetup()
 		setup.Routers, setup.Engines, setup.Chats, setup.WarmUp = 4, 6, 100, 15*time.Second
 		setup.Seed = rapid.Uint64().Draw(r, "seed")
-		troubles := rapid.SliceOfN(rapid.Custom(drawDisturbance), 1, 4).Draw(r, "disturbances")
+		disturbances := rapid.SliceOfN(rapid.Custom(drawDisturbance), 1, 4).Draw(r, "disturbances")
 		var report Report
 		synctest.Test(t, func(t *testing.T) {
 			w := NewWorld(setup)
 			w.StartChats()
 			w.WarmUp()
-			for _, trouble := range troubles {
-				trouble.befall(w)
+			for _, d := range disturbances {
+				d.apply(w)
 			}
 			w.pause(5 * time.Second)
 			report = w.Report()
 			w.StopChats()
-			settled(t, w)
+			checkNoLeakedSlots(t, w)
 			w.Close()
 		})
 		schedules++
 		requests += report.Requests
 		worst = max(worst, report.Excess)
-		// Chats times a half over engines is the most headroom that a second
-		// owner sees; see docs/design/admission.md.
-		if most := 1 + float64(setup.Chats)*setup.Factor/2/float64(setup.Engines); report.Excess > most {
-			r.Fatalf("got %.2f requests above the limit, want at most %.2f: %+v", report.Excess, most, troubles)
+		// A second owner of an engine sees at most the headroom of a mean load of
+		// half the chats over the engines; see docs/design/admission.md.
+		if limit := 1 + float64(setup.Chats)*setup.Factor/2/float64(setup.Engines); report.Excess > limit {
+			r.Fatalf("got %.2f requests above the limit, want at most %.2f: %+v", report.Excess, limit, disturbances)
 		}
 		if t.Failed() {
-			r.Fatalf("a slot leaked: %+v", troubles)
+			r.Fatalf("a slot leaked: %+v", disturbances)
 		}
 	})
 	t.Logf("%d schedules, %d requests, at most %.2f above the limit", schedules, requests, worst)
