--- a/standin/answer.go
+++ b/standin/answer.go
@@ -15,52 +15,54 @@
 	"github.com/slipwick/slipwick/sse"
 )
 
-// charsPerToken is the rough length of a token.
+// charsPerToken is the assumed length of a token.
 const charsPerToken = 4
 
-// answer is one answer in progress, kept so that it can be resumed.
-type answer struct {
+// activeResponse is a response in progress. The engine keeps it for resumeWindow
+// after its end, so that it can be resumed.
+type activeResponse struct {
 	id           string
 	chat         string
 	model        string
 	digest       string
 	promptTokens int
 
-	ctx  context.Context
-	stop context.CancelFunc
+	ctx    context.Context
+	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	events  [][]byte
-	whole   bool
-	changed chan struct{}
+	mu       sync.Mutex
+	events   [][]byte
+	complete bool
+	changed  chan struct{}
 }
 
-func newAnswer(id string, request *chat.Request, identity string) *answer {
+func newActiveResponse(id string, request *chat.Request, identity string) *activeResponse {
 	length := 0
 	for _, m := range request.Messages {
 		length += len(m.Content)
 	}
-	ctx, stop := context.WithCancel(context.Background())
-	return &answer{
+	ctx, cancel := context.WithCancel(context.Background())
+	return &activeResponse{
 		id:           id,
 		chat:         request.Identity(identity),
 		model:        request.Model,
 		digest:       Digest(string(request.Messages[len(request.Messages)-1].Content)),
 		promptTokens: 1 + length/charsPerToken,
 		ctx:          ctx,
-		stop:         stop,
+		cancel:       cancel,
 		changed:      make(chan struct{}),
 	}
 }
 
-// Digest is the first word of every stand-in's answer: a hash of the last
-// message's JSON content, by which a caller knows the answer for its own.
+// Digest returns the first word of a stand-in's response to a request: a hash of
+// the JSON content of the request's last message. A caller checks by it that a
+// response belongs to its request.
 func Digest(content string) string {
 	return strconv.FormatUint(xxhash.Sum64String(content), 16)
 }
 
-// token adds the i-th word of the answer.
-func (a *answer) token(i int) {
+// appendToken adds the i-th word of the response.
+func (a *activeResponse) appendToken(i int) {
 	word := a.digest
 	if i > 0 {
 		word = fmt.Sprintf(" w%d", i)
@@ -77,7 +79,7 @@
 	})
 }
 
-// usage is the part of an OpenAI usage record that matters here.
+// usage is the part of an OpenAI usage record that the stand-in fills in.
 type usage struct {
 	PromptTokens     int           `json:"prompt_tokens"`
 	CompletionTokens int           `json:"completion_tokens"`
@@ -89,8 +91,8 @@
 	CachedTokens int `json:"cached_tokens"`
 }
 
-// finish adds the last chunk, with the usage, and the end.
-func (a *answer) finish(cached, tokens int) {
+// finish adds the last chunk, with the usage, and marks the response complete.
+func (a *activeResponse) finish(cached, tokens int) {
 	reason := "stop"
 	encoded, _ := json.Marshal(usage{
 		PromptTokens:     a.promptTokens,
@@ -110,11 +112,11 @@
 	})
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.whole = true
+	a.complete = true
 	a.wakeLocked()
 }
 
-func (a *answer) append(chunk chat.Chunk) {
+func (a *activeResponse) append(chunk chat.Chunk) {
 	chunk.ID, chunk.Object, chunk.Model = a.id, "chat.completion.chunk", a.model
 	encoded, _ := json.Marshal(chunk)
 	a.mu.Lock()
@@ -123,28 +125,31 @@
 	a.wakeLocked()
 }
 
-func (a *answer) wakeLocked() {
+// wakeLocked wakes the connections that wait for events; a.mu is held.
+func (a *activeResponse) wakeLocked() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// at gives the event at offset, or what to wait for; end says that the answer
-// is whole and offset just behind its last event.
-func (a *answer) at(offset int) (data []byte, end bool, changed <-chan struct{}) {
+// event returns the event at offset. If there is none yet, it returns a channel
+// that is closed when the response changes. end reports that the response is
+// complete and that offset follows its last event.
+func (a *activeResponse) event(offset int) (data []byte, end bool, changed <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if offset < len(a.events) {
 		return a.events[offset], false, nil
 	}
-	return nil, a.whole && offset == len(a.events), a.changed
+	return nil, a.complete && offset == len(a.events), a.changed
 }
 
-// send writes the answer's events from offset on to one connection.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, a *answer, offset int, faults Faults) {
+// send writes the response's events from offset on to a connection, with the
+// faults, and blocks until the response or the connection ends.
+func (e *Engine) send(w http.ResponseWriter, r *http.Request, a *activeResponse, offset int, faults Faults) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	sent := 0
 	for {
-		data, end, changed := a.at(offset)
+		data, end, changed := a.event(offset)
 		switch {
 		case end:
 			writeEvent(w, engine.EventID(a.id, offset), engine.EndMarker)
@@ -162,7 +167,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if faults.Swap && offset == 1 {
-			// The events that follow come in order again, too late.
+			// The second event is left out, and sent only if the caller resumes.
 			offset++
 			continue
 		}
--- a/standin/authority.go
+++ b/standin/authority.go
@@ -17,16 +17,16 @@
 	"github.com/slipwick/slipwick/keyfiles"
 )
 
-// validity is how long a certificate of an Authority is good.
+// validity is how long before and after its creation a certificate is valid.
 const validity = time.Hour
 
-// Authority signs certificates for tests, as an operator's own would.
+// Authority is a certificate authority for tests, like one that an operator runs.
 type Authority struct {
 	certificate *x509.Certificate
 	key         *ecdsa.PrivateKey
 }
 
-// NewAuthority makes an authority that signs itself.
+// NewAuthority creates an authority with a self-signed certificate.
 func NewAuthority() (*Authority, error) {
 	a := &Authority{}
 	var err error
@@ -34,10 +34,12 @@
 	return a, err
 }
 
+// sign creates a key and a certificate for it: self-signed for the authority
+// itself, else signed by the authority.
 func (a *Authority) sign(serial int64, ca bool) (*x509.Certificate, *ecdsa.PrivateKey, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
-		return nil, nil, errors.Wrap(err, "make key")
+		return nil, nil, errors.Wrap(err, "generate key")
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(serial),
@@ -62,13 +64,13 @@
 	return certificate, key, err
 }
 
-// Issue writes a box's certificate and key, and the authority's certificate,
-// into a folder.
-func (a *Authority) Issue(folder string, serial int64) (keyfiles.Files, error) {
+// Issue signs a certificate for a box. It writes the certificate, its key and
+// the authority's certificate into a directory and returns their paths.
+func (a *Authority) Issue(directory string, serial int64) (keyfiles.Files, error) {
 	files := keyfiles.Files{
-		Certificate: filepath.Join(folder, "box.pem"),
-		Key:         filepath.Join(folder, "box.key"),
-		Authorities: filepath.Join(folder, "authorities.pem"),
+		Certificate: filepath.Join(directory, "box.pem"),
+		Key:         filepath.Join(directory, "box.key"),
+		Authorities: filepath.Join(directory, "authorities.pem"),
 	}
 	certificate, key, err := a.sign(serial, false)
 	if err != nil {
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -17,25 +17,27 @@
 	"github.com/slipwick/slipwick/engine"
 )
 
-// EngineProfile is how an engine behaves. Zero fields take the defaults.
+// EngineProfile holds the parameters of an engine. If Slots, Tokens, TokenInterval
+// or CachedChats is 0, NewEngine sets a default.
 type EngineProfile struct {
-	// Slots is how many answers it makes at once; more wait in line.
+	// Slots is how many responses are generated at once; further requests are
+	// queued.
 	Slots int
-	// Tokens is the length of an answer.
+	// Tokens is the number of tokens of a response.
 	Tokens int
-	// TokenEvery is the time between tokens.
+	// TokenInterval is the time between tokens.
 	TokenEvery time.Duration
-	// Prefill is the added wait for a prompt that is not cached.
+	// PrefillTime is added to the response time if the prompt is not cached.
 	Prefill time.Duration
-	// CacheChats is how many chats' prefixes it keeps.
+	// CachedChats is how many chats' prefixes the engine caches.
 	CacheChats int
-	// ReportLag is how late load and cache events are.
+	// ReportDelay is the delay of load reports and cache events.
 	ReportLag time.Duration
-	// EventGap drops every n-th cache event; 0 drops none.
+	// EventDropInterval drops every n-th cache event; 0 drops none.
 	EventGap int
 }
 
-func (p *EngineProfile) defaults() {
+func (p *EngineProfile) setDefaults() {
 	if p.Slots == 0 {
 		p.Slots = slipwick.DefaultSlots
 	}
@@ -50,24 +52,24 @@
 	}
 }
 
-// resumeWindow is how long an answer goes on without a reader.
+// resumeWindow is how long a response can be resumed after it ended.
 const resumeWindow = 2 * time.Second
 
-// Engine is a stand-in for a model engine.
+// Engine is a stand-in for an inference engine.
 type Engine struct {
 	profile EngineProfile
 	slots   chan struct{}
 
-	mu      sync.Mutex
-	faults  Faults
-	answers map[string]*answer
-	runs    map[string]int
-	running int
-	waiting int
-	cache   *lru.LRU[string, int]
-	events  []timedEvent
-	last    uint64
-	loads   []timedLoad
+	mu           sync.Mutex
+	faults       Faults
+	responses    map[string]*activeResponse
+	runs         map[string]int
+	running      int
+	queued       int
+	cache        *lru.LRU[string, int]
+	events       []timedEvent
+	lastSequence uint64
+	loads        []timedLoad
 }
 
 type timedEvent struct {
@@ -80,28 +82,29 @@
 	report slipwick.LoadReport
 }
 
-// NewEngine makes an engine with an empty cache.
+// NewEngine creates an engine with an empty cache.
 func NewEngine(profile EngineProfile) *Engine {
-	profile.defaults()
+	profile.setDefaults()
 	e := &Engine{
-		profile: profile,
-		slots:   make(chan struct{}, profile.Slots),
-		answers: make(map[string]*answer),
-		runs:    make(map[string]int),
+		profile:   profile,
+		slots:     make(chan struct{}, profile.Slots),
+		responses: make(map[string]*activeResponse),
+		runs:      make(map[string]int),
 	}
-	// The size is positive, the only thing that NewLRU refuses.
+	// NewLRU fails only if the size is not positive.
 	e.cache, _ = lru.NewLRU(profile.CacheChats, func(key string, _ int) { e.recordLocked(key, true) })
 	return e
 }
 
-// SetFaults switches faults on and off.
+// SetFaults replaces the faults. They apply to requests that arrive later; the
+// zero value switches all of them off.
 func (e *Engine) SetFaults(faults Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = faults
 }
 
-// Runs gives how often each request ran, by the Digest of its last message.
+// Runs returns how often each request ran, by the Digest of its last message.
 func (e *Engine) Runs() map[string]int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -112,11 +115,11 @@
 	return runs
 }
 
-// Running is the number of answers in progress, waiting ones included.
+// InFlight returns the number of requests that run or are queued.
 func (e *Engine) Running() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.running + e.waiting
+	return e.running + e.queued
 }
 
 // ServeHTTP serves the engine's protocol.
@@ -152,10 +155,10 @@
 		panic(http.ErrAbortHandler)
 	case faults.Leaving:
 		w.Header().Set(engine.LeavingHeader, "true")
-		refuse(w, "leaving")
+		reject(w, "leaving")
 		return
 	case faults.Refuse:
-		refuse(w, "overloaded")
+		reject(w, "overloaded")
 		return
 	}
 	request, err := chat.Parse(body)
@@ -165,15 +168,16 @@
 	}
 	id := r.Header.Get(engine.RequestHeader)
 	e.mu.Lock()
-	a := newAnswer(id, request, r.Header.Get(engine.ChatHeader))
+	a := newActiveResponse(id, request, r.Header.Get(engine.ChatHeader))
 	e.runs[a.digest]++
-	e.answers[id] = a
+	e.responses[id] = a
 	e.mu.Unlock()
 	go e.generate(a, faults)
 	e.send(w, r, a, 0, faults)
 }
 
-func refuse(w http.ResponseWriter, text string) {
+// reject responds 503 and says that the request was not run.
+func reject(w http.ResponseWriter, text string) {
 	w.Header().Set(engine.NotRunHeader, "true")
 	http.Error(w, text, http.StatusServiceUnavailable)
 }
@@ -181,7 +185,7 @@
 func (e *Engine) resume(w http.ResponseWriter, r *http.Request) {
 	offset, err := strconv.Atoi(r.URL.Query().Get("offset"))
 	e.mu.Lock()
-	a, faults := e.answers[r.PathValue("id")], e.faults
+	a, faults := e.responses[r.PathValue("id")], e.faults
 	e.mu.Unlock()
 	faults.Swap = false
 	if a == nil || err != nil || offset < 0 {
@@ -193,60 +197,61 @@
 
 func (e *Engine) cancel(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	a := e.answers[r.PathValue("id")]
+	a := e.responses[r.PathValue("id")]
 	e.mu.Unlock()
 	if a == nil {
 		http.NotFound(w, r)
 		return
 	}
-	a.stop()
+	a.cancel()
 }
 
-// generate makes the answer's events, whoever reads them.
-func (e *Engine) generate(a *answer, faults Faults) {
-	defer e.forget(a)
-	e.count(0, 1)
+// generate adds the response's events, whether or not a connection reads them.
+func (e *Engine) generate(a *activeResponse, faults Faults) {
+	defer e.removeLater(a)
+	e.addLoad(0, 1)
 	select {
 	case e.slots <- struct{}{}:
 	case <-a.ctx.Done():
-		e.count(0, -1)
+		e.addLoad(0, -1)
 		return
 	}
 	defer func() { <-e.slots }()
-	e.count(1, -1)
-	defer e.count(-1, 0)
+	e.addLoad(1, -1)
+	defer e.addLoad(-1, 0)
 	if faults.Hang {
 		<-a.ctx.Done()
 		return
 	}
-	cached := e.lookUp(a)
+	cached := e.cachedTokens(a)
 	wait := faults.Late
 	if cached == 0 {
 		wait += e.profile.Prefill
 	}
-	if !pause(a.ctx, wait) {
+	if !sleep(a.ctx, wait) {
 		return
 	}
 	for i := range e.profile.Tokens {
-		a.token(i)
-		if !pause(a.ctx, e.profile.TokenEvery) {
+		a.appendToken(i)
+		if !sleep(a.ctx, e.profile.TokenEvery) {
 			return
 		}
 	}
 	a.finish(cached, e.profile.Tokens)
-	e.store(a, e.profile.Tokens)
+	e.cachePrefix(a, e.profile.Tokens)
 }
 
-// forget drops an answer when nobody can want to resume it any more.
-func (e *Engine) forget(a *answer) {
+// removeLater removes a response after resumeWindow.
+func (e *Engine) removeLater(a *activeResponse) {
 	time.AfterFunc(resumeWindow, func() {
 		e.mu.Lock()
 		defer e.mu.Unlock()
-		delete(e.answers, a.id)
+		delete(e.responses, a.id)
 	})
 }
 
-func pause(ctx context.Context, wait time.Duration) bool {
+// sleep waits. It reports false if ctx ended in the meantime.
+func sleep(ctx context.Context, wait time.Duration) bool {
 	select {
 	case <-ctx.Done():
 		return false
@@ -255,16 +260,18 @@
 	}
 }
 
-func (e *Engine) count(running, waiting int) {
+// addLoad changes the numbers of running and queued requests and records the new
+// load.
+func (e *Engine) addLoad(running, queued int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running += running
-	e.waiting += waiting
+	e.queued += queued
 	e.loads = append(e.loads, timedLoad{
 		at: time.Now(),
 		report: slipwick.LoadReport{
 			Running: e.running,
-			Queued:  e.waiting,
+			Queued:  e.queued,
 		},
 	})
 }
--- a/standin/enginecache.go
+++ b/standin/enginecache.go
@@ -9,39 +9,41 @@
 	"github.com/slipwick/slipwick"
 )
 
-// keptEvents is how many cache events an engine keeps; older ones are a gap.
-const keptEvents = 1024
+// maxCacheEvents is how many cache events an engine keeps. A caller that asks for
+// older ones is told of a gap.
+const maxCacheEvents = 1024
 
-// lookUp gives how many tokens of the answer's prompt are cached.
-func (e *Engine) lookUp(a *answer) int {
+// cachedTokens returns how many tokens of the request's prompt are cached.
+func (e *Engine) cachedTokens(a *activeResponse) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	tokens, _ := e.cache.Get(a.chat)
 	return min(tokens, a.promptTokens)
 }
 
-// store keeps prompt and answer as the chat's prefix.
-func (e *Engine) store(a *answer, tokens int) {
+// cachePrefix caches prompt and response as the chat's prefix.
+func (e *Engine) cachePrefix(a *activeResponse, tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cache.Add(a.chat, a.promptTokens+tokens)
 	e.recordLocked(a.chat, false)
 }
 
+// recordLocked records a cache event, unless the profile drops it; e.mu is held.
 func (e *Engine) recordLocked(chat string, evicted bool) {
-	e.last++
-	if e.profile.EventGap > 0 && e.last%uint64(e.profile.EventGap) == 0 {
+	e.lastSequence++
+	if e.profile.EventGap > 0 && e.lastSequence%uint64(e.profile.EventGap) == 0 {
 		return
 	}
 	e.events = append(e.events, timedEvent{
 		at: time.Now(),
 		event: slipwick.CacheEvent{
-			Sequence: e.last,
+			Sequence: e.lastSequence,
 			Chat:     chat,
 			Evicted:  evicted,
 		},
 	})
-	if len(e.events) > keptEvents {
+	if len(e.events) > maxCacheEvents {
 		e.events = e.events[1:]
 	}
 }
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -2,31 +2,36 @@
 
 import "time"
 
-// Faults are what can be switched on at an engine.
+// Faults are the faults of an engine that can be switched on.
 type Faults struct {
-	// Hang accepts requests and never answers them.
+	// Hang accepts requests and never sends a response.
 	Hang bool
-	// CutAfter breaks each connection after that many events; 0 never does.
+	// CutAfter aborts each connection after that many events; 0 aborts none.
 	CutAfter int
-	// Late delays the start of each answer.
+	// ResponseDelay delays the first event of each response.
 	Late time.Duration
-	// Repeat sends every event twice.
+	// DuplicateEvents sends every event twice.
 	Repeat bool
-	// Foreign puts an event of another answer before each answer's second.
+	// StrayEvent sends an event of another response before the second event of
+	// each response.
 	Foreign bool
-	// Swap sends the third event before the second, on the connection that
-	// the request came on.
+	// SkipEvent sends the third event without the second before it, on the
+	// connection on which the request came. A caller that resumes gets the second.
 	Swap bool
-	// Refuse answers 503 and says that the request was not run.
+	// Reject responds 503 and says that the request was not run.
 	Refuse bool
-	// Leaving refuses new work and finishes what runs.
+	// Leaving rejects new requests, says that the engine is leaving, and
+	// finishes the requests in progress.
 	Leaving bool
-	// Rest has what is refused ask for so long without requests.
+	// RetryAfter, if set, is sent as Retry-After with every response to a
+	// request, rejections included, and asks for that long a pause.
 	Rest time.Duration
-	// SaysLeaving says in all answers that it leaves, and serves on.
+	// AnnounceLeaving says in all responses that the engine is leaving, while it
+	// keeps serving.
 	SaysLeaving bool
-	// EndUnder has a request whose body holds the text end the engine: End is called,
-	// which is to close its server, and nothing is answered.
+	// CrashOn, if set, makes requests whose body contains the text crash the
+	// engine: OnCrash is called, which has to close the engine's server, and the
+	// connection is aborted without a response.
 	EndUnder string
 	End      func()
 }
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -15,31 +15,33 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Rates that the platform grants to all its callers together.
+// Rate limits of the platform, in calls per second of all callers together.
 const (
 	DefaultWriteRate = 100
 	DefaultReadRate  = 2000
 )
 
-// Platform is a stand-in for the platform's object API and list of boxes. Set
-// the exported fields before NewPlatform's handler serves.
+// Platform is a stand-in for the platform's object API and list of boxes. The
+// exported fields must be set before it serves requests.
 type Platform struct {
-	// Lag is how late the list of boxes shows a change.
+	// ListDelay is the delay after which the list of boxes shows a change.
 	Lag time.Duration
 
 	writes, reads *rate.Limiter
 
-	mu        sync.Mutex
-	objects   map[string]slipwick.Object
-	last      slipwick.Version
-	changed   chan struct{}
-	boxes     map[string]slipwick.Box
-	outage    bool
-	loseNext  int
-	callCount map[string]int
+	mu          sync.Mutex
+	objects     map[string]slipwick.Object
+	lastVersion slipwick.Version
+	changed     chan struct{}
+	boxes       map[string]slipwick.Box
+	outage      bool
+	// lostResponses is how many of the next writes take effect without a
+	// response.
+	lostResponses int
+	callCount     map[string]int
 }
 
-// NewPlatform makes an empty platform.
+// NewPlatform creates a platform without objects and boxes.
 func NewPlatform() *Platform {
 	return &Platform{
 		writes:    rate.NewLimiter(DefaultWriteRate, DefaultWriteRate),
@@ -51,22 +53,23 @@
 	}
 }
 
-// SetOutage makes every call fail until it is switched off.
+// SetOutage switches an outage on or off. All calls get status 503 during an
+// outage.
 func (p *Platform) SetOutage(outage bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.outage = outage
 }
 
-// LoseAnswers drops the connection after each of the next n writes that took
+// LoseResponses aborts the connection after each of the next n writes that take
 // effect.
 func (p *Platform) LoseAnswers(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.loseNext = n
+	p.lostResponses = n
 }
 
-// Calls gives the number of calls so far by kind: get, put, watch, list, boxes.
+// Calls returns the number of calls so far by kind: get, put, watch, list, boxes.
 func (p *Platform) Calls() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,27 +80,28 @@
 	return calls
 }
 
-// SetBox puts a box on the list, as late as Lag says.
+// SetBox adds a box to the list or replaces it, after ListDelay.
 func (p *Platform) SetBox(box slipwick.Box) {
-	p.later(func() { p.boxes[box.ID] = box })
+	p.changeList(func() { p.boxes[box.ID] = box })
 }
 
-// RemoveBox takes a box off the list, as late as Lag says.
+// RemoveBox removes a box from the list, after ListDelay.
 func (p *Platform) RemoveBox(id string) {
-	p.later(func() { delete(p.boxes, id) })
+	p.changeList(func() { delete(p.boxes, id) })
 }
 
-func (p *Platform) later(change func()) {
-	locked := func() {
+// changeList calls change with p.mu held, after ListDelay.
+func (p *Platform) changeList(change func()) {
+	apply := func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		change()
 	}
 	if p.Lag == 0 {
-		locked()
+		apply()
 		return
 	}
-	time.AfterFunc(p.Lag, locked)
+	time.AfterFunc(p.Lag, apply)
 }
 
 // ServeHTTP serves the platform's protocol.
@@ -136,7 +140,8 @@
 	}
 }
 
-// admit counts the call and refuses it in an outage or beyond the rates.
+// admit counts the call. It rejects the call and reports false in an outage or
+// above the rate limit.
 func (p *Platform) admit(w http.ResponseWriter, kind string) bool {
 	p.mu.Lock()
 	p.callCount[kind]++
@@ -181,7 +186,7 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	timeout, err := time.ParseDuration(r.URL.Query().Get("timeout"))
 	if err != nil {
-		http.Error(w, "timeout is no duration", http.StatusBadRequest)
+		http.Error(w, "timeout is not a duration", http.StatusBadRequest)
 		return
 	}
 	expired := time.After(timeout)
@@ -212,9 +217,9 @@
 	}
 	p.mu.Lock()
 	version, conflict := p.putLocked(r.Header, key, value)
-	lose := !conflict && p.loseNext > 0
+	lose := !conflict && p.lostResponses > 0
 	if lose {
-		p.loseNext--
+		p.lostResponses--
 	}
 	p.mu.Unlock()
 	switch {
@@ -227,7 +232,8 @@
 	}
 }
 
-// putLocked writes if the condition in the header holds; p.mu is held.
+// putLocked writes the object if the condition in the header holds, and else
+// reports a conflict; p.mu is held.
 func (p *Platform) putLocked(header http.Header, key string, value []byte) (version slipwick.Version, conflict bool) {
 	object, exists := p.objects[key]
 	switch {
@@ -239,15 +245,15 @@
 	if conflict {
 		return 0, true
 	}
-	p.last++
+	p.lastVersion++
 	p.objects[key] = slipwick.Object{
 		Key:     key,
 		Value:   value,
-		Version: p.last,
+		Version: p.lastVersion,
 	}
 	close(p.changed)
 	p.changed = make(chan struct{})
-	return p.last, false
+	return p.lastVersion, false
 }
 
 func (p *Platform) listObjects(w http.ResponseWriter, prefix string) {
--- a/standin/service.go
+++ b/standin/service.go
@@ -6,19 +6,21 @@
 	"sync"
 )
 
-// Service is a stand-in for a plain service: it answers each call with its
-// body and records how often each request ran.
+// Service is a stand-in for a plain service. It responds to each request with the
+// request's body and records how often each request ran.
 type Service struct {
-	// DropAfterBody closes the connection once the body was read.
+	// DropAfterBody aborts the connection after the request's body has been read.
+	// The request counts as run.
 	DropAfterBody bool
-	// Before is called with each call that arrives; true says that it answered.
+	// Intercept, if set, is called for each request. If it returns true, it has
+	// written the response, and the request does not count as run.
 	Before func(w http.ResponseWriter) bool
 
 	mu   sync.Mutex
 	runs map[string]int
 }
 
-// ServeHTTP serves any path.
+// ServeHTTP serves requests to any path.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
 	if err != nil || s.Before != nil && s.Before(w) {
@@ -36,7 +38,7 @@
 	_, _ = w.Write(body)
 }
 
-// Runs gives how often a request with the body ran.
+// Runs returns how often a request with the body ran.
 func (s *Service) Runs(body string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
