--- a/standin/platform.go
+++ b/standin/platform.go
@@ -186,7 +186,7 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	timeout, err := time.ParseDuration(r.URL.Query().Get("timeout"))
 	if err != nil {
-		http.Error(w, "timeout is not a duration", http.StatusBadRequest)
+		http.Error(w, "timeout is no duration", http.StatusBadRequest)
 		return
 	}
 	expired := time.After(timeout)
