--- a/cmd/internal/emulator/caller.go
+++ b/cmd/internal/emulator/caller.go
@@ -21,17 +21,18 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-// keepMessages bounds a chat's history.
-const keepMessages = 20
+// maxHistoryMessages is how many messages of a chat are sent besides the first.
+const maxHistoryMessages = 20
 
-// caller is one chat that returns in bursts, behind the balancer.
+// caller sends the requests of one chat, one in each burst, to the routers that
+// the platform's balancer would choose.
 type caller struct {
 	world    *world
 	random   *rand.Rand
 	name     string
 	turn     int
 	messages []textMessage
-	tally    tally
+	stats    callerStats
 }
 
 type textMessage struct {
@@ -56,29 +57,30 @@
 				Content: "You draft minutes.",
 			},
 		},
-		tally: tally{
-			once: make(map[string]bool),
+		stats: callerStats{
+			notRepeatable: make(map[string]bool),
 		},
 	}
 }
 
-// run sends one turn in each burst until ctx ends.
-func (c *caller) run(ctx context.Context) tally {
+// run sends one request in each burst until ctx ends, and returns the counts.
+func (c *caller) run(ctx context.Context) callerStats {
 	for burst := 0; ; burst++ {
-		start := c.world.started.Add(time.Duration(burst) * burstEvery)
+		start := c.world.started.Add(time.Duration(burst) * burstInterval)
 		within := time.Duration(c.random.Int64N(int64(time.Second)))
 		select {
 		case <-ctx.Done():
-			return c.tally
+			return c.stats
 		case <-time.After(time.Until(start.Add(within))):
 		}
-		c.next(ctx)
+		c.nextTurn(ctx)
 	}
 }
 
-// next sends the chat's next turn, at most a few times if it was not run.
-func (c *caller) next(ctx context.Context) {
-	const tries = 4
+// nextTurn sends the chat's next request. A request that was not run is sent
+// again, up to four times in all.
+func (c *caller) nextTurn(ctx context.Context) {
+	const maxAttempts = 4
 	c.turn++
 	question := fmt.Sprintf("%s turn %d", c.name, c.turn)
 	c.messages = append(c.messages, textMessage{
@@ -87,14 +89,14 @@
 	})
 	repeatable := c.random.IntN(2) == 0
 	if !repeatable {
-		c.tally.once[standin.Digest(quoted(question))] = true
+		c.stats.notRepeatable[standin.Digest(jsonString(question))] = true
 	}
-	for range tries {
-		// A turn that has begun is finished after the callers' time.
+	for range maxAttempts {
+		// A request that is in progress when ctx ends is completed.
 		answer, outcome, retryAfter := c.send(context.WithoutCancel(ctx), question, repeatable)
-		c.tally.count(outcome)
+		c.stats.countOutcome(outcome)
 		if outcome == slipwick.OutcomeCompleted {
-			c.remember(answer)
+			c.addAnswer(answer)
 		}
 		if outcome != slipwick.OutcomeNotRun {
 			return
@@ -103,48 +105,52 @@
 	}
 }
 
-func (c *caller) remember(answer string) {
+// addAnswer adds an answer to the chat's history. It drops the oldest messages
+// above the limit, but not the first, the system message.
+func (c *caller) addAnswer(answer string) {
 	c.messages = append(c.messages, textMessage{
 		Role:    "assistant",
 		Content: answer,
 	})
-	if len(c.messages) > keepMessages {
-		c.messages = append(c.messages[:1:1], c.messages[len(c.messages)-keepMessages:]...)
+	if len(c.messages) > maxHistoryMessages {
+		c.messages = append(c.messages[:1:1], c.messages[len(c.messages)-maxHistoryMessages:]...)
 	}
 }
 
-// send makes one call and checks that the answer is whole and its own.
+// send sends a request once. It checks that the answer is complete and belongs to
+// the request, and returns how long to wait before the request is sent again.
 func (c *caller) send(
 	ctx context.Context, question string, repeatable bool,
 ) (answer string, outcome slipwick.Outcome, retryAfter time.Duration) {
-	const limit, pause = 30 * time.Second, 50 * time.Millisecond
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	const timeout, minRetryDelay = 30 * time.Second, 50 * time.Millisecond
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	response, err := c.post(ctx, repeatable)
 	if err != nil {
-		// The balancer's connection was refused or broken.
-		return "", outcomeOf(err), pause
+		// The connection to the router was refused or broke.
+		return "", outcomeOfError(err), minRetryDelay
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
 		retryAfter, _ = time.ParseDuration(response.Header.Get("Retry-After") + "s")
-		return "", slipwick.Outcome(response.Header.Get(slipwick.OutcomeHeader)), max(retryAfter, pause)
+		return "", slipwick.Outcome(response.Header.Get(slipwick.OutcomeHeader)), max(retryAfter, minRetryDelay)
 	}
-	answer, whole := c.read(response.Body)
+	answer, complete := c.readAnswer(response.Body)
 	outcome = slipwick.Outcome(response.Trailer.Get(slipwick.OutcomeHeader))
 	switch {
 	case outcome == "":
 		return "", slipwick.OutcomeUnknown, 0
 	case outcome != slipwick.OutcomeCompleted:
 		return "", outcome, 0
-	case !whole || !strings.HasPrefix(answer, standin.Digest(quoted(question))):
-		c.tally.mismatched++
+	case !complete || !strings.HasPrefix(answer, standin.Digest(jsonString(question))):
+		c.stats.mismatched++
 	}
 	return answer, outcome, 0
 }
 
-// outcomeOf is a caller's own knowledge of a call without an answer.
-func outcomeOf(err error) slipwick.Outcome {
+// outcomeOfError returns the outcome of a request that got no response: not run
+// if the connection was refused, else unknown.
+func outcomeOfError(err error) slipwick.Outcome {
 	if strings.Contains(errors.Cause(err).Error(), "connection refused") {
 		return slipwick.OutcomeNotRun
 	}
@@ -160,7 +166,7 @@
 	if err != nil {
 		return nil, err
 	}
-	url := "http://" + c.world.balance(c.random) + engine.CompletionsPath
+	url := "http://" + c.world.pickRouter(c.random) + engine.CompletionsPath
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, url, bytes.NewReader(body))
 	if err != nil {
 		return nil, err
@@ -171,8 +177,8 @@
 	return c.world.client.Do(request)
 }
 
-// read joins the answer; whole says that its end marker came.
-func (c *caller) read(body io.Reader) (answer string, whole bool) {
+// readAnswer reads a streamed answer. complete reports that its end marker came.
+func (c *caller) readAnswer(body io.Reader) (answer string, complete bool) {
 	reader := sse.NewReader(bufio.NewReader(body))
 	var completion chat.Completion
 	for {
@@ -180,26 +186,27 @@
 		if err != nil {
 			break
 		}
-		whole = string(event.Data) == engine.EndMarker
-		if !whole && completion.Add(event.Data) != nil {
+		complete = string(event.Data) == engine.EndMarker
+		if !complete && completion.Add(event.Data) != nil {
 			return "", false
 		}
 	}
 	if len(completion.Choices) == 0 {
 		return "", false
 	}
-	c.tally.cache(completion.Usage, c.turn)
-	return completion.Choices[0].Message.Content, whole
+	c.stats.countReturn(completion.Usage, c.turn)
+	return completion.Choices[0].Message.Content, complete
 }
 
-// quoted is the text as its JSON has it.
-func quoted(text string) string {
+// jsonString returns the text as a JSON string.
+func jsonString(text string) string {
 	encoded, _ := json.Marshal(text)
 	return string(encoded)
 }
 
-// balance picks a router as the platform's balancer does: a ready one.
-func (w *world) balance(random *rand.Rand) string {
+// pickRouter returns the address of a random ready router, as the platform's
+// balancer does, or of any router if none is ready.
+func (w *world) pickRouter(random *rand.Rand) string {
 	first := random.IntN(len(w.routers))
 	for i := range w.routers {
 		router := w.routers[(first+i)%len(w.routers)]
--- a/cmd/internal/emulator/doc.go
+++ b/cmd/internal/emulator/doc.go
@@ -1,3 +1,4 @@
-// Package emulator runs real routers over loopback TCP against stand-ins of
-// the platform and engines, with callers whose chats return in bursts.
+// Package emulator runs production routers in one process, over loopback TCP,
+// against stand-ins for the platform and the engines. Its callers send the
+// requests of their chats in bursts.
 package emulator
--- a/cmd/internal/emulator/engine.go
+++ b/cmd/internal/emulator/engine.go
@@ -10,15 +10,15 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-// runningEngine is an engine's stand-in on a loopback port.
+// runningEngine is a stand-in for an engine that serves on a loopback port.
 type runningEngine struct {
 	*standin.Engine
 
 	id      string
 	address string
 	server  *http.Server
-	// out says that the engine is lost or leaving.
-	out atomic.Bool
+	// unusable says that the engine has crashed or is leaving.
+	unusable atomic.Bool
 }
 
 func startEngine(id string, profile standin.EngineProfile) (*runningEngine, error) {
@@ -31,13 +31,13 @@
 	return e, err
 }
 
-// lose makes the engine vanish: its connections break and its port closes.
-func (e *runningEngine) lose() {
-	e.out.Store(true)
+// crash closes the engine's connections and its port.
+func (e *runningEngine) crash() {
+	e.unusable.Store(true)
 	_ = e.server.Close()
 }
 
-// serve serves the handler on a free loopback port.
+// serve serves the handler on a free loopback port until the server is closed.
 func serve(handler http.Handler) (server *http.Server, address string, err error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/cmd/internal/emulator/result.go
+++ b/cmd/internal/emulator/result.go
@@ -9,44 +9,47 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-// Result is what a scenario measured.
+// Result holds the measurements of a scenario.
 type Result struct {
-	// Requests counts the calls made, those that were not run included.
+	// Requests counts the requests sent, including those that were not run.
 	Requests  int `json:"requests"`
 	Completed int `json:"completed"`
 	NotRun    int `json:"not_run"`
 	Failed    int `json:"failed"`
 	Unknown   int `json:"unknown"`
-	// Duplicates counts requests marked not to be repeated that ran more
+	// Duplicates counts the requests marked as not repeatable that ran more
 	// than once, by the engines' own records.
 	Duplicates int `json:"duplicates"`
-	// Mismatched counts answers passed as whole that were not, or that
-	// belonged to another request.
+	// Mismatched counts the answers that a router reported as completed although
+	// they were incomplete or belonged to another request.
 	Mismatched int `json:"mismatched"`
-	// CacheReuse is the share of returning chats that found their prefix.
+	// CacheReuse is the share of requests of returning chats whose prefix was
+	// cached.
 	CacheReuse float64 `json:"cache_reuse"`
-	// SkewMax is the busiest engine's load over the mean, while the mean is
-	// at least 4 requests.
+	// SkewMax is the highest ratio of the busiest engine's load to the mean,
+	// sampled while the mean is at least 4 requests.
 	SkewMax float64 `json:"skew_max"`
-	// ControlBytes is what a router sends and receives for control, as the
-	// mean over routers and time.
+	// ControlBytes is the control traffic that a router sends and receives, in
+	// bytes per second, as the mean over routers and time.
 	ControlBytes float64 `json:"control_bytes_per_second"`
 }
 
-func (w *world) result(tallies []tally, took time.Duration) *Result {
+// result adds up the callers' counts and the world's measurements over the elapsed
+// time.
+func (w *world) result(stats []callerStats, elapsed time.Duration) *Result {
 	r := &Result{}
-	ran := w.ran()
+	runs := w.runCounts()
 	returning, cached := 0, 0
-	for _, t := range tallies {
-		r.Completed += t.completed
-		r.NotRun += t.notRun
-		r.Failed += t.failed
-		r.Unknown += t.unknown
-		r.Mismatched += t.mismatched
-		returning += t.returning
-		cached += t.cached
-		for digest := range t.once {
-			if ran[digest] > 1 {
+	for _, s := range stats {
+		r.Completed += s.completed
+		r.NotRun += s.notRun
+		r.Failed += s.failed
+		r.Unknown += s.unknown
+		r.Mismatched += s.mismatched
+		returning += s.returning
+		cached += s.cached
+		for digest := range s.notRepeatable {
+			if runs[digest] > 1 {
 				r.Duplicates++
 			}
 		}
@@ -59,37 +62,38 @@
 	r.SkewMax = w.skewMax
 	w.mu.Unlock()
 	for _, router := range w.routers {
-		r.ControlBytes += float64(router.ControlBytes()) / took.Seconds() / float64(len(w.routers))
+		r.ControlBytes += float64(router.ControlBytes()) / elapsed.Seconds() / float64(len(w.routers))
 	}
 	return r
 }
 
-// ran adds up the engines' records by the digest of the request.
-func (w *world) ran() map[string]int {
-	ran := make(map[string]int)
+// runCounts returns how often each request ran at all engines, by its digest.
+func (w *world) runCounts() map[string]int {
+	runs := make(map[string]int)
 	for _, e := range w.engines {
 		for digest, count := range e.Runs() {
-			ran[digest] += count
+			runs[digest] += count
 		}
 	}
-	return ran
+	return runs
 }
 
-// Check refuses a result that breaks what must always hold.
+// Check returns an error if no request completed, a request that is not
+// repeatable ran more than once, or a caller got a wrong answer.
 func (r *Result) Check() error {
 	switch {
 	case r.Completed == 0:
-		return errors.New("no request was completed; run with --for 20s and look at the progress lines")
+		return errors.New("no request was completed; run with --for 20s and check the progress lines")
 	case r.Duplicates > 0:
-		return errors.Errorf("%d requests ran more than once; report this as a fault", r.Duplicates)
+		return errors.Errorf("%d non-repeatable requests ran more than once; report this as a bug", r.Duplicates)
 	case r.Mismatched > 0:
-		return errors.Errorf("%d answers were not whole or not the caller's; report this as a fault", r.Mismatched)
+		return errors.Errorf("%d answers were incomplete or belonged to another request; report this as a bug", r.Mismatched)
 	default:
 		return nil
 	}
 }
 
-// Table shows the result to people.
+// Table returns the result as a table for the terminal.
 func (r *Result) Table() cli.Table {
 	return cli.Table{
 		Header: []string{"MEASURE", "VALUE"},
--- a/cmd/internal/emulator/scenario.go
+++ b/cmd/internal/emulator/scenario.go
@@ -9,7 +9,7 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds of a scenario.
+// Limits of a scenario.
 const (
 	minRouters, maxRouters = 2, 50
 	minEngines, maxEngines = 3, 200
@@ -17,44 +17,48 @@
 	maxFor                 = time.Hour
 )
 
-// Times of the incidents, as shares of the run.
+// Times of the incidents, as fractions of the run.
 const (
-	loseAt  = 0.35
+	crashAt = 0.35
 	leaveAt = 0.5
 	drainAt = 0.65
 )
 
-// burstEvery is how often all chats return; they arrive within a second.
-const burstEvery = 3 * time.Second
+// burstInterval is the time between bursts. In each burst all chats send a request
+// within one second.
+const burstInterval = 3 * time.Second
 
-// Scenario is one run.
+// Scenario holds the parameters of a run.
 type Scenario struct {
+	// Duration is how long the callers send requests.
 	For     time.Duration
 	Seed    uint64
 	Routers int
 	Engines int
 	Chats   int
-	// Progress is told what happens, at the time since the start.
+	// Progress, if set, is called with a line of text for each incident and the
+	// time since the start.
 	Progress func(at time.Duration, text string)
 }
 
-// Check refuses a scenario out of bounds.
+// Check returns an error if a parameter is out of range.
 func (s *Scenario) Check() error {
 	switch {
 	case s.Routers < minRouters || s.Routers > maxRouters:
-		return errors.Errorf("%d routers are out of bounds", s.Routers)
+		return errors.Errorf("number of routers out of range: %d", s.Routers)
 	case s.Engines < minEngines || s.Engines > maxEngines:
-		return errors.Errorf("%d engines are out of bounds", s.Engines)
+		return errors.Errorf("number of engines out of range: %d", s.Engines)
 	case s.Chats < 1 || s.Chats > maxChats:
-		return errors.Errorf("%d chats are out of bounds", s.Chats)
+		return errors.Errorf("number of chats out of range: %d", s.Chats)
 	case s.For <= 0 || s.For > maxFor:
-		return errors.Errorf("a run of %s is out of bounds", s.For)
+		return errors.Errorf("duration out of range: %s", s.For)
 	default:
 		return nil
 	}
 }
 
-// Run runs the scenario.
+// Run starts the world, runs the scenario and stops everything. It blocks until
+// the callers are done, and returns an error if ctx ends before.
 func (s *Scenario) Run(ctx context.Context) (*Result, error) {
 	world, err := newWorld(ctx, s)
 	if err != nil {
@@ -68,43 +72,44 @@
 		}
 	}
 	progress("platform at " + world.platformURL)
-	callers, cancel := context.WithTimeout(ctx, s.For)
+	callersCtx, cancel := context.WithTimeout(ctx, s.For)
 	defer cancel()
-	var parts sync.WaitGroup
-	parts.Go(func() { s.incidents(callers, world, progress) })
-	parts.Go(func() { world.measure(callers) })
-	results := make([]tally, s.Chats)
+	var goroutines sync.WaitGroup
+	goroutines.Go(func() { s.playIncidents(callersCtx, world, progress) })
+	goroutines.Go(func() { world.sampleLoads(callersCtx) })
+	stats := make([]callerStats, s.Chats)
 	for i := range s.Chats {
-		parts.Go(func() {
+		goroutines.Go(func() {
 			random := rand.New(rand.NewPCG(s.Seed, uint64(i)))
-			results[i] = newCaller(world, random, i).run(callers)
+			stats[i] = newCaller(world, random, i).run(callersCtx)
 		})
 	}
-	parts.Wait()
+	goroutines.Wait()
 	progress("callers are done")
-	return world.result(results, time.Since(started)), ctx.Err()
+	return world.result(stats, time.Since(started)), ctx.Err()
 }
 
-// incidents brings about what the scenario is for.
-func (s *Scenario) incidents(ctx context.Context, w *world, progress func(string)) {
+// playIncidents crashes an engine, has another leave and drains a router, at their
+// times. It returns early if ctx ends.
+func (s *Scenario) playIncidents(ctx context.Context, w *world, progress func(string)) {
 	for _, incident := range []struct {
 		at   float64
 		text string
 		do   func()
 	}{
 		{
-			at:   loseAt,
-			text: "engine " + w.engines[0].id + " is lost",
-			do:   w.engines[0].lose,
+			at:   crashAt,
+			text: "engine " + w.engines[0].id + " crashed",
+			do:   w.engines[0].crash,
 		},
 		{
 			at:   leaveAt,
-			text: "engine " + w.engines[1].id + " leaves",
-			do:   func() { w.leave(w.engines[1]) },
+			text: "engine " + w.engines[1].id + " is leaving",
+			do:   func() { w.startLeaving(w.engines[1]) },
 		},
 		{
 			at:   drainAt,
-			text: "router " + w.routers[0].Settings.ID + " is drained",
+			text: "router " + w.routers[0].Settings.ID + " is draining",
 			do:   w.stopRouter[0],
 		},
 	} {
--- a/cmd/internal/emulator/tally.go
+++ b/cmd/internal/emulator/tally.go
@@ -6,43 +6,44 @@
 	"github.com/slipwick/slipwick"
 )
 
-// tally is what one caller saw.
-type tally struct {
+// callerStats counts what one caller saw.
+type callerStats struct {
 	completed, notRun, failed, unknown int
 	mismatched                         int
 	returning, cached                  int
-	// once holds the digests of requests that may not be repeated.
-	once map[string]bool
+	// notRepeatable holds the digests of the requests that must not be repeated.
+	notRepeatable map[string]bool
 }
 
-func (t *tally) count(outcome slipwick.Outcome) {
+func (s *callerStats) countOutcome(outcome slipwick.Outcome) {
 	switch outcome {
 	case slipwick.OutcomeCompleted:
-		t.completed++
+		s.completed++
 	case slipwick.OutcomeNotRun:
-		t.notRun++
+		s.notRun++
 	case slipwick.OutcomeFailed:
-		t.failed++
+		s.failed++
 	default:
-		t.unknown++
+		s.unknown++
 	}
 }
 
-// usage is the part of an OpenAI usage record that tells of the cache.
+// usage is the part of an OpenAI usage record that describes the cache.
 type usage struct {
 	Details struct {
 		CachedTokens int `json:"cached_tokens"`
 	} `json:"prompt_tokens_details"`
 }
 
-// cache counts whether a returning chat found its prefix.
-func (t *tally) cache(encoded json.RawMessage, turn int) {
-	var read usage
-	if turn < 2 || json.Unmarshal(encoded, &read) != nil {
+// countReturn counts whether a returning chat's prefix was cached, by the usage
+// record of the response.
+func (s *callerStats) countReturn(encoded json.RawMessage, turn int) {
+	var u usage
+	if turn < 2 || json.Unmarshal(encoded, &u) != nil {
 		return
 	}
-	t.returning++
-	if read.Details.CachedTokens > 0 {
-		t.cached++
+	s.returning++
+	if u.Details.CachedTokens > 0 {
+		s.cached++
 	}
 }
--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -25,26 +25,27 @@
 	model     = "demo"
 	workspace = "demo"
 
-	startTimeout = 30 * time.Second
-	settle       = 4 * time.Second
-	announce     = 500 * time.Millisecond
-	listLag      = time.Second
-	reportLag    = 200 * time.Millisecond
-	eventGap     = 7
+	startTimeout      = 30 * time.Second
+	settleTime        = 4 * time.Second
+	announceTime      = 500 * time.Millisecond
+	listDelay         = time.Second
+	reportDelay       = 200 * time.Millisecond
+	eventDropInterval = 7
 )
 
-// engineProfile makes answers of a quarter of a second.
+// engineProfile makes a response take about a quarter of a second: 20 tokens of 10
+// milliseconds, and 50 milliseconds if the prompt is not cached.
 var engineProfile = standin.EngineProfile{
 	Slots:      64,
 	Tokens:     20,
 	TokenEvery: 10 * time.Millisecond,
 	Prefill:    50 * time.Millisecond,
 	CacheChats: 400,
-	ReportLag:  reportLag,
-	EventGap:   eventGap,
+	ReportLag:  reportDelay,
+	EventGap:   eventDropInterval,
 }
 
-// world is everything that a scenario runs.
+// world holds the platform, engines and routers that a scenario runs.
 type world struct {
 	started        time.Time
 	platform       *standin.Platform
@@ -54,12 +55,14 @@
 	routers        []*daemon.Router
 	stopRouter     []func()
 	client         *http.Client
-	parts          sync.WaitGroup
+	goroutines     sync.WaitGroup
 
 	mu      sync.Mutex
 	skewMax float64
 }
 
+// newWorld starts everything and waits until all routers are ready and know each
+// other.
 func newWorld(ctx context.Context, s *Scenario) (*world, error) {
 	w := &world{
 		started:  time.Now(),
@@ -72,7 +75,7 @@
 		return nil, err
 	}
 	w.platformURL = "http://" + address
-	w.platform.Lag = listLag
+	w.platform.Lag = listDelay
 	for i := range s.Engines {
 		e, err := startEngine(fmt.Sprintf("engine-%02d", i), engineProfile)
 		if err != nil {
@@ -81,7 +84,7 @@
 		w.engines = append(w.engines, e)
 		w.platform.SetBox(w.box(e, slipwick.BoxLive))
 	}
-	if err := w.apply(ctx); err != nil {
+	if err := w.applyConfiguration(ctx); err != nil {
 		return nil, err
 	}
 	for i := range s.Routers {
@@ -103,9 +106,9 @@
 	}
 }
 
-// leave begins an engine's planned stop.
-func (w *world) leave(e *runningEngine) {
-	e.out.Store(true)
+// startLeaving starts an engine's planned stop.
+func (w *world) startLeaving(e *runningEngine) {
+	e.unusable.Store(true)
 	e.SetFaults(standin.Faults{
 		Leaving: true,
 	})
@@ -117,8 +120,8 @@
 	return fmt.Sprintf("dc-%d", i%count)
 }
 
-// apply puts the demo's configuration in force.
-func (w *world) apply(ctx context.Context) error {
+// applyConfiguration writes the demo's configuration to the platform.
+func (w *world) applyConfiguration(ctx context.Context) error {
 	pool := configuration.Pool{
 		Name: "engines",
 		Kind: configuration.PoolEngine,
@@ -131,13 +134,13 @@
 			Slots:      engineProfile.Slots,
 		})
 	}
-	keeper := &configuration.Repository{
+	repository := &configuration.Repository{
 		Store: &objectapi.Client{
 			BaseURL: w.platformURL,
 			HTTP:    w.client,
 		},
 	}
-	_, err := keeper.Apply(ctx, &configuration.State{
+	_, err := repository.Apply(ctx, &configuration.State{
 		Workspaces: []configuration.Workspace{
 			{
 				Name:      workspace,
@@ -160,6 +163,7 @@
 	return err
 }
 
+// startRouter starts the i-th router. The first router is the seed of the others.
 func (w *world) startRouter(ctx context.Context, i int) {
 	var seeds []string
 	if i > 0 {
@@ -179,13 +183,13 @@
 		},
 		Seeds: seeds,
 		Limits: daemon.Limits{
-			Announce: jsonfile.Duration(announce),
+			Announce: jsonfile.Duration(announceTime),
 		},
 	}, zerolog.Nop())
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
+	runCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	w.routers = append(w.routers, router)
 	w.stopRouter = append(w.stopRouter, stop)
-	w.parts.Go(func() { _ = router.Run(running) })
+	w.goroutines.Go(func() { _ = router.Run(runCtx) })
 }
 
 func (w *world) waitReady(ctx context.Context) error {
@@ -195,12 +199,12 @@
 		select {
 		case <-router.Started():
 		case <-ctx.Done():
-			return errors.New("a router did not start in time; check that loopback ports are free")
+			return errors.New("timed out waiting for a router to start; check that loopback ports are free")
 		}
 		for !router.CurrentStatus().Ready {
 			select {
 			case <-ctx.Done():
-				return errors.New("a router did not get ready in time; run with fewer routers")
+				return errors.New("timed out waiting for a router to get ready; run with fewer routers")
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
@@ -208,8 +212,8 @@
 	return nil
 }
 
-// waitMembers puts the routers on the platform's list and waits until they
-// know each other and the owners' first window is over.
+// waitMembers adds the routers to the platform's list and waits until they know
+// each other, and then for settleTime, until the owners' first window is over.
 func (w *world) waitMembers(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -226,49 +230,51 @@
 		for len(router.CurrentStatus().Members) < len(w.routers) {
 			select {
 			case <-ctx.Done():
-				return errors.New("the routers did not find each other in time; run with fewer routers")
+				return errors.New("timed out waiting for the routers to find each other; run with fewer routers")
 			case <-time.After(10 * time.Millisecond):
 			}
 		}
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	w.started = time.Now()
 	return nil
 }
 
-// stop ends everything that the world runs.
+// stop stops the routers and waits for them, then the engines and the platform.
 func (w *world) stop() {
 	for _, stop := range w.stopRouter {
 		stop()
 	}
-	w.parts.Wait()
+	w.goroutines.Wait()
 	for _, e := range w.engines {
 		_ = e.server.Close()
 	}
 	_ = w.platformServer.Close()
 }
 
-// measureEvery is how often loads are sampled.
-const measureEvery = 20 * time.Millisecond
+// sampleInterval is the time between samples of the engines' loads.
+const sampleInterval = 20 * time.Millisecond
 
-// measure samples how far the busiest engine is above the mean.
-func (w *world) measure(ctx context.Context) {
-	ticker := time.NewTicker(measureEvery)
+// sampleLoads samples the skew regularly until ctx ends.
+func (w *world) sampleLoads(ctx context.Context) {
+	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			w.sample()
+			w.sampleSkew()
 		}
 	}
 }
 
-func (w *world) sample() {
+// sampleSkew records the ratio of the busiest engine's load to the mean, if it is
+// the highest so far.
+func (w *world) sampleSkew() {
 	total, busiest, usable := 0, 0, 0
 	for _, e := range w.engines {
-		if e.out.Load() {
+		if e.unusable.Load() {
 			continue
 		}
 		usable++
@@ -276,9 +282,9 @@
 		total += running
 		busiest = max(busiest, running)
 	}
-	// Below a few requests each, rounding to whole requests is all there is.
-	const enough = 4
-	if total < enough*usable {
+	// Below this mean the skew shows only the rounding to whole requests.
+	const minMeanLoad = 4
+	if total < minMeanLoad*usable {
 		return
 	}
 	mean := float64(total) / float64(usable)
