--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -45,7 +45,7 @@
 
 func (c *Chat) run() {
 	w := c.world
-	think := w.Setup.Think
+	think := w.Setup.ThinkTime
 	if c.random.Float64() >= w.Setup.Hot {
 		const cold = 10
 		think *= cold
--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -27,7 +27,7 @@
 		Engines:     20,
 		DataCentres: 4,
 		Chats:       1300,
-		Think:       20 * time.Second,
+		ThinkTime:       20 * time.Second,
 		Service:     10 * time.Second,
 		Hot:         0.5,
 		CacheChats:  400,
--- a/emulation/setup.go
+++ b/emulation/setup.go
@@ -12,7 +12,7 @@
 	// Chats is the number of chats that send requests repeatedly. Each waits
 	// for about ThinkTime, then sends a request that takes about ServiceTime.
 	Chats   int
-	Think   time.Duration
+	ThinkTime   time.Duration
 	Service time.Duration
 	// HotShare is the share of chats that wait for ThinkTime; the others wait
 	// ten times as long.
