--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -52,7 +52,7 @@
 	}
 	// The first requests are spread out, so that the fleet starts in its steady
 	// state and not with a burst.
-	wait := time.Duration(c.random.Float64() * float64(think+w.Setup.Service))
+	wait := time.Duration(c.random.Float64() * float64(think+w.Setup.ServiceTime))
 	for c.think(wait) {
 		_ = c.Turn()
 		wait = time.Duration(c.random.ExpFloat64() * float64(think))
@@ -162,7 +162,7 @@
 	if e.isCrashed() {
 		return slipwick.EvidenceUnreachable
 	}
-	service := time.Duration((0.5 + c.random.Float64()) * float64(w.Setup.Service))
+	service := time.Duration((0.5 + c.random.Float64()) * float64(w.Setup.ServiceTime))
 	if hanging {
 		const firstTokenTimeout = 2 * time.Second
 		time.Sleep(firstTokenTimeout)
--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -28,7 +28,7 @@
 		DataCentres: 4,
 		Chats:       1300,
 		ThinkTime:       20 * time.Second,
-		Service:     10 * time.Second,
+		ServiceTime:     10 * time.Second,
 		Hot:         0.5,
 		CacheChats:  400,
 		Slots:       200,
--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -14,7 +14,7 @@
 func smallSetup() Setup {
 	setup := todaySetup()
 	setup.Routers, setup.Engines, setup.Chats = 6, 10, 300
-	setup.ThinkTime, setup.Service = 4*time.Second, 4*time.Second
+	setup.ThinkTime, setup.ServiceTime = 4*time.Second, 4*time.Second
 	return setup
 }
 
--- a/emulation/setup.go
+++ b/emulation/setup.go
@@ -13,7 +13,7 @@
 	// for about ThinkTime, then sends a request that takes about ServiceTime.
 	Chats   int
 	ThinkTime   time.Duration
-	Service time.Duration
+	ServiceTime time.Duration
 	// HotShare is the share of chats that wait for ThinkTime; the others wait
 	// ten times as long.
 	Hot float64
