--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -46,7 +46,7 @@
 func (c *Chat) run() {
 	w := c.world
 	think := w.Setup.ThinkTime
-	if c.random.Float64() >= w.Setup.Hot {
+	if c.random.Float64() >= w.Setup.HotShare {
 		const cold = 10
 		think *= cold
 	}
--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -29,7 +29,7 @@
 		Chats:       1300,
 		ThinkTime:       20 * time.Second,
 		ServiceTime:     10 * time.Second,
-		Hot:         0.5,
+		HotShare:         0.5,
 		CacheChats:  400,
 		Slots:       200,
 		Factor:      configuration.DefaultMaxLoadFactor,
--- a/emulation/setup.go
+++ b/emulation/setup.go
@@ -16,7 +16,7 @@
 	ServiceTime time.Duration
 	// HotShare is the share of chats that wait for ThinkTime; the others wait
 	// ten times as long.
-	Hot float64
+	HotShare float64
 	// CachedChats is how many chats' prefixes an engine caches.
 	CacheChats int
 	// Slots limits the requests in flight at an engine.
