--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -30,7 +30,7 @@
 		ThinkTime:       20 * time.Second,
 		ServiceTime:     10 * time.Second,
 		HotShare:         0.5,
-		CacheChats:  400,
+		CachedChats:  400,
 		Slots:       200,
 		Factor:      configuration.DefaultMaxLoadFactor,
 		Policy:      admission.DefaultPolicy(),
@@ -44,7 +44,7 @@
 func largeSetup() Setup {
 	setup := todaySetup()
 	setup.Routers, setup.Engines, setup.DataCentres = 330, 93, 10
-	setup.Chats, setup.CacheChats = 20_000, 1000
+	setup.Chats, setup.CachedChats = 20_000, 1000
 	setup.WarmUp = time.Minute
 	return setup
 }
--- a/emulation/setup.go
+++ b/emulation/setup.go
@@ -18,7 +18,7 @@
 	// ten times as long.
 	HotShare float64
 	// CachedChats is how many chats' prefixes an engine caches.
-	CacheChats int
+	CachedChats int
 	// Slots limits the requests in flight at an engine.
 	Slots int
 	// LoadFactor is the pool's maximum load factor: an engine's limit as a multiple
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -176,7 +176,7 @@
 func (w *World) addEngine(id string, i int) slipwick.Backend {
 	dataCentre, region := w.location(i)
 	w.engines[id] = &runningEngine{
-		Engine:  newEngine(id, w.Setup.CacheChats),
+		Engine:  newEngine(id, w.Setup.CachedChats),
 		crashed: make(chan struct{}),
 	}
 	w.Meter.setUsable(id, true)
