--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -32,7 +32,7 @@
 		HotShare:         0.5,
 		CachedChats:  400,
 		Slots:       200,
-		Factor:      configuration.DefaultMaxLoadFactor,
+		LoadFactor:      configuration.DefaultMaxLoadFactor,
 		Policy:      admission.DefaultPolicy(),
 		Seed:        1,
 		WarmUp:      3 * time.Minute,
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -104,7 +104,7 @@
 		worst = max(worst, report.Excess)
 		// A second owner of an engine sees at most the headroom of a mean load of
 		// half the chats over the engines; see docs/design/admission.md.
-		if limit := 1 + float64(setup.Chats)*setup.Factor/2/float64(setup.Engines); report.Excess > limit {
+		if limit := 1 + float64(setup.Chats)*setup.LoadFactor/2/float64(setup.Engines); report.Excess > limit {
 			r.Fatalf("got %.2f requests above the limit, want at most %.2f: %+v", report.Excess, limit, disturbances)
 		}
 		if t.Failed() {
--- a/emulation/setup.go
+++ b/emulation/setup.go
@@ -23,7 +23,7 @@
 	Slots int
 	// LoadFactor is the pool's maximum load factor: an engine's limit as a multiple
 	// of the mean load.
-	Factor float64
+	LoadFactor float64
 	Policy admission.Policy
 	// Baseline replaces admission by owners; nil keeps admission by owners.
 	Baseline Baseline
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -58,7 +58,7 @@
 	w := &World{
 		Setup:       setup,
 		Network:     NewNetwork(setup.Seed),
-		Meter:       newMeter(setup.Factor),
+		Meter:       newMeter(setup.LoadFactor),
 		random:      rand.New(rand.NewPCG(setup.Seed, 2)),
 		admissions:  make(map[string]slipwick.Admission),
 		engines:     make(map[string]*runningEngine),
@@ -72,7 +72,7 @@
 			{
 				Name:          poolName,
 				Kind:          configuration.PoolEngine,
-				MaxLoadFactor: setup.Factor,
+				MaxLoadFactor: setup.LoadFactor,
 			},
 		},
 	}
