--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -99,7 +99,7 @@
 			name: "messages lost, doubled and reordered",
 			fail: func(_ *testing.T, w *World) {
 				w.Network.SetFaults(Faults{
-					Lose:    0.1,
+					LossRate:    0.1,
 					Double:  0.1,
 					Reorder: 0.3,
 				})
--- a/emulation/follow_test.go
+++ b/emulation/follow_test.go
@@ -121,7 +121,7 @@
 			idleRate := float64(f.store.Calls()-calls) / time.Minute.Seconds()
 			quick := f.waitForVersion(t, f.apply(t, 1), 5*time.Second)
 			f.Network.SetFaults(Faults{
-				Lose: 1.0 / 3,
+				LossRate: 1.0 / 3,
 			})
 			lossy := f.waitForVersion(t, f.apply(t, 2), 9*time.Second)
 			f.checkVersionsRise(t)
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -127,7 +127,7 @@
 // delay on top of the latency; n.mu is held.
 func (n *Network) applyFaults(envelope *peerpb.Envelope) (copies int, delay time.Duration) {
 	const maxReorderDelay = 20 * time.Millisecond
-	lossRate := n.faults.Lose
+	lossRate := n.faults.LossRate
 	if loadsOnly(envelope) {
 		lossRate = max(lossRate, n.faults.LoadLose)
 		delay = n.faults.LoadDelay
@@ -163,7 +163,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	to := n.byAddress[address]
-	if to == nil || t.from.isStopped() || n.random.Float64() < n.faults.Lose {
+	if to == nil || t.from.isStopped() || n.random.Float64() < n.faults.LossRate {
 		return
 	}
 	from := t.from.Self.Address
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -53,7 +53,7 @@
 		w.Network.SetFaults(Faults{})
 	case "messages":
 		w.Network.SetFaults(Faults{
-			Lose:    0.2,
+			LossRate:    0.2,
 			Double:  0.2,
 			Reorder: 0.5,
 		})
