--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -100,7 +100,7 @@
 			fail: func(_ *testing.T, w *World) {
 				w.Network.SetFaults(Faults{
 					LossRate:    0.1,
-					Double:  0.1,
+					DuplicateRate:  0.1,
 					Reorder: 0.3,
 				})
 				w.pause(20 * time.Second)
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -138,7 +138,7 @@
 	if n.random.Float64() < n.faults.Reorder {
 		delay += time.Duration(n.random.Int64N(int64(maxReorderDelay)))
 	}
-	if n.random.Float64() < n.faults.Double {
+	if n.random.Float64() < n.faults.DuplicateRate {
 		return 2, delay
 	}
 	return 1, delay
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -54,7 +54,7 @@
 	case "messages":
 		w.Network.SetFaults(Faults{
 			LossRate:    0.2,
-			Double:  0.2,
+			DuplicateRate:  0.2,
 			Reorder: 0.5,
 		})
 		w.pause(d.duration)
