--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -101,7 +101,7 @@
 				w.Network.SetFaults(Faults{
 					LossRate:    0.1,
 					DuplicateRate:  0.1,
-					Reorder: 0.3,
+					ReorderRate: 0.3,
 				})
 				w.pause(20 * time.Second)
 				w.Network.SetFaults(Faults{})
--- a/emulation/faults.go
+++ b/emulation/faults.go
@@ -6,7 +6,7 @@
 type Faults struct {
 	// LossRate, DuplicateRate and ReorderRate are the shares of affected
 	// envelopes, 0 to 1. LossRate applies to packets too.
-	LossRate, DuplicateRate, Reorder float64
+	LossRate, DuplicateRate, ReorderRate float64
 	// LoadDelay and LoadLossRate apply only to envelopes that carry nothing but
 	// load reports.
 	LoadDelay time.Duration
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -135,7 +135,7 @@
 	if n.random.Float64() < lossRate {
 		return 0, 0
 	}
-	if n.random.Float64() < n.faults.Reorder {
+	if n.random.Float64() < n.faults.ReorderRate {
 		delay += time.Duration(n.random.Int64N(int64(maxReorderDelay)))
 	}
 	if n.random.Float64() < n.faults.DuplicateRate {
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -55,7 +55,7 @@
 		w.Network.SetFaults(Faults{
 			LossRate:    0.2,
 			DuplicateRate:  0.2,
-			Reorder: 0.5,
+			ReorderRate: 0.5,
 		})
 		w.pause(d.duration)
 		w.Network.SetFaults(Faults{})
