--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -88,7 +88,7 @@
 			Run: func(w *World) {
 				w.Network.SetFaults(Faults{
 					LoadDelay: time.Second,
-					LoadLose:  1.0 / 3,
+					LoadLossRate:  1.0 / 3,
 				})
 				w.pause(caseDuration)
 			},
--- a/emulation/faults.go
+++ b/emulation/faults.go
@@ -10,7 +10,7 @@
 	// LoadDelay and LoadLossRate apply only to envelopes that carry nothing but
 	// load reports.
 	LoadDelay time.Duration
-	LoadLose  float64
+	LoadLossRate  float64
 	// Cut reports whether messages from one router to another are dropped; nil
 	// drops none.
 	Cut func(from, to string) bool
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -129,7 +129,7 @@
 	const maxReorderDelay = 20 * time.Millisecond
 	lossRate := n.faults.LossRate
 	if loadsOnly(envelope) {
-		lossRate = max(lossRate, n.faults.LoadLose)
+		lossRate = max(lossRate, n.faults.LoadLossRate)
 		delay = n.faults.LoadDelay
 	}
 	if n.random.Float64() < lossRate {
