--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -20,7 +20,7 @@
 }
 
 // HashOnly sends each chat to its first choice, without a load limit.
-func HashAlone(*Meter) ViewedAdmission {
+func HashOnly(*Meter) ViewedAdmission {
 	return admission.NewLocal()
 }
 
--- a/emulation/measure_test.go
+++ b/emulation/measure_test.go
@@ -28,7 +28,7 @@
 		},
 		{
 			name:     "hash",
-			baseline: HashAlone,
+			baseline: HashOnly,
 		},
 		{
 			name:     "local",
