--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -25,7 +25,7 @@
 }
 
 // LocalLimit has each router enforce the load limit by its own counts only.
-func LocalBound(*Meter) ViewedAdmission {
+func LocalLimit(*Meter) ViewedAdmission {
 	local := admission.NewLocal()
 	local.EnforceLimit = true
 	return local
--- a/emulation/measure_test.go
+++ b/emulation/measure_test.go
@@ -32,7 +32,7 @@
 		},
 		{
 			name:     "local",
-			baseline: LocalBound,
+			baseline: LocalLimit,
 		},
 		{
 			name:     "two-choices",
