--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -11,21 +11,21 @@
 
 // Baseline creates the admission of one router that admission by owners is
 // compared with.
-type Baseline func(meter *Meter) ViewedAdmission
+type Baseline func(meter *Meter) BaselineAdmission
 
 // BaselineAdmission is an admission that is told of each new view.
-type ViewedAdmission interface {
+type BaselineAdmission interface {
 	slipwick.Admission
 	SetView(view *placement.View)
 }
 
 // HashOnly sends each chat to its first choice, without a load limit.
-func HashOnly(*Meter) ViewedAdmission {
+func HashOnly(*Meter) BaselineAdmission {
 	return admission.NewLocal()
 }
 
 // LocalLimit has each router enforce the load limit by its own counts only.
-func LocalLimit(*Meter) ViewedAdmission {
+func LocalLimit(*Meter) BaselineAdmission {
 	local := admission.NewLocal()
 	local.EnforceLimit = true
 	return local
@@ -33,7 +33,7 @@
 
 // TwoChoices sends each request to the less loaded of its chat's first two
 // choices. The load reports it compares are half a second old on average.
-func TwoChoices(meter *Meter) ViewedAdmission {
+func TwoChoices(meter *Meter) BaselineAdmission {
 	return &twoChoices{
 		Local: admission.NewLocal(),
 		meter: meter,
