--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -80,7 +80,7 @@
 
 // ReturnChats makes all chats that wait send their next request within one
 // second.
-func (w *World) CallBack() {
+func (w *World) ReturnChats() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	close(w.returnChats)
--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -113,7 +113,7 @@
 	surge := 20 * w.Setup.Chats / len(workspaces) / 5
 	for i := range 2 {
 		w.pause(quiet)
-		w.CallBack()
+		w.ReturnChats()
 		w.Surge(workspaces[len(workspaces)-1], surge, w.Setup.Chats*(i+1))
 	}
 	w.pause(quiet)
--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -66,7 +66,7 @@
 		{
 			name: "owner killed mid-grant",
 			fail: func(_ *testing.T, w *World) {
-				w.CallBack()
+				w.ReturnChats()
 				w.pause(300 * time.Millisecond)
 				w.Router(0).Kill()
 			},
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -70,7 +70,7 @@
 		w.pause(d.duration)
 		w.SetHanging(engine, false)
 	default:
-		w.CallBack()
+		w.ReturnChats()
 		w.pause(d.duration)
 	}
 }
