--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -54,7 +54,7 @@
 	// state and not with a burst.
 	wait := time.Duration(c.random.Float64() * float64(think+w.Setup.ServiceTime))
 	for c.think(wait) {
-		_ = c.Turn()
+		_ = c.SendRequest()
 		wait = time.Duration(c.random.ExpFloat64() * float64(think))
 	}
 }
@@ -94,7 +94,7 @@
 		c := w.NewChat(workspace, from+i)
 		w.goroutines.Go(func() {
 			if w.pause(time.Duration(c.random.Int64N(int64(time.Second)))) {
-				_ = c.Turn()
+				_ = c.SendRequest()
 			}
 		})
 	}
@@ -105,7 +105,7 @@
 
 // SendRequest sends one request through a random router and retries it at
 // other engines if its engine fails. It returns the last error.
-func (c *Chat) Turn() error {
+func (c *Chat) SendRequest() error {
 	w := c.world
 	w.Meter.recordArrival(c.workspace)
 	ask := slipwick.AcquireRequest{
