--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -39,7 +39,7 @@
 			}
 		}
 	}
-	if got := w.Meter.Total(); got != 0 {
+	if got := w.Meter.InFlight(); got != 0 {
 		t.Errorf("got %d requests in flight, want 0", got)
 	}
 }
--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -159,7 +159,7 @@
 }
 
 // InFlight returns the number of requests in flight at all engines.
-func (m *Meter) Total() int {
+func (m *Meter) InFlight() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.total
