--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -200,7 +200,7 @@
 
 // FailedRequests returns the number of attempts since the start whose engine
 // failed or hung.
-func (m *Meter) Broken() int {
+func (m *Meter) FailedRequests() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.failed
