--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -78,7 +78,7 @@
 			Name:  "lag",
 			Setup: todaySetup(),
 			Run: func(w *World) {
-				w.Meter.SetReportLag(time.Second)
+				w.Meter.SetReportDelay(time.Second)
 				w.pause(caseDuration)
 			},
 		},
--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -185,7 +185,7 @@
 
 // SetReportDelay delays the engines' own load reports. Only baselines use them;
 // owners count slots.
-func (m *Meter) SetReportLag(delay time.Duration) {
+func (m *Meter) SetReportDelay(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.reportDelay = delay
