--- a/emulation/report.go
+++ b/emulation/report.go
@@ -27,7 +27,7 @@
 	// the mean over routers; ControlMax is that of the busiest router.
 	Control, ControlMax float64
 	// WaitP99 is the 99th percentile of the time requests waited for a slot.
-	HoldP99 time.Duration
+	WaitP99 time.Duration
 	// Refused is the share of requests that were refused.
 	Refused float64
 	// RefusedInShare is the same for the workspaces that did not surge.
@@ -59,7 +59,7 @@
 		SkewSampled:     m.maxSampledSkew,
 		SkewP50:         float64(m.sampledSkews.ValueAtQuantile(50)) / 100,
 		CallsPerRequest: ratio(w.Network.SlotRequests(), m.requests),
-		HoldP99:         time.Duration(m.slotWaits.ValueAtQuantile(99)) * time.Millisecond,
+		WaitP99:         time.Duration(m.slotWaits.ValueAtQuantile(99)) * time.Millisecond,
 		Refused:         ratio(m.refused, m.requests),
 		RefusedInShare:  ratio(m.refused-m.refusedByWorkspace[surging], inShare),
 		Requests:        m.requests,
@@ -86,5 +86,5 @@
 		"%.2f skew-p50 %.3f calls/request %.0f control-B/s %.0f control-max-B/s %d hold-p99-ms "+
 		"%.4f refused-ratio %.4f refused-in-share-ratio %d requests",
 		name, r.Reuse, r.SkewMax, r.Excess, r.SkewSampled, r.SkewP50, r.CallsPerRequest, r.Control, r.ControlMax,
-		r.HoldP99.Milliseconds(), r.Refused, r.RefusedInShare, r.Requests)
+		r.WaitP99.Milliseconds(), r.Refused, r.RefusedInShare, r.Requests)
 }
