--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -258,7 +258,7 @@
 			w.Router(3).SetBackend(w.Engines()[0], memberpb.State_STATE_LEAVING)
 			w.pause(time.Second)
 			for i := 4; i < routers; i++ {
-				if got := w.Router(i).Usable(poolName); got != setup.Engines-1 {
+				if got := w.Router(i).UsableCount(poolName); got != setup.Engines-1 {
 					t.Errorf("router %d has %d usable engines, want %d", i, got, setup.Engines-1)
 				}
 			}
--- a/emulation/router.go
+++ b/emulation/router.go
@@ -111,7 +111,7 @@
 
 // UsableCount returns the number of usable engines of a pool in this router's
 // view.
-func (r *Router) Usable(pool string) int {
+func (r *Router) UsableCount(pool string) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.view.Pools[pool].Usable)
