--- a/emulation/follow_test.go
+++ b/emulation/follow_test.go
@@ -227,7 +227,7 @@
 		if !slipwick.IsKind(failed, slipwick.KindConflict) {
 			t.Errorf("got %v, want a conflict", failed)
 		}
-		store.LoseAnswers(1)
+		store.LoseResponses(1)
 		_, version, _ = repository.Current(ctx)
 		if _, err := repository.Apply(ctx, stateOf(7), version); err != nil {
 			t.Errorf("got %v for a write that took effect, want none", err)
--- a/emulation/store.go
+++ b/emulation/store.go
@@ -41,7 +41,7 @@
 
 // LoseResponses makes the next n writes take effect but return an error, as if
 // the response was lost.
-func (s *Store) LoseAnswers(n int) {
+func (s *Store) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lostResponses = n
