--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -134,7 +134,7 @@
 		if i%2 == 0 {
 			w.SetLeaving(id, true)
 		} else {
-			w.Lose(id)
+			w.CrashEngine(id)
 		}
 		w.pause(notice)
 		w.Replace(id, fmt.Sprintf("new-%03d", i))
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -190,7 +190,7 @@
 }
 
 // CrashEngine stops an engine; its requests in progress fail.
-func (w *World) Lose(id string) {
+func (w *World) CrashEngine(id string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	close(w.engines[id].crashed)
