--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -137,7 +137,7 @@
 			w.CrashEngine(id)
 		}
 		w.pause(notice)
-		w.Replace(id, fmt.Sprintf("new-%03d", i))
+		w.ReplaceEngine(id, fmt.Sprintf("new-%03d", i))
 		if i == int(caseDuration/interval) {
 			return
 		}
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -64,7 +64,7 @@
 		w.pause(d.duration)
 		w.SetLeaving(engine, false)
 	case "lose engine":
-		w.Replace(engine, engine+"'")
+		w.ReplaceEngine(engine, engine+"'")
 	case "hang":
 		w.SetHanging(engine, true)
 		w.pause(d.duration)
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -215,7 +215,7 @@
 
 // ReplaceEngine replaces an engine by a new one with an empty cache, in a new
 // version of the configuration, and tells all routers.
-func (w *World) Replace(id, newID string) {
+func (w *World) ReplaceEngine(id, newID string) {
 	w.mu.Lock()
 	next := *w.snapshot
 	next.Version++
