--- a/cmd/internal/daemon/fixture_test.go
+++ b/cmd/internal/daemon/fixture_test.go
@@ -45,7 +45,7 @@
 	var backends []slipwick.Backend
 	for i := range engines {
 		e := standin.NewEngine(standin.EngineProfile{
-			TokenEvery: 20 * time.Millisecond,
+			TokenInterval: 20 * time.Millisecond,
 		})
 		f.engines = append(f.engines, e)
 		entry, server := startBackend(t, string(rune('a'+i)), e)
--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -38,7 +38,7 @@
 var engineProfile = standin.EngineProfile{
 	Slots:      64,
 	Tokens:     20,
-	TokenEvery: 10 * time.Millisecond,
+	TokenInterval: 10 * time.Millisecond,
 	Prefill:    50 * time.Millisecond,
 	CacheChats: 400,
 	ReportLag:  reportDelay,
--- a/cmd/slipwickd/failure_test.go
+++ b/cmd/slipwickd/failure_test.go
@@ -32,7 +32,7 @@
 	const killed, drained = 0, 1
 	profile := standin.EngineProfile{
 		Tokens:     10,
-		TokenEvery: 20 * time.Millisecond,
+		TokenInterval: 20 * time.Millisecond,
 	}
 	engines := []*standin.Engine{standin.NewEngine(profile), standin.NewEngine(profile), standin.NewEngine(profile)}
 	platform, url := startPlatform(t, engines...)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -26,7 +26,7 @@
 	// Tokens is the number of tokens of a response.
 	Tokens int
 	// TokenInterval is the time between tokens.
-	TokenEvery time.Duration
+	TokenInterval time.Duration
 	// PrefillTime is added to the response time if the prompt is not cached.
 	Prefill time.Duration
 	// CachedChats is how many chats' prefixes the engine caches.
@@ -44,8 +44,8 @@
 	if p.Tokens == 0 {
 		p.Tokens = 8
 	}
-	if p.TokenEvery == 0 {
-		p.TokenEvery = 5 * time.Millisecond
+	if p.TokenInterval == 0 {
+		p.TokenInterval = 5 * time.Millisecond
 	}
 	if p.CacheChats == 0 {
 		p.CacheChats = 256
@@ -233,7 +233,7 @@
 	}
 	for i := range e.profile.Tokens {
 		a.appendToken(i)
-		if !sleep(a.ctx, e.profile.TokenEvery) {
+		if !sleep(a.ctx, e.profile.TokenInterval) {
 			return
 		}
 	}
