--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -39,7 +39,7 @@
 	Slots:      64,
 	Tokens:     20,
 	TokenInterval: 10 * time.Millisecond,
-	Prefill:    50 * time.Millisecond,
+	PrefillTime:    50 * time.Millisecond,
 	CacheChats: 400,
 	ReportLag:  reportDelay,
 	EventGap:   eventDropInterval,
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -28,7 +28,7 @@
 	// TokenInterval is the time between tokens.
 	TokenInterval time.Duration
 	// PrefillTime is added to the response time if the prompt is not cached.
-	Prefill time.Duration
+	PrefillTime time.Duration
 	// CachedChats is how many chats' prefixes the engine caches.
 	CacheChats int
 	// ReportDelay is the delay of load reports and cache events.
@@ -226,7 +226,7 @@
 	cached := e.cachedTokens(a)
 	wait := faults.Late
 	if cached == 0 {
-		wait += e.profile.Prefill
+		wait += e.profile.PrefillTime
 	}
 	if !sleep(a.ctx, wait) {
 		return
