--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -40,7 +40,7 @@
 	Tokens:     20,
 	TokenInterval: 10 * time.Millisecond,
 	PrefillTime:    50 * time.Millisecond,
-	CacheChats: 400,
+	CachedChats: 400,
 	ReportLag:  reportDelay,
 	EventGap:   eventDropInterval,
 }
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -30,7 +30,7 @@
 	// PrefillTime is added to the response time if the prompt is not cached.
 	PrefillTime time.Duration
 	// CachedChats is how many chats' prefixes the engine caches.
-	CacheChats int
+	CachedChats int
 	// ReportDelay is the delay of load reports and cache events.
 	ReportLag time.Duration
 	// EventDropInterval drops every n-th cache event; 0 drops none.
@@ -47,8 +47,8 @@
 	if p.TokenInterval == 0 {
 		p.TokenInterval = 5 * time.Millisecond
 	}
-	if p.CacheChats == 0 {
-		p.CacheChats = 256
+	if p.CachedChats == 0 {
+		p.CachedChats = 256
 	}
 }
 
@@ -92,7 +92,7 @@
 		runs:      make(map[string]int),
 	}
 	// NewLRU fails only if the size is not positive.
-	e.cache, _ = lru.NewLRU(profile.CacheChats, func(key string, _ int) { e.recordLocked(key, true) })
+	e.cache, _ = lru.NewLRU(profile.CachedChats, func(key string, _ int) { e.recordLocked(key, true) })
 	return e
 }
 
