--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -41,7 +41,7 @@
 	TokenInterval: 10 * time.Millisecond,
 	PrefillTime:    50 * time.Millisecond,
 	CachedChats: 400,
-	ReportLag:  reportDelay,
+	ReportDelay:  reportDelay,
 	EventGap:   eventDropInterval,
 }
 
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -32,7 +32,7 @@
 	// CachedChats is how many chats' prefixes the engine caches.
 	CachedChats int
 	// ReportDelay is the delay of load reports and cache events.
-	ReportLag time.Duration
+	ReportDelay time.Duration
 	// EventDropInterval drops every n-th cache event; 0 drops none.
 	EventGap int
 }
@@ -279,7 +279,7 @@
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	var report slipwick.LoadReport
-	visible := time.Now().Add(-e.profile.ReportLag)
+	visible := time.Now().Add(-e.profile.ReportDelay)
 	for len(e.loads) > 1 && !e.loads[1].at.After(visible) {
 		e.loads = e.loads[1:]
 	}
--- a/standin/enginecache.go
+++ b/standin/enginecache.go
@@ -50,7 +50,7 @@
 
 func (e *Engine) cacheEvents(w http.ResponseWriter, r *http.Request) {
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
-	visible := time.Now().Add(-e.profile.ReportLag)
+	visible := time.Now().Add(-e.profile.ReportDelay)
 	e.mu.Lock()
 	events := slipwick.CacheEvents{
 		Events: []slipwick.CacheEvent{},
