--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -42,7 +42,7 @@
 	PrefillTime:    50 * time.Millisecond,
 	CachedChats: 400,
 	ReportDelay:  reportDelay,
-	EventGap:   eventDropInterval,
+	EventDropInterval:   eventDropInterval,
 }
 
 // world holds the platform, engines and routers that a scenario runs.
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -34,7 +34,7 @@
 	// ReportDelay is the delay of load reports and cache events.
 	ReportDelay time.Duration
 	// EventDropInterval drops every n-th cache event; 0 drops none.
-	EventGap int
+	EventDropInterval int
 }
 
 func (p *EngineProfile) setDefaults() {
--- a/standin/enginecache.go
+++ b/standin/enginecache.go
@@ -32,7 +32,7 @@
 // recordLocked records a cache event, unless the profile drops it; e.mu is held.
 func (e *Engine) recordLocked(chat string, evicted bool) {
 	e.lastSequence++
-	if e.profile.EventGap > 0 && e.lastSequence%uint64(e.profile.EventGap) == 0 {
+	if e.profile.EventDropInterval > 0 && e.lastSequence%uint64(e.profile.EventDropInterval) == 0 {
 		return
 	}
 	e.events = append(e.events, timedEvent{
