--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -278,7 +278,7 @@
 			continue
 		}
 		usable++
-		running := e.Running()
+		running := e.InFlight()
 		total += running
 		busiest = max(busiest, running)
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -116,7 +116,7 @@
 }
 
 // InFlight returns the number of requests that run or are queued.
-func (e *Engine) Running() int {
+func (e *Engine) InFlight() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.running + e.queued
