--- a/standin/engine.go
+++ b/standin/engine.go
@@ -224,7 +224,7 @@
 		return
 	}
 	cached := e.cachedTokens(a)
-	wait := faults.Late
+	wait := faults.ResponseDelay
 	if cached == 0 {
 		wait += e.profile.PrefillTime
 	}
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -9,7 +9,7 @@
 	// CutAfter aborts each connection after that many events; 0 aborts none.
 	CutAfter int
 	// ResponseDelay delays the first event of each response.
-	Late time.Duration
+	ResponseDelay time.Duration
 	// DuplicateEvents sends every event twice.
 	Repeat bool
 	// StrayEvent sends an event of another response before the second event of
