--- a/cmd/internal/daemon/router_test.go
+++ b/cmd/internal/daemon/router_test.go
@@ -131,7 +131,7 @@
 		{
 			name: "repeated events",
 			faults: standin.Faults{
-				Repeat: true,
+				DuplicateEvents: true,
 			},
 			outcome: slipwick.OutcomeCompleted,
 		},
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -11,7 +11,7 @@
 	// ResponseDelay delays the first event of each response.
 	ResponseDelay time.Duration
 	// DuplicateEvents sends every event twice.
-	Repeat bool
+	DuplicateEvents bool
 	// StrayEvent sends an event of another response before the second event of
 	// each response.
 	Foreign bool
--- a/standin/response.go
+++ b/standin/response.go
@@ -175,7 +175,7 @@
 			writeEvent(w, engine.EventID("another", offset), "{}")
 		}
 		writeEvent(w, engine.EventID(a.id, offset), string(data))
-		if faults.Repeat {
+		if faults.DuplicateEvents {
 			writeEvent(w, engine.EventID(a.id, offset), string(data))
 		}
 		offset++
