--- a/cmd/internal/daemon/router_test.go
+++ b/cmd/internal/daemon/router_test.go
@@ -138,7 +138,7 @@
 		{
 			name: "event of another response",
 			faults: standin.Faults{
-				Foreign: true,
+				StrayEvent: true,
 			},
 			outcome: slipwick.OutcomeUnknown,
 		},
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -14,7 +14,7 @@
 	DuplicateEvents bool
 	// StrayEvent sends an event of another response before the second event of
 	// each response.
-	Foreign bool
+	StrayEvent bool
 	// SkipEvent sends the third event without the second before it, on the
 	// connection on which the request came. A caller that resumes gets the second.
 	Swap bool
--- a/standin/response.go
+++ b/standin/response.go
@@ -171,7 +171,7 @@
 			offset++
 			continue
 		}
-		if faults.Foreign && offset == 1 {
+		if faults.StrayEvent && offset == 1 {
 			writeEvent(w, engine.EventID("another", offset), "{}")
 		}
 		writeEvent(w, engine.EventID(a.id, offset), string(data))
