--- a/cmd/internal/daemon/router_test.go
+++ b/cmd/internal/daemon/router_test.go
@@ -124,7 +124,7 @@
 		{
 			name: "events out of order",
 			faults: standin.Faults{
-				Swap: true,
+				SkipEvent: true,
 			},
 			outcome: slipwick.OutcomeCompleted,
 		},
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -187,7 +187,7 @@
 	e.mu.Lock()
 	a, faults := e.responses[r.PathValue("id")], e.faults
 	e.mu.Unlock()
-	faults.Swap = false
+	faults.SkipEvent = false
 	if a == nil || err != nil || offset < 0 {
 		http.NotFound(w, r)
 		return
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -17,7 +17,7 @@
 	StrayEvent bool
 	// SkipEvent sends the third event without the second before it, on the
 	// connection on which the request came. A caller that resumes gets the second.
-	Swap bool
+	SkipEvent bool
 	// Reject responds 503 and says that the request was not run.
 	Refuse bool
 	// Leaving rejects new requests, says that the engine is leaving, and
--- a/standin/response.go
+++ b/standin/response.go
@@ -166,7 +166,7 @@
 		case faults.CutAfter > 0 && sent >= faults.CutAfter:
 			panic(http.ErrAbortHandler)
 		}
-		if faults.Swap && offset == 1 {
+		if faults.SkipEvent && offset == 1 {
 			// The second event is left out, and sent only if the caller resumes.
 			offset++
 			continue
