--- a/cmd/internal/daemon/notices_test.go
+++ b/cmd/internal/daemon/notices_test.go
@@ -87,7 +87,7 @@
 func TestEngineThatAsksForPauseGetsNoChats(t *testing.T) {
 	f := newFixture(t, 3)
 	f.engines[0].SetFaults(standin.Faults{
-		Refuse: true,
+		Reject: true,
 		Rest:   2 * time.Second,
 	})
 	early, late := f.countArrivals(0)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -157,7 +157,7 @@
 		w.Header().Set(engine.LeavingHeader, "true")
 		reject(w, "leaving")
 		return
-	case faults.Refuse:
+	case faults.Reject:
 		reject(w, "overloaded")
 		return
 	}
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -19,7 +19,7 @@
 	// connection on which the request came. A caller that resumes gets the second.
 	SkipEvent bool
 	// Reject responds 503 and says that the request was not run.
-	Refuse bool
+	Reject bool
 	// Leaving rejects new requests, says that the engine is leaving, and
 	// finishes the requests in progress.
 	Leaving bool
