--- a/cmd/internal/daemon/notices_test.go
+++ b/cmd/internal/daemon/notices_test.go
@@ -88,7 +88,7 @@
 	f := newFixture(t, 3)
 	f.engines[0].SetFaults(standin.Faults{
 		Reject: true,
-		Rest:   2 * time.Second,
+		RetryAfter:   2 * time.Second,
 	})
 	early, late := f.countArrivals(0)
 	unserved := f.sendChats(t, 1800*time.Millisecond)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -146,8 +146,8 @@
 	e.mu.Lock()
 	faults := e.faults
 	e.mu.Unlock()
-	if faults.Rest > 0 {
-		w.Header().Set("Retry-After", strconv.FormatFloat(faults.Rest.Seconds(), 'f', -1, 64))
+	if faults.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.FormatFloat(faults.RetryAfter.Seconds(), 'f', -1, 64))
 	}
 	switch {
 	case faults.EndUnder != "" && bytes.Contains(body, []byte(faults.EndUnder)):
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -25,7 +25,7 @@
 	Leaving bool
 	// RetryAfter, if set, is sent as Retry-After with every response to a
 	// request, rejections included, and asks for that long a pause.
-	Rest time.Duration
+	RetryAfter time.Duration
 	// AnnounceLeaving says in all responses that the engine is leaving, while it
 	// keeps serving.
 	SaysLeaving bool
