--- a/cmd/internal/daemon/notices_test.go
+++ b/cmd/internal/daemon/notices_test.go
@@ -106,7 +106,7 @@
 func TestEngineThatAnnouncesLeavingGetsNoChats(t *testing.T) {
 	f := newFixture(t, 3)
 	f.engines[0].SetFaults(standin.Faults{
-		SaysLeaving: true,
+		AnnounceLeaving: true,
 	})
 	early, late := f.countArrivals(0)
 	unserved := f.sendChats(t, 2500*time.Millisecond)
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -125,7 +125,7 @@
 // ServeHTTP serves the engine's protocol.
 func (e *Engine) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	e.mu.Lock()
-	if e.faults.SaysLeaving {
+	if e.faults.AnnounceLeaving {
 		w.Header().Set(engine.LeavingHeader, "true")
 	}
 	e.mu.Unlock()
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -28,7 +28,7 @@
 	RetryAfter time.Duration
 	// AnnounceLeaving says in all responses that the engine is leaving, while it
 	// keeps serving.
-	SaysLeaving bool
+	AnnounceLeaving bool
 	// CrashOn, if set, makes requests whose body contains the text crash the
 	// engine: OnCrash is called, which has to close the engine's server, and the
 	// connection is aborted without a response.
