--- a/cmd/internal/daemon/quarantine_test.go
+++ b/cmd/internal/daemon/quarantine_test.go
@@ -45,7 +45,7 @@
 	bad := strings.ReplaceAll(bufferedChat, "hello", "ends engines")
 	for i, e := range f.engines {
 		e.SetFaults(standin.Faults{
-			EndUnder: "ends engines",
+			CrashOn: "ends engines",
 			End:      func() { _ = f.servers[i].Config.Close() },
 		})
 	}
--- a/standin/engine.go
+++ b/standin/engine.go
@@ -150,7 +150,7 @@
 		w.Header().Set("Retry-After", strconv.FormatFloat(faults.RetryAfter.Seconds(), 'f', -1, 64))
 	}
 	switch {
-	case faults.EndUnder != "" && bytes.Contains(body, []byte(faults.EndUnder)):
+	case faults.CrashOn != "" && bytes.Contains(body, []byte(faults.CrashOn)):
 		faults.End()
 		panic(http.ErrAbortHandler)
 	case faults.Leaving:
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -32,6 +32,6 @@
 	// CrashOn, if set, makes requests whose body contains the text crash the
 	// engine: OnCrash is called, which has to close the engine's server, and the
 	// connection is aborted without a response.
-	EndUnder string
+	CrashOn string
 	End      func()
 }
