--- a/standin/engine.go
+++ b/standin/engine.go
@@ -151,7 +151,7 @@
 	}
 	switch {
 	case faults.CrashOn != "" && bytes.Contains(body, []byte(faults.CrashOn)):
-		faults.End()
+		faults.OnCrash()
 		panic(http.ErrAbortHandler)
 	case faults.Leaving:
 		w.Header().Set(engine.LeavingHeader, "true")
