--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -75,7 +75,7 @@
 		return nil, err
 	}
 	w.platformURL = "http://" + address
-	w.platform.Lag = listDelay
+	w.platform.ListDelay = listDelay
 	for i := range s.Engines {
 		e, err := startEngine(fmt.Sprintf("engine-%02d", i), engineProfile)
 		if err != nil {
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -25,7 +25,7 @@
 // exported fields must be set before it serves requests.
 type Platform struct {
 	// ListDelay is the delay after which the list of boxes shows a change.
-	Lag time.Duration
+	ListDelay time.Duration
 
 	writes, reads *rate.Limiter
 
@@ -97,11 +97,11 @@
 		defer p.mu.Unlock()
 		change()
 	}
-	if p.Lag == 0 {
+	if p.ListDelay == 0 {
 		apply()
 		return
 	}
-	time.AfterFunc(p.Lag, apply)
+	time.AfterFunc(p.ListDelay, apply)
 }
 
 // ServeHTTP serves the platform's protocol.
