--- a/standin/platform.go
+++ b/standin/platform.go
@@ -63,7 +63,7 @@
 
 // LoseResponses aborts the connection after each of the next n writes that take
 // effect.
-func (p *Platform) LoseAnswers(n int) {
+func (p *Platform) LoseResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lostResponses = n
