--- a/cmd/internal/daemon/notices_test.go
+++ b/cmd/internal/daemon/notices_test.go
@@ -130,7 +130,7 @@
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, 1)
 			var calls atomic.Int64
-			f.service.Before = func(w http.ResponseWriter) bool {
+			f.service.Intercept = func(w http.ResponseWriter) bool {
 				calls.Add(1)
 				for i := 0; i+1 < len(header); i += 2 {
 					w.Header().Set(header[i], header[i+1])
--- a/standin/service.go
+++ b/standin/service.go
@@ -14,7 +14,7 @@
 	DropAfterBody bool
 	// Intercept, if set, is called for each request. If it returns true, it has
 	// written the response, and the request does not count as run.
-	Before func(w http.ResponseWriter) bool
+	Intercept func(w http.ResponseWriter) bool
 
 	mu   sync.Mutex
 	runs map[string]int
@@ -23,7 +23,7 @@
 // ServeHTTP serves requests to any path.
 func (s *Service) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(r.Body)
-	if err != nil || s.Before != nil && s.Before(w) {
+	if err != nil || s.Intercept != nil && s.Intercept(w) {
 		return
 	}
 	s.mu.Lock()
