--- a/cmd/internal/emulator/scenario.go
+++ b/cmd/internal/emulator/scenario.go
@@ -31,7 +31,7 @@
 // Scenario holds the parameters of a run.
 type Scenario struct {
 	// Duration is how long the callers send requests.
-	For     time.Duration
+	Duration     time.Duration
 	Seed    uint64
 	Routers int
 	Engines int
@@ -50,8 +50,8 @@
 		return errors.Errorf("number of engines out of range: %d", s.Engines)
 	case s.Chats < 1 || s.Chats > maxChats:
 		return errors.Errorf("number of chats out of range: %d", s.Chats)
-	case s.For <= 0 || s.For > maxFor:
-		return errors.Errorf("duration out of range: %s", s.For)
+	case s.Duration <= 0 || s.Duration > maxFor:
+		return errors.Errorf("duration out of range: %s", s.Duration)
 	default:
 		return nil
 	}
@@ -72,7 +72,7 @@
 		}
 	}
 	progress("platform at " + world.platformURL)
-	callersCtx, cancel := context.WithTimeout(ctx, s.For)
+	callersCtx, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() { s.playIncidents(callersCtx, world, progress) })
@@ -113,7 +113,7 @@
 			do:   w.stopRouter[0],
 		},
 	} {
-		wait := time.Until(w.started.Add(time.Duration(incident.at * float64(s.For))))
+		wait := time.Until(w.started.Add(time.Duration(incident.at * float64(s.Duration))))
 		select {
 		case <-ctx.Done():
 			return
--- a/cmd/slipwick/demo/demo.go
+++ b/cmd/slipwick/demo/demo.go
@@ -42,7 +42,7 @@
 	clause := cli.AddCommand(app.Command("demo", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
-	clause.Flag("for", "How long the callers send requests.").Default(defaultFor).DurationVar(&options.Scenario.For)
+	clause.Flag("for", "How long the callers send requests.").Default(defaultFor).DurationVar(&options.Scenario.Duration)
 	clause.Flag("seed", "Seed of the random number generator.").Default("1").Uint64Var(&options.Scenario.Seed)
 	clause.Flag("routers", "Number of routers, 2 to 50.").Default(defaultRouters).IntVar(&options.Scenario.Routers)
 	clause.Flag("engines", "Number of engines, 3 to 200.").Default(defaultEngines).IntVar(&options.Scenario.Engines)
