--- a/cmd/internal/daemon/notices_test.go
+++ b/cmd/internal/daemon/notices_test.go
@@ -87,8 +87,8 @@
 func TestEngineThatAsksForPauseGetsNoChats(t *testing.T) {
 	f := newFixture(t, 3)
 	f.engines[0].SetFaults(standin.Faults{
-		Reject: true,
-		RetryAfter:   2 * time.Second,
+		Reject:     true,
+		RetryAfter: 2 * time.Second,
 	})
 	early, late := f.countArrivals(0)
 	unserved := f.sendChats(t, 1800*time.Millisecond)
--- a/cmd/internal/daemon/quarantine_test.go
+++ b/cmd/internal/daemon/quarantine_test.go
@@ -46,7 +46,7 @@
 	for i, e := range f.engines {
 		e.SetFaults(standin.Faults{
 			CrashOn: "ends engines",
-			OnCrash:      func() { _ = f.servers[i].Config.Close() },
+			OnCrash: func() { _ = f.servers[i].Config.Close() },
 		})
 	}
 	var status int
--- a/cmd/internal/emulator/scenario.go
+++ b/cmd/internal/emulator/scenario.go
@@ -31,11 +31,11 @@
 // Scenario holds the parameters of a run.
 type Scenario struct {
 	// Duration is how long the callers send requests.
-	Duration     time.Duration
-	Seed    uint64
-	Routers int
-	Engines int
-	Chats   int
+	Duration time.Duration
+	Seed     uint64
+	Routers  int
+	Engines  int
+	Chats    int
 	// Progress, if set, is called with a line of text for each incident and the
 	// time since the start.
 	Progress func(at time.Duration, text string)
--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -36,13 +36,13 @@
 // engineProfile makes a response take about a quarter of a second: 20 tokens of 10
 // milliseconds, and 50 milliseconds if the prompt is not cached.
 var engineProfile = standin.EngineProfile{
-	Slots:      64,
-	Tokens:     20,
-	TokenInterval: 10 * time.Millisecond,
-	PrefillTime:    50 * time.Millisecond,
-	CachedChats: 400,
-	ReportDelay:  reportDelay,
-	EventDropInterval:   eventDropInterval,
+	Slots:             64,
+	Tokens:            20,
+	TokenInterval:     10 * time.Millisecond,
+	PrefillTime:       50 * time.Millisecond,
+	CachedChats:       400,
+	ReportDelay:       reportDelay,
+	EventDropInterval: eventDropInterval,
 }
 
 // world holds the platform, engines and routers that a scenario runs.
--- a/cmd/slipwickd/failure_test.go
+++ b/cmd/slipwickd/failure_test.go
@@ -31,7 +31,7 @@
 	const count, killAt, drainAt = 200, 100, 125
 	const killed, drained = 0, 1
 	profile := standin.EngineProfile{
-		Tokens:     10,
+		Tokens:        10,
 		TokenInterval: 20 * time.Millisecond,
 	}
 	engines := []*standin.Engine{standin.NewEngine(profile), standin.NewEngine(profile), standin.NewEngine(profile)}
--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -27,12 +27,12 @@
 		Engines:     20,
 		DataCentres: 4,
 		Chats:       1300,
-		ThinkTime:       20 * time.Second,
-		ServiceTime:     10 * time.Second,
-		HotShare:         0.5,
-		CachedChats:  400,
+		ThinkTime:   20 * time.Second,
+		ServiceTime: 10 * time.Second,
+		HotShare:    0.5,
+		CachedChats: 400,
 		Slots:       200,
-		LoadFactor:      configuration.DefaultMaxLoadFactor,
+		LoadFactor:  configuration.DefaultMaxLoadFactor,
 		Policy:      admission.DefaultPolicy(),
 		Seed:        1,
 		WarmUp:      3 * time.Minute,
@@ -87,8 +87,8 @@
 			Setup: todaySetup(),
 			Run: func(w *World) {
 				w.Network.SetFaults(Faults{
-					LoadDelay: time.Second,
-					LoadLossRate:  1.0 / 3,
+					LoadDelay:    time.Second,
+					LoadLossRate: 1.0 / 3,
 				})
 				w.pause(caseDuration)
 			},
--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -99,9 +99,9 @@
 			name: "messages lost, doubled and reordered",
 			fail: func(_ *testing.T, w *World) {
 				w.Network.SetFaults(Faults{
-					LossRate:    0.1,
-					DuplicateRate:  0.1,
-					ReorderRate: 0.3,
+					LossRate:      0.1,
+					DuplicateRate: 0.1,
+					ReorderRate:   0.3,
 				})
 				w.pause(20 * time.Second)
 				w.Network.SetFaults(Faults{})
--- a/emulation/faults.go
+++ b/emulation/faults.go
@@ -9,8 +9,8 @@
 	LossRate, DuplicateRate, ReorderRate float64
 	// LoadDelay and LoadLossRate apply only to envelopes that carry nothing but
 	// load reports.
-	LoadDelay time.Duration
-	LoadLossRate  float64
+	LoadDelay    time.Duration
+	LoadLossRate float64
 	// Cut reports whether messages from one router to another are dropped; nil
 	// drops none.
 	Cut func(from, to string) bool
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -53,9 +53,9 @@
 		w.Network.SetFaults(Faults{})
 	case "messages":
 		w.Network.SetFaults(Faults{
-			LossRate:    0.2,
-			DuplicateRate:  0.2,
-			ReorderRate: 0.5,
+			LossRate:      0.2,
+			DuplicateRate: 0.2,
+			ReorderRate:   0.5,
 		})
 		w.pause(d.duration)
 		w.Network.SetFaults(Faults{})
--- a/emulation/setup.go
+++ b/emulation/setup.go
@@ -11,7 +11,7 @@
 	Routers, Engines, DataCentres int
 	// Chats is the number of chats that send requests repeatedly. Each waits
 	// for about ThinkTime, then sends a request that takes about ServiceTime.
-	Chats   int
+	Chats       int
 	ThinkTime   time.Duration
 	ServiceTime time.Duration
 	// HotShare is the share of chats that wait for ThinkTime; the others wait
@@ -24,7 +24,7 @@
 	// LoadFactor is the pool's maximum load factor: an engine's limit as a multiple
 	// of the mean load.
 	LoadFactor float64
-	Policy admission.Policy
+	Policy     admission.Policy
 	// Baseline replaces admission by owners; nil keeps admission by owners.
 	Baseline Baseline
 	Seed     uint64
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -33,5 +33,5 @@
 	// engine: OnCrash is called, which has to close the engine's server, and the
 	// connection is aborted without a response.
 	CrashOn string
-	OnCrash      func()
+	OnCrash func()
 }
