--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -129,6 +129,8 @@
 	return err
 }
 
+// attempt sends the request once. It returns the engine that served it, with
+// errEngineFailed if that engine failed, or the error of the admission.
 func (c *Chat) attempt(ask slipwick.AcquireRequest) (engine string, err error) {
 	w := c.world
 	router := w.anyRouter(c.random)
--- a/emulation/follow.go
+++ b/emulation/follow.go
@@ -21,28 +21,28 @@
 
 // Follow starts to follow the configuration in the store, until ctx ends.
 func (r *Router) Follow(ctx context.Context, network *Network, store slipwick.Store) {
-	f := &configSync{}
-	f.follower = &configuration.Follower{
+	s := &configSync{}
+	s.follower = &configuration.Follower{
 		Store:   store,
 		Watches: r.watchesPlatform,
 		OnChange: func(snapshot *configuration.Snapshot) {
-			f.mu.Lock()
-			f.versions = append(f.versions, snapshot.Version)
-			f.mu.Unlock()
+			s.mu.Lock()
+			s.versions = append(s.versions, snapshot.Version)
+			s.mu.Unlock()
 			r.Node.SetVersion(uint64(snapshot.Version))
 		},
 	}
-	f.syncer = &configuration.Syncer{
-		Follower: f.follower,
+	s.syncer = &configuration.Syncer{
+		Follower: s.follower,
 		Transport: &envelopeTransport{
 			network: network,
 			from:    r,
 		},
 	}
 	r.mu.Lock()
-	r.configSync = f
+	r.configSync = s
 	r.mu.Unlock()
-	go f.follower.Run(ctx)
+	go s.follower.Run(ctx)
 }
 
 // watchesPlatform reports whether the router watches the platform itself. It
@@ -63,8 +63,8 @@
 // Versions returns the versions that have been in force at the router, in
 // order. Follow must have been called.
 func (r *Router) Versions() []slipwick.Version {
-	f := r.currentConfigSync()
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return append([]slipwick.Version(nil), f.versions...)
+	s := r.currentConfigSync()
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return append([]slipwick.Version(nil), s.versions...)
 }
--- a/emulation/report.go
+++ b/emulation/report.go
@@ -32,7 +32,8 @@
 	Refused float64
 	// RefusedInShare is the same for the workspaces that did not surge.
 	RefusedInShare float64
-	Requests       int
+	// Requests is the number of requests sent.
+	Requests int
 }
 
 // WarmUp blocks for the warm-up time of the setup and then resets the
--- a/emulation/router.go
+++ b/emulation/router.go
@@ -23,6 +23,7 @@
 	Node        *membership.Node
 	Viewer      *fleet.Viewer
 
+	// cancel stops the coordinator and the node.
 	cancel context.CancelFunc
 
 	mu         sync.Mutex
@@ -60,8 +61,8 @@
 	}, membership.DefaultPolicy(), random)
 	r.Node.OnChange = r.onChange
 	r.Node.OnVersion = func(from string, version uint64) {
-		if f := r.currentConfigSync(); f != nil {
-			f.syncer.OnVersion(from, version)
+		if s := r.currentConfigSync(); s != nil {
+			s.syncer.OnVersion(from, version)
 		}
 	}
 	r.Coordinator.OnHealth = func(backend string, health admission.Health) {
@@ -176,8 +177,8 @@
 
 func (r *Router) receive(from string, envelope *peerpb.Envelope) {
 	r.Coordinator.Receive(from, envelope)
-	if f := r.currentConfigSync(); f != nil {
-		f.syncer.Receive(from, envelope)
+	if s := r.currentConfigSync(); s != nil {
+		s.syncer.Receive(from, envelope)
 	}
 }
 
