--- a/cmd/internal/emulator/scenario.go
+++ b/cmd/internal/emulator/scenario.go
@@ -14,7 +14,7 @@
 	minRouters, maxRouters = 2, 50
 	minEngines, maxEngines = 3, 200
 	maxChats               = 5000
-	maxFor                 = time.Hour
+	maxDuration            = time.Hour
 )
 
 // Times of the incidents, as fractions of the run.
@@ -50,7 +50,7 @@
 		return errors.Errorf("number of engines out of range: %d", s.Engines)
 	case s.Chats < 1 || s.Chats > maxChats:
 		return errors.Errorf("number of chats out of range: %d", s.Chats)
-	case s.Duration <= 0 || s.Duration > maxFor:
+	case s.Duration <= 0 || s.Duration > maxDuration:
 		return errors.Errorf("duration out of range: %s", s.Duration)
 	default:
 		return nil
