--- a/balance/lease.go
+++ b/balance/lease.go
@@ -6,7 +6,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// Lease counts a request at a backend server until it is released.
+// Lease counts a request at a backend server until it is released, which the caller has to do.
 type Lease struct {
 	Backend slipwick.Backend
 	// FetchFrom is the address of another engine that probably has the prompt cached. It is
