--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -45,7 +45,7 @@
 	// maxRounds bounds a whole recovery.
 	maxRounds = roundsPerTurn * maxTurns
 	// lateListingPollInterval is how often a router looks for engines that are listed late, and
-	// lateListingMargin how long after balance.LateListing it still does.
+	// lateListingMargin how long after balance.RelistWindow it still does.
 	lateListingPollInterval = 50 * time.Millisecond
 	lateListingMargin       = 500 * time.Millisecond
 )
