--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// TestResponseDuringTimeoutCallbackIsRead has the response arrive while Overdue decides to end
+// TestResponseDuringTimeoutCallbackIsRead has the response arrive while OnTimeout decides to end
 // the exchange.
 func TestResponseDuringTimeoutCallbackIsRead(t *testing.T) {
 	writes := make(chan string)
