--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -112,9 +112,9 @@
 }
 
 func (p *fakePeers) Settled() <-chan struct{} {
-	settled := make(chan struct{})
-	close(settled)
-	return settled
+	fleetKnown := make(chan struct{})
+	close(fleetKnown)
+	return fleetKnown
 }
 
 func (p *fakePeers) Place() fleet.RelayPosition {
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -184,14 +184,14 @@
 // it.
 func (f *Follower[T]) callFeed(ctx context.Context) (batch slipwick.FeedBatch, err error) {
 	clock.DetectSuspension()
-	slept := clock.Suspended()
+	suspendedBefore := clock.Suspended()
 	if f.listed {
 		batch, err = f.Feed.Watch(ctx, f.position, f.Timing.WatchWait)
 	} else {
 		batch, err = f.Feed.List(ctx)
 	}
 	clock.DetectSuspension()
-	batch.Age += clock.Suspended() - slept
+	batch.Age += clock.Suspended() - suspendedBefore
 	return batch, err
 }
 
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -44,7 +44,7 @@
 	self        slipwick.Router
 	relayServer RelayServer
 	backends    *Backends
-	settled     chan struct{}
+	fleetKnown  chan struct{}
 	// followers has the Run functions of the feeds' followers, done is closed when they have
 	// returned.
 	followers []func(context.Context)
@@ -82,11 +82,11 @@
 		relayServer: RelayServer{
 			Mirrors: make(map[string]*Mirror),
 		},
-		settled: make(chan struct{}),
-		started: time.Now(),
-		listed:  make(map[string]string),
+		fleetKnown: make(chan struct{}),
+		started:    time.Now(),
+		listed:     make(map[string]string),
 	}
-	close(r.settled)
+	close(r.fleetKnown)
 	r.backends = NewBackends(r.applyBackends)
 	r.backends.Leave = modelWithin
 	r.createFollowers()
@@ -243,7 +243,7 @@
 }
 
 // Settled, Place, Others and Relay implement Peers.
-func (r *modelRouter) Settled() <-chan struct{} { return r.settled }
+func (r *modelRouter) Settled() <-chan struct{} { return r.fleetKnown }
 
 func (r *modelRouter) Place() fleet.RelayPosition {
 	return fleet.FindRelayPosition(r.self, r.members())
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -31,8 +31,8 @@
 // then the reserves, both without those that failed lately unless all did; then some random
 // ones. The preferred ones may all be cut off from the store while others reach it. A router
 // that finds one of these by chance is in turn found by others.
-func (s *SharedFeed) candidates(place *fleet.RelayPosition) []string {
-	return s.withRandomPeers(s.preferredPeers(place))
+func (s *SharedFeed) candidates(relayPosition *fleet.RelayPosition) []string {
+	return s.withRandomPeers(s.preferredPeers(relayPosition))
 }
 
 // withRandomPeers appends routers drawn at random from all others.
@@ -51,7 +51,7 @@
 }
 
 // preferredPeers returns the routers that this one's position in the relay tree names.
-func (s *SharedFeed) preferredPeers(place *fleet.RelayPosition) []string {
+func (s *SharedFeed) preferredPeers(relayPosition *fleet.RelayPosition) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.keepsTurn {
@@ -59,14 +59,14 @@
 	}
 	s.keepsTurn = false
 	var all []string
-	for i := range place.Relays {
-		all = append(all, place.Relays[(s.turn+i)%len(place.Relays)])
+	for i := range relayPosition.Relays {
+		all = append(all, relayPosition.Relays[(s.turn+i)%len(relayPosition.Relays)])
 	}
 	seen := make(map[string]bool, len(all))
 	for _, id := range all {
 		seen[id] = true
 	}
-	for _, id := range place.Reserves {
+	for _, id := range relayPosition.Reserves {
 		if !seen[id] {
 			all = append(all, id)
 		}
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -84,18 +84,18 @@
 		return s.record(found.batch, nil)
 	}
 	s.markStarted()
-	place := s.Peers.Place()
-	if s.usesStore(ctx, &place) {
-		answer := s.listStore(ctx, &place, true, func(f *peerAnswer) bool { return f.any })
+	relayPosition := s.Peers.Place()
+	if s.usesStore(ctx, &relayPosition) {
+		answer := s.listStore(ctx, &relayPosition, true, func(f *peerAnswer) bool { return f.any })
 		s.stopActing(answer.err)
 		return s.record(answer.batch, answer.err)
 	}
-	found := s.listPeers(ctx, s.candidates(&place), peerTimeout)
+	found := s.listPeers(ctx, s.candidates(&relayPosition), peerTimeout)
 	switch {
 	case s.isUsable(&found):
 		return s.record(found.batch, nil)
-	case found.loadingFor <= 0 && s.mayTakeOver(&place, found.answered):
-		batch, err := s.takeOver(ctx, &place)
+	case found.loadingFor <= 0 && s.mayTakeOver(&relayPosition, found.answered):
+		batch, err := s.takeOver(ctx, &relayPosition)
 		if err == nil || !found.any {
 			return s.record(batch, err)
 		}
@@ -192,9 +192,9 @@
 func (s *SharedFeed) Watch(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
-	place := s.Peers.Place()
-	if !s.usesStore(ctx, &place) {
-		return s.watchPeers(ctx, &place, after)
+	relayPosition := s.Peers.Place()
+	if !s.usesStore(ctx, &relayPosition) {
+		return s.watchPeers(ctx, &relayPosition, after)
 	}
 	batch, err := s.watchStore(ctx, after, wait)
 	s.recordStoreResult(err)
@@ -202,7 +202,7 @@
 		return s.record(batch, err)
 	}
 	s.stopActing(err)
-	found := s.listPeers(ctx, s.candidates(&place), s.Timing.orDefault().RelayMargin)
+	found := s.listPeers(ctx, s.candidates(&relayPosition), s.Timing.orDefault().RelayMargin)
 	s.avoidStore(s.isFresher(&found))
 	if !s.isUsable(&found) {
 		return slipwick.FeedBatch{}, err
@@ -215,20 +215,20 @@
 // the position, which a slow link may not carry in time when versions follow each other
 // quickly. A list has the newest version only.
 func (s *SharedFeed) watchPeers(
-	ctx context.Context, place *fleet.RelayPosition, after slipwick.Position,
+	ctx context.Context, relayPosition *fleet.RelayPosition, after slipwick.Position,
 ) (slipwick.FeedBatch, error) {
 	timing := s.Timing.orDefault()
-	candidates := s.candidates(place)
+	candidates := s.candidates(relayPosition)
 	answered, isLoading := false, false
 	if len(candidates) > 0 {
-		wait := s.boundRelayWait(place, timing.RelayWait)
+		wait := s.boundRelayWait(relayPosition, timing.RelayWait)
 		watched := s.queryPeer(ctx, candidates[0], wait+timing.RelayMargin, func() {},
 			func(ctx context.Context, f slipwick.Feed) (slipwick.FeedBatch, error) {
 				return f.Watch(ctx, after, wait)
 			})
 		if watched.isCurrent {
 			s.setKeepsTurn(watched.batch.Age > timing.WatchWait)
-			s.avoidIfOthersReachIt(place, &watched.batch)
+			s.avoidIfOthersReachIt(relayPosition, &watched.batch)
 			return s.record(watched.batch, nil)
 		}
 		others := s.listPeers(ctx, candidates[1:], timing.RelayMargin)
@@ -238,16 +238,16 @@
 		answered = watched.answered || others.answered
 		isLoading = watched.loadingFor > 0 || others.loadingFor > 0
 	}
-	if ctx.Err() == nil && !isLoading && s.mayTakeOver(place, answered) {
-		return s.record(s.takeOver(ctx, place))
+	if ctx.Err() == nil && !isLoading && s.mayTakeOver(relayPosition, answered) {
+		return s.record(s.takeOver(ctx, relayPosition))
 	}
 	s.stopAvoidingStore()
 	return slipwick.FeedBatch{}, notCurrentError()
 }
 
 // setKeepsTurn makes the next call use the same peer again if the peer's copy is overdue. An
-// overdue peer is itself waiting for a silent router and will soon have found another one. The
-// next peer in rotation may be that silent router.
+// overdue peer is itself waiting for an unresponsive router and will soon have found another one. The
+// next peer in rotation may be that unresponsive router.
 func (s *SharedFeed) setKeepsTurn(overdue bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -282,7 +282,7 @@
 
 // isUsable reports whether to continue with the current copy of a router that this one does not
 // follow. Copies are confirmed with every round of watches; one that is older comes from a
-// router that is itself waiting for a silent one. When the store stops answering, other routers
+// router that is itself waiting for an unresponsive one. When the store stops answering, other routers
 // have what they knew before for a while; returning that again is useful, but with a pause.
 func (s *SharedFeed) isUsable(f *peerAnswer) bool {
 	if !f.isCurrent {
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -46,9 +46,9 @@
 	fleet    *simFleet
 	self     slipwick.Router
 	follower *Follower[string]
-	// started is when it starts; settled is closed discoveryTime later.
-	started time.Time
-	settled chan struct{}
+	// started is when it starts; fleetKnown is closed discoveryTime later.
+	started    time.Time
+	fleetKnown chan struct{}
 
 	mu sync.Mutex
 	// unresponsive means that the router gets no answer from anyone and gives none, isolated the
@@ -79,8 +79,8 @@
 				ID:         fmt.Sprint("r", i),
 				DataCentre: fmt.Sprint("dc-", i%6),
 			},
-			settled: make(chan struct{}),
-			values:  make(map[string]string),
+			fleetKnown: make(chan struct{}),
+			values:     make(map[string]string),
 		}
 		f.routers = append(f.routers, r)
 		f.members = append(f.members, r.self)
@@ -150,7 +150,7 @@
 		r.started = time.Now().Add(wait)
 		go func() {
 			time.Sleep(wait)
-			time.AfterFunc(f.discoveryTime, func() { close(r.settled) })
+			time.AfterFunc(f.discoveryTime, func() { close(r.fleetKnown) })
 			r.follower.Run(ctx)
 		}()
 	}
@@ -204,7 +204,7 @@
 	change(r)
 }
 
-func (r *simRouter) Settled() <-chan struct{} { return r.settled }
+func (r *simRouter) Settled() <-chan struct{} { return r.fleetKnown }
 
 func (r *simRouter) Place() fleet.RelayPosition {
 	return fleet.FindRelayPosition(r.self, r.knownMembers())
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -33,8 +33,8 @@
 // storeList is a running list from the store, which falls back to other routers if the store
 // fails or is slow.
 type storeList struct {
-	shared *SharedFeed
-	place  *fleet.RelayPosition
+	shared        *SharedFeed
+	relayPosition *fleet.RelayPosition
 	// retriesStore is true if the store is asked again while it does not answer, since a store
 	// that had stopped answering never answers earlier requests. Other routers are asked in
 	// either case, because the store may answer them by now.
@@ -54,18 +54,18 @@
 // listStore lists from the store, and from other routers if the store fails or is slow. It
 // returns the first usable answer.
 func (s *SharedFeed) listStore(
-	ctx context.Context, place *fleet.RelayPosition, retriesStore bool, suffices func(*peerAnswer) bool,
+	ctx context.Context, relayPosition *fleet.RelayPosition, retriesStore bool, suffices func(*peerAnswer) bool,
 ) listResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	list := &storeList{
-		shared:       s,
-		place:        place,
-		retriesStore: retriesStore,
-		suffices:     suffices,
-		fromStore:    make(chan listResult, s.Timing.orDefault().ListTimeout/storeRetryInterval+1),
-		fromPeers:    make(chan peerAnswer, 1),
-		progress:     make(chan struct{}, 1),
+		shared:        s,
+		relayPosition: relayPosition,
+		retriesStore:  retriesStore,
+		suffices:      suffices,
+		fromStore:     make(chan listResult, s.Timing.orDefault().ListTimeout/storeRetryInterval+1),
+		fromPeers:     make(chan peerAnswer, 1),
+		progress:      make(chan struct{}, 1),
 	}
 	return list.run(ctx)
 }
@@ -130,7 +130,7 @@
 		return
 	}
 	l.askingPeers = true
-	go func() { l.fromPeers <- l.shared.listPeers(ctx, l.shared.candidates(l.place), peerTimeout) }()
+	go func() { l.fromPeers <- l.shared.listPeers(ctx, l.shared.candidates(l.relayPosition), peerTimeout) }()
 }
 
 // tracePages signals progress for each page of a list after the first. The request for the next
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -23,7 +23,7 @@
 // current copy. If none answered at all, it is cut off from the others and need not wait. If
 // some answered, they have no current copy either, perhaps because the store is down for all,
 // and routers ask it in turns.
-func (s *SharedFeed) mayTakeOver(place *fleet.RelayPosition, answered bool) bool {
+func (s *SharedFeed) mayTakeOver(relayPosition *fleet.RelayPosition, answered bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	timing := s.Timing.orDefault()
@@ -35,22 +35,22 @@
 	if !answered {
 		return !s.confirmedAt.IsZero() || now.Sub(since) >= first
 	}
-	if place.TakeoverTurn < 0 || now.Sub(s.triedAt) < timing.MaxAge {
+	if relayPosition.TakeoverTurn < 0 || now.Sub(s.triedAt) < timing.MaxAge {
 		return false
 	}
-	return now.Sub(since) >= first+time.Duration(place.TakeoverTurn)*step
+	return now.Sub(since) >= first+time.Duration(relayPosition.TakeoverTurn)*step
 }
 
 // takeOver lists from the store in place of the watchers, unless one of them gets a current
 // copy in the meantime.
-func (s *SharedFeed) takeOver(ctx context.Context, place *fleet.RelayPosition) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) takeOver(ctx context.Context, relayPosition *fleet.RelayPosition) (slipwick.FeedBatch, error) {
 	timing := s.Timing.orDefault()
 	s.mu.Lock()
 	s.triedAt = clock.Now()
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, timing.ListTimeout)
 	defer cancel()
-	answer := s.listStore(ctx, place, false, s.isUsable)
+	answer := s.listStore(ctx, relayPosition, false, s.isUsable)
 	if answer.err != nil || !answer.fromStore {
 		return answer.batch, answer.err
 	}
@@ -62,10 +62,10 @@
 
 // usesStore reports whether this router calls the store itself. A router that acts in place of
 // the watchers checks from time to time whether these have a current copy again.
-func (s *SharedFeed) usesStore(ctx context.Context, place *fleet.RelayPosition) bool {
+func (s *SharedFeed) usesStore(ctx context.Context, relayPosition *fleet.RelayPosition) bool {
 	s.mu.Lock()
 	now := clock.Now()
-	watches, acting := place.IsWatcher && now.After(s.avoidStoreUntil), s.acting
+	watches, acting := relayPosition.IsWatcher && now.After(s.avoidStoreUntil), s.acting
 	isDue := now.Sub(s.checkedAt) > time.Duration(checkFactor*float64(s.Timing.orDefault().MaxAge))
 	if acting && isDue {
 		s.checkedAt = now
@@ -74,10 +74,10 @@
 	if watches || !acting || !isDue {
 		return watches || acting
 	}
-	found := s.listPeers(ctx, place.Relays, peerTimeout)
+	found := s.listPeers(ctx, relayPosition.Relays, peerTimeout)
 	// The routers whose turn is first keep acting until a watcher follows the store again; the
 	// others may follow these.
-	if !found.isCurrent || place.TakeoverTurn == 0 && found.batch.Hops > 1 {
+	if !found.isCurrent || relayPosition.TakeoverTurn == 0 && found.batch.Hops > 1 {
 		return true
 	}
 	s.mu.Lock()
@@ -114,9 +114,9 @@
 
 // avoidIfOthersReachIt makes a watcher avoid the store for a long time once it learns that the
 // store has answered other routers since it failed here.
-func (s *SharedFeed) avoidIfOthersReachIt(place *fleet.RelayPosition, batch *slipwick.FeedBatch) {
+func (s *SharedFeed) avoidIfOthersReachIt(relayPosition *fleet.RelayPosition, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
-	othersReachIt := place.IsWatcher && !s.storeFailedAt.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailedAt)
+	othersReachIt := relayPosition.IsWatcher && !s.storeFailedAt.IsZero() && clock.Now().Add(-batch.Age).After(s.storeFailedAt)
 	s.mu.Unlock()
 	if othersReachIt {
 		s.avoidStore(true)
@@ -125,10 +125,10 @@
 
 // boundRelayWait limits the wait at another router to the time at which this router, if it is a
 // watcher, asks the store again.
-func (s *SharedFeed) boundRelayWait(place *fleet.RelayPosition, wait time.Duration) time.Duration {
+func (s *SharedFeed) boundRelayWait(relayPosition *fleet.RelayPosition, wait time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if left := s.avoidStoreUntil.Sub(clock.Now()); place.IsWatcher && left > 0 {
+	if left := s.avoidStoreUntil.Sub(clock.Now()); relayPosition.IsWatcher && left > 0 {
 		return min(wait, left)
 	}
 	return wait
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -18,12 +18,12 @@
 )
 
 // encode splits an update into datagrams, which all carry the same round number.
-func (t *Syncer) encode(scope exchangepb.Scope, urgent bool, update balance.Update) [][]byte {
-	round := t.sequence.Add(1)
+func (s *Syncer) encode(scope exchangepb.Scope, urgent bool, update balance.Update) [][]byte {
+	round := s.sequence.Add(1)
 	var packets [][]byte
 	for first := true; first || len(update.InFlight)+countEvents(&update) > 0; first = false {
 		e := &encoder{
-			message: t.message(scope),
+			message: s.message(scope),
 			indexes: make(map[uint64]uint32),
 		}
 		e.message.Round, e.message.Urgent = round, urgent
@@ -51,10 +51,10 @@
 	return len(update.CachedParts) + len(update.Outcomes) + len(update.Leaving)
 }
 
-func (t *Syncer) message(scope exchangepb.Scope) *exchangepb.Told {
+func (s *Syncer) message(scope exchangepb.Scope) *exchangepb.Told {
 	return &exchangepb.Told{
-		From:     t.Self,
-		Sequence: t.sequence.Add(1),
+		From:     s.Self,
+		Sequence: s.sequence.Add(1),
 		Scope:    scope,
 	}
 }
--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -62,18 +62,18 @@
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (t *CrashGossiper) Done() <-chan struct{} {
-	return t.done
+func (g *CrashGossiper) Done() <-chan struct{} {
+	return g.done
 }
 
 // Trigger makes Run send the pending crashes after a short delay. It doesn't block.
-func (t *CrashGossiper) Trigger() {
-	signal(t.trigger)
+func (g *CrashGossiper) Trigger() {
+	signal(g.trigger)
 }
 
 // Run sends crashes until ctx ends.
-func (t *CrashGossiper) Run(ctx context.Context) {
-	defer close(t.done)
+func (g *CrashGossiper) Run(ctx context.Context) {
+	defer close(g.done)
 	ticker := time.NewTicker(resendInterval)
 	defer ticker.Stop()
 	for {
@@ -81,38 +81,38 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			t.gossip(t.Tracker.RecentCrashes(maxResent), resendFanOut)
-		case <-t.trigger:
+			g.gossip(g.Tracker.RecentCrashes(maxResent), resendFanOut)
+		case <-g.trigger:
 			// Crashes of several requests at one server arrive together and are sent in one
 			// datagram.
 			time.Sleep(urgentDelay)
-			t.gossip(t.Tracker.TakePending(), gossipFanOut)
+			g.gossip(g.Tracker.TakePending(), gossipFanOut)
 		}
 	}
 }
 
 // gossip sends crashes to a number of routers chosen at random.
-func (t *CrashGossiper) gossip(crashes []quarantine.Crash, fanOut int) {
+func (g *CrashGossiper) gossip(crashes []quarantine.Crash, fanOut int) {
 	if len(crashes) == 0 {
 		return
 	}
-	others := excluding(t.Routers(), t.Self)
-	t.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	others := excluding(g.Routers(), g.Self)
+	g.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
 	others = others[:min(fanOut, len(others))]
 	for len(crashes) > 0 {
 		n := min(len(crashes), maxCrashes)
-		packet := marshal(t.encode(crashes[:n]))
+		packet := marshal(g.encode(crashes[:n]))
 		for _, r := range others {
-			t.Transport.Send(t.Address(r), packet)
+			g.Transport.Send(g.Address(r), packet)
 		}
 		crashes = crashes[n:]
 	}
 }
 
-func (t *CrashGossiper) encode(crashes []quarantine.Crash) *exchangepb.Told {
+func (g *CrashGossiper) encode(crashes []quarantine.Crash) *exchangepb.Told {
 	message := &exchangepb.Told{
-		From:     t.Self,
-		Sequence: t.sequence.Add(1),
+		From:     g.Self,
+		Sequence: g.sequence.Add(1),
 		Scope:    exchangepb.Scope_SCOPE_NONE,
 	}
 	for _, crash := range crashes {
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -35,9 +35,9 @@
 	// unresponsive are the engines that never list their cache.
 	unresponsive map[string]bool
 	// engines is the number of engines, parts the mean number of shared parts that each has cached,
-	// and settleAfter the time until a router knows the others.
-	engines, parts int
-	settleAfter    time.Duration
+	// and fleetKnownAfter the time until a router knows the others.
+	engines, parts  int
+	fleetKnownAfter time.Duration
 	// partsByEngine are the parts in each engine's cache, computed at the first call of partsOf.
 	partsByEngine map[string][]uint64
 }
@@ -131,10 +131,10 @@
 	r.DataCentre = dataCentreOf(len(f.routers))
 	r.Balancer = balance.New(r.DataCentre)
 	r.Balancer.SetBackends(testBackends(f.engines))
-	if f.settleAfter > 0 {
-		settled := make(chan struct{})
-		time.AfterFunc(f.settleAfter, func() { close(settled) })
-		r.FleetKnown = settled
+	if f.fleetKnownAfter > 0 {
+		fleetKnown := make(chan struct{})
+		time.AfterFunc(f.fleetKnownAfter, func() { close(fleetKnown) })
+		r.FleetKnown = fleetKnown
 	}
 	r.Pools = func() []string { return []string{"p"} }
 	r.Routers = func() []slipwick.Router {
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -59,7 +59,7 @@
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newRecoveringFleet()
-			f.engines, f.parts, f.settleAfter = test.engines, test.parts, 200*time.Millisecond
+			f.engines, f.parts, f.fleetKnownAfter = test.engines, test.parts, 200*time.Millisecond
 			started := time.Now()
 			for _, r := range f.startAll(t, test.routers, time.Millisecond) {
 				if got, want := r.Balancer.CachedPartCount(), test.engines*test.parts; got != want || r.MissingCount() > 0 {
--- a/exchange/syncer.go
+++ b/exchange/syncer.go
@@ -100,13 +100,13 @@
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (t *Syncer) Done() <-chan struct{} {
-	return t.done
+func (s *Syncer) Done() <-chan struct{} {
+	return s.done
 }
 
 // TriggerUpdate makes Run send the next update after urgentDelay. It doesn't block.
-func (t *Syncer) TriggerUpdate() {
-	signal(t.sendSoon)
+func (s *Syncer) TriggerUpdate() {
+	signal(s.sendSoon)
 }
 
 // signal wakes the receiver of a channel with a buffer of one, now or when it receives next. It
@@ -119,75 +119,75 @@
 }
 
 // Run sends updates until ctx ends.
-func (t *Syncer) Run(ctx context.Context) {
-	defer close(t.done)
+func (s *Syncer) Run(ctx context.Context) {
+	defer close(s.done)
 	ticker := time.NewTicker(updateInterval)
 	defer ticker.Stop()
-	t.sendUpdate(false)
+	s.sendUpdate(false)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			t.sendUpdate(false)
-		case <-t.sendSoon:
+			s.sendUpdate(false)
+		case <-s.sendSoon:
 			time.Sleep(urgentDelay)
-			t.sendUrgent()
-		case <-t.relaySoon:
+			s.sendUrgent()
+		case <-s.relaySoon:
 			time.Sleep(relayDelay)
-			t.relayUrgent()
+			s.relayUrgent()
 		}
 	}
 }
 
 // sendUpdate sends an update as the router's role requires: to all others in a full mesh, to its
 // hub, or as a hub to the other hubs and to its group.
-func (t *Syncer) sendUpdate(urgent bool) {
-	if routers := t.Routers(); !slices.Equal(routers, t.hubs.routers) {
-		t.hubs = chooseHubs(routers)
+func (s *Syncer) sendUpdate(urgent bool) {
+	if routers := s.Routers(); !slices.Equal(routers, s.hubs.routers) {
+		s.hubs = chooseHubs(routers)
 	}
-	hubs := t.hubs
-	others := len(excluding(hubs.routers, t.Self))
-	t.fleetSize.Store(int64(len(hubs.routers)))
-	update := t.Balancer.TakeUpdate()
-	t.mu.Lock()
-	t.own = newCounts(update.InFlight)
-	t.mu.Unlock()
+	hubs := s.hubs
+	others := len(excluding(hubs.routers, s.Self))
+	s.fleetSize.Store(int64(len(hubs.routers)))
+	update := s.Balancer.TakeUpdate()
+	s.mu.Lock()
+	s.own = newCounts(update.InFlight)
+	s.mu.Unlock()
 	switch {
 	case len(hubs.chosen) == 0:
-		peers := excluding(hubs.routers, t.Self)
-		t.Balancer.SetPeers(idsOf(peers), others)
-		t.send(peers, t.encode(exchangepb.Scope_SCOPE_OWN, urgent, update))
-	case hubs.isHub(t.Self):
-		t.sendHubUpdates(hubs, update, others)
+		peers := excluding(hubs.routers, s.Self)
+		s.Balancer.SetPeers(idsOf(peers), others)
+		s.send(peers, s.encode(exchangepb.Scope_SCOPE_OWN, urgent, update))
+	case hubs.isHub(s.Self):
+		s.sendHubUpdates(hubs, update, others)
 	default:
-		t.mu.Lock()
-		t.groupEvents, t.hubEvents = balance.Update{}, balance.Update{}
-		t.urgentGroupParts, t.urgentHubParts = nil, nil
-		t.mu.Unlock()
-		hub, _ := hubs.hubOf(t.Self)
-		t.Balancer.SetPeers([]string{fleetSource}, others)
-		t.send([]slipwick.Router{hub}, t.encode(exchangepb.Scope_SCOPE_OWN, urgent, update))
+		s.mu.Lock()
+		s.groupEvents, s.hubEvents = balance.Update{}, balance.Update{}
+		s.urgentGroupParts, s.urgentHubParts = nil, nil
+		s.mu.Unlock()
+		hub, _ := hubs.hubOf(s.Self)
+		s.Balancer.SetPeers([]string{fleetSource}, others)
+		s.send([]slipwick.Router{hub}, s.encode(exchangepb.Scope_SCOPE_OWN, urgent, update))
 	}
 }
 
 // sendHubUpdates sends the counts of the group to the other hubs, and the counts of the fleet to
 // the group.
-func (t *Syncer) sendHubUpdates(hubs *hubs, own balance.Update, fleet int) {
-	group, others := hubs.groupOf(t.Self), excluding(hubs.chosen, t.Self)
-	t.Balancer.SetPeers(slices.Concat(idsOf(group), idsOf(others)), fleet)
-	groupSum, hubSum := t.sumCounts(idsOf(group), idsOf(others))
-	t.mu.Lock()
-	update, hubEvents := t.groupEvents, t.hubEvents
-	t.groupEvents, t.hubEvents = balance.Update{}, balance.Update{}
-	t.mu.Unlock()
+func (s *Syncer) sendHubUpdates(hubs *hubs, own balance.Update, fleet int) {
+	group, others := hubs.groupOf(s.Self), excluding(hubs.chosen, s.Self)
+	s.Balancer.SetPeers(slices.Concat(idsOf(group), idsOf(others)), fleet)
+	groupSum, hubSum := s.sumCounts(idsOf(group), idsOf(others))
+	s.mu.Lock()
+	update, hubEvents := s.groupEvents, s.hubEvents
+	s.groupEvents, s.hubEvents = balance.Update{}, balance.Update{}
+	s.mu.Unlock()
 	addEvents(&update, own)
 	update.InFlight = groupSum.list()
-	t.send(others, t.encode(exchangepb.Scope_SCOPE_GROUP, false, update))
+	s.send(others, s.encode(exchangepb.Scope_SCOPE_GROUP, false, update))
 	groupSum.add(hubSum, 1)
 	addEvents(&update, hubEvents)
 	update.InFlight = groupSum.list()
-	t.send(group, t.encode(exchangepb.Scope_SCOPE_FLEET, false, update))
+	s.send(group, s.encode(exchangepb.Scope_SCOPE_FLEET, false, update))
 }
 
 // addEvents appends the events of another update, as far as the queues have room.
@@ -205,58 +205,58 @@
 
 // sumCounts returns the counts of the group including this router, and those of the other hubs. It
 // forgets the counts of all other routers.
-func (t *Syncer) sumCounts(group, hubs []string) (groupSum, hubSum *counts) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (s *Syncer) sumCounts(group, hubs []string) (groupSum, hubSum *counts) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	groupCounts, hubCounts := make(map[string]*counts), make(map[string]*counts)
 	for _, id := range group {
-		if c := t.received[id]; c != nil {
+		if c := s.received[id]; c != nil {
 			groupCounts[id] = c
 		}
 	}
 	for _, id := range hubs {
-		if c := t.received[id]; c != nil {
+		if c := s.received[id]; c != nil {
 			hubCounts[id] = c
 		}
 	}
-	t.received = make(map[string]*counts, len(groupCounts)+len(hubCounts))
+	s.received = make(map[string]*counts, len(groupCounts)+len(hubCounts))
 	for _, kept := range []map[string]*counts{groupCounts, hubCounts} {
 		for id, c := range kept {
-			t.received[id] = c
+			s.received[id] = c
 		}
 	}
 	groupSum, hubSum = sumFresh(groupCounts), sumFresh(hubCounts)
-	groupSum.add(t.own, 1)
+	groupSum.add(s.own, 1)
 	return groupSum, hubSum
 }
 
-func (t *Syncer) send(routers []slipwick.Router, packets [][]byte) {
+func (s *Syncer) send(routers []slipwick.Router, packets [][]byte) {
 	for _, r := range routers {
-		address := t.Address(r)
+		address := s.Address(r)
 		for _, packet := range packets {
-			t.Transport.Send(address, packet)
+			s.Transport.Send(address, packet)
 		}
 	}
 }
 
 // Receive handles a datagram of another router. It drops one that can't be decoded.
-func (t *Syncer) Receive(_ string, packet []byte) {
+func (s *Syncer) Receive(_ string, packet []byte) {
 	message := &exchangepb.Told{}
-	if proto.Unmarshal(packet, message) != nil || message.GetFrom() == t.Self {
+	if proto.Unmarshal(packet, message) != nil || message.GetFrom() == s.Self {
 		return
 	}
 	if crashes := decodeCrashes(message); len(crashes) > 0 {
-		t.OnCrashes(crashes)
+		s.OnCrashes(crashes)
 		return
 	}
 	update := decode(message)
-	t.queueForRelay(message.GetScope(), message.GetUrgent(), update)
+	s.queueForRelay(message.GetScope(), message.GetUrgent(), update)
 	if hasCounts(message) {
-		t.receiveCounts(message, update.InFlight)
+		s.receiveCounts(message, update.InFlight)
 	}
-	t.Balancer.ReceivePrefills(update.CachedParts)
-	t.Balancer.ReceiveOutcomes(update.Outcomes)
-	t.Balancer.ReceiveLeaving(update.Leaving)
+	s.Balancer.ReceivePrefills(update.CachedParts)
+	s.Balancer.ReceiveOutcomes(update.Outcomes)
+	s.Balancer.ReceiveLeaving(update.Leaving)
 }
 
 // hasCounts reports whether a datagram carries counts in flight.
@@ -266,54 +266,54 @@
 
 // queueForRelay queues the events of an update for relay, unless the fleet is known to be too small
 // for hubs. If this router is no hub, its next update clears the queue.
-func (t *Syncer) queueForRelay(scope exchangepb.Scope, urgent bool, events balance.Update) {
-	size := t.fleetSize.Load()
+func (s *Syncer) queueForRelay(scope exchangepb.Scope, urgent bool, events balance.Update) {
+	size := s.fleetSize.Load()
 	if countEvents(&events) == 0 || size > 0 && size <= maxMeshSize {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	switch scope {
 	case exchangepb.Scope_SCOPE_OWN:
-		addEvents(&t.groupEvents, events)
-		t.queueUrgentLocked(&t.urgentGroupParts, urgent, events.CachedParts)
+		addEvents(&s.groupEvents, events)
+		s.queueUrgentLocked(&s.urgentGroupParts, urgent, events.CachedParts)
 	case exchangepb.Scope_SCOPE_GROUP:
-		addEvents(&t.hubEvents, events)
+		addEvents(&s.hubEvents, events)
 	case exchangepb.Scope_SCOPE_NEWS:
-		t.queueUrgentLocked(&t.urgentHubParts, urgent, events.CachedParts)
+		s.queueUrgentLocked(&s.urgentHubParts, urgent, events.CachedParts)
 	default:
 	}
 }
 
 // receiveCounts passes the counts of a datagram to the balancer. The first datagram of a round
 // replaces the counts of the round before, the others of the round add to it.
-func (t *Syncer) receiveCounts(message *exchangepb.Told, list []balance.InFlight) {
-	isMore, isOld := t.storeCounts(message, list)
+func (s *Syncer) receiveCounts(message *exchangepb.Told, list []balance.InFlight) {
+	isMore, isOld := s.storeCounts(message, list)
 	if isOld {
 		return
 	}
 	source := message.GetFrom()
 	if message.GetScope() == exchangepb.Scope_SCOPE_FLEET {
-		source, list = fleetSource, t.subtractOwn(list)
+		source, list = fleetSource, s.subtractOwn(list)
 	}
 	if isMore {
-		t.Balancer.ReceiveMoreCounts(source, list)
+		s.Balancer.ReceiveMoreCounts(source, list)
 		return
 	}
-	t.Balancer.ReceiveCounts(source, message.GetSequence(), list)
+	s.Balancer.ReceiveCounts(source, message.GetSequence(), list)
 }
 
 // storeCounts stores the counts of a datagram, for a hub to add up. isMore says that the datagram
 // adds to a known round, isOld that its round is over. Counts of the whole fleet are not stored,
 // since no hub adds them up again.
-func (t *Syncer) storeCounts(message *exchangepb.Told, list []balance.InFlight) (isMore, isOld bool) {
+func (s *Syncer) storeCounts(message *exchangepb.Told, list []balance.InFlight) (isMore, isOld bool) {
 	if message.GetScope() == exchangepb.Scope_SCOPE_FLEET {
 		list = nil
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	id, round := message.GetFrom(), message.GetRound()
-	known := t.received[id]
+	known := s.received[id]
 	switch {
 	case known != nil && known.sequence > round:
 		return false, true
@@ -323,17 +323,17 @@
 	}
 	counts := newCounts(list)
 	counts.sequence = round
-	t.received[id] = counts
+	s.received[id] = counts
 	return false, false
 }
 
 // subtractOwn returns the fleet's counts less those that this router sent last. It reuses the list.
-func (t *Syncer) subtractOwn(list []balance.InFlight) []balance.InFlight {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (s *Syncer) subtractOwn(list []balance.InFlight) []balance.InFlight {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	others := list[:0]
 	for _, in := range list {
-		own := t.own.byServer[in.Server]
+		own := s.own.byServer[in.Server]
 		in.Count, in.PrefillTokens = max(in.Count-own.Count, 0), max(in.PrefillTokens-own.PrefillTokens, 0)
 		if in.Count > 0 || in.PrefillTokens > 0 {
 			others = append(others, in)
