--- a/admission/grants.go
+++ b/admission/grants.go
@@ -47,9 +47,9 @@
 		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, at)
 		return
 	}
-	if rest := o.restUntil.Sub(now); rest > 0 {
+	if pause := o.pausedUntil.Sub(now); pause > 0 {
 		// On its last attempt the request is refused with the time after which to try again.
-		c.decline(o, key, request, rest)
+		c.decline(o, key, request, pause)
 		return
 	}
 	if !may {
@@ -71,7 +71,7 @@
 // mayGrant reports whether the backend server may get new requests at all. An ejected one may only
 // if it is the last usable one of the pool in the current view.
 func (c *Coordinator) mayGrant(o *ownedBackend) bool {
-	if time.Now().Before(o.restUntil) {
+	if time.Now().Before(o.pausedUntil) {
 		return false
 	}
 	switch o.health.state {
--- a/admission/notice.go
+++ b/admission/notice.go
@@ -24,14 +24,14 @@
 		envelope.Notices = append(envelope.Notices, &peerpb.BackendNotice{
 			Engine:  engine,
 			Leaving: notice.Leaving,
-			RestMs:  uint32(min(notice.Pause, maxRest).Milliseconds()),
+			RestMs:  uint32(min(notice.Pause, maxPause).Milliseconds()),
 		})
 	})
 }
 
-// maxRest limits how long a backend server may ask to rest, that is to get no new requests. It fits
+// maxPause limits how long a backend server may ask for a pause, in which it gets no new requests. It fits
 // the field of the message.
-const maxRest = 10 * time.Minute
+const maxPause = 10 * time.Minute
 
 // onNotice handles an announcement of an owned backend server.
 func (c *Coordinator) onNotice(notice *peerpb.BackendNotice) {
@@ -43,21 +43,21 @@
 		o.lastLeavingAt = time.Now()
 		c.markLeaving(o)
 	}
-	if rest := min(time.Duration(notice.GetRestMs())*time.Millisecond, maxRest); rest > 0 {
-		c.setRest(o, rest)
+	if pause := min(time.Duration(notice.GetRestMs())*time.Millisecond, maxPause); pause > 0 {
+		c.setPause(o, pause)
 	}
 }
 
-// setRest stops grants for the duration, even if the backend server is the last usable one of its
+// setPause stops grants for the duration, even if the backend server is the last usable one of its
 // pool, unless it already rests for longer. It is reported as ejected, so that all routers take it
 // out of the pool's mean load: otherwise the other backend servers of the pool would be limited to
-// a part of the load, and requests would wait for capacity that the resting one does not provide.
-func (c *Coordinator) setRest(o *ownedBackend, length time.Duration) {
+// a part of the load, and requests would wait for capacity that the paused one does not provide.
+func (c *Coordinator) setPause(o *ownedBackend, length time.Duration) {
 	until := time.Now().Add(length)
-	if !until.After(o.restUntil) {
+	if !until.After(o.pausedUntil) {
 		return
 	}
-	o.restUntil = until
+	o.pausedUntil = until
 	if o.health.state == HealthGood {
 		o.health.state = HealthEjected
 		c.flushQueue(o, peerpb.Decision_DECISION_MOVE_ON)
--- a/admission/observe.go
+++ b/admission/observe.go
@@ -62,14 +62,14 @@
 	c.restoreAfter(o, length)
 }
 
-// restoreAfter restores the backend server after the given time, unless an ejection or a rest that
+// restoreAfter restores the backend server after the given time, unless an ejection or a pause that
 // ends later is in force by then.
 func (c *Coordinator) restoreAfter(o *ownedBackend, length time.Duration) {
 	time.AfterFunc(length, func() {
 		c.withLock(func() {
 			now := time.Now()
 			if c.owned[o.engine] != o || o.health.state != HealthEjected ||
-				now.Before(o.health.ejectedUntil) || now.Before(o.restUntil) {
+				now.Before(o.health.ejectedUntil) || now.Before(o.pausedUntil) {
 				return
 			}
 			o.health.restore(c.Policy.RampUpTime, now)
--- a/admission/ownedbackend.go
+++ b/admission/ownedbackend.go
@@ -27,9 +27,9 @@
 
 	releases releaseRate
 	health   health
-	// restUntil is the time until which the backend server asked for no new requests. lastLeavingAt
+	// pausedUntil is the time until which the backend server asked for no new requests. lastLeavingAt
 	// is when a response last announced that it is leaving.
-	restUntil, lastLeavingAt time.Time
+	pausedUntil, lastLeavingAt time.Time
 	// reported is the load that was last reported to other routers.
 	reported int
 }
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -172,7 +172,7 @@
 		Remedy:  "check the pool's backend servers; retry after a moment",
 		Outcome: slipwick.OutcomeNotRun,
 	}
-	leaving, evacuated, elsewhere, resting, rest := 0, 0, 0, 0, time.Duration(0)
+	leaving, evacuated, elsewhere, paused, pause := 0, 0, 0, 0, time.Duration(0)
 	for _, s := range pool {
 		switch {
 		case !request.allows(s):
@@ -181,17 +181,17 @@
 			evacuated++
 		case s.isLeaving():
 			leaving++
-		case s.notices.isResting(now):
-			if left := s.notices.rest(now); resting == 0 || left < rest {
-				rest = left
+		case s.notices.isPaused(now):
+			if left := s.notices.remainingPause(now); paused == 0 || left < pause {
+				pause = left
 			}
-			resting++
+			paused++
 		}
 	}
 	switch {
-	case leaving == len(pool) || leaving+evacuated+elsewhere+resting < len(pool):
-	case resting > 0:
-		err.RetryAfter = rest
+	case leaving == len(pool) || leaving+evacuated+elsewhere+paused < len(pool):
+	case paused > 0:
+		err.RetryAfter = pause
 		err.Message = "all backend servers of pool " + request.Pool + " that may get the request asked for a pause"
 		err.Remedy = "retry when the first pause is over; add backend servers if this happens often"
 	case evacuated > 0:
@@ -225,7 +225,7 @@
 		case s.evacuated:
 			paused = append(paused, s)
 		case s.isLeaving() || !request.allows(s) || slices.Contains(request.Exclude, s.ID):
-		case s.notices.isResting(now):
+		case s.notices.isPaused(now):
 			paused = append(paused, s)
 		case b.isColdLocked(s, now) && !b.maySendToColdLocked(s, now):
 		case b.isUnavailableLocked(s, now):
--- a/balance/cachesnapshot.go
+++ b/balance/cachesnapshot.go
@@ -38,7 +38,7 @@
 			switch {
 			case s.cacheKnown:
 				query.Known = append(query.Known, s.hash)
-			case s.acceptsNew() && !s.notices.isResting(now):
+			case s.acceptsNew() && !s.notices.isPaused(now):
 				query.Wanted = append(query.Wanted, s.hash)
 			}
 		}
@@ -157,7 +157,7 @@
 	now := clock.Now()
 	var engines []slipwick.Backend
 	for _, s := range b.pools[pool] {
-		if s.acceptsNew() && !s.notices.isResting(now) && !s.cacheKnown {
+		if s.acceptsNew() && !s.notices.isPaused(now) && !s.cacheKnown {
 			engines = append(engines, s.Backend)
 		}
 	}
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -274,7 +274,7 @@
 		time.Sleep(2 * time.Second)
 		b.RecordResponseStart(lease)
 		b.RecordResponseTime(lease)
-		if got := b.paceLocked("p").slowness.Len(); got != 0 {
+		if got := b.paceLocked("p").slowdown.Len(); got != 0 {
 			t.Errorf("got %d response times recorded for a cold engine, want none", got)
 		}
 	})
--- a/balance/errors.go
+++ b/balance/errors.go
@@ -29,7 +29,7 @@
 	// rare enough, and other servers can take the load meanwhile.
 	errorEjection = time.Second
 	// ejectableOneIn limits ejections to one in ejectableOneIn servers of a pool, rounded up:
-	// the others have to carry the load. Resting servers count as ejected.
+	// the others have to carry the load. Paused servers count as ejected.
 	ejectableOneIn = 3
 	// maxUnsentSuccesses bounds the successes that are sent together with the next failure.
 	// More would only say that the server was healthy long before.
@@ -102,7 +102,7 @@
 		}
 	case slipwick.EvidenceShed:
 		s.lastActivityAt = now
-		if s.notices.isResting(now) || b.hasFreeSlotLocked(s, now) {
+		if s.notices.isPaused(now) || b.hasFreeSlotLocked(s, now) {
 			b.recordOutcomeLocked(s, true)
 			b.ejectIfFailingLocked(s, now)
 		}
@@ -152,7 +152,7 @@
 	pool := b.pools[s.Pool]
 	unavailable := 0
 	for _, other := range pool {
-		if other != s && (b.isUnavailableLocked(other, now) || other.notices.isResting(now)) {
+		if other != s && (b.isUnavailableLocked(other, now) || other.notices.isPaused(now)) {
 			unavailable++
 		}
 	}
--- a/balance/evacuation.go
+++ b/balance/evacuation.go
@@ -43,5 +43,5 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	s, now := lease.server, clock.Now()
-	return b.servers[s.ID] == s && s.acceptsNew() && !s.notices.isResting(now) && (lease.isCold || !b.isColdLocked(s, now))
+	return b.servers[s.ID] == s && s.acceptsNew() && !s.notices.isPaused(now) && (lease.isCold || !b.isColdLocked(s, now))
 }
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -27,8 +27,8 @@
 	// The announcement is ignored after expiry, or never if that is 0.
 	leavingAt time.Time
 	expiry    time.Duration
-	// restUntil is the end of the pause that the server asked this router for.
-	restUntil time.Time
+	// pausedUntil is the end of the pause that the server asked this router for.
+	pausedUntil time.Time
 }
 
 // saysLeaving reports whether the server announced that it is leaving. The receiver may be nil,
@@ -42,17 +42,17 @@
 	return s.Leaving || s.notices.saysLeaving()
 }
 
-// rest returns the remaining pause that the server asked this router for.
-func (n *notices) rest(now time.Time) time.Duration {
+// remainingPause returns the remaining pause that the server asked this router for.
+func (n *notices) remainingPause(now time.Time) time.Duration {
 	if n == nil {
 		return 0
 	}
-	return max(n.restUntil.Sub(now), 0)
+	return max(n.pausedUntil.Sub(now), 0)
 }
 
-// isResting reports whether the server asked this router for a pause that is not over.
-func (n *notices) isResting(now time.Time) bool {
-	return n.rest(now) > 0
+// isPaused reports whether the server asked this router for a pause that is not over.
+func (n *notices) isPaused(now time.Time) bool {
+	return n.remainingPause(now) > 0
 }
 
 // ensureNoticesLocked returns the notices of an incarnation, and creates them if needed. They
@@ -75,7 +75,7 @@
 // markUnlistedLocked notes that an incarnation is no longer listed, and drops its notices if
 // they are empty.
 func (b *Balancer) markUnlistedLocked(incarnation uint64) {
-	if n := b.notices[incarnation]; n == nil || n.leavingAt.IsZero() && n.restUntil.IsZero() {
+	if n := b.notices[incarnation]; n == nil || n.leavingAt.IsZero() && n.pausedUntil.IsZero() {
 		delete(b.notices, incarnation)
 		return
 	}
@@ -91,7 +91,7 @@
 			delete(b.unlistedNotices, incarnation)
 			continue
 		}
-		if !n.isResting(now) && now.Sub(n.leavingAt) > noticeRetention {
+		if !n.isPaused(now) && now.Sub(n.leavingAt) > noticeRetention {
 			delete(b.notices, incarnation)
 			delete(b.unlistedNotices, incarnation)
 		}
@@ -151,12 +151,12 @@
 func (b *Balancer) applyNoticeLocked(s *server, notice slipwick.Notice) bool {
 	// The entry may have expired, and reappeared, while the request was in flight.
 	now, known := clock.Now(), b.ensureNoticesLocked(s.hash)
-	isNew := notice.Leaving && !known.saysLeaving() || notice.Pause > 0 && !known.isResting(now)
+	isNew := notice.Leaving && !known.saysLeaving() || notice.Pause > 0 && !known.isPaused(now)
 	if notice.Leaving {
 		known.leavingAt = now
 	}
-	if until := now.Add(notice.Pause); notice.Pause > 0 && until.After(known.restUntil) {
-		known.restUntil = until
+	if until := now.Add(notice.Pause); notice.Pause > 0 && until.After(known.pausedUntil) {
+		known.pausedUntil = until
 	}
 	if b.hashes[s.hash] == nil {
 		b.unlistedNotices[s.hash] = true
@@ -169,7 +169,7 @@
 
 // Notices counts the listed backend servers that are leaving, and those that asked this router
 // for a pause.
-func (b *Balancer) Notices() (leaving, resting int) {
+func (b *Balancer) Notices() (leaving, paused int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
@@ -177,9 +177,9 @@
 		if s.isLeaving() {
 			leaving++
 		}
-		if s.notices.isResting(now) {
-			resting++
+		if s.notices.isPaused(now) {
+			paused++
 		}
 	}
-	return leaving, resting
+	return leaving, paused
 }
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -222,7 +222,7 @@
 		b.mu.Unlock()
 	}
 	if got := unavailableCount(b); got > 0 {
-		t.Errorf("got %d servers ejected beside the resting ones, want none", got)
+		t.Errorf("got %d servers ejected beside the paused ones, want none", got)
 	}
 }
 
--- a/balance/pace.go
+++ b/balance/pace.go
@@ -9,8 +9,8 @@
 
 // Constants for the time that a backend server is expected to take.
 const (
-	// minSlownessSamples is how many response times of a pool are needed before they are used.
-	minSlownessSamples = 32
+	// minSlowdownSamples is how many response times of a pool are needed before they are used.
+	minSlowdownSamples = 32
 	// pausesWindow is how many streams are remembered by their longest pause, minPauseSamples
 	// how many are needed before these are used.
 	pausesWindow    = 256
@@ -50,8 +50,8 @@
 	// hasPrompts says that the pool's requests have prompts.
 	hasPrompts bool
 	prefill    *pace.PrefillEstimator
-	// slowness has the times until responses began.
-	slowness *pace.SlowdownEstimator
+	// slowdown has the times until responses began.
+	slowdown *pace.SlowdownEstimator
 	// pauses has the longest pause of each stream that completed, in nanoseconds.
 	pauses *pace.Window
 }
@@ -71,7 +71,7 @@
 		prefill: pace.NewPrefillEstimator(),
 		pauses:  pace.NewWindow(pausesWindow),
 	}
-	p.slowness = &pace.SlowdownEstimator{
+	p.slowdown = &pace.SlowdownEstimator{
 		UnloadedTime: p.unloadedTime,
 	}
 	return p
@@ -89,10 +89,10 @@
 // responseTimeQuantile returns the time within which a fraction of the requests with as many
 // tokens to prefill get the start of their response, 0 while too few were measured.
 func (p *poolPace) responseTimeQuantile(quantile float64, tokens int) time.Duration {
-	if p.slowness.Len() < minSlownessSamples {
+	if p.slowdown.Len() < minSlowdownSamples {
 		return 0
 	}
-	return p.slowness.Quantile(quantile, tokens)
+	return p.slowdown.Quantile(quantile, tokens)
 }
 
 // maxPrefillTime returns how long an engine prefills a prompt at most.
@@ -129,7 +129,7 @@
 		lease.isSlow = elapsed > slowFactor*typical
 	}
 	p.hasPrompts = p.hasPrompts || lease.hasPrompt
-	p.slowness.Record(lease.tokensToPrefill, elapsed)
+	p.slowdown.Record(lease.tokensToPrefill, elapsed)
 	if lease.hasPrompt && lease.FetchFrom == "" {
 		p.prefill.Record(lease.tokensToPrefill, elapsed)
 	}
--- a/balance/pace_test.go
+++ b/balance/pace_test.go
@@ -38,7 +38,7 @@
 func TestFirstByteTimeoutIsUnknownAtTheStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		for range minSlownessSamples - 1 {
+		for range minSlowdownSamples - 1 {
 			serve(t, b, plainRequest, 10*time.Millisecond)
 		}
 		if got := firstByteTimeout(t, b, plainRequest); got != 0 {
@@ -123,7 +123,7 @@
 func TestSlowPoolIsNotUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		for range 2 * minSlownessSamples {
+		for range 2 * minSlowdownSamples {
 			serve(t, b, prompt(7), 900*time.Millisecond)
 		}
 		id := topRanked(7, 3)
--- a/balance/shedding_test.go
+++ b/balance/shedding_test.go
@@ -15,8 +15,8 @@
 type sheddingFleet struct {
 	*testFleet
 	shedding []string
-	// rest is the pause that they ask for, 0 for none.
-	rest time.Duration
+	// pause is the pause that they ask for, 0 for none.
+	pause time.Duration
 	// maxAttempts is how often a request is sent at most.
 	maxAttempts int
 	// requests counts the requests, rejected the attempts that were shed, and unserved the
@@ -48,7 +48,7 @@
 		f.rejected++
 		request.Exclude = append(request.Exclude, lease.Backend.ID)
 		b.RecordNotice(lease, slipwick.Notice{
-			Pause: f.rest,
+			Pause: f.pause,
 		})
 		b.Release(lease, evidence)
 	}
@@ -71,14 +71,14 @@
 // runShedding has engines shed for a while. It returns the numbers of rejected attempts and of
 // unserved requests, both as fractions of the requests.
 func runShedding(
-	t *testing.T, routers, engines, shedding, perSecond int, rest time.Duration, evidence slipwick.Evidence,
+	t *testing.T, routers, engines, shedding, perSecond int, pause time.Duration, evidence slipwick.Evidence,
 ) (rejected, unserved float64) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := &sheddingFleet{
 			testFleet:   newTestFleet(routers, engines, 2),
 			maxAttempts: 4,
-			rest:        rest,
+			pause:       pause,
 		}
 		random := rand.New(rand.NewPCG(1, uint64(routers)))
 		lastUpdate := time.Now()
@@ -119,13 +119,13 @@
 		{62, 90, 25, 800},
 		{120, 100, 26, 500},
 	} {
-		for _, rest := range []time.Duration{0, pauseTime} {
+		for _, pause := range []time.Duration{0, pauseTime} {
 			rejected, unserved := runShedding(t, size.routers, size.engines, size.shedding, size.perSecond,
-				rest, slipwick.EvidenceShed)
-			t.Logf("%+v, pauses of %v: %.3f rejected, %.5f unserved", size, rest, rejected, unserved)
+				pause, slipwick.EvidenceShed)
+			t.Logf("%+v, pauses of %v: %.3f rejected, %.5f unserved", size, pause, rejected, unserved)
 			if rejected > budget || unserved > maxUnserved {
 				t.Errorf("%+v, pauses of %v: got %.3f attempts rejected per request, %.5f unserved, want at most %v, %v",
-					size, rest, rejected, unserved, budget, maxUnserved)
+					size, pause, rejected, unserved, budget, maxUnserved)
 			}
 		}
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -53,7 +53,7 @@
 			Leaving:    s.Leaving,
 
 			SaysLeaving: s.notices.saysLeaving(),
-			RestMS:      s.notices.rest(now).Milliseconds(),
+			RestMS:      s.notices.remainingPause(now).Milliseconds(),
 
 			Out:       now.Before(s.ejectedUntil),
 			Silent:    b.isUnresponsiveLocked(s, now),
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -76,8 +76,8 @@
 		b := newBackend(t, "a", handle)
 		f := newFixture(t, b)
 		f.post(t, "/repeatable/x")
-		if leaving, resting := f.gateway.Balancer.Notices(); leaving > 0 || resting > 0 {
-			t.Errorf("%s: got leaving %d, resting %d, want neither", name, leaving, resting)
+		if leaving, paused := f.gateway.Balancer.Notices(); leaving > 0 || paused > 0 {
+			t.Errorf("%s: got leaving %d, paused %d, want neither", name, leaving, paused)
 		}
 	}
 }
@@ -86,12 +86,12 @@
 // Retry-After. Until that time is over, requests have to be refused at once, with the remaining
 // time, and must reach no backend server.
 func TestRetryAfterOfBackendsIsObservedOnAnyRoute(t *testing.T) {
-	const rest = 700 * time.Millisecond
+	const pause = 700 * time.Millisecond
 	for _, path := range []string{"/repeatable/x", "/single/x", "/stream/x", "/resumable/x", "/affine/x"} {
 		arrivals := 0
 		var backends []*backend
 		for i := range 2 {
-			b := newBackend(t, fmt.Sprint("b", i), withHeaders(rejectNotRun, "Retry-After", fmt.Sprint(rest.Seconds())))
+			b := newBackend(t, fmt.Sprint("b", i), withHeaders(rejectNotRun, "Retry-After", fmt.Sprint(pause.Seconds())))
 			b.server.Config.Handler = countRequests(b.server.Config.Handler, &arrivals)
 			backends = append(backends, b)
 		}
@@ -104,14 +104,14 @@
 		for range 5 {
 			last := f.post(t, path)
 			left, err := time.ParseDuration(last.header.Get("Retry-After") + "s")
-			if err != nil || left <= 0 || left > rest {
+			if err != nil || left <= 0 || left > pause {
 				t.Errorf("%s: got Retry-After %q, want the remaining time", path, last.header.Get("Retry-After"))
 			}
 		}
-		if got, want := arrivals, len(backends); got != want && time.Since(asked) < rest {
-			t.Errorf("%s: got %d requests at resting servers, want one at each", path, got)
+		if got, want := arrivals, len(backends); got != want && time.Since(asked) < pause {
+			t.Errorf("%s: got %d requests at paused servers, want one at each", path, got)
 		}
-		time.Sleep(time.Until(asked.Add(rest)))
+		time.Sleep(time.Until(asked.Add(pause)))
 		f.post(t, path)
 		if got, want := arrivals, len(backends); got <= want {
 			t.Errorf("%s: got no further request after the Retry-After time, want one", path)
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -75,7 +75,7 @@
 	return min(max(timeout, c.gateway.Balancer.StreamIdleTimeout(lease)), max(timeout, maxIdleTimeout))
 }
 
-// onTimeout returns how long to wait for longer for a silent backend server: 0 ends the send.
+// onTimeout returns how long to wait for longer for an unresponsive backend server: 0 ends the send.
 func (h *timeoutHandler) onTimeout() time.Duration {
 	c := h.call
 	if !h.reported {
