--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -126,12 +126,12 @@
 	if err != nil {
 		return "", false, err
 	}
-	run, err := d.recordAttempt(call.Key, grant, isTrial)
+	recorded, err := d.recordAttempt(call.Key, grant, isTrial)
 	if err != nil {
 		return "", false, err
 	}
 	delivered, err := attempt(ctx, grant.Backend)
-	d.recordOutcome(ctx, run, grant.Backend, delivered, err)
+	d.recordOutcome(ctx, recorded, grant.Backend, delivered, err)
 	switch {
 	case err != nil && errors.Is(ctx.Err(), context.DeadlineExceeded):
 		d.Admission.Release(grant, slipwick.EvidenceTimeout)
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -25,8 +25,8 @@
 func quarantinedError(retryAfter time.Duration) error {
 	return &slipwick.Error{
 		Kind:       slipwick.KindQuarantined,
-		Message:    "several backend servers ended under this same request; it was not run",
-		Remedy:     "look at what the request asks for, and have the backend server mended",
+		Message:    "several backend servers crashed while running this same request; it was not run",
+		Remedy:     "look at what the request asks for, and have the backend server fixed",
 		Outcome:    slipwick.OutcomeNotRun,
 		RetryAfter: retryAfter,
 	}
@@ -40,35 +40,35 @@
 	if d.Quarantine == nil {
 		return nil, nil
 	}
-	run, ok := d.Quarantine.Begin(key, &grant.Backend, isTrial, func() {})
+	attempt, ok := d.Quarantine.Begin(key, &grant.Backend, isTrial, func() {})
 	if !ok {
 		d.Admission.Release(grant, slipwick.EvidenceNone)
 		return nil, quarantinedError(d.Quarantine.Admit(key).RetryAfter)
 	}
-	return run, nil
+	return attempt, nil
 }
 
 // recordOutcome records what became of the backend server during the request. A backend server that
 // had begun to respond did not crash because of the request: a request that crashes a backend
 // server does so when it begins to run.
 func (d *Dispatcher) recordOutcome(
-	ctx context.Context, run *quarantine.Attempt, backend slipwick.Backend, delivered bool, err error,
+	ctx context.Context, attempt *quarantine.Attempt, backend slipwick.Backend, delivered bool, err error,
 ) {
-	if run == nil {
+	if attempt == nil {
 		return
 	}
 	failure, isTyped := slipwick.AsError(err)
-	fate := quarantine.OutcomeUnknown
+	outcome := quarantine.OutcomeUnknown
 	switch {
 	case err == nil:
-		fate = quarantine.OutcomeCompleted
+		outcome = quarantine.OutcomeCompleted
 	case delivered || !isTyped:
 	case failure.Outcome == slipwick.OutcomeFailed:
-		fate = quarantine.OutcomeCompleted
+		outcome = quarantine.OutcomeCompleted
 	case failure.Outcome == slipwick.OutcomeUnknown && ctx.Err() == nil && d.IsGone(ctx, backend):
-		fate = quarantine.OutcomeCrashed
+		outcome = quarantine.OutcomeCrashed
 	}
-	run.End(fate)
+	attempt.End(outcome)
 }
 
 // isQuarantined reports whether requests with the key are quarantined now.
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -105,7 +105,7 @@
 	for name, change := range map[string]func(*crashingEngines, *Dispatcher){
 		"quarantined between its attempts": func(_ *crashingEngines, d *Dispatcher) {
 			d.IsGone = func(context.Context, slipwick.Backend) bool {
-				// The marks of another router arrive between the attempts.
+				// The crashes that another router reports arrive between the attempts.
 				d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
 				return false
 			}
@@ -143,7 +143,7 @@
 	}
 }
 
-// TestRequestQuarantinedBeforeFirstAttemptIsNotRun has another router's marks arrive while a
+// TestRequestQuarantinedBeforeFirstAttemptIsNotRun has crashes that another router reports arrive while a
 // request waits for its first slot. The request must be refused as not run and its slot released.
 func TestRequestQuarantinedBeforeFirstAttemptIsNotRun(t *testing.T) {
 	e := newCrashingEngines(3)
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -26,9 +26,9 @@
 
 // crashWatch observes one send to find out whether the backend server crashes while running it.
 type crashWatch struct {
-	call  *call
-	lease *balance.Lease
-	run   *quarantine.Attempt
+	call    *call
+	lease   *balance.Lease
+	attempt *quarantine.Attempt
 	// ctx is the context of the send; stop cancels it.
 	ctx  context.Context
 	stop context.CancelCauseFunc
@@ -64,12 +64,12 @@
 	if c.gateway.Quarantine == nil {
 		return w, true
 	}
-	run, ok := c.gateway.Quarantine.Begin(c.key, &lease.Backend, c.isTrial, func() { w.stop(errQuarantined) })
+	attempt, ok := c.gateway.Quarantine.Begin(c.key, &lease.Backend, c.isTrial, func() { w.stop(errQuarantined) })
 	if !ok {
 		w.stop(nil)
 		return nil, false
 	}
-	w.run = run
+	w.attempt = attempt
 	return w, true
 }
 
@@ -81,17 +81,17 @@
 // recordOutcome records whether the backend server crashed. To check costs a round trip, so that
 // only those backend servers are checked that broke off an exchange soon after it began.
 func (w *crashWatch) recordOutcome(outcome result, err error) {
-	if w.run == nil {
+	if w.attempt == nil {
 		return
 	}
-	fate := quarantine.OutcomeUnknown
+	crashOutcome := quarantine.OutcomeUnknown
 	switch {
 	case outcome == resultDelivered || outcome == resultFailed:
-		fate = quarantine.OutcomeCompleted
+		crashOutcome = quarantine.OutcomeCompleted
 	case outcome == resultBroken && w.mayHaveCrashed(err) && w.hasCrashed():
-		fate = quarantine.OutcomeCrashed
+		crashOutcome = quarantine.OutcomeCrashed
 	}
-	w.run.End(fate)
+	w.attempt.End(crashOutcome)
 }
 
 // mayHaveCrashed reports whether the backend server may have crashed because of this request: it
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -17,7 +17,7 @@
 	_ = b.server.Config.Close()
 }
 
-// enableQuarantine gives the gateway a ledger.
+// enableQuarantine gives the gateway a tracker.
 func (f *fixture) enableQuarantine() *quarantine.Tracker {
 	f.gateway.Quarantine = quarantine.NewTracker("r")
 	return f.gateway.Quarantine
@@ -102,11 +102,11 @@
 	} {
 		backends := newBackends(t, 6, handle)
 		f := newFixture(t, backends...)
-		ledger := f.enableQuarantine()
+		tracker := f.enableQuarantine()
 		for range 6 {
 			f.post(t, "/resumable/x")
 		}
-		if ledger.QuarantinedCount() > 0 || len(ledger.TakePending()) > 0 {
+		if tracker.QuarantinedCount() > 0 || len(tracker.TakePending()) > 0 {
 			t.Errorf("servers that %s: got a request quarantined or marked, want neither", name)
 		}
 	}
@@ -117,7 +117,7 @@
 func TestPlannedStopQuarantinesNothing(t *testing.T) {
 	backends := newBackends(t, 4, crash)
 	f := newFixture(t, backends...)
-	ledger := f.enableQuarantine()
+	tracker := f.enableQuarantine()
 	for _, b := range backends {
 		b.server.Config.Handler = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			f.gateway.Balancer.SetBackends(nil)
@@ -125,7 +125,7 @@
 		})
 	}
 	f.post(t, "/repeatable/x")
-	if got := ledger.TakePending(); len(got) > 0 {
+	if got := tracker.TakePending(); len(got) > 0 {
 		t.Errorf("got %v marked, want nothing", got)
 	}
 }
@@ -142,10 +142,10 @@
 			_ = b.server.Config.Close()
 		})
 		f := newFixture(t, b)
-		ledger := f.enableQuarantine()
+		tracker := f.enableQuarantine()
 		f.post(t, "/stream/x")
-		if got := len(ledger.TakePending()); got != want {
-			t.Errorf("end %v after the first event: got %d marks, want %d", wait, got, want)
+		if got := len(tracker.TakePending()); got != want {
+			t.Errorf("end %v after the first event: got %d crashes, want %d", wait, got, want)
 		}
 	}
 }
@@ -161,13 +161,13 @@
 		close(gone)
 	})
 	f := newFixture(t, b)
-	ledger := f.enableQuarantine()
+	tracker := f.enableQuarantine()
 	ended := make(chan reply)
 	r := f.request(t, "/repeatable/x", "question")
 	go func() { ended <- send(t, r) }()
 	<-began
 	key := quarantine.KeyOf("w", http.MethodPost, "/repeatable/x", []byte("question"))
-	ledger.Merge([]quarantine.Crash{{Key: key, Server: 1}, {Key: key, Server: 2}, {Key: key, Server: 3}})
+	tracker.Merge([]quarantine.Crash{{Key: key, Server: 1}, {Key: key, Server: 2}, {Key: key, Server: 3}})
 	select {
 	case <-gone:
 	case <-time.After(2 * time.Second):
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -107,7 +107,7 @@
 	return &Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Reason:     reasonQuarantined,
-		Message:    "several backend servers ended under this same request; it was not run, look at what it asks for",
+		Message:    "several backend servers crashed while running this same request; it was not run, look at what it asks for",
 		RetryAfter: after,
 	}
 }
--- a/quarantine/crash.go
+++ b/quarantine/crash.go
@@ -21,7 +21,7 @@
 const incarnationTolerance = time.Second
 
 // isSameIncarnation reports whether both crashes are of the same incarnation of the same server.
-func (m *Crash) isSameIncarnation(other *Crash) bool {
-	apart := time.Duration(m.Incarnation-other.Incarnation) * time.Millisecond
-	return m.Server == other.Server && apart.Abs() < incarnationTolerance
+func (c *Crash) isSameIncarnation(other *Crash) bool {
+	apart := time.Duration(c.Incarnation-other.Incarnation) * time.Millisecond
+	return c.Server == other.Server && apart.Abs() < incarnationTolerance
 }
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -194,7 +194,7 @@
 			return Crash{
 				Key:         Key(rapid.IntRange(1, 4).Draw(t, "key")),
 				Server:      uint64(rapid.IntRange(1, 3).Draw(t, "server")),
-				Incarnation: int64(rapid.IntRange(1, 3).Draw(t, "life")) * 5_000,
+				Incarnation: int64(rapid.IntRange(1, 3).Draw(t, "incarnation")) * 5_000,
 				Excused:     rapid.IntRange(0, 3).Draw(t, "excused") == 0,
 			}
 		}), 0, 40).Draw(t, "crashes")
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -34,44 +34,44 @@
 
 // Read reads the body. It returns io.EOF at the end of a complete body, and an *slipwick.Error if
 // the body is cut short or a timeout ends the exchange.
-func (a *Response) Read(into []byte) (int, error) {
-	if a.Length < 0 {
-		if err := a.conn.awaitData(a.ctx, a.timeouts.Idle, a.timeouts.OnTimeout); err != nil {
-			return 0, exchangeError(a.ctx, a.address, err)
+func (r *Response) Read(into []byte) (int, error) {
+	if r.Length < 0 {
+		if err := r.conn.awaitData(r.ctx, r.timeouts.Idle, r.timeouts.OnTimeout); err != nil {
+			return 0, exchangeError(r.ctx, r.address, err)
 		}
 	}
-	n, err := a.body.Read(into)
+	n, err := r.body.Read(into)
 	switch {
 	case err == nil:
 		return n, nil
 	case errors.Is(err, io.EOF):
-		a.complete = true
+		r.complete = true
 		return n, io.EOF
 	default:
-		return n, exchangeError(a.ctx, a.address, err)
+		return n, exchangeError(r.ctx, r.address, err)
 	}
 }
 
 // Close returns the connection to the pool if the body was read to its end and the connection is
 // still usable. Otherwise it closes the connection, which tells the backend server to stop.
-func (a *Response) Close() {
-	if a.closed {
+func (r *Response) Close() {
+	if r.closed {
 		return
 	}
-	a.closed = true
-	intact := a.stop()
+	r.closed = true
+	intact := r.stop()
 	select {
-	case err := <-a.written:
+	case err := <-r.written:
 		intact = intact && err == nil
 	default:
 		// The response arrived before the request was fully sent.
 		intact = false
 	}
-	if !a.reusable || !a.complete || !intact || a.conn.reader.Buffered() > 0 {
-		_ = a.conn.Close()
+	if !r.reusable || !r.complete || !intact || r.conn.reader.Buffered() > 0 {
+		_ = r.conn.Close()
 		return
 	}
-	a.client.putIdle(a.key, a.conn, maxIdleTime(a.Header))
+	r.client.putIdle(r.key, r.conn, maxIdleTime(r.Header))
 }
 
 const (
