--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -30,17 +30,17 @@
 	minQuietResponses    = 3
 	quietTime            = 200 * time.Millisecond
 	// maxKnownInPacket is how many fingerprints fit into one packet with the other fields; a node
-	// that knows more boxes asks for one shard of them at a time. Up to maxKnownWithNews
+	// that knows more boxes asks for one shard of them at a time. Up to maxKnownWithUpdates
 	// fingerprints leave room for as many updates as in other packets.
-	maxKnownInPacket = 300
-	maxKnownWithNews = 120
-	// maxNewsInResponse bounds the updates in one packet of a response, and maxResponsePackets the
+	maxKnownInPacket    = 300
+	maxKnownWithUpdates = 120
+	// maxUpdatesInResponse bounds the updates in one packet of a response, and maxResponsePackets the
 	// packets of a response: enough for the largest supported fleet. A starting router requests
 	// only startupPackets and asks other routers for the rest: when many routers start at once,
 	// nearly all of them ask the few seeds.
-	maxNewsInResponse  = 14
-	maxResponsePackets = 24
-	startupPackets     = 2
+	maxUpdatesInResponse = 14
+	maxResponsePackets   = 24
+	startupPackets       = 2
 )
 
 // FleetKnown returns a channel that is closed once a started router knows the fleet, or has found
@@ -161,7 +161,7 @@
 	for _, m := range n.shard(packet) {
 		packet.Known = append(packet.Known, uint32(m.fingerprint()))
 	}
-	if len(packet.Known) <= maxKnownWithNews {
+	if len(packet.Known) <= maxKnownWithUpdates {
 		packet.News = append(packet.News, n.queue.take(n.Policy.NewsPerPacket, len(n.members))...)
 	}
 	return packet
@@ -203,7 +203,7 @@
 	slices.SortFunc(missing, func(a, b *memberpb.News) int { return strings.Compare(a.GetId(), b.GetId()) })
 	n.Random.Shuffle(len(missing), func(i, j int) { missing[i], missing[j] = missing[j], missing[i] })
 	for i := range min(request.GetPackets(), maxResponsePackets) {
-		count := min(len(missing), maxNewsInResponse)
+		count := min(len(missing), maxUpdatesInResponse)
 		if count == 0 && i > 0 {
 			return
 		}
@@ -240,14 +240,14 @@
 
 // sendAll sends all that this router knows, in packets of bounded size.
 func (n *Node) sendAll(address string) {
-	const newsPerPacket = 16
+	const updatesPerPacket = 16
 	var all []*memberpb.News
 	for _, known := range []map[string]*member{n.members, n.backends} {
 		for _, id := range slices.Sorted(maps.Keys(known)) {
 			all = append(all, known[id].news)
 		}
 	}
-	for news := range slices.Chunk(all, newsPerPacket) {
+	for news := range slices.Chunk(all, updatesPerPacket) {
 		n.send(address, &memberpb.Packet{
 			Kind:   memberpb.Kind_KIND_NEWS,
 			From:   n.Self.ID,
--- a/membership/start_bench_test.go
+++ b/membership/start_bench_test.go
@@ -15,12 +15,12 @@
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			var packets [][]byte
-			for first := 0; first < size; first += maxNewsInResponse {
+			for first := 0; first < size; first += maxUpdatesInResponse {
 				packet := &memberpb.Packet{
 					Kind: memberpb.Kind_KIND_NEWS,
 					From: "r0",
 				}
-				for i := first; i < min(first+maxNewsInResponse, size); i++ {
+				for i := first; i < min(first+maxUpdatesInResponse, size); i++ {
 					packet.News = append(packet.News, &memberpb.News{
 						Id:         fmt.Sprintf("frontend-dc-%d", i),
 						Address:    "10.1.0.9:7020",
