--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -25,8 +25,8 @@
 
 var _ directory.Peers = (*peers)(nil)
 
-// Settled returns a channel that is closed once this router knows the others or found none.
-func (p *peers) Settled() <-chan struct{} {
+// FleetKnown returns a channel that is closed once this router knows the others or found none.
+func (p *peers) FleetKnown() <-chan struct{} {
 	return p.node.FleetKnown()
 }
 
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -111,7 +111,7 @@
 	turn int
 }
 
-func (p *fakePeers) Settled() <-chan struct{} {
+func (p *fakePeers) FleetKnown() <-chan struct{} {
 	fleetKnown := make(chan struct{})
 	close(fleetKnown)
 	return fleetKnown
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -242,8 +242,8 @@
 	r.cut = cut
 }
 
-// Settled, Place, Others and Relay implement Peers.
-func (r *modelRouter) Settled() <-chan struct{} { return r.fleetKnown }
+// FleetKnown, Place, Others and Relay implement Peers.
+func (r *modelRouter) FleetKnown() <-chan struct{} { return r.fleetKnown }
 
 func (r *modelRouter) Place() fleet.RelayPosition {
 	return fleet.FindRelayPosition(r.self, r.members())
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -8,9 +8,9 @@
 // Peers provides the other routers that this one knows. Implementations must be safe for
 // concurrent use.
 type Peers interface {
-	// Settled returns a channel that is closed once this router, after its start, has
+	// FleetKnown returns a channel that is closed once this router, after its start, has
 	// discovered the others or found none.
-	Settled() <-chan struct{}
+	FleetKnown() <-chan struct{}
 	// Place returns this router's position in the relay tree: which routers it follows.
 	Place() fleet.RelayPosition
 	// Others returns the IDs of all other live routers.
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -137,7 +137,7 @@
 	defer ticker.Stop()
 	for waited := time.Duration(0); ; waited += discoveryInterval {
 		select {
-		case <-s.Peers.Settled():
+		case <-s.Peers.FleetKnown():
 			return peerAnswer{}
 		case <-ctx.Done():
 			return peerAnswer{}
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -204,7 +204,7 @@
 	change(r)
 }
 
-func (r *simRouter) Settled() <-chan struct{} { return r.fleetKnown }
+func (r *simRouter) FleetKnown() <-chan struct{} { return r.fleetKnown }
 
 func (r *simRouter) Place() fleet.RelayPosition {
 	return fleet.FindRelayPosition(r.self, r.knownMembers())
