--- a/cmd/internal/gatewayd/gateway_test.go
+++ b/cmd/internal/gatewayd/gateway_test.go
@@ -159,7 +159,7 @@
 	watchers := func() int {
 		count := 0
 		for _, r := range routers {
-			if len(r.node.Routers()) == len(routers) && r.peers.Place().IsWatcher {
+			if len(r.node.Routers()) == len(routers) && r.peers.RelayPosition().IsWatcher {
 				count++
 			}
 		}
--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -30,9 +30,9 @@
 	return p.node.FleetKnown()
 }
 
-// Place returns this router's place in the relay tree. It is computed again only when the
+// RelayPosition returns this router's place in the relay tree. It is computed again only when the
 // fleet has changed, not at each call of the feeds.
-func (p *peers) Place() fleet.RelayPosition {
+func (p *peers) RelayPosition() fleet.RelayPosition {
 	routers := p.node.Routers()
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -207,7 +207,7 @@
 // dueLocked returns the states that this router has to write now. The caller holds mu.
 func (r *rollouts) dueLocked(now time.Time) map[string]dueWrite {
 	due := make(map[string]dueWrite)
-	if !r.process.Feeds.Private && !r.process.peers.Place().IsWatcher {
+	if !r.process.Feeds.Private && !r.process.peers.RelayPosition().IsWatcher {
 		return due
 	}
 	for name, f := range r.following {
--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -45,7 +45,7 @@
 		DataCentre:    p.Settings.DataCentre,
 		Ready:         p.isReady(),
 		Draining:      p.draining.Load(),
-		WatchesStore:  p.Feeds.Private || p.peers.Place().IsWatcher,
+		WatchesStore:  p.Feeds.Private || p.peers.RelayPosition().IsWatcher,
 		StoreTimeline: p.timeline.Load(),
 		InFlight:      p.gateway.InFlight(),
 		Evacuated:     p.evacuatedDataCentres(),
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -117,7 +117,7 @@
 	return fleetKnown
 }
 
-func (p *fakePeers) Place() fleet.RelayPosition {
+func (p *fakePeers) RelayPosition() fleet.RelayPosition {
 	return fleet.RelayPosition{
 		IsWatcher:    p.watches,
 		Relays:       p.order,
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -107,7 +107,7 @@
 			t.Errorf("got %d routers without the change 2 s after the outage, want none", got)
 		}
 		time.Sleep(5 * time.Second)
-		refuse(func(i int, r *simRouter) bool { return i%3 == 0 || r.Place().IsWatcher })
+		refuse(func(i int, r *simRouter) bool { return i%3 == 0 || r.RelayPosition().IsWatcher })
 		f.calls.Store(0)
 		time.Sleep(time.Second)
 		f.setValue("2")
@@ -140,7 +140,7 @@
 		time.Sleep(5 * time.Second)
 		var lowest *simRouter
 		for _, r := range f.routers {
-			if r.Place().TakeoverTurn < 0 {
+			if r.RelayPosition().TakeoverTurn < 0 {
 				lowest = r
 			}
 		}
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -245,7 +245,7 @@
 // FleetKnown, Place, Others and Relay implement Peers.
 func (r *modelRouter) FleetKnown() <-chan struct{} { return r.fleetKnown }
 
-func (r *modelRouter) Place() fleet.RelayPosition {
+func (r *modelRouter) RelayPosition() fleet.RelayPosition {
 	return fleet.FindRelayPosition(r.self, r.members())
 }
 
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -11,8 +11,8 @@
 	// FleetKnown returns a channel that is closed once this router, after its start, has
 	// discovered the others or found none.
 	FleetKnown() <-chan struct{}
-	// Place returns this router's position in the relay tree: which routers it follows.
-	Place() fleet.RelayPosition
+	// RelayPosition returns this router's position in the relay tree: which routers it follows.
+	RelayPosition() fleet.RelayPosition
 	// Others returns the IDs of all other live routers.
 	Others() []string
 	// Relay returns the copy of the named feed at the router with the ID.
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -84,7 +84,7 @@
 		return s.record(found.batch, nil)
 	}
 	s.markStarted()
-	relayPosition := s.Peers.Place()
+	relayPosition := s.Peers.RelayPosition()
 	if s.usesStore(ctx, &relayPosition) {
 		answer := s.listStore(ctx, &relayPosition, true, func(f *peerAnswer) bool { return f.any })
 		s.stopActing(answer.err)
@@ -192,7 +192,7 @@
 func (s *SharedFeed) Watch(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
-	relayPosition := s.Peers.Place()
+	relayPosition := s.Peers.RelayPosition()
 	if !s.usesStore(ctx, &relayPosition) {
 		return s.watchPeers(ctx, &relayPosition, after)
 	}
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -177,7 +177,7 @@
 func (f *simFleet) watchers() []*simRouter {
 	var watchers []*simRouter
 	for _, r := range f.routers {
-		if r.Place().IsWatcher {
+		if r.RelayPosition().IsWatcher {
 			watchers = append(watchers, r)
 		}
 	}
@@ -206,7 +206,7 @@
 
 func (r *simRouter) FleetKnown() <-chan struct{} { return r.fleetKnown }
 
-func (r *simRouter) Place() fleet.RelayPosition {
+func (r *simRouter) RelayPosition() fleet.RelayPosition {
 	return fleet.FindRelayPosition(r.self, r.knownMembers())
 }
 
