--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -19,8 +19,8 @@
 	spent float64
 }
 
-// RecordRequest records the first attempt of a request, which adds retryRatio retries to the budget.
-func (b *Budget) RecordRequest() {
+// CountRequest records the first attempt of a request, which adds retryRatio retries to the budget.
+func (b *Budget) CountRequest() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.spent = max(0, b.spent-retryRatio)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -94,7 +94,7 @@
 // runWithRetries makes attempts until one succeeds or the request may not be retried.
 func (d *Dispatcher) runWithRetries(ctx context.Context, call Call, attempt attemptFunc) error {
 	budget := d.budgets.ForPool(call.Pools[0])
-	budget.RecordRequest()
+	budget.CountRequest()
 	ask := call.Ask
 	isTrial, err := d.checkQuarantine(call.Key)
 	if err != nil {
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -271,7 +271,7 @@
 	var b Budget
 	retries := 0
 	for range 1000 {
-		b.RecordRequest()
+		b.CountRequest()
 		if b.TryRetry() {
 			retries++
 		}
