--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -26,8 +26,8 @@
 	b.spent = max(0, b.spent-retryRatio)
 }
 
-// TryRetry takes one retry from the budget. It returns false if the budget is exhausted.
-func (b *Budget) TryRetry() bool {
+// Take takes one retry from the budget. It returns false if the budget is exhausted.
+func (b *Budget) Take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.spent+1 > retryBurst {
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -107,7 +107,7 @@
 		if err == nil {
 			return nil
 		}
-		if !retryable || attempts == maxAttempts || d.isQuarantined(call.Key) || !budget.TryRetry() {
+		if !retryable || attempts == maxAttempts || d.isQuarantined(call.Key) || !budget.Take() {
 			return finalError(ambiguousErr, err)
 		}
 		ask.Exclude = append(ask.Exclude, backend)
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -272,7 +272,7 @@
 	retries := 0
 	for range 1000 {
 		b.CountRequest()
-		if b.TryRetry() {
+		if b.Take() {
 			retries++
 		}
 	}
