--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -31,7 +31,7 @@
 	// crashed several; nil turns this off. IsGone reports whether a backend server whose connection
 	// was lost has crashed.
 	Quarantine *quarantine.Tracker
-	IsGone     func(context.Context, slipwick.Backend) bool
+	HasCrashed     func(context.Context, slipwick.Backend) bool
 
 	budgets PoolBudgets
 }
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -65,7 +65,7 @@
 	case delivered || !isTyped:
 	case failure.Outcome == slipwick.OutcomeFailed:
 		outcome = quarantine.OutcomeCompleted
-	case failure.Outcome == slipwick.OutcomeUnknown && ctx.Err() == nil && d.IsGone(ctx, backend):
+	case failure.Outcome == slipwick.OutcomeUnknown && ctx.Err() == nil && d.HasCrashed(ctx, backend):
 		outcome = quarantine.OutcomeCrashed
 	}
 	attempt.End(outcome)
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -49,7 +49,7 @@
 				startErr: newFailure(slipwick.KindBackendUnreachable, slipwick.OutcomeUnknown),
 			}
 		},
-		IsGone: func(_ context.Context, b slipwick.Backend) bool { return e.crashed[b.ID] && !e.survive },
+		HasCrashed: func(_ context.Context, b slipwick.Backend) bool { return e.crashed[b.ID] && !e.survive },
 	}
 }
 
@@ -104,7 +104,7 @@
 func TestRequestThatMayHaveRunHasUnknownOutcome(t *testing.T) {
 	for name, change := range map[string]func(*crashingEngines, *Dispatcher){
 		"quarantined between its attempts": func(_ *crashingEngines, d *Dispatcher) {
-			d.IsGone = func(context.Context, slipwick.Backend) bool {
+			d.HasCrashed = func(context.Context, slipwick.Backend) bool {
 				// The crashes that another router reports arrive between the attempts.
 				d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
 				return false
