--- a/balance/state.go
+++ b/balance/state.go
@@ -29,7 +29,7 @@
 	// milliseconds more, Silent that it has not sent anything for a while.
 	Ejected    bool  `json:"out"`
 	EjectedMS  int64 `json:"out_ms"`
-	Silent bool  `json:"silent"`
+	Unresponsive bool  `json:"silent"`
 	// InFlight counts this router's requests there.
 	InFlight int `json:"in_flight"`
 	// ErrorRate is the failure rate of the latest requests of all routers.
@@ -56,7 +56,7 @@
 			RestMS:      s.notices.remainingPause(now).Milliseconds(),
 
 			Ejected:       now.Before(s.ejectedUntil),
-			Silent:    b.isUnresponsiveLocked(s, now),
+			Unresponsive:    b.isUnresponsiveLocked(s, now),
 			InFlight:  s.inFlight,
 			ErrorRate: s.errors.rate,
 		}
--- a/cmd/slipwick/gateways/gateways.go
+++ b/cmd/slipwick/gateways/gateways.go
@@ -119,7 +119,7 @@
 		return fmt.Sprintf("paused for %d ms", b.RestMS)
 	case b.Ejected:
 		return fmt.Sprintf("ejected for %d ms", b.EjectedMS)
-	case b.Silent:
+	case b.Unresponsive:
 		return "silent"
 	case b.ColdMS > 0:
 		return fmt.Sprintf("cold for %d ms", b.ColdMS)
