--- a/balance/state.go
+++ b/balance/state.go
@@ -23,7 +23,7 @@
 	// SaysLeaving says that the server announced in a response that it is leaving, RestMS for
 	// how many milliseconds it still wants no requests from this router.
 	SaysLeaving bool  `json:"says_leaving"`
-	RestMS      int64 `json:"rest_ms"`
+	PausedMS      int64 `json:"rest_ms"`
 
 	// Ejected says that the server gets no new requests because it is ejected, OutMS for how many
 	// milliseconds more, Silent that it has not sent anything for a while.
@@ -53,7 +53,7 @@
 			Leaving:    s.Leaving,
 
 			SaysLeaving: s.notices.saysLeaving(),
-			RestMS:      s.notices.remainingPause(now).Milliseconds(),
+			PausedMS:      s.notices.remainingPause(now).Milliseconds(),
 
 			Ejected:       now.Before(s.ejectedUntil),
 			Unresponsive:    b.isUnresponsiveLocked(s, now),
--- a/cmd/slipwick/gateways/gateways.go
+++ b/cmd/slipwick/gateways/gateways.go
@@ -115,8 +115,8 @@
 		return "leaving (announced)"
 	case b.Evacuated:
 		return "evacuated"
-	case b.RestMS > 0:
-		return fmt.Sprintf("paused for %d ms", b.RestMS)
+	case b.PausedMS > 0:
+		return fmt.Sprintf("paused for %d ms", b.PausedMS)
 	case b.Ejected:
 		return fmt.Sprintf("ejected for %d ms", b.EjectedMS)
 	case b.Unresponsive:
