--- a/admission/status.go
+++ b/admission/status.go
@@ -10,8 +10,8 @@
 	Backend  string `json:"backend"`
 	Pool     string `json:"pool"`
 	InFlight int    `json:"in_flight"`
-	// Held is the number of queued requests.
-	Held int `json:"held"`
+	// Queued is the number of queued requests.
+	Queued int `json:"held"`
 	// Limit is the current limit on slots.
 	Limit  int    `json:"limit"`
 	Health string `json:"health"`
@@ -39,7 +39,7 @@
 			Backend:  o.backend.ID,
 			Pool:     o.pool,
 			InFlight: len(o.leases),
-			Held:     o.queue.len(),
+			Queued:     o.queue.len(),
 			Limit:    c.slotLimit(o),
 			Health:   o.health.state.String(),
 		})
--- a/cmd/internal/daemon/ownedcollector.go
+++ b/cmd/internal/daemon/ownedcollector.go
@@ -33,7 +33,7 @@
 		for description, value := range map[*prometheus.Desc]int{
 			slotsInFlight:  s.InFlight,
 			slotsLimit:     s.Limit,
-			requestsQueued: s.Held,
+			requestsQueued: s.Queued,
 		} {
 			metrics <- prometheus.MustNewConstMetric(description, prometheus.GaugeValue, float64(value),
 				s.Pool, s.Backend)
--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -34,8 +34,8 @@
 			}
 		}
 		for _, status := range r.Coordinator.Status() {
-			if status.Held != 0 {
-				t.Errorf("%s queues %d requests for %s, want 0", r.Self.ID, status.Held, status.Backend)
+			if status.Queued != 0 {
+				t.Errorf("%s queues %d requests for %s, want 0", r.Self.ID, status.Queued, status.Backend)
 			}
 		}
 	}
