--- a/admission/policy.go
+++ b/admission/policy.go
@@ -17,8 +17,8 @@
 	OwnerTimeout time.Duration
 	// LeaseTime is how long a lease is valid without renewal.
 	LeaseTime time.Duration
-	// RenewEvery is the interval at which routers renew the leases of their slots.
-	RenewEvery time.Duration
+	// RenewInterval is the interval at which routers renew the leases of their slots.
+	RenewInterval time.Duration
 	// OrphanLeaseTime is how long the leases of a router that failed stay valid.
 	OrphanLeaseTime time.Duration
 	// TakeoverWindow is how long a new owner grants at most half of the headroom, as the previous
@@ -74,7 +74,7 @@
 		MaxAttempts:           3,
 		OwnerTimeout:          300 * time.Millisecond,
 		LeaseTime:             30 * time.Second,
-		RenewEvery:            10 * time.Second,
+		RenewInterval:            10 * time.Second,
 		OrphanLeaseTime:       5 * time.Second,
 		TakeoverWindow:        3 * time.Second,
 		MinReportInterval:     250 * time.Millisecond,
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -18,11 +18,11 @@
 
 // renewDue renews, every RenewEvery, the slots that have been held for at least that long.
 func (c *Coordinator) renewDue(now time.Time) {
-	if now.Sub(c.renewedAt) < c.Policy.RenewEvery {
+	if now.Sub(c.renewedAt) < c.Policy.RenewInterval {
 		return
 	}
 	c.renewedAt = now
-	c.renewSlots(func(s *slot) bool { return now.Sub(s.since) >= c.Policy.RenewEvery })
+	c.renewSlots(func(s *slot) bool { return now.Sub(s.since) >= c.Policy.RenewInterval })
 }
 
 // renewSlots renews the slots that match, at the owners of their backend servers.
