--- a/admission/policy.go
+++ b/admission/policy.go
@@ -29,8 +29,8 @@
 	// PressedReportInterval is the same for a pool under pressure: requests wait for the limit to
 	// rise, or the load falls fast.
 	PressedReportInterval time.Duration
-	// RefreshEvery is the interval at which an unchanged load is reported again.
-	RefreshEvery time.Duration
+	// RefreshInterval is the interval at which an unchanged load is reported again.
+	RefreshInterval time.Duration
 	// ReportExpiry is how long a load report is valid.
 	ReportExpiry time.Duration
 	// RiseChange and FallChange are the relative changes of the load that are reported without
@@ -79,7 +79,7 @@
 		TakeoverWindow:        3 * time.Second,
 		MinReportInterval:     250 * time.Millisecond,
 		PressedReportInterval: 25 * time.Millisecond,
-		RefreshEvery:          2 * time.Second,
+		RefreshInterval:          2 * time.Second,
 		ReportExpiry:          5 * time.Second,
 		RiseChange:            0.08,
 		FallChange:            0.03,
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -152,12 +152,12 @@
 func (c *Coordinator) refresh(pool string, now time.Time) {
 	load := c.poolLoad(pool)
 	if c.isHub(pool) {
-		if now.Sub(load.fullBroadcastAt) >= c.Policy.RefreshEvery {
+		if now.Sub(load.fullBroadcastAt) >= c.Policy.RefreshInterval {
 			c.broadcastLoad(pool, load, true)
 		}
 		return
 	}
-	if now.Sub(load.reportedAt) >= c.Policy.RefreshEvery {
+	if now.Sub(load.reportedAt) >= c.Policy.RefreshInterval {
 		c.sendReport(pool, load)
 	}
 }
--- a/admission/viewchange.go
+++ b/admission/viewchange.go
@@ -24,7 +24,7 @@
 		})
 		c.resendAttempts()
 		for pool := range view.Pools {
-			c.refresh(pool, time.Now().Add(c.Policy.RefreshEvery))
+			c.refresh(pool, time.Now().Add(c.Policy.RefreshInterval))
 			c.grantQueuedInPool(pool)
 		}
 	})
