--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -162,7 +162,7 @@
 		packet.Known = append(packet.Known, uint32(m.fingerprint()))
 	}
 	if len(packet.Known) <= maxKnownWithUpdates {
-		packet.News = append(packet.News, n.queue.take(n.Policy.NewsPerPacket, len(n.members))...)
+		packet.News = append(packet.News, n.queue.take(n.Policy.UpdatesPerPacket, len(n.members))...)
 	}
 	return packet
 }
--- a/membership/packet.go
+++ b/membership/packet.go
@@ -16,7 +16,7 @@
 		Digest:   n.digest,
 
 		Configuration: n.version,
-		News:          n.queue.take(n.Policy.NewsPerPacket, len(n.members)),
+		News:          n.queue.take(n.Policy.UpdatesPerPacket, len(n.members)),
 	}
 }
 
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -14,8 +14,8 @@
 	SuspicionTimeout time.Duration
 	// Fanout is how many routers a push goes to.
 	Fanout int
-	// NewsPerPacket bounds the updates in one packet.
-	NewsPerPacket int
+	// UpdatesPerPacket bounds the updates in one packet.
+	UpdatesPerPacket int
 	// SyncAfter is how many packets in a row must have a different digest before a sync request is
 	// sent; MinSyncInterval is the minimum time between such requests.
 	SyncAfter       int
@@ -37,7 +37,7 @@
 		IndirectProbes:   3,
 		SuspicionTimeout: 2 * time.Second,
 		Fanout:           3,
-		NewsPerPacket:    8,
+		UpdatesPerPacket:    8,
 		SyncAfter:        3,
 		MinSyncInterval:  5 * time.Second,
 		DeadRetention:    2 * time.Hour,
