--- a/balance/canary.go
+++ b/balance/canary.go
@@ -61,7 +61,7 @@
 	c.unsent.Good++
 }
 
-// SetCanaries sets the canaries by pool name. The counts of one that goes on are kept.
+// SetCanaries sets the canaries by pool name. The counts of a canary that continues are kept.
 func (b *Balancer) SetCanaries(canaries map[string]Canary) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestRestingServersCountAsEjected has a third of a pool ask for a pause. Failures must not eject any
+// TestPausedServersCountAsEjected has a third of a pool ask for a pause. Failures must not eject any
 // of the others, which have to carry the whole load.
-func TestRestingServersCountAsEjected(t *testing.T) {
+func TestPausedServersCountAsEjected(t *testing.T) {
 	b := newTestBalancer(6)
 	announce(t, b, "p-0", pauseNotice)
 	announce(t, b, "p-1", pauseNotice)
--- a/directory/shared_test.go
+++ b/directory/shared_test.go
@@ -45,9 +45,9 @@
 	})
 }
 
-// TestSharedNoticesAChangeThoughRoutersFail has the followed routers fail in several ways. A
+// TestSharedFeedLearnsOfChangeThoughRoutersFail has the followed routers fail in several ways. A
 // change at the store has to arrive within 2 s.
-func TestSharedNoticesAChangeThoughRoutersFail(t *testing.T) {
+func TestSharedFeedLearnsOfChangeThoughRoutersFail(t *testing.T) {
 	for name, fail := range map[string]func(*fakeFeed){
 		"hang":        func(f *fakeFeed) { f.hangs = true },
 		"refuse":      func(f *fakeFeed) { f.err = errors.New("refused") },
@@ -80,7 +80,7 @@
 	}
 }
 
-func TestSharedLearnsFromRoutersWhenTheStoreRefusesIt(t *testing.T) {
+func TestSharedFeedLearnsFromRoutersWhenStoreRefusesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, store, peers := newSharedFeed()
 		peers.watches = true
@@ -100,9 +100,9 @@
 	})
 }
 
-// TestSharedStartsFromRoutersWhileTheStoreIsSilent lists at a router that restarts while the store
+// TestSharedFeedStartsFromRoutersWhileStoreIsUnresponsive lists at a router that restarts while the store
 // does not answer.
-func TestSharedStartsFromRoutersWhileTheStoreIsSilent(t *testing.T) {
+func TestSharedFeedStartsFromRoutersWhileStoreIsUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, store, _ := newSharedFeed()
 		store.hangs = true
@@ -149,9 +149,9 @@
 	})
 }
 
-// TestSharedAsksAnotherRouterBeforeTheStore has one followed router stop answering while the next
+// TestSharedFeedAsksAnotherRouterBeforeStore has one followed router stop answering while the next
 // one has a current copy.
-func TestSharedAsksAnotherRouterBeforeTheStore(t *testing.T) {
+func TestSharedFeedAsksAnotherRouterBeforeStore(t *testing.T) {
 	for _, first := range []string{"r1", "r2"} {
 		synctest.Test(t, func(t *testing.T) {
 			shared, store, peers := newSharedFeed()
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -56,13 +56,13 @@
 			return false, err
 		}
 		defer answer.Close()
-		return relay(ctx, answer, sink)
+		return forwardEvents(ctx, answer, sink)
 	})
 }
 
-// relay passes the events of the answer to sink until the answer ends. It returns whether the
+// forwardEvents passes the events of the answer to sink until the answer ends. It returns whether the
 // caller may have received a part of it.
-func relay(ctx context.Context, answer *stream.Response, sink func(slipwick.StreamEvent) error) (bool, error) {
+func forwardEvents(ctx context.Context, answer *stream.Response, sink func(slipwick.StreamEvent) error) (bool, error) {
 	for {
 		event, err := answer.Next(ctx)
 		if errors.Is(err, io.EOF) {
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -14,11 +14,11 @@
 	if d.Quarantine == nil {
 		return false, nil
 	}
-	admission := d.Quarantine.Admit(key)
-	if admission.Refused {
-		return false, quarantinedError(admission.RetryAfter)
+	decision := d.Quarantine.Admit(key)
+	if decision.Refused {
+		return false, quarantinedError(decision.RetryAfter)
 	}
-	return admission.Trial, nil
+	return decision.Trial, nil
 }
 
 // quarantinedError returns the error of a request that is refused because it is quarantined.
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -39,11 +39,11 @@
 	if c.gateway.Quarantine == nil {
 		return nil
 	}
-	admission := c.gateway.Quarantine.Admit(c.key)
-	if admission.Refused {
-		return refuseQuarantined(admission.RetryAfter)
+	decision := c.gateway.Quarantine.Admit(c.key)
+	if decision.Refused {
+		return refuseQuarantined(decision.RetryAfter)
 	}
-	c.isTrial = admission.Trial
+	c.isTrial = decision.Trial
 	return nil
 }
 
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -28,7 +28,7 @@
 	n.locked(func() { n.apply(news) })
 }
 
-func TestOlderNewsIsIgnored(t *testing.T) {
+func TestOlderUpdateIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newTestNode()
 		for _, step := range []struct {
