--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -85,8 +85,8 @@
 	return isKnown && r.quarantined
 }
 
-// Admission says whether a request may be sent to a backend server.
-type Admission struct {
+// Decision says whether a request may be sent to a backend server.
+type Decision struct {
 	// Refused says that the request must not be sent, and RetryAfter how long the caller has to
 	// wait at least before it tries again.
 	Refused    bool
@@ -101,23 +101,23 @@
 const minRetryAfter = time.Second
 
 // Admit decides whether a new request may be sent.
-func (t *Tracker) Admit(key Key) Admission {
+func (t *Tracker) Admit(key Key) Decision {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r, isKnown := t.records.Get(key)
 	if !isKnown || !r.quarantined {
-		return Admission{}
+		return Decision{}
 	}
 	now := clock.Now()
 	wait := r.untilNextTrial(now)
 	if wait > 0 || !t.ownsTrial(key) {
-		return Admission{
+		return Decision{
 			Refused:    true,
 			RetryAfter: max(wait, minRetryAfter),
 		}
 	}
 	r.lastTrial = now
-	return Admission{
+	return Decision{
 		Trial: true,
 	}
 }
