--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -277,11 +277,11 @@
 		if got := load(); got != 2 {
 			t.Errorf("with the counts of all peers: got load %v, want 2", got)
 		}
-		time.Sleep(remoteCountsLifetime + time.Millisecond)
+		time.Sleep(remoteCountsTTL + time.Millisecond)
 		if got := load(); got != 50 {
 			t.Errorf("with old counts: got load %v, want the reported 50", got)
 		}
-		time.Sleep(loadReportLifetime)
+		time.Sleep(loadReportTTL)
 		if got := load(); got != 1 {
 			t.Errorf("with an old report as well: got load %v, want the router's own 1", got)
 		}
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -56,7 +56,7 @@
 	counts, complete := make(map[uint64]int), len(b.peers) > 0
 	for _, id := range b.peers {
 		c, known := b.countsByRouter[id]
-		complete = complete && known && now.Sub(c.receivedAt) <= remoteCountsLifetime
+		complete = complete && known && now.Sub(c.receivedAt) <= remoteCountsTTL
 		for _, in := range c.inFlight {
 			counts[in.Server] += in.Count
 		}
--- a/balance/server.go
+++ b/balance/server.go
@@ -7,9 +7,9 @@
 )
 
 const (
-	// loadReportLifetime is how long a load report is used. At the request rates in the design,
+	// loadReportTTL is how long a load report is used. At the request rates in the design,
 	// a router gets one from each engine about once a second.
-	loadReportLifetime = 1500 * time.Millisecond
+	loadReportTTL = 1500 * time.Millisecond
 	// shortEjection is the shortest and maxEjection the longest duration of an ejection.
 	shortEjection = 500 * time.Millisecond
 	maxEjection   = 4 * time.Second
@@ -101,7 +101,7 @@
 // inFlightElsewhere returns how many requests the other routers have there by the latest load
 // report. ok is false without a recent one.
 func (s *server) inFlightElsewhere(now time.Time) (count int, ok bool) {
-	if s.reportedAt.IsZero() || now.Sub(s.reportedAt) > loadReportLifetime {
+	if s.reportedAt.IsZero() || now.Sub(s.reportedAt) > loadReportTTL {
 		return 0, false
 	}
 	return max(s.reported-s.reportedOwn, 0), true
--- a/balance/update.go
+++ b/balance/update.go
@@ -40,8 +40,8 @@
 }
 
 const (
-	// remoteCountsLifetime is how long the counts of another router are used.
-	remoteCountsLifetime = time.Second
+	// remoteCountsTTL is how long the counts of another router are used.
+	remoteCountsTTL = time.Second
 	// maxPendingEntries bounds the entries that wait for the next update. More are dropped.
 	maxPendingEntries = 512
 )
@@ -222,7 +222,7 @@
 func (b *Balancer) hasAllUpdatesLocked(now time.Time) bool {
 	for _, id := range b.peers {
 		c, known := b.countsByRouter[id]
-		if !known || now.Sub(c.receivedAt) > remoteCountsLifetime {
+		if !known || now.Sub(c.receivedAt) > remoteCountsTTL {
 			return false
 		}
 	}
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -90,7 +90,7 @@
 	buffered, tooLong, err := bufferResponse(response)
 	switch {
 	case err != nil && c.request.Context().Err() != nil:
-		return resultLeft, slipwick.EvidenceNone, err
+		return resultDisconnected, slipwick.EvidenceNone, err
 	case err != nil:
 		return resultBroken, slipwick.EvidenceError, err
 	case c.progress.headWritten || isFailure(response.Status):
@@ -102,7 +102,7 @@
 		return c.forwardLarge(buffered, response)
 	}
 	if err := buffered.write(c.writer); err != nil {
-		return resultLeft, slipwick.EvidenceGood, err
+		return resultDisconnected, slipwick.EvidenceGood, err
 	}
 	return resultDelivered, slipwick.EvidenceGood, nil
 }
@@ -134,7 +134,7 @@
 	c.writer.WriteHeader(buffered.status)
 	c.progress.headWritten = true
 	if _, err := c.writer.Write(buffered.body); err != nil {
-		return resultLeft, slipwick.EvidenceGood, err
+		return resultDisconnected, slipwick.EvidenceGood, err
 	}
 	if _, err := io.Copy(c.writer, response); err != nil {
 		return resultCut, slipwick.EvidenceError, err
@@ -165,7 +165,7 @@
 			size = len(buffered)
 		}
 		if writeErr := c.writeEvents(response, buffered[:size]); writeErr != nil {
-			return resultLeft, slipwick.EvidenceNone, writeErr
+			return resultDisconnected, slipwick.EvidenceNone, writeErr
 		}
 		buffered = append(buffered[:0], buffered[size:]...)
 		if size > 0 {
@@ -177,7 +177,7 @@
 		switch {
 		case errors.Is(err, io.EOF):
 			if c.writeHead(response) != nil {
-				return resultLeft, slipwick.EvidenceGood, nil
+				return resultDisconnected, slipwick.EvidenceGood, nil
 			}
 			return resultDelivered, slipwick.EvidenceGood, nil
 		case err != nil:
@@ -190,7 +190,7 @@
 func (c *call) classifyStreamError(err error) (result, slipwick.Evidence, error) {
 	switch {
 	case c.request.Context().Err() != nil:
-		return resultLeft, slipwick.EvidenceNone, err
+		return resultDisconnected, slipwick.EvidenceNone, err
 	case c.ctx.Err() != nil || upstream.IsResponseTimeout(err):
 		return resultBroken, slipwick.EvidenceNone, err
 	default:
--- a/gateway/result.go
+++ b/gateway/result.go
@@ -20,8 +20,8 @@
 	// resultQuarantined means that the request was not sent because it was quarantined: several
 	// backend servers crashed while running it.
 	resultQuarantined
-	// resultLeft means that the caller has disconnected.
-	resultLeft
+	// resultDisconnected means that the caller has disconnected.
+	resultDisconnected
 )
 
 // String returns the name used in logs and metrics.
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -48,7 +48,7 @@
 			reason = reasonQuarantined
 			break
 		}
-		if outcome == resultDelivered || outcome == resultLeft || outcome == resultCut {
+		if outcome == resultDelivered || outcome == resultDisconnected || outcome == resultCut {
 			c.finish(outcome, "", 0)
 			return
 		}
@@ -96,8 +96,8 @@
 	}
 }
 
-// awaitPrefill waits while the engine computes the same prompt for another request, so that it is
-// computed once.
+// awaitPrefill waits while the engine prefills the same prompt for another request, so that it is
+// prefilled once.
 func (c *call) awaitPrefill(lease *balance.Lease) {
 	if lease.Wait <= 0 {
 		return
@@ -148,12 +148,12 @@
 func (c *call) finishUnanswered(reason string, retryAfter time.Duration) {
 	switch {
 	case c.request.Context().Err() != nil:
-		c.finish(resultLeft, reason, 0)
+		c.finish(resultDisconnected, reason, 0)
 	case c.progress.headWritten:
 		c.finish(resultCut, reason, 0)
 	case c.failedResponse != nil:
 		if err := c.failedResponse.write(c.writer); err != nil {
-			c.finish(resultLeft, reason, 0)
+			c.finish(resultDisconnected, reason, 0)
 			return
 		}
 		c.finish(resultFailed, reason, c.failedResponse.status)
@@ -251,7 +251,7 @@
 // backend server.
 func (c *call) classifyError(err error) (result, slipwick.Evidence) {
 	if c.request.Context().Err() != nil {
-		return resultLeft, slipwick.EvidenceNone
+		return resultDisconnected, slipwick.EvidenceNone
 	}
 	typed, ok := slipwick.AsError(err)
 	if ok && typed.Outcome == slipwick.OutcomeNotRun {
