--- a/chatrequest.go
+++ b/chatrequest.go
@@ -7,8 +7,8 @@
 	Workspace string
 	Chat      string
 	Priority  int
-	// Key is the caller's request key, for engines that check keys; empty if the caller
-	// sent none.
+	// Key is the caller's idempotency key, for engines that check keys; empty if the
+	// caller sent none.
 	Key string
 	// Body is the OpenAI-style JSON body with streaming enabled.
 	Body []byte
--- a/cmd/internal/daemon/frontend.go
+++ b/cmd/internal/daemon/frontend.go
@@ -23,8 +23,8 @@
 
 // Headers that callers may send.
 const (
-	repeatableHeader = "Slipwick-Repeatable"
-	keyHeader        = "Idempotency-Key"
+	repeatableHeader     = "Slipwick-Repeatable"
+	idempotencyKeyHeader = "Idempotency-Key"
 )
 
 // frontend handles the requests of callers.
--- a/cmd/internal/daemon/keyclaim.go
+++ b/cmd/internal/daemon/keyclaim.go
@@ -23,7 +23,7 @@
 	k := &keyClaim{
 		claims: f.claims,
 	}
-	text := header.Get(keyHeader)
+	text := header.Get(idempotencyKeyHeader)
 	if text == "" || cr.repeatable {
 		return k, nil
 	}
--- a/cmd/internal/daemon/keyclaim_test.go
+++ b/cmd/internal/daemon/keyclaim_test.go
@@ -9,9 +9,9 @@
 	"github.com/slipwick/slipwick"
 )
 
-// TestKeyedRequestRunsOnce checks that a request sent twice with the same idempotency key runs once,
-// and that the second response reports the outcome of the first.
-func TestKeyedRequestRunsOnce(t *testing.T) {
+// TestRequestWithIdempotencyKeyRunsOnce checks that a request sent twice with the same idempotency
+// key runs once, and that the second response reports the outcome of the first.
+func TestRequestWithIdempotencyKeyRunsOnce(t *testing.T) {
 	f := newFixture(t, 1)
 	for _, tc := range []struct {
 		name, body string
@@ -38,11 +38,11 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		first, _ := f.post(t, servicesPath+"records/add", tc.body, keyHeader, key.String())
+		first, _ := f.post(t, servicesPath+"records/add", tc.body, idempotencyKeyHeader, key.String())
 		if got := slipwick.Outcome(first.Header.Get(slipwick.OutcomeHeader)); got != tc.first {
 			t.Errorf("%s: got outcome %q, want %q", tc.name, got, tc.first)
 		}
-		second, body := f.post(t, servicesPath+"records/add", tc.body, keyHeader, key.String())
+		second, body := f.post(t, servicesPath+"records/add", tc.body, idempotencyKeyHeader, key.String())
 		if got := slipwick.Outcome(second.Header.Get(slipwick.OutcomeHeader)); got != tc.second {
 			t.Errorf("%s: got outcome %q for the second request, want %q: %s", tc.name, got, tc.second, body)
 		}
@@ -55,9 +55,9 @@
 	}
 }
 
-// TestKeyedRequestInPlatformOutage checks that a request with an idempotency key is refused at
+// TestRequestWithIdempotencyKeyInPlatformOutage checks that a request with an idempotency key is refused at
 // once, as not run, while the platform is down, and that requests without a key are still served.
-func TestKeyedRequestInPlatformOutage(t *testing.T) {
+func TestRequestWithIdempotencyKeyInPlatformOutage(t *testing.T) {
 	f := newFixture(t, 1)
 	f.platform.SetOutage(true)
 	for range 2 {
@@ -65,7 +65,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		response, body := f.post(t, servicesPath+"records/add", "in the outage", keyHeader, key.String())
+		response, body := f.post(t, servicesPath+"records/add", "in the outage", idempotencyKeyHeader, key.String())
 		if got := response.Header.Get(slipwick.OutcomeHeader); got != "not-run" {
 			t.Errorf("got outcome %q, want not-run: %s", got, body)
 		}
--- a/cmd/internal/daemon/metrics.go
+++ b/cmd/internal/daemon/metrics.go
@@ -34,7 +34,7 @@
 		},
 		{
 			name: "slipwick_claims_total",
-			help: "Request keys claimed by this router.",
+			help: "Idempotency keys claimed by this router.",
 			read: func() float64 { return float64(r.claims.Stats.Claims.Load()) },
 		},
 		{
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -18,7 +18,7 @@
 	PriorityHeader = "X-Priority"
 	// ChatHeader carries the chat's identity, a hint for the engine's cache.
 	ChatHeader = "X-Chat"
-	// KeyHeader carries the caller's request key, if the caller sent one.
+	// KeyHeader carries the caller's idempotency key, if the caller sent one.
 	KeyHeader = "Idempotency-Key"
 	// NotRunHeader on an error response says that the request was not run.
 	NotRunHeader = "X-Not-Run"
--- a/kind.go
+++ b/kind.go
@@ -33,9 +33,9 @@
 	KindTimeout Kind = "timeout"
 	// KindCancelled is a caller that disconnected.
 	KindCancelled Kind = "cancelled"
-	// KindKeyUsed is a request key that another request has already claimed.
+	// KindKeyUsed is an idempotency key that another request has already claimed.
 	KindKeyUsed Kind = "key_used"
-	// KindKeyExpired is a request key that is older than the time for which claims are kept.
+	// KindKeyExpired is an idempotency key that is older than the time for which claims are kept.
 	KindKeyExpired Kind = "key_expired"
 	// KindQuarantined is a request that has crashed several backend servers.
 	KindQuarantined Kind = "quarantined"
