--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -60,10 +60,10 @@
 	r.mesh.OnReceive = func(from string, envelope *peerpb.Envelope) {
 		r.coordinator.Receive(from, envelope)
 		r.claims.Receive(from, envelope)
-		r.sharing.Receive(from, envelope)
+		r.configSyncer.Receive(from, envelope)
 		r.receiveCrashes(envelope)
 	}
-	r.sharing = &configuration.Syncer{
+	r.configSyncer = &configuration.Syncer{
 		Follower:  r.follower,
 		Transport: r.mesh,
 		OnError:   r.logPlatformError,
@@ -72,12 +72,12 @@
 		Self:   self,
 		OnView: r.coordinator.SetView,
 	}
-	r.udp = membership.NewUDP(r.listeners.packets)
+	r.membershipUDP = membership.NewUDP(r.listeners.membershipUDP)
 	random := rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64()))
-	r.node = membership.NewNode(self, r.udp, membership.DefaultPolicy(), random)
+	r.node = membership.NewNode(self, r.membershipUDP, membership.DefaultPolicy(), random)
 	r.node.OnChange = r.onMembershipChange
-	r.node.OnVersion = r.sharing.OnVersion
-	r.udp.OnReceive = r.node.Receive
+	r.node.OnVersion = r.configSyncer.OnVersion
+	r.membershipUDP.OnReceive = r.node.Receive
 	r.mesh.Address = r.node.Address
 }
 
--- a/cmd/internal/daemon/fixture_test.go
+++ b/cmd/internal/daemon/fixture_test.go
@@ -86,13 +86,13 @@
 	}
 	records, _ := startBackend(t, "records-1", f.service)
 	state.Pools[1].Backends = []slipwick.Backend{records}
-	keeper := &configuration.Repository{
+	repository := &configuration.Repository{
 		Store: &objectapi.Client{
 			BaseURL: store.URL,
 			HTTP:    httpclient.New(),
 		},
 	}
-	if _, err := keeper.Apply(t.Context(), state, 0); err != nil {
+	if _, err := repository.Apply(t.Context(), state, 0); err != nil {
 		t.Fatal(err)
 	}
 	f.start(t, store.URL)
--- a/cmd/internal/daemon/listeners.go
+++ b/cmd/internal/daemon/listeners.go
@@ -27,11 +27,11 @@
 		if l.peers, err = net.Listen("tcp", address); err != nil {
 			return err
 		}
-		var packets *net.UDPAddr
-		if packets, err = net.ResolveUDPAddr("udp", l.peers.Addr().String()); err != nil {
+		var udpAddress *net.UDPAddr
+		if udpAddress, err = net.ResolveUDPAddr("udp", l.peers.Addr().String()); err != nil {
 			return err
 		}
-		if l.packets, err = net.ListenUDP("udp", packets); err == nil {
+		if l.membershipUDP, err = net.ListenUDP("udp", udpAddress); err == nil {
 			return nil
 		}
 		_ = l.peers.Close()
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -32,16 +32,16 @@
 
 	listeners listeners
 
-	frontend    *frontend
-	platform    *objectapi.Client
-	follower    *configuration.Follower
-	viewer      *fleet.Viewer
-	coordinator *admission.Coordinator
-	node        *membership.Node
-	mesh        *peer.Mesh
-	claims      *claims.Claims
-	sharing     *configuration.Syncer
-	udp         *membership.UDP
+	frontend      *frontend
+	platform      *objectapi.Client
+	follower      *configuration.Follower
+	viewer        *fleet.Viewer
+	coordinator   *admission.Coordinator
+	node          *membership.Node
+	mesh          *peer.Mesh
+	claims        *claims.Claims
+	configSyncer  *configuration.Syncer
+	membershipUDP *membership.UDP
 	// crashTracker quarantines requests that crash backend servers; crashGossiper
 	// exchanges the crashes with the other routers.
 	crashTracker  *quarantine.Tracker
@@ -92,7 +92,7 @@
 // with the payload of TCP. Call it only after Started.
 func (r *Router) ControlBytes() int64 {
 	return r.platformSent.Load() + r.platformReceived.Load() + r.mesh.Sent.Load() + r.mesh.Received.Load() +
-		r.udp.Sent.Load() + r.udp.Received.Load()
+		r.membershipUDP.Sent.Load() + r.membershipUDP.Received.Load()
 }
 
 // Run serves until ctx ends, then drains: it hands over what the router owns and finishes the
@@ -117,7 +117,7 @@
 		tasks.Go(func() { task(background) })
 	}
 	tasks.Go(func() { failed <- r.mesh.Run(background) })
-	tasks.Go(func() { failed <- r.udp.Run(background) })
+	tasks.Go(func() { failed <- r.membershipUDP.Run(background) })
 	callers, operators := newServer(r.callersHandler()), newServer(r.operatorsHandler())
 	tasks.Go(func() { failed <- callers.Serve(r.listeners.callers) })
 	tasks.Go(func() { failed <- operators.Serve(r.listeners.operators) })
@@ -193,5 +193,5 @@
 type listeners struct {
 	callers, operators, peers net.Listener
 
-	packets *net.UDPConn
+	membershipUDP *net.UDPConn
 }
--- a/cmd/internal/daemon/tls.go
+++ b/cmd/internal/daemon/tls.go
@@ -38,7 +38,7 @@
 		return errors.Wrap(err, "tls.secret")
 	}
 	const minSecretBytes = 16
-	if r.udp.Secret = bytes.TrimSpace(secret); len(r.udp.Secret) < minSecretBytes {
+	if r.membershipUDP.Secret = bytes.TrimSpace(secret); len(r.membershipUDP.Secret) < minSecretBytes {
 		return errors.Errorf("tls.secret: %s holds fewer than %d bytes; fill it from openssl rand -hex 32",
 			settings.Secret, minSecretBytes)
 	}
--- a/cmd/internal/daemon/tls_test.go
+++ b/cmd/internal/daemon/tls_test.go
@@ -24,12 +24,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	folder := t.TempDir()
-	files, err := authority.Issue(folder, 2)
+	directory := t.TempDir()
+	files, err := authority.Issue(directory, 2)
 	if err != nil {
 		t.Fatal(err)
 	}
-	secret := filepath.Join(folder, "secret")
+	secret := filepath.Join(directory, "secret")
 	if err := os.WriteFile(secret, []byte(strings.Repeat("s", 32)), 0o600); err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/slipwick/apply/apply.go
+++ b/cmd/slipwick/apply/apply.go
@@ -14,7 +14,7 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-const help = `Replace the whole configuration by a file, or by all JSON files of a folder.
+const help = `Replace the whole configuration by a file, or by all JSON files of a directory.
 
 Either the whole configuration is accepted or nothing changes. If another
 operator has applied a change in the meantime, nothing is written and the exit
@@ -54,7 +54,7 @@
 	clause := cli.AddCommand(app.Command("apply", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
-	clause.Flag("file", "File or folder.").Short('f').Required().StringVar(&options.Path)
+	clause.Flag("file", "File or directory.").Short('f').Required().StringVar(&options.Path)
 	clause.Flag("dry-run", "Check the files and show the changes, but write nothing.").BoolVar(&options.DryRun)
 	clause.Flag("if-version", "Apply only if this version, as printed by get config, is still in force.").
 		Uint64Var(&options.IfVersion)
@@ -68,8 +68,8 @@
 	if err != nil {
 		return err
 	}
-	keeper := options.Factory.Keeper()
-	current, version, err := keeper.Current(ctx)
+	repository := options.Factory.Keeper()
+	current, version, err := repository.Current(ctx)
 	if err != nil {
 		return err
 	}
@@ -78,8 +78,8 @@
 		Changes: configuration.Diff(&current, &state),
 	}
 	if !options.DryRun && len(outcome.Changes) > 0 {
-		if outcome.Version, err = write(ctx, options, keeper, &state, version); err != nil {
-			return explainConflict(ctx, keeper, &state, err)
+		if outcome.Version, err = write(ctx, options, repository, &state, version); err != nil {
+			return explainConflict(ctx, repository, &state, err)
 		}
 		outcome.Written = true
 	}
@@ -94,7 +94,7 @@
 // write replaces the configuration in force and returns the new version. It fails with
 // slipwick.KindConflict if another version is in force than --if-version names.
 func write(
-	ctx context.Context, options *Options, keeper *configuration.Repository,
+	ctx context.Context, options *Options, repository *configuration.Repository,
 	state *configuration.State, version slipwick.Version,
 ) (slipwick.Version, error) {
 	if options.IfVersion > 0 && slipwick.Version(options.IfVersion) != version {
@@ -104,18 +104,18 @@
 			Remedy:  "read the version in force with slipwick get config",
 		}
 	}
-	return keeper.Apply(ctx, state, version)
+	return repository.Apply(ctx, state, version)
 }
 
 // explainConflict adds to a conflict how the files differ from the version that another operator has
 // applied. Other errors are returned unchanged.
 func explainConflict(
-	ctx context.Context, keeper *configuration.Repository, state *configuration.State, err error,
+	ctx context.Context, repository *configuration.Repository, state *configuration.State, err error,
 ) error {
 	if !slipwick.IsKind(err, slipwick.KindConflict) {
 		return err
 	}
-	applied, version, readErr := keeper.Current(ctx)
+	applied, version, readErr := repository.Current(ctx)
 	if readErr != nil {
 		return err
 	}
--- a/cmd/slipwickd/slipwickd_test.go
+++ b/cmd/slipwickd/slipwickd_test.go
@@ -82,13 +82,13 @@
 			DataCentre: "dc",
 		})
 	}
-	keeper := &configuration.Repository{
+	repository := &configuration.Repository{
 		Store: &objectapi.Client{
 			BaseURL: server.URL,
 			HTTP:    httpclient.New(),
 		},
 	}
-	_, err := keeper.Apply(t.Context(), &configuration.State{
+	_, err := repository.Apply(t.Context(), &configuration.State{
 		Workspaces: []configuration.Workspace{
 			{
 				Name:      "w",
