--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -21,7 +21,7 @@
 	p.metrics = newMetrics()
 	p.observer = newObserver(p.Log, p.metrics, s.Headers.RequestID)
 	p.seeds.Store(&s.Seeds)
-	p.grace.Store(int64(s.Grace))
+	p.gracePeriod.Store(int64(s.Grace))
 	p.bounds.Store(&s.Bounds)
 	p.balancer = p.newBalancer()
 	p.client = &upstream.Client{}
@@ -68,7 +68,7 @@
 	p.node = membership.NewNode(self, p.membershipUDP, membership.DefaultPolicy(), random)
 	p.node.CatchUp = true
 	p.membershipUDP.OnReceive = p.node.Receive
-	p.node.OnChange = p.onMembers
+	p.node.OnChange = p.onMembershipChange
 	p.peers = &peers{
 		self: self,
 		node: p.node,
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -21,7 +21,7 @@
 	// Seeds are the addresses (FileListen.Peers) of other gateways.
 	Seeds []string `json:"seeds" validate:"dive,hostname_port"`
 	// Table is the file with routes, pools and workspaces; a relative path is
-	// relative to the folder of the settings file.
+	// relative to the directory of the settings file.
 	Table   string      `json:"table" validate:"required"`
 	Retries FileRetries `json:"retries"`
 	Bounds  FileBounds  `json:"bounds"`
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -26,7 +26,7 @@
 )
 
 // sharedFeed returns the feed that follows the store itself or another router, as this router's
-// place in the relay tree says. A private feed is followed directly.
+// position in the relay tree says. A private feed is followed directly.
 func (p *Process) sharedFeed(name string, store slipwick.Feed, timing directory.Timing) slipwick.Feed {
 	if p.Feeds.Private {
 		return store
@@ -152,8 +152,8 @@
 	p.backendsListed.Store(true)
 }
 
-// onMembers logs routers that died, and applies the new number and list of routers.
-func (p *Process) onMembers(change membership.Change) {
+// onMembershipChange logs routers that died, and applies the new number and list of routers.
+func (p *Process) onMembershipChange(change membership.Change) {
 	for _, id := range change.Died {
 		events.RouterDied.On(&p.Log).Str("died", id).Send()
 	}
@@ -208,16 +208,16 @@
 		p.node.FinishCatchUp()
 	}
 	first := rand.IntN(math.MaxInt16)
-	for tries := 0; ; tries++ {
+	for attempts := 0; ; attempts++ {
 		seeds := *p.seeds.Load()
 		alone := len(p.node.Routers()) == 1
-		early := tries < joinsPerSeed*len(seeds)
+		early := attempts < joinsPerSeed*len(seeds)
 		if len(seeds) > 0 && (alone || early) {
-			p.node.Join(seeds[(first+tries)%len(seeds)])
+			p.node.Join(seeds[(first+attempts)%len(seeds)])
 		}
 		pause := joinInterval
 		switch {
-		case alone && tries < fastJoins:
+		case alone && attempts < fastJoins:
 			pause = fastJoinInterval
 		case early:
 			pause = seedJoinInterval
@@ -258,7 +258,7 @@
 		return
 	}
 	p.seeds.Store(&settings.Seeds)
-	p.grace.Store(int64(settings.Grace))
+	p.gracePeriod.Store(int64(settings.Grace))
 	bounds := settings.Bounds.orDefaults()
 	p.balancer.SetLoadBound(bounds.LoadFactor, bounds.LoadSlack)
 	p.bounds.Store(&bounds)
--- a/cmd/internal/gatewayd/gateway.go
+++ b/cmd/internal/gatewayd/gateway.go
@@ -98,11 +98,11 @@
 	ready, cachesKnown chan struct{}
 
 	draining atomic.Bool
-	// seeds, grace and bounds are from the settings read last.
-	seeds  atomic.Pointer[[]string]
-	grace  atomic.Int64
-	bounds atomic.Pointer[Bounds]
-	done   chan struct{}
+	// seeds, gracePeriod and bounds are from the settings read last.
+	seeds       atomic.Pointer[[]string]
+	gracePeriod atomic.Int64
+	bounds      atomic.Pointer[Bounds]
+	done        chan struct{}
 }
 
 // New returns a process with the settings and feeds; Run starts it.
@@ -141,17 +141,17 @@
 	}
 	p.assemble(open)
 	background, stop := context.WithCancel(context.WithoutCancel(ctx))
-	var parts sync.WaitGroup
+	var tasks sync.WaitGroup
 	failed := make(chan error, 7)
-	for _, part := range []func(context.Context){
+	for _, task := range []func(context.Context){
 		p.followTables, p.followBackends, p.followEvacuations, p.followRollouts,
 		p.node.Run, p.setFirstRouters, p.join, p.syncer.Run,
 		p.gossiper.Run, p.recoverCacheIndex, p.watchSettings, p.watchSuspension,
 	} {
-		parts.Go(func() { part(background) })
+		tasks.Go(func() { task(background) })
 	}
-	parts.Go(func() { failed <- p.membershipUDP.Run(background) })
-	parts.Go(func() { failed <- p.exchangeUDP.Run(background) })
+	tasks.Go(func() { failed <- p.membershipUDP.Run(background) })
+	tasks.Go(func() { failed <- p.exchangeUDP.Run(background) })
 	callers := newServer(p.gateway)
 	callers.ConnState = trackConnState
 	servers := []*http.Server{callers, newServer(p.readinessHandler()), newServer(p.peerHandler())}
@@ -165,10 +165,10 @@
 		open.peers,
 	}
 	if open.metrics != nil {
-		servers, listeners = append(servers, newServer(p.operatorHandler())), append(listeners, open.metrics)
+		servers, listeners = append(servers, newServer(p.operatorsHandler())), append(listeners, open.metrics)
 	}
 	for i, server := range servers {
-		parts.Go(func() { failed <- server.Serve(listeners[i]) })
+		tasks.Go(func() { failed <- server.Serve(listeners[i]) })
 	}
 	events.RouterStarted.On(&p.Log).Str("callers", open.callers.Addr().String()).Send()
 	select {
@@ -184,7 +184,7 @@
 	p.node.Stop()
 	stop()
 	p.client.Close()
-	parts.Wait()
+	tasks.Wait()
 	return err
 }
 
@@ -205,7 +205,7 @@
 	p.draining.Store(true)
 	p.gateway.Drain()
 	p.node.Leave()
-	end := started.Add(time.Duration(p.grace.Load()) - graceMargin)
+	end := started.Add(time.Duration(p.gracePeriod.Load()) - graceMargin)
 	time.Sleep(clock.Until(earlier(end, started.Add(p.Settings.Bounds.announceTime()))))
 	p.gateway.StopAt(earlier(end, clock.Now().Add(lateRequestTime)))
 	for refusing := clock.Now(); clock.Now().Before(end); time.Sleep(drainCheckInterval) {
@@ -213,8 +213,8 @@
 			break
 		}
 	}
-	cut := p.gateway.InFlight()
-	events.DrainFinished.On(&p.Log).Int64("cut", cut).Bool("in_time", cut == 0).Send()
+	interrupted := p.gateway.InFlight()
+	events.DrainFinished.On(&p.Log).Int64("cut", interrupted).Bool("in_time", interrupted == 0).Send()
 }
 
 func earlier(a, b time.Time) time.Time {
--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -11,16 +11,16 @@
 	"github.com/slipwick/slipwick/membership"
 )
 
-// peers gives the feeds access to the other routers and to this router's place in the relay tree.
+// peers gives the feeds access to the other routers and to this router's position in the relay tree.
 type peers struct {
 	self slipwick.Router
 	node *membership.Node
 	http *http.Client
 
 	mu sync.Mutex
-	// place was computed for members, which is nil before the first computation.
-	place   fleet.RelayPosition
-	members []slipwick.Router
+	// position was computed for members, which is nil before the first computation.
+	position fleet.RelayPosition
+	members  []slipwick.Router
 }
 
 var _ directory.Peers = (*peers)(nil)
@@ -37,9 +37,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.members == nil || !slices.Equal(routers, p.members) {
-		p.place, p.members = fleet.FindRelayPosition(p.self, routers), routers
+		p.position, p.members = fleet.FindRelayPosition(p.self, routers), routers
 	}
-	return p.place
+	return p.position
 }
 
 // Others returns the IDs of all other live routers.
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -24,8 +24,8 @@
 	return tracker, gossiper
 }
 
-func (p *Process) onQuarantined(key quarantine.Key, ends int) {
-	events.RequestQuarantined.On(&p.Log).Stringer("key", key).Int("ends", ends).Send()
+func (p *Process) onQuarantined(key quarantine.Key, crashes int) {
+	events.RequestQuarantined.On(&p.Log).Stringer("key", key).Int("ends", crashes).Send()
 }
 
 func (p *Process) onReleased(key quarantine.Key) {
--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -63,8 +63,8 @@
 	return s
 }
 
-// operatorHandler returns the handler of metrics and status.
-func (p *Process) operatorHandler() http.Handler {
+// operatorsHandler returns the handler of metrics and status.
+func (p *Process) operatorsHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", p.metrics.handler())
 	mux.HandleFunc(StatusPath, func(w http.ResponseWriter, _ *http.Request) {
--- a/cmd/internal/gatewayd/status_test.go
+++ b/cmd/internal/gatewayd/status_test.go
@@ -9,7 +9,7 @@
 
 func readStatus(t *testing.T, r *testGateway) *Status {
 	t.Helper()
-	server := httptest.NewServer(r.operatorHandler())
+	server := httptest.NewServer(r.operatorsHandler())
 	defer server.Close()
 	response, err := http.Get(server.URL + StatusPath)
 	if err != nil {
--- a/cmd/internal/gatewayd/suspension.go
+++ b/cmd/internal/gatewayd/suspension.go
@@ -21,12 +21,12 @@
 	known := clock.Suspended()
 	for sleep(ctx, suspendCheckInterval) {
 		clock.DetectSuspension()
-		slept := clock.Suspended()
-		if slept == known {
+		suspended := clock.Suspended()
+		if suspended == known {
 			continue
 		}
-		events.BoxSuspended.On(&p.Log).Dur("slept_ms", slept-known).Send()
-		known = slept
+		events.BoxSuspended.On(&p.Log).Dur("slept_ms", suspended-known).Send()
+		known = suspended
 		if seeds := *p.seeds.Load(); len(seeds) > 0 {
 			p.node.Join(seeds[rand.IntN(len(seeds))])
 		}
