--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -98,7 +98,7 @@
 		Number:  206,
 		Name:    "request-quarantined",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The request that the field key identifies crashed ends backend servers; it is refused from now on.",
+		Meaning: "The request with this key crashed backend servers (ends is their number) and is refused from now on.",
 		Remedy:  "Find the caller by lines of event 204 with the same key; have the engine fixed that this request crashes.",
 	}
 	RequestReleased = Event{
