--- a/cmd/internal/cli/factory.go
+++ b/cmd/internal/cli/factory.go
@@ -32,8 +32,8 @@
 		Envar("SLIPWICK_ROUTERS").StringsVar(&f.Routers)
 }
 
-// Keeper returns access to the configuration that the platform stores.
-func (f *Factory) Keeper() *configuration.Repository {
+// Repository returns access to the configuration that the platform stores.
+func (f *Factory) Repository() *configuration.Repository {
 	return &configuration.Repository{
 		Store: f.Store(),
 	}
--- a/cmd/slipwick/apply/apply.go
+++ b/cmd/slipwick/apply/apply.go
@@ -68,7 +68,7 @@
 	if err != nil {
 		return err
 	}
-	repository := options.Factory.Keeper()
+	repository := options.Factory.Repository()
 	current, version, err := repository.Current(ctx)
 	if err != nil {
 		return err
--- a/cmd/slipwick/diff/diff.go
+++ b/cmd/slipwick/diff/diff.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return err
 	}
-	current, _, err := options.Factory.Keeper().Current(ctx)
+	current, _, err := options.Factory.Repository().Current(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/slipwick/get/config/config.go
+++ b/cmd/slipwick/get/config/config.go
@@ -34,7 +34,7 @@
 }
 
 func run(ctx context.Context, options *Options) error {
-	state, version, err := options.Factory.Keeper().Current(ctx)
+	state, version, err := options.Factory.Repository().Current(ctx)
 	if err != nil {
 		return err
 	}
--- a/cmd/slipwick/report/burn/burn.go
+++ b/cmd/slipwick/report/burn/burn.go
@@ -50,7 +50,7 @@
 }
 
 func run(ctx context.Context, options *Options) error {
-	state, _, err := options.Factory.Keeper().Current(ctx)
+	state, _, err := options.Factory.Repository().Current(ctx)
 	if err != nil {
 		return err
 	}
