--- a/chatrequest.go
+++ b/chatrequest.go
@@ -7,9 +7,9 @@
 	Workspace string
 	Chat      string
 	Priority  int
-	// Key is the caller's idempotency key, for engines that check keys; empty if the
+	// IdempotencyKey is the caller's idempotency key, for engines that check keys; empty if the
 	// caller sent none.
-	Key string
+	IdempotencyKey string
 	// Body is the OpenAI-style JSON body with streaming enabled.
 	Body []byte
 }
--- a/cmd/internal/daemon/chathandler.go
+++ b/cmd/internal/daemon/chathandler.go
@@ -86,7 +86,7 @@
 		Workspace: cr.workspace.Name,
 		Chat:      parsed.Identity(header.Get(chat.IdentityHeader)),
 		Priority:  cr.workspace.Priority,
-		Key:       header.Get(idempotencyKeyHeader),
+		IdempotencyKey:       header.Get(idempotencyKeyHeader),
 		Body:      bytes.Clone(body),
 	}, parsed, nil
 }
--- a/engine/client.go
+++ b/engine/client.go
@@ -45,8 +45,8 @@
 	call.Header.Set(RequestHeader, request.ID)
 	call.Header.Set(PriorityHeader, strconv.Itoa(request.Priority))
 	call.Header.Set(ChatHeader, request.Chat)
-	if request.Key != "" {
-		call.Header.Set(KeyHeader, request.Key)
+	if request.IdempotencyKey != "" {
+		call.Header.Set(KeyHeader, request.IdempotencyKey)
 	}
 	return c.stream(call)
 }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -38,7 +38,7 @@
 	send := func() error {
 		_, err := client.Stream(t.Context(), slipwick.ChatRequest{
 			ID:   "r",
-			Key:  "the-key",
+			IdempotencyKey:  "the-key",
 			Body: []byte("{}"),
 		})
 		return err
