--- a/backend.go
+++ b/backend.go
@@ -14,8 +14,8 @@
 	Weight uint32 `json:"weight" validate:"max=1000"`
 	// Slots is the maximum number of requests in flight; 0 means DefaultSlots.
 	Slots int `json:"slots" validate:"min=0,max=100000"`
-	// ChecksKeys is true if the server rejects idempotency keys that it has seen before.
-	ChecksKeys bool `json:"checks_keys"`
+	// ChecksIdempotencyKeys is true if the server rejects idempotency keys that it has seen before.
+	ChecksIdempotencyKeys bool `json:"checks_keys"`
 	// StartTime is when this incarnation started, in Unix milliseconds, as reported by the
 	// server; 0 if it reports none. A server that ended may restart under the same ID.
 	StartTime int64 `json:"-"`
--- a/cmd/internal/daemon/keyclaim.go
+++ b/cmd/internal/daemon/keyclaim.go
@@ -46,7 +46,7 @@
 func allServersCheckKeys(pools []configuration.Pool) bool {
 	for _, pool := range pools {
 		for _, backend := range pool.Backends {
-			if !backend.ChecksKeys {
+			if !backend.ChecksIdempotencyKeys {
 				return false
 			}
 		}
