--- a/engine/client.go
+++ b/engine/client.go
@@ -46,7 +46,7 @@
 	call.Header.Set(PriorityHeader, strconv.Itoa(request.Priority))
 	call.Header.Set(ChatHeader, request.Chat)
 	if request.IdempotencyKey != "" {
-		call.Header.Set(KeyHeader, request.IdempotencyKey)
+		call.Header.Set(IdempotencyKeyHeader, request.IdempotencyKey)
 	}
 	return c.stream(call)
 }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -22,7 +22,7 @@
 			t.Error(err)
 		}
 		received.Add(1)
-		if got := r.Header.Get(KeyHeader); got != "the-key" {
+		if got := r.Header.Get(IdempotencyKeyHeader); got != "the-key" {
 			t.Errorf("got key %q, want the-key", got)
 		}
 		if drop.Load() {
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -18,8 +18,8 @@
 	PriorityHeader = "X-Priority"
 	// ChatHeader carries the chat's identity, a hint for the engine's cache.
 	ChatHeader = "X-Chat"
-	// KeyHeader carries the caller's idempotency key, if the caller sent one.
-	KeyHeader = "Idempotency-Key"
+	// IdempotencyKeyHeader carries the caller's idempotency key, if the caller sent one.
+	IdempotencyKeyHeader = "Idempotency-Key"
 	// NotRunHeader on an error response says that the request was not run.
 	NotRunHeader = "X-Not-Run"
 	// LeavingHeader says that the engine has begun a planned stop.
