--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -145,7 +145,7 @@
 			ColdFactor:     s.Bounds.ColdOverage,
 			ColdSlack:      s.Bounds.ColdSlack,
 			Heartbeat:      s.Heartbeat(),
-			ReadyInterval:  platform.ReadyEvery,
+			ReadyInterval:  platform.ReadyInterval,
 		},
 		FirstStart:  s.Bootstrap,
 		Grace:       s.GracePeriod(),
