--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -56,9 +56,9 @@
 	// load of its pool, plus LoadSlack requests.
 	LoadFactor float64 `json:"load_factor" validate:"omitempty,gte=1,lte=10"`
 	LoadSlack  float64 `json:"load_slack" validate:"omitempty,gte=1,lte=100"`
-	// Apply bounds the time until a configuration is in force everywhere,
+	// ApplyTime bounds the time until a configuration is in force everywhere,
 	// Leave that until a leaving backend server gets no new requests.
-	Apply jsonfile.Duration `json:"apply" validate:"min=0"`
+	ApplyTime jsonfile.Duration `json:"apply" validate:"min=0"`
 	Leave jsonfile.Duration `json:"leave" validate:"min=0"`
 	// Evacuate bounds the time until the backend servers of an evacuated data
 	// centre get no new requests.
@@ -144,7 +144,7 @@
 		Bounds: Bounds{
 			LoadFactor:     f.Bounds.LoadFactor,
 			LoadSlack:      f.Bounds.LoadSlack,
-			ApplyTime:      f.Bounds.Apply.Or(0),
+			ApplyTime:      f.Bounds.ApplyTime.Or(0),
 			LeaveTime:      f.Bounds.Leave.Or(0),
 			EvacuationTime: f.Bounds.Evacuate.Or(defaultEvacuationTime),
 			ColdFactor:     f.Bounds.ColdFactor,
