--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -59,7 +59,7 @@
 	// ApplyTime bounds the time until a configuration is in force everywhere,
 	// Leave that until a leaving backend server gets no new requests.
 	ApplyTime jsonfile.Duration `json:"apply" validate:"min=0"`
-	Leave jsonfile.Duration `json:"leave" validate:"min=0"`
+	LeaveTime jsonfile.Duration `json:"leave" validate:"min=0"`
 	// Evacuate bounds the time until the backend servers of an evacuated data
 	// centre get no new requests.
 	Evacuate jsonfile.Duration `json:"evacuate" validate:"min=0"`
@@ -145,7 +145,7 @@
 			LoadFactor:     f.Bounds.LoadFactor,
 			LoadSlack:      f.Bounds.LoadSlack,
 			ApplyTime:      f.Bounds.ApplyTime.Or(0),
-			LeaveTime:      f.Bounds.Leave.Or(0),
+			LeaveTime:      f.Bounds.LeaveTime.Or(0),
 			EvacuationTime: f.Bounds.Evacuate.Or(defaultEvacuationTime),
 			ColdFactor:     f.Bounds.ColdFactor,
 			ColdSlack:      f.Bounds.ColdSlack,
