--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -60,9 +60,9 @@
 	// Leave that until a leaving backend server gets no new requests.
 	ApplyTime jsonfile.Duration `json:"apply" validate:"min=0"`
 	LeaveTime jsonfile.Duration `json:"leave" validate:"min=0"`
-	// Evacuate bounds the time until the backend servers of an evacuated data
+	// EvacuationTime bounds the time until the backend servers of an evacuated data
 	// centre get no new requests.
-	Evacuate jsonfile.Duration `json:"evacuate" validate:"min=0"`
+	EvacuationTime jsonfile.Duration `json:"evacuate" validate:"min=0"`
 	// ColdFactor and ColdSlack bound the requests that a cold backend server gets in any
 	// second: ColdFactor times the rate that its pool allows for one, plus ColdSlack.
 	ColdFactor float64 `json:"cold_factor" validate:"omitempty,gte=1,lte=10"`
@@ -146,7 +146,7 @@
 			LoadSlack:      f.Bounds.LoadSlack,
 			ApplyTime:      f.Bounds.ApplyTime.Or(0),
 			LeaveTime:      f.Bounds.LeaveTime.Or(0),
-			EvacuationTime: f.Bounds.Evacuate.Or(defaultEvacuationTime),
+			EvacuationTime: f.Bounds.EvacuationTime.Or(defaultEvacuationTime),
 			ColdFactor:     f.Bounds.ColdFactor,
 			ColdSlack:      f.Bounds.ColdSlack,
 			Heartbeat:      f.Bounds.Heartbeat.Or(0),
