--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -70,7 +70,7 @@
 	// Heartbeat is the interval at which backend servers renew their entries, ReadyEvery
 	// the interval at which the load balancer probes readiness.
 	Heartbeat  jsonfile.Duration `json:"heartbeat" validate:"min=0"`
-	ReadyEvery jsonfile.Duration `json:"ready_every" validate:"min=0"`
+	ReadyInterval jsonfile.Duration `json:"ready_every" validate:"min=0"`
 }
 
 // Defaults of FileSettings: a fifth of the requests may be retried within ten seconds, and
@@ -150,7 +150,7 @@
 			ColdFactor:     f.Bounds.ColdFactor,
 			ColdSlack:      f.Bounds.ColdSlack,
 			Heartbeat:      f.Bounds.Heartbeat.Or(0),
-			ReadyInterval:  f.Bounds.ReadyEvery.Or(0),
+			ReadyInterval:  f.Bounds.ReadyInterval.Or(0),
 		},
 		Grace:       f.Grace.Or(defaultGrace),
 		MemoryBytes: f.MemoryMB << 20,
