--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -25,8 +25,8 @@
 	Table   string      `json:"table" validate:"required"`
 	Retries FileRetries `json:"retries"`
 	Bounds  FileBounds  `json:"bounds"`
-	// Grace bounds the time from the stop signal to the end of the process.
-	Grace jsonfile.Duration `json:"grace" validate:"min=0"`
+	// GracePeriod bounds the time from the stop signal to the end of the process.
+	GracePeriod jsonfile.Duration `json:"grace" validate:"min=0"`
 	// MemoryMB limits the process' memory, in MiB; 0 sets no limit.
 	MemoryMB int64 `json:"memory_mb" validate:"min=0"`
 }
@@ -152,7 +152,7 @@
 			Heartbeat:      f.Bounds.Heartbeat.Or(0),
 			ReadyInterval:  f.Bounds.ReadyInterval.Or(0),
 		},
-		Grace:       f.Grace.Or(defaultGrace),
+		Grace:       f.GracePeriod.Or(defaultGrace),
 		MemoryBytes: f.MemoryMB << 20,
 	}
 	if f.Retries == (FileRetries{}) {
