--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -21,7 +21,7 @@
 	p.metrics = newMetrics()
 	p.observer = newObserver(p.Log, p.metrics, s.Headers.RequestID)
 	p.seeds.Store(&s.Seeds)
-	p.gracePeriod.Store(int64(s.Grace))
+	p.gracePeriod.Store(int64(s.GracePeriod))
 	p.bounds.Store(&s.Bounds)
 	p.balancer = p.newBalancer()
 	p.client = &upstream.Client{}
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -152,7 +152,7 @@
 			Heartbeat:      f.Bounds.Heartbeat.Or(0),
 			ReadyInterval:  f.Bounds.ReadyInterval.Or(0),
 		},
-		Grace:       f.GracePeriod.Or(defaultGrace),
+		GracePeriod:       f.GracePeriod.Or(defaultGrace),
 		MemoryBytes: f.MemoryMB << 20,
 	}
 	if f.Retries == (FileRetries{}) {
--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -205,7 +205,7 @@
 		Bounds: Bounds{
 			EvacuationTime: f.evacuationTime,
 		},
-		Grace: 6 * time.Second,
+		GracePeriod: 6 * time.Second,
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	r := &testGateway{
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -258,13 +258,13 @@
 		return
 	}
 	p.seeds.Store(&settings.Seeds)
-	p.gracePeriod.Store(int64(settings.Grace))
+	p.gracePeriod.Store(int64(settings.GracePeriod))
 	bounds := settings.Bounds.orDefaults()
 	p.balancer.SetLoadBound(bounds.LoadFactor, bounds.LoadSlack)
 	p.bounds.Store(&bounds)
 	p.setColdLimits()
 	p.gateway.Budget.SetLimit(settings.Retries.Ratio, settings.Retries.Extra)
-	events.SettingsReloaded.On(&p.Log).Int("seeds", len(settings.Seeds)).Dur("grace_ms", settings.Grace).
+	events.SettingsReloaded.On(&p.Log).Int("seeds", len(settings.Seeds)).Dur("grace_ms", settings.GracePeriod).
 		Float64("load_factor", bounds.LoadFactor).Float64("retry_ratio", settings.Retries.Ratio).
 		Float64("retry_extra", settings.Retries.Extra).Send()
 }
--- a/cmd/internal/gatewayd/gateway_test.go
+++ b/cmd/internal/gatewayd/gateway_test.go
@@ -86,8 +86,8 @@
 		t.Errorf("request in progress: got %d %v, want 200", got.status, got.err)
 	}
 	<-r.Done()
-	if took := time.Since(stopped); took > r.Settings.Grace {
-		t.Errorf("got the end after %v, want it within %v", took, r.Settings.Grace)
+	if took := time.Since(stopped); took > r.Settings.GracePeriod {
+		t.Errorf("got the end after %v, want it within %v", took, r.Settings.GracePeriod)
 	}
 }
 
--- a/cmd/internal/gatewayd/settings.go
+++ b/cmd/internal/gatewayd/settings.go
@@ -26,8 +26,8 @@
 	// FirstStart says that the whole fleet starts for the first time, so that
 	// engines have no prompts cached for it.
 	FirstStart bool
-	// Grace bounds the time from SIGTERM to the end of the process.
-	Grace time.Duration
+	// GracePeriod bounds the time from SIGTERM to the end of the process.
+	GracePeriod time.Duration
 	// MemoryBytes limits the process' memory; 0 sets no limit.
 	MemoryBytes int64
 }
