--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -26,7 +26,7 @@
 type Limits struct {
 	HeaderBytes int64             `json:"header_bytes" validate:"min=0"`
 	BodyBytes   int64             `json:"body_bytes" validate:"min=0"`
-	Idle        jsonfile.Duration `json:"idle" validate:"min=0"`
+	IdleTimeout        jsonfile.Duration `json:"idle" validate:"min=0"`
 }
 
 // Route is the file's form of routing.Route.
@@ -154,7 +154,7 @@
 	return routing.NewTable(f.Version, routing.Limits{
 		HeaderBytes: f.Limits.HeaderBytes,
 		BodyBytes:   f.Limits.BodyBytes,
-		IdleTimeout: time.Duration(f.Limits.Idle),
+		IdleTimeout: time.Duration(f.Limits.IdleTimeout),
 	}, pools, routes, workspaces)
 }
 
