--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -36,7 +36,7 @@
 	Prefix      string            `json:"prefix" validate:"required,startswith=/,endswith=/"`
 	Kind        string            `json:"kind" validate:"oneof=repeatable single stream"`
 	Timeout     jsonfile.Duration `json:"timeout" validate:"min=0"`
-	Objective   jsonfile.Duration `json:"objective" validate:"min=0"`
+	ResponseObjective   jsonfile.Duration `json:"objective" validate:"min=0"`
 	Pause       jsonfile.Duration `json:"pause" validate:"min=0"`
 	Priority    int               `json:"priority" validate:"min=0,max=9"`
 	MaxAttempts int               `json:"max_attempts" validate:"min=0"`
@@ -172,7 +172,7 @@
 		Prefix:            r.Prefix,
 		Kind:              routing.Kind(r.Kind),
 		Timeout:           time.Duration(r.Timeout),
-		ResponseObjective: time.Duration(r.Objective),
+		ResponseObjective: time.Duration(r.ResponseObjective),
 		PauseObjective:    time.Duration(r.Pause),
 		Priority:          r.Priority,
 		MaxAttempts:       max(r.MaxAttempts, 1),
