--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -40,7 +40,7 @@
 	PauseObjective       jsonfile.Duration `json:"pause" validate:"min=0"`
 	Priority    int               `json:"priority" validate:"min=0,max=9"`
 	MaxAttempts int               `json:"max_attempts" validate:"min=0"`
-	Anonymous   bool              `json:"anonymous"`
+	AllowAnonymous   bool              `json:"anonymous"`
 	Affinity    bool              `json:"affinity"`
 	Resumable   bool              `json:"resumable"`
 	Regions     []string          `json:"regions" validate:"dive,required"`
@@ -176,7 +176,7 @@
 		PauseObjective:    time.Duration(r.PauseObjective),
 		Priority:          r.Priority,
 		MaxAttempts:       max(r.MaxAttempts, 1),
-		AllowAnonymous:    r.Anonymous,
+		AllowAnonymous:    r.AllowAnonymous,
 		Affinity:          r.Affinity,
 		Resumable:         r.Resumable,
 		Regions:           r.Regions,
