--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -60,7 +60,7 @@
 	// Engine says that the backend servers cache prompts, Fetches that they can
 	// fetch cached prompts from each other.
 	Engine  bool `json:"engine"`
-	Fetches bool `json:"fetches"`
+	CanFetchPrompts bool `json:"fetches"`
 	// Cold is left out if the backend servers can serve as much right after a start
 	// as later.
 	Cold     *Cold              `json:"cold"`
@@ -131,7 +131,7 @@
 		}
 		if f.Pools[i].Engine {
 			pool.Engine = &routing.Engine{
-				CanFetchPrompts: f.Pools[i].Fetches,
+				CanFetchPrompts: f.Pools[i].CanFetchPrompts,
 			}
 		}
 		if cold := f.Pools[i].Cold; cold != nil {
