--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -69,7 +69,7 @@
 
 // Cold is the file's form of routing.Cold.
 type Cold struct {
-	PerSecond float64           `json:"per_second" validate:"gt=0"`
+	RequestsPerSecond float64           `json:"per_second" validate:"gt=0"`
 	Time      jsonfile.Duration `json:"time" validate:"min=0"`
 }
 
@@ -136,7 +136,7 @@
 		}
 		if cold := f.Pools[i].Cold; cold != nil {
 			pool.Cold = &routing.Cold{
-				RequestsPerSecond: cold.PerSecond,
+				RequestsPerSecond: cold.RequestsPerSecond,
 				Duration:          time.Duration(cold.Time),
 			}
 		}
