--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -70,7 +70,7 @@
 // Cold is the file's form of routing.Cold.
 type Cold struct {
 	RequestsPerSecond float64           `json:"per_second" validate:"gt=0"`
-	Time      jsonfile.Duration `json:"time" validate:"min=0"`
+	Duration      jsonfile.Duration `json:"time" validate:"min=0"`
 }
 
 // Workspace is the file's form of routing.Workspace.
@@ -137,7 +137,7 @@
 		if cold := f.Pools[i].Cold; cold != nil {
 			pool.Cold = &routing.Cold{
 				RequestsPerSecond: cold.RequestsPerSecond,
-				Duration:          time.Duration(cold.Time),
+				Duration:          time.Duration(cold.Duration),
 			}
 		}
 		pools = append(pools, pool)
