--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -129,7 +129,7 @@
 		Meaning: "A feed is followed again, from the store or through another router, after calls had failed.",
 		Remedy:  "None; timeline and revision identify the state of the store, hops is the number of routers in between.",
 	}
-	StoreFellBack = Event{
+	StoreRestored = Event{
 		Number: 304,
 		Name:   "store-fell-back",
 		Level:  zerolog.WarnLevel,
@@ -246,7 +246,7 @@
 		ConfigurationInForce,
 		PlatformCallFailed,
 		StoreRegained,
-		StoreFellBack,
+		StoreRestored,
 		BackendLeaving,
 		BackendEjected,
 		BackendRestored,
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -116,7 +116,7 @@
 
 // storeRestored logs and counts that the store was restored from a backup.
 func (m *feedMonitor) storeRestored(known slipwick.Position, batch *slipwick.FeedBatch) {
-	events.StoreFellBack.On(&m.process.Log).Str("feed", m.feed).
+	events.StoreRestored.On(&m.process.Log).Str("feed", m.feed).
 		Uint64("from_timeline", known.Timeline).Uint64("from_revision", known.Revision).
 		Uint64("timeline", batch.Timeline).Uint64("revision", batch.Revision).
 		Dur("steady_ms", batch.StableFor).Int("hops", batch.Hops).Send()
