--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -31,7 +31,7 @@
 		Meaning: "The router has stopped; the field cut is the number of requests that it interrupted.",
 		Remedy:  "If cut is above 0, raise limits.drain.",
 	}
-	HomesLearnt = Event{
+	CachesKnown = Event{
 		Number:  105,
 		Name:    "homes-learnt",
 		Level:   zerolog.InfoLevel,
@@ -233,7 +233,7 @@
 		DrainStarted,
 		DrainFinished,
 		SettingsReloaded,
-		HomesLearnt,
+		CachesKnown,
 		SettingsRefused,
 		BoxSuspended,
 		RequestEnded,
--- a/cmd/internal/gatewayd/cacheindex.go
+++ b/cmd/internal/gatewayd/cacheindex.go
@@ -42,7 +42,7 @@
 	}
 	started := time.Now()
 	p.recovery.Run(ctx)
-	events.HomesLearnt.On(&p.Log).Int("known", p.balancer.CachedPartCount()).Int("missing", p.recovery.MissingCount()).
+	events.CachesKnown.On(&p.Log).Int("known", p.balancer.CachedPartCount()).Int("missing", p.recovery.MissingCount()).
 		Int("routers", len(p.node.Routers())).Dur("took_ms", time.Since(started)).Send()
 }
 
