--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -122,7 +122,7 @@
 		Meaning: "The platform gave no usable response. The router continues with the data that it has and retries.",
 		Remedy:  "Check the platform's address and health.",
 	}
-	StoreRegained = Event{
+	FeedRecovered = Event{
 		Number:  303,
 		Name:    "store-regained",
 		Level:   zerolog.InfoLevel,
@@ -245,7 +245,7 @@
 		RequestReleased,
 		ConfigurationInForce,
 		PlatformCallFailed,
-		StoreRegained,
+		FeedRecovered,
 		StoreRestored,
 		BackendLeaving,
 		BackendEjected,
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -128,7 +128,7 @@
 	if m.failingSince.IsZero() {
 		return
 	}
-	events.StoreRegained.On(&m.process.Log).Str("feed", m.feed).Dur("lost_ms", clock.Since(m.failingSince)).
+	events.FeedRecovered.On(&m.process.Log).Str("feed", m.feed).Dur("lost_ms", clock.Since(m.failingSince)).
 		Uint64("timeline", batch.Timeline).Uint64("revision", batch.Revision).Int("hops", batch.Hops).Send()
 	m.failingSince = time.Time{}
 }
