--- a/cmd/internal/daemon/chathandler.go
+++ b/cmd/internal/daemon/chathandler.go
@@ -82,12 +82,12 @@
 		}
 	}
 	return slipwick.ChatRequest{
-		ID:        cr.id,
-		Workspace: cr.workspace.Name,
-		Chat:      parsed.Identity(header.Get(chat.IdentityHeader)),
-		Priority:  cr.workspace.Priority,
-		IdempotencyKey:       header.Get(idempotencyKeyHeader),
-		Body:      bytes.Clone(body),
+		ID:             cr.id,
+		Workspace:      cr.workspace.Name,
+		Chat:           parsed.Identity(header.Get(chat.IdentityHeader)),
+		Priority:       cr.workspace.Priority,
+		IdempotencyKey: header.Get(idempotencyKeyHeader),
+		Body:           bytes.Clone(body),
 	}, parsed, nil
 }
 
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -57,7 +57,7 @@
 	LoadFactor float64 `json:"load_factor" validate:"omitempty,gte=1,lte=10"`
 	LoadSlack  float64 `json:"load_slack" validate:"omitempty,gte=1,lte=100"`
 	// ApplyTime bounds the time until a configuration is in force everywhere,
-	// Leave that until a leaving backend server gets no new requests.
+	// LeaveTime that until a leaving backend server gets no new requests.
 	ApplyTime jsonfile.Duration `json:"apply" validate:"min=0"`
 	LeaveTime jsonfile.Duration `json:"leave" validate:"min=0"`
 	// EvacuationTime bounds the time until the backend servers of an evacuated data
@@ -67,9 +67,9 @@
 	// second: ColdFactor times the rate that its pool allows for one, plus ColdSlack.
 	ColdFactor float64 `json:"cold_factor" validate:"omitempty,gte=1,lte=10"`
 	ColdSlack  float64 `json:"cold_slack" validate:"min=0,max=100"`
-	// Heartbeat is the interval at which backend servers renew their entries, ReadyEvery
-	// the interval at which the load balancer probes readiness.
-	Heartbeat  jsonfile.Duration `json:"heartbeat" validate:"min=0"`
+	// Heartbeat is the interval at which backend servers renew their entries,
+	// ReadyInterval the interval at which the load balancer probes readiness.
+	Heartbeat     jsonfile.Duration `json:"heartbeat" validate:"min=0"`
 	ReadyInterval jsonfile.Duration `json:"ready_every" validate:"min=0"`
 }
 
@@ -152,7 +152,7 @@
 			Heartbeat:      f.Bounds.Heartbeat.Or(0),
 			ReadyInterval:  f.Bounds.ReadyInterval.Or(0),
 		},
-		GracePeriod:       f.GracePeriod.Or(defaultGrace),
+		GracePeriod: f.GracePeriod.Or(defaultGrace),
 		MemoryBytes: f.MemoryMB << 20,
 	}
 	if f.Retries == (FileRetries{}) {
--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -148,7 +148,7 @@
 			ReadyInterval:  platform.ReadyInterval,
 		},
 		FirstStart:  s.Bootstrap,
-		GracePeriod:       s.GracePeriod(),
+		GracePeriod: s.GracePeriod(),
 		MemoryBytes: s.Limits.MemoryMB << 20,
 	}
 }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -37,9 +37,9 @@
 	}
 	send := func() error {
 		_, err := client.Stream(t.Context(), slipwick.ChatRequest{
-			ID:   "r",
-			IdempotencyKey:  "the-key",
-			Body: []byte("{}"),
+			ID:             "r",
+			IdempotencyKey: "the-key",
+			Body:           []byte("{}"),
 		})
 		return err
 	}
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -26,25 +26,25 @@
 type Limits struct {
 	HeaderBytes int64             `json:"header_bytes" validate:"min=0"`
 	BodyBytes   int64             `json:"body_bytes" validate:"min=0"`
-	IdleTimeout        jsonfile.Duration `json:"idle" validate:"min=0"`
+	IdleTimeout jsonfile.Duration `json:"idle" validate:"min=0"`
 }
 
 // Route is the file's form of routing.Route.
 type Route struct {
-	Name        string            `json:"name" validate:"required"`
-	Host        string            `json:"host" validate:"required"`
-	Prefix      string            `json:"prefix" validate:"required,startswith=/,endswith=/"`
-	Kind        string            `json:"kind" validate:"oneof=repeatable single stream"`
-	Timeout     jsonfile.Duration `json:"timeout" validate:"min=0"`
-	ResponseObjective   jsonfile.Duration `json:"objective" validate:"min=0"`
-	PauseObjective       jsonfile.Duration `json:"pause" validate:"min=0"`
-	Priority    int               `json:"priority" validate:"min=0,max=9"`
-	MaxAttempts int               `json:"max_attempts" validate:"min=0"`
-	AllowAnonymous   bool              `json:"anonymous"`
-	Affinity    bool              `json:"affinity"`
-	Resumable   bool              `json:"resumable"`
-	Regions     []string          `json:"regions" validate:"dive,required"`
-	Targets     []Target          `json:"targets" validate:"required,dive"`
+	Name              string            `json:"name" validate:"required"`
+	Host              string            `json:"host" validate:"required"`
+	Prefix            string            `json:"prefix" validate:"required,startswith=/,endswith=/"`
+	Kind              string            `json:"kind" validate:"oneof=repeatable single stream"`
+	Timeout           jsonfile.Duration `json:"timeout" validate:"min=0"`
+	ResponseObjective jsonfile.Duration `json:"objective" validate:"min=0"`
+	PauseObjective    jsonfile.Duration `json:"pause" validate:"min=0"`
+	Priority          int               `json:"priority" validate:"min=0,max=9"`
+	MaxAttempts       int               `json:"max_attempts" validate:"min=0"`
+	AllowAnonymous    bool              `json:"anonymous"`
+	Affinity          bool              `json:"affinity"`
+	Resumable         bool              `json:"resumable"`
+	Regions           []string          `json:"regions" validate:"dive,required"`
+	Targets           []Target          `json:"targets" validate:"required,dive"`
 }
 
 // Target is a pool's share of a route's requests. A weight that is left out counts as 1.
@@ -57,9 +57,9 @@
 type Pool struct {
 	Name           string `json:"name" validate:"required"`
 	MaxConnections int    `json:"max_connections" validate:"min=0"`
-	// Engine says that the backend servers cache prompts, Fetches that they can
-	// fetch cached prompts from each other.
-	Engine  bool `json:"engine"`
+	// Engine says that the backend servers cache prompts, CanFetchPrompts that
+	// they can fetch cached prompts from each other.
+	Engine          bool `json:"engine"`
 	CanFetchPrompts bool `json:"fetches"`
 	// Cold is left out if the backend servers can serve as much right after a start
 	// as later.
@@ -70,7 +70,7 @@
 // Cold is the file's form of routing.Cold.
 type Cold struct {
 	RequestsPerSecond float64           `json:"per_second" validate:"gt=0"`
-	Duration      jsonfile.Duration `json:"time" validate:"min=0"`
+	Duration          jsonfile.Duration `json:"time" validate:"min=0"`
 }
 
 // Workspace is the file's form of routing.Workspace.
