--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -194,7 +194,7 @@
 	return &slipwick.Error{
 		Kind:    slipwick.KindUnavailable,
 		Message: "no usable response from the platform",
-		Remedy:  "check the platform's address and health, then try again",
+		Remedy:  "check its address and health, then try again",
 		Cause:   cause,
 	}
 }
