--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -134,7 +134,7 @@
 		c := &changes[i]
 		known := r.following[c.Name]
 		switch {
-		case c.Gone:
+		case c.Removed:
 			delete(r.following, c.Name)
 		case c.Invalid:
 			// An order that can no longer be decoded keeps its last valid state.
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -212,7 +212,7 @@
 			// Requests that already run on that server go on.
 			delete(b.entries, c.Name)
 			delete(b.expired, c.Name)
-		case !c.Gone:
+		case !c.Removed:
 			b.checkEntryLocked(c.Name, &c.Value, isRestored)
 			c.Value.ColdUntil = clock.Now().Add(c.Value.ColdTime)
 			b.entries[c.Name] = c.Value
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -33,7 +33,7 @@
 func backendChange(id string, gone bool) Change[balance.Entry] {
 	return Change[balance.Entry]{
 		Name: id,
-		Gone: gone,
+		Removed: gone,
 		Value: balance.Entry{
 			Backend: slipwick.Backend{
 				ID: id,
--- a/directory/evacuations.go
+++ b/directory/evacuations.go
@@ -70,11 +70,11 @@
 		if c.Invalid {
 			continue
 		}
-		if dataCentre, ok := e.listed[c.Name]; ok && c.Gone && clock.Now().Before(e.graceUntil) {
+		if dataCentre, ok := e.listed[c.Name]; ok && c.Removed && clock.Now().Before(e.graceUntil) {
 			e.retained[c.Name] = dataCentre
 		}
 		delete(e.listed, c.Name)
-		if !c.Gone {
+		if !c.Removed {
 			e.listed[c.Name] = c.Value
 			delete(e.retained, c.Name)
 		}
--- a/directory/evacuations_test.go
+++ b/directory/evacuations_test.go
@@ -25,7 +25,7 @@
 				{
 					Name:  name,
 					Value: "dc-" + name,
-					Gone:  gone,
+					Removed:  gone,
 				},
 			})
 		}
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -26,9 +26,9 @@
 // Change is one object that changed, decoded.
 type Change[T any] struct {
 	Name string
-	// Gone is true if the object was removed, Invalid if its value could not be decoded. Value
+	// Removed is true if the object was removed, Invalid if its value could not be decoded. Value
 	// is the zero value in both cases.
-	Gone, Invalid bool
+	Removed, Invalid bool
 	Value         T
 }
 
@@ -244,7 +244,7 @@
 	for _, e := range entries {
 		change := Change[T]{
 			Name: e.Name,
-			Gone: e.Removed,
+			Removed: e.Removed,
 		}
 		if !e.Removed {
 			var err error
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -32,7 +32,7 @@
 		for _, c := range changes {
 			switch {
 			case c.Invalid:
-			case c.Gone:
+			case c.Removed:
 				delete(have, c.Name)
 			default:
 				have[c.Name] = c.Value
