--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -36,7 +36,7 @@
 		Name:    "homes-learnt",
 		Level:   zerolog.InfoLevel,
 		Meaning: "A starting router knows which engines have cached which prompts; missing is the number of unknown engines.",
-		Remedy:  "None; prompts cached by missing engines are prefilled again, or found as they are used.",
+		Remedy:  "None; a prompt that a missing engine has cached is found when it is next used there, or prefilled again.",
 	}
 	SettingsReloaded = Event{
 		Number:  104,
@@ -98,8 +98,8 @@
 		Number:  206,
 		Name:    "request-quarantined",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The request with this key crashed backend servers (ends is their number) and is refused from now on.",
-		Remedy:  "Find the caller by lines of event 204 with the same key; have the engine fixed that this request crashes.",
+		Meaning: "The request with this key crashed several backend servers, `ends` times in all; it is refused from now on.",
+		Remedy:  "Find the caller in the lines of event 204 with the same key; report the crash to the maintainers of the engine.",
 	}
 	RequestReleased = Event{
 		Number:  207,
@@ -119,7 +119,7 @@
 		Number:  302,
 		Name:    "platform-call-failed",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The platform gave no usable response. The router continues with the data that it has and retries.",
+		Meaning: "A call to the platform failed or its response was invalid; the router retries and keeps the data that it has.",
 		Remedy:  "Check the platform's address and health.",
 	}
 	FeedRecovered = Event{
@@ -199,8 +199,8 @@
 		Number:  408,
 		Name:    "entry-refused",
 		Level:   zerolog.WarnLevel,
-		Meaning: "A store entry is invalid, by the field and rule in reason; if it is a backend server's, it is not used.",
-		Remedy:  "Find out who wrote the object in the field entry; it is used again once it is valid.",
+		Meaning: "A store entry is invalid; reason names the field and the rule. An invalid backend server is not used.",
+		Remedy:  "Find out who wrote the object that the field entry names; it is used again once it is valid.",
 	}
 	BackendNotice = Event{
 		Number: 409,
@@ -214,7 +214,7 @@
 		Number:  501,
 		Name:    "router-died",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The router in the field died does not respond to probes; what it owned has new owners.",
+		Meaning: "The router in the field died does not respond to probes; other routers now own what it owned.",
 		Remedy:  "None if its box was replaced; otherwise check the box and the network.",
 	}
 	BackendLeaving = Event{
