--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -31,7 +31,7 @@
 	return &Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Reason:     "stopping",
-		Message:    "this router stops; the request was not run, send it to another",
+		Message:    "this router is stopping; the request was not run, send it to another router",
 		RetryAfter: retryElsewhere,
 	}
 }
@@ -58,7 +58,7 @@
 	return &Refusal{
 		Status:     http.StatusUnauthorized,
 		Reason:     "no-key",
-		Message:    fmt.Sprintf("no workspace holds this key in version %d of the configuration", version),
+		Message:    fmt.Sprintf("no workspace has this key in version %d of the configuration", version),
 		RetryAfter: noRetry,
 	}
 }
@@ -67,7 +67,7 @@
 	return &Refusal{
 		Status:     http.StatusRequestHeaderFieldsTooLarge,
 		Reason:     "header-too-large",
-		Message:    fmt.Sprintf("the header is larger than %d bytes; send less", limit),
+		Message:    fmt.Sprintf("the request header is larger than %d bytes", limit),
 		RetryAfter: noRetry,
 	}
 }
@@ -76,7 +76,7 @@
 	return &Refusal{
 		Status:     http.StatusRequestEntityTooLarge,
 		Reason:     "body-too-large",
-		Message:    fmt.Sprintf("the body is larger than %d bytes; send less", limit),
+		Message:    fmt.Sprintf("the request body is larger than %d bytes", limit),
 		RetryAfter: noRetry,
 	}
 }
@@ -89,7 +89,7 @@
 	return &Refusal{
 		Status:     http.StatusRequestTimeout,
 		Reason:     "body-unread",
-		Message:    "the body broke off; the request was not run, send it again whole",
+		Message:    "the request body is incomplete; the request was not run, send it again",
 		RetryAfter: noRetry,
 	}
 }
@@ -107,7 +107,7 @@
 	return &Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Reason:     reasonQuarantined,
-		Message:    "several backend servers crashed while running this request; it was not run, look at what it asks for",
+		Message:    "several backend servers crashed while running this request; it was not run, check its content",
 		RetryAfter: after,
 	}
 }
@@ -116,7 +116,7 @@
 	return &Refusal{
 		Status:     http.StatusBadGateway,
 		Reason:     reason,
-		Message:    "the exchange with the backend server failed; the request may have run",
+		Message:    "no complete response from a backend server; the request may have run",
 		RetryAfter: noRetry,
 	}
 }
