--- a/cmd/internal/daemon/frontend.go
+++ b/cmd/internal/daemon/frontend.go
@@ -130,7 +130,7 @@
 // dispatchCall returns the call for the dispatcher, with the pools that the request may go to.
 func (cr *callerRequest) dispatchCall(chat uint64) dispatch.Call {
 	call := dispatch.Call{
-		Ask: slipwick.AcquireRequest{
+		Request: slipwick.AcquireRequest{
 			Workspace: cr.workspace.Name,
 			Chat:      chat,
 			Priority:  cr.workspace.Priority,
--- a/dispatch/call.go
+++ b/dispatch/call.go
@@ -9,8 +9,8 @@
 type Call struct {
 	// Pools lists the pools to try in order: the routing rule's pool, then its fallback.
 	Pools []string
-	// Ask is the request for a slot, without the pool, which is set for each attempt.
-	Ask slipwick.AcquireRequest
+	// Request is the request for a slot, without the pool, which is set for each attempt.
+	Request slipwick.AcquireRequest
 	// Repeatable tells whether the request may be sent again after an attempt that may have run.
 	Repeatable bool
 	// Key identifies the content of the request, independent of the request's ID.
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -95,7 +95,7 @@
 func (d *Dispatcher) runWithRetries(ctx context.Context, call Call, attempt attemptFunc) error {
 	budget := d.budgets.ForPool(call.Pools[0])
 	budget.CountRequest()
-	ask := call.Ask
+	ask := call.Request
 	isTrial, err := d.checkQuarantine(call.Key)
 	if err != nil {
 		return err
