--- a/balance/bound_test.go
+++ b/balance/bound_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// TestLoadBoundIsBelowThePromisedBound checks that the bound that a router uses leaves room below
+// TestLoadBoundIsBelowTheConfiguredBound checks that the bound that a router uses leaves room below
 // the promised one for requests that other routers send meanwhile.
-func TestLoadBoundIsBelowThePromisedBound(t *testing.T) {
+func TestLoadBoundIsBelowTheConfiguredBound(t *testing.T) {
 	b := New("d")
 	for _, factor := range []float64{1.3, 1.4, 1.6, 2, 3} {
 		b.SetLoadBound(factor, 3)
