--- a/balance/bound_test.go
+++ b/balance/bound_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // TestLoadBoundIsBelowTheConfiguredBound checks that the bound that a router uses leaves room below
-// the promised one for requests that other routers send meanwhile.
+// the configured one for requests that other routers send meanwhile.
 func TestLoadBoundIsBelowTheConfiguredBound(t *testing.T) {
 	b := New("d")
 	for _, factor := range []float64{1.3, 1.4, 1.6, 2, 3} {
--- a/balance/fleet_test.go
+++ b/balance/fleet_test.go
@@ -18,7 +18,7 @@
 	mu sync.Mutex
 	// load counts the requests of all routers at each engine, by its ID.
 	load map[string]int
-	// overBound counts the requests, of all sent, that went to an engine above the promised
+	// overBound counts the requests, of all sent, that went to an engine above the configured
 	// bound.
 	overBound, sent int
 }
@@ -87,7 +87,7 @@
 	return lease
 }
 
-// TestFleetKeepsTheBound checks that engines stay below the promised load bound when 7 routers
+// TestFleetKeepsTheBound checks that engines stay below the configured load bound when 7 routers
 // share 18 of them and exchange updates five times a second.
 func TestFleetKeepsTheBound(t *testing.T) {
 	for _, factor := range []float64{1.3, 2} {
--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -30,7 +30,7 @@
 	return p.node.FleetKnown()
 }
 
-// RelayPosition returns this router's place in the relay tree. It is computed again only when the
+// RelayPosition returns this router's position in the relay tree. It is computed again only when the
 // fleet has changed, not at each call of the feeds.
 func (p *peers) RelayPosition() fleet.RelayPosition {
 	routers := p.node.Routers()
