--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -80,15 +80,15 @@
 
 // recordOutcome records whether the backend server crashed. To check costs a round trip, so that
 // only those backend servers are checked that broke off an exchange soon after it began.
-func (w *crashWatch) recordOutcome(outcome result, err error) {
+func (w *crashWatch) recordOutcome(sendResult result, err error) {
 	if w.attempt == nil {
 		return
 	}
 	crashOutcome := quarantine.OutcomeUnknown
 	switch {
-	case outcome == resultDelivered || outcome == resultFailed:
+	case sendResult == resultDelivered || sendResult == resultFailed:
 		crashOutcome = quarantine.OutcomeCompleted
-	case outcome == resultBroken && w.mayHaveCrashed(err) && w.hasCrashed():
+	case sendResult == resultBroken && w.mayHaveCrashed(err) && w.hasCrashed():
 		crashOutcome = quarantine.OutcomeCrashed
 	}
 	w.attempt.End(crashOutcome)
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -30,7 +30,7 @@
 func (c *call) serve() {
 	c.gateway.Budget.CountRequest(c.pool)
 	defer c.abandonNextLease()
-	var outcome result
+	var sendResult result
 	reason, retryAfter := "", retrySoon
 	for {
 		lease, err := c.acquireLease()
@@ -43,19 +43,19 @@
 			c.gateway.Balancer.Abandon(lease)
 			continue
 		}
-		outcome = c.send(lease)
-		if outcome == resultQuarantined {
+		sendResult = c.send(lease)
+		if sendResult == resultQuarantined {
 			reason = reasonQuarantined
 			break
 		}
-		if outcome == resultDelivered || outcome == resultDisconnected || outcome == resultCut {
-			c.finish(outcome, "", 0)
+		if sendResult == resultDelivered || sendResult == resultDisconnected || sendResult == resultCut {
+			c.finish(sendResult, "", 0)
 			return
 		}
-		if reason = c.noRetryReason(outcome); reason != "" {
+		if reason = c.noRetryReason(sendResult); reason != "" {
 			break
 		}
-		if !c.takeRetryBudget(outcome) {
+		if !c.takeRetryBudget(sendResult) {
 			reason = "retry-budget"
 			break
 		}
@@ -74,8 +74,8 @@
 
 // takeRetryBudget takes another send from the fleet's retry budget and reports whether it may be
 // made. A send that reached no backend server added no load, so that the next one costs no budget.
-func (c *call) takeRetryBudget(outcome result) bool {
-	return c.nextLease != nil || outcome == resultUnsent || c.gateway.Budget.Take(c.pool)
+func (c *call) takeRetryBudget(sendResult result) bool {
+	return c.nextLease != nil || sendResult == resultUnsent || c.gateway.Budget.Take(c.pool)
 }
 
 // acquireLease returns the lease that was acquired during the last send, or a new one.
@@ -112,16 +112,16 @@
 }
 
 // noRetryReason returns why the request must not be sent again, or the empty string if it may.
-func (c *call) noRetryReason(outcome result) string {
+func (c *call) noRetryReason(sendResult result) string {
 	clock.DetectSuspension()
 	switch {
 	case c.request.Context().Err() != nil:
 		return "left"
 	case clock.Until(c.deadline) < c.minRetryTime():
 		return "timeout"
-	case !outcome.isNotRun() && !c.route.MayRepeat():
+	case !sendResult.isNotRun() && !c.route.MayRepeat():
 		return "may-not-repeat"
-	case c.possibleRuns >= c.route.MaxAttempts && !outcome.isNotRun():
+	case c.possibleRuns >= c.route.MaxAttempts && !sendResult.isNotRun():
 		return "attempts"
 	case c.isQuarantined():
 		return reasonQuarantined
@@ -175,21 +175,21 @@
 
 // finish reports the end of the request to the observer. A response that was cut also has to close
 // its connection, so that the caller does not take it for complete.
-func (c *call) finish(outcome result, reason string, status int) {
-	c.notifyEnded(outcome.String(), reason, status)
-	if outcome == resultCut {
+func (c *call) finish(sendResult result, reason string, status int) {
+	c.notifyEnded(sendResult.String(), reason, status)
+	if sendResult == resultCut {
 		panic(http.ErrAbortHandler)
 	}
 }
 
-func (c *call) notifyEnded(outcome, reason string, status int) {
+func (c *call) notifyEnded(resultName, reason string, status int) {
 	c.gateway.Observer.Ended(&RequestSummary{
 		RequestID: c.id,
 		Key:       c.key,
 		Route:     c.route,
 		Pool:      c.pool,
 		Version:   c.table.Version,
-		Result:    outcome,
+		Result:    resultName,
 		Reason:    reason,
 		Status:    status,
 		Sends:     c.sends,
@@ -220,31 +220,31 @@
 		Address:   lease.Backend.Address,
 		Err:       err,
 	}
-	var outcome result
+	var sendResult result
 	var evidence slipwick.Evidence
 	if err != nil {
-		outcome, evidence = c.classifyError(err)
+		sendResult, evidence = c.classifyError(err)
 	} else {
 		attempt.Status = response.Status
 		attempt.Notice = c.noticeOf(response)
-		outcome, evidence, attempt.Err = c.handleResponse(lease, response, attempt.Notice)
+		sendResult, evidence, attempt.Err = c.handleResponse(lease, response, attempt.Notice)
 		response.Close()
 	}
-	if outcome == resultBroken && watch.wasStopped() {
+	if sendResult == resultBroken && watch.wasStopped() {
 		// This router ended the exchange, so that it says nothing about the backend server.
 		evidence = slipwick.EvidenceNone
 	}
 	c.gateway.Balancer.Release(lease, evidence)
-	watch.recordOutcome(outcome, attempt.Err)
+	watch.recordOutcome(sendResult, attempt.Err)
 	if !upstream.IsResponseTimeout(attempt.Err) {
 		c.abandonNextLease()
 	}
-	if outcome != resultDelivered {
-		attempt.Result, attempt.Duration = outcome.String(), clock.Since(started)
+	if sendResult != resultDelivered {
+		attempt.Result, attempt.Duration = sendResult.String(), clock.Since(started)
 		attempt.Events = c.progress.events - events
 		c.gateway.Observer.Attempted(attempt)
 	}
-	return outcome
+	return sendResult
 }
 
 // classifyError returns the result of an exchange without a response, and what it says about the
