--- a/balance/bound_test.go
+++ b/balance/bound_test.go
@@ -9,10 +9,10 @@
 	for _, factor := range []float64{1.3, 1.4, 1.6, 2, 3} {
 		b.SetLoadBound(factor, 3)
 		for _, mean := range []float64{0, 1, 5, 20, 60} {
-			got, promised := b.loadBound(mean), factor*mean+3
-			if got+1 > promised || got < mean+1 {
+			got, configured := b.loadBound(mean), factor*mean+3
+			if got+1 > configured || got < mean+1 {
 				t.Errorf("factor %v, mean %v: got a bound of %v, want at least 1 above the mean and 1 below %v",
-					factor, mean, got, promised)
+					factor, mean, got, configured)
 			}
 		}
 	}
