--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -95,7 +95,7 @@
 func (d *Dispatcher) runWithRetries(ctx context.Context, call Call, attempt attemptFunc) error {
 	budget := d.budgets.ForPool(call.Pools[0])
 	budget.CountRequest()
-	ask := call.Request
+	request := call.Request
 	isTrial, err := d.checkQuarantine(call.Key)
 	if err != nil {
 		return err
@@ -103,14 +103,14 @@
 	// ambiguousErr is the error of the latest attempt that may have run the request.
 	var ambiguousErr error
 	for attempts := 1; ; attempts++ {
-		backend, retryable, err := d.runAttempt(ctx, call, ask, isTrial, attempt)
+		backend, retryable, err := d.runAttempt(ctx, call, request, isTrial, attempt)
 		if err == nil {
 			return nil
 		}
 		if !retryable || attempts == maxAttempts || d.isQuarantined(call.Key) || !budget.Take() {
 			return finalError(ambiguousErr, err)
 		}
-		ask.Exclude = append(ask.Exclude, backend)
+		request.Exclude = append(request.Exclude, backend)
 		if !isNotRun(err) {
 			ambiguousErr = err
 		}
@@ -120,9 +120,9 @@
 // runAttempt acquires a slot and makes one attempt. It returns the ID of the backend server and, if
 // the attempt failed, whether the request may be retried at another one.
 func (d *Dispatcher) runAttempt(
-	ctx context.Context, call Call, ask slipwick.AcquireRequest, isTrial bool, attempt attemptFunc,
+	ctx context.Context, call Call, request slipwick.AcquireRequest, isTrial bool, attempt attemptFunc,
 ) (backend string, retryable bool, err error) {
-	grant, err := d.acquire(ctx, call.Pools, ask)
+	grant, err := d.acquire(ctx, call.Pools, request)
 	if err != nil {
 		return "", false, err
 	}
@@ -161,14 +161,14 @@
 }
 
 // acquire waits for a slot in the first pool that has a usable backend server.
-func (d *Dispatcher) acquire(ctx context.Context, pools []string, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
+func (d *Dispatcher) acquire(ctx context.Context, pools []string, request slipwick.AcquireRequest) (slipwick.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.MaxSlotWait)
 	defer cancel()
 	var grant slipwick.Grant
 	var err error
 	for _, pool := range pools {
-		ask.Pool = pool
-		grant, err = d.Admission.Acquire(ctx, ask)
+		request.Pool = pool
+		grant, err = d.Admission.Acquire(ctx, request)
 		if !slipwick.IsKind(err, slipwick.KindNoBackend) {
 			break
 		}
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -15,14 +15,14 @@
 // fakeAdmission grants a slot of the first engine that the request does not avoid.
 type fakeAdmission struct {
 	engines  []string
-	asked    []slipwick.AcquireRequest
+	requests    []slipwick.AcquireRequest
 	evidence []slipwick.Evidence
 }
 
-func (f *fakeAdmission) Acquire(_ context.Context, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
-	f.asked = append(f.asked, ask)
+func (f *fakeAdmission) Acquire(_ context.Context, request slipwick.AcquireRequest) (slipwick.Grant, error) {
+	f.requests = append(f.requests, request)
 	for _, id := range f.engines {
-		if !slices.Contains(ask.Exclude, id) {
+		if !slices.Contains(request.Exclude, id) {
 			return slipwick.Grant{
 				Backend: slipwick.Backend{
 					ID: id,
@@ -261,9 +261,9 @@
 		MaxSlotWait: time.Second,
 	}
 	_, err := d.acquire(context.Background(), []string{"p", "fallback"}, slipwick.AcquireRequest{})
-	both := len(admission.asked) == 2 && admission.asked[1].Pool == "fallback"
+	both := len(admission.requests) == 2 && admission.requests[1].Pool == "fallback"
 	if !slipwick.IsKind(err, slipwick.KindNoBackend) || !both {
-		t.Errorf("got %v after asking %v, want both pools asked", err, admission.asked)
+		t.Errorf("got %v after asking %v, want both pools asked", err, admission.requests)
 	}
 }
 
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -21,10 +21,10 @@
 	onAcquire func(asked int)
 }
 
-func (e *crashingEngines) Acquire(ctx context.Context, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
-	grant, err := e.fakeAdmission.Acquire(ctx, ask)
+func (e *crashingEngines) Acquire(ctx context.Context, request slipwick.AcquireRequest) (slipwick.Grant, error) {
+	grant, err := e.fakeAdmission.Acquire(ctx, request)
 	if e.onAcquire != nil {
-		e.onAcquire(len(e.asked))
+		e.onAcquire(len(e.requests))
 	}
 	return grant, err
 }
--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -57,16 +57,16 @@
 }
 
 // Acquire grants a slot, and avoids the more loaded of the first two choices.
-func (t *twoChoices) Acquire(ctx context.Context, ask slipwick.AcquireRequest) (slipwick.Grant, error) {
+func (t *twoChoices) Acquire(ctx context.Context, request slipwick.AcquireRequest) (slipwick.Grant, error) {
 	t.mu.Lock()
-	pool := t.view.Pools[ask.Pool]
+	pool := t.view.Pools[request.Pool]
 	t.mu.Unlock()
-	ranked := pool.Rank(nil, ask.Chat)
+	ranked := pool.Rank(nil, request.Chat)
 	if len(ranked) > 1 {
 		first, second := pool.Backends[ranked[0]].ID, pool.Backends[ranked[1]].ID
 		if t.meter.reportedLoad(first) > t.meter.reportedLoad(second) {
-			ask.Exclude = append(ask.Exclude, first)
+			request.Exclude = append(request.Exclude, first)
 		}
 	}
-	return t.Local.Acquire(ctx, ask)
+	return t.Local.Acquire(ctx, request)
 }
--- a/emulation/callers.go
+++ b/emulation/callers.go
@@ -108,7 +108,7 @@
 func (c *Chat) SendRequest() error {
 	w := c.world
 	w.Meter.recordArrival(c.workspace)
-	ask := slipwick.AcquireRequest{
+	request := slipwick.AcquireRequest{
 		Pool:      poolName,
 		Workspace: c.workspace,
 		Chat:      c.key,
@@ -117,11 +117,11 @@
 	var err error
 	for range maxAttempts {
 		var engine string
-		engine, err = c.attempt(ask)
+		engine, err = c.attempt(request)
 		if !errors.Is(err, errEngineFailed) {
 			break
 		}
-		ask.Exclude = append(ask.Exclude, engine)
+		request.Exclude = append(request.Exclude, engine)
 	}
 	if err != nil && !errors.Is(err, errEngineFailed) {
 		w.Meter.recordRefusal(c.workspace)
@@ -131,13 +131,13 @@
 
 // attempt sends the request once. It returns the engine that served it, with
 // errEngineFailed if that engine failed, or the error of the admission.
-func (c *Chat) attempt(ask slipwick.AcquireRequest) (engine string, err error) {
+func (c *Chat) attempt(request slipwick.AcquireRequest) (engine string, err error) {
 	w := c.world
 	router := w.anyRouter(c.random)
 	ctx, cancel := context.WithTimeout(context.Background(), maxSlotWait)
 	defer cancel()
 	started := time.Now()
-	grant, err := router.Acquire(ctx, ask)
+	grant, err := router.Acquire(ctx, request)
 	if err != nil {
 		return "", err
 	}
