--- a/admission/coordinator_test.go
+++ b/admission/coordinator_test.go
@@ -85,12 +85,12 @@
 				ID: "silent",
 			},
 		}))
-		ask := slipwick.AcquireRequest{
+		request := slipwick.AcquireRequest{
 			Pool: "p",
 		}
 		var grants []slipwick.Grant
 		for range 2 {
-			grant, err := c.Acquire(t.Context(), ask)
+			grant, err := c.Acquire(t.Context(), request)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -99,13 +99,13 @@
 		if grants[0].Backend.ID == grants[1].Backend.ID {
 			t.Errorf("got %s twice, want one slot for each backend server", grants[0].Backend.ID)
 		}
-		_, err := c.Acquire(t.Context(), ask)
+		_, err := c.Acquire(t.Context(), request)
 		failure, ok := slipwick.AsError(err)
 		if !ok || failure.Outcome != slipwick.OutcomeNotRun || failure.RetryAfter == 0 {
 			t.Errorf("got %v, want a refusal as not run with a time to retry", err)
 		}
 		c.Release(grants[0], slipwick.EvidenceGood)
-		if _, err := c.Acquire(t.Context(), ask); err != nil {
+		if _, err := c.Acquire(t.Context(), request); err != nil {
 			t.Errorf("got %v after a release, want a slot", err)
 		}
 	})
--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -105,7 +105,7 @@
 		return
 	}
 	for _, m := range others {
-		n.requestSync(m.news.GetAddress(), startupPackets)
+		n.requestSync(m.update.GetAddress(), startupPackets)
 	}
 }
 
@@ -138,7 +138,7 @@
 		return
 	}
 	packet := n.packet(memberpb.Kind_KIND_SYNC, 0)
-	packet.News = append(packet.News, n.self().news)
+	packet.News = append(packet.News, n.self().update)
 	n.send(address, packet)
 }
 
@@ -152,7 +152,7 @@
 		From:          n.Self.ID,
 		Digest:        n.digest,
 		Configuration: n.version,
-		News:          []*memberpb.News{n.self().news},
+		News:          []*memberpb.News{n.self().update},
 		Shard:         uint32(n.requests % shards),
 		Shards:        uint32(shards),
 		Packets:       packets,
@@ -195,7 +195,7 @@
 	var missing []*memberpb.News
 	for _, m := range n.shard(request) {
 		if !known[uint32(m.fingerprint())] {
-			missing = append(missing, m.news)
+			missing = append(missing, m.update)
 		}
 	}
 	// Shuffled, so that routers that receive many requests send different boxes first. Sorted
@@ -244,15 +244,15 @@
 	var all []*memberpb.News
 	for _, known := range []map[string]*member{n.members, n.backends} {
 		for _, id := range slices.Sorted(maps.Keys(known)) {
-			all = append(all, known[id].news)
+			all = append(all, known[id].update)
 		}
 	}
-	for news := range slices.Chunk(all, updatesPerPacket) {
+	for updates := range slices.Chunk(all, updatesPerPacket) {
 		n.send(address, &memberpb.Packet{
 			Kind:   memberpb.Kind_KIND_NEWS,
 			From:   n.Self.ID,
 			Digest: n.digest,
-			News:   news,
+			News:   updates,
 		})
 	}
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -12,7 +12,7 @@
 
 // member is the local record of one box.
 type member struct {
-	news *memberpb.News
+	update *memberpb.News
 	// suspectedAt is when this router began to suspect the box; zero if it does not.
 	suspectedAt time.Time
 	diedAt      time.Time
@@ -36,20 +36,20 @@
 
 func (m *member) router() slipwick.Router {
 	return slipwick.Router{
-		ID:         m.news.GetId(),
-		Address:    m.news.GetAddress(),
-		DataCentre: m.news.GetDataCentre(),
-		Region:     m.news.GetRegion(),
+		ID:         m.update.GetId(),
+		Address:    m.update.GetAddress(),
+		DataCentre: m.update.GetDataCentre(),
+		Region:     m.update.GetRegion(),
 	}
 }
 
 func (m *member) dead() bool {
-	return m.news.GetState() == memberpb.State_STATE_DEAD
+	return m.update.GetState() == memberpb.State_STATE_DEAD
 }
 
 // mayOwn reports whether the router is neither leaving, dead nor flapping.
 func (m *member) mayOwn(policy *Policy, now time.Time) bool {
-	state := m.news.GetState()
+	state := m.update.GetState()
 	alive := state == memberpb.State_STATE_LIVE || state == memberpb.State_STATE_SUSPECT
 	return alive && m.penaltyNow(policy, now) < policy.FlapLimit
 }
@@ -77,14 +77,14 @@
 
 // fingerprint hashes the box's ID, kind, state and incarnation; a suspect counts as live.
 func (m *member) fingerprint() uint64 {
-	state := m.news.GetState()
+	state := m.update.GetState()
 	if state == memberpb.State_STATE_SUSPECT {
 		state = memberpb.State_STATE_LIVE
 	}
 	var digest xxhash.Digest
 	digest.Reset()
-	_, _ = digest.WriteString(m.news.GetId())
-	_, _ = digest.Write([]byte{byte(state), boolByte(m.news.GetBackend())})
-	_, _ = digest.Write(littleEndian(m.news.GetIncarnation()))
+	_, _ = digest.WriteString(m.update.GetId())
+	_, _ = digest.Write([]byte{byte(state), boolByte(m.update.GetBackend())})
+	_, _ = digest.Write(littleEndian(m.update.GetIncarnation()))
 	return digest.Sum64()
 }
--- a/membership/node.go
+++ b/membership/node.go
@@ -81,15 +81,15 @@
 		fleetKnown: make(chan struct{}),
 		done:       make(chan struct{}),
 	}
-	news := newsOf(self)
+	update := updateOf(self)
 	// The start time makes a restarted router's incarnation higher than its previous one.
-	news.Incarnation = uint64(time.Now().UnixMilli())
+	update.Incarnation = uint64(time.Now().UnixMilli())
 	n.members[self.ID] = &member{}
-	n.set(n.members[self.ID], news)
+	n.set(n.members[self.ID], update)
 	return n
 }
 
-func newsOf(router slipwick.Router) *memberpb.News {
+func updateOf(router slipwick.Router) *memberpb.News {
 	return &memberpb.News{
 		Id:         router.ID,
 		Address:    router.Address,
@@ -105,7 +105,7 @@
 	n.locked(func() {
 		n.startedAt = time.Now()
 		n.changed = true
-		n.broadcast(n.self().news)
+		n.broadcast(n.self().update)
 		// A random first delay keeps routers that start together from probing at the same time.
 		wait = time.Duration(n.Random.Int64N(int64(n.Policy.ProbeInterval)))
 	})
@@ -165,7 +165,7 @@
 		Backends: make(map[string]memberpb.State),
 	}
 	for id, m := range n.backends {
-		if state := m.news.GetState(); state != memberpb.State_STATE_LIVE {
+		if state := m.update.GetState(); state != memberpb.State_STATE_LIVE {
 			change.Backends[id] = state
 		}
 	}
@@ -191,12 +191,12 @@
 
 // announceState broadcasts a new state of this router.
 func (n *Node) announceState(state memberpb.State) {
-	news := newsOf(n.Self)
-	news.State = state
-	news.Incarnation = n.self().news.GetIncarnation() + 1
-	n.set(n.self(), news)
+	update := updateOf(n.Self)
+	update.State = state
+	update.Incarnation = n.self().update.GetIncarnation() + 1
+	n.set(n.self(), update)
 	n.changed = true
-	n.broadcast(news)
+	n.broadcast(update)
 }
 
 // SetVersion announces the version of the configuration in force here: to a few routers at once, to
@@ -215,12 +215,12 @@
 func (n *Node) SetBackend(id string, state memberpb.State) {
 	n.locked(func() {
 		known := n.backends[id]
-		if known != nil && known.news.GetState() == state {
+		if known != nil && known.update.GetState() == state {
 			return
 		}
 		incarnation := uint64(time.Now().UnixMilli())
 		if known != nil {
-			incarnation = max(incarnation, known.news.GetIncarnation()+1)
+			incarnation = max(incarnation, known.update.GetIncarnation()+1)
 		}
 		n.apply(&memberpb.News{
 			Id:          id,
@@ -252,7 +252,7 @@
 }
 
 func (n *Node) mergeRouter(box *slipwick.Box) {
-	news := &memberpb.News{
+	update := &memberpb.News{
 		Id:         box.ID,
 		Address:    box.Address,
 		DataCentre: box.DataCentre,
@@ -260,14 +260,14 @@
 	}
 	before := n.members[box.ID]
 	if before != nil {
-		news.Incarnation = before.news.GetIncarnation()
+		update.Incarnation = before.update.GetIncarnation()
 	}
 	if box.State == slipwick.BoxLeaving {
-		news.State = memberpb.State_STATE_LEAVING
+		update.State = memberpb.State_STATE_LEAVING
 	} else if before != nil {
 		return
 	}
-	n.apply(news)
+	n.apply(update)
 }
 
 // mergeBackend acts only on differences from the previous listing: because listings lag, a repeated
@@ -276,23 +276,23 @@
 	last := n.listed[box.ID]
 	n.listed[box.ID] = box.State
 	known := n.backends[box.ID]
-	news := &memberpb.News{
+	update := &memberpb.News{
 		Id:      box.ID,
 		Backend: true,
 	}
 	if known != nil {
-		news.Incarnation = known.news.GetIncarnation()
+		update.Incarnation = known.update.GetIncarnation()
 	}
 	back := last == slipwick.BoxLeaving && box.State == slipwick.BoxLive
 	switch {
 	case box.State == slipwick.BoxLeaving && last != slipwick.BoxLeaving:
-		news.State = memberpb.State_STATE_LEAVING
-	case back && known != nil && known.news.GetState() == memberpb.State_STATE_LEAVING:
-		news.Incarnation++
+		update.State = memberpb.State_STATE_LEAVING
+	case back && known != nil && known.update.GetState() == memberpb.State_STATE_LEAVING:
+		update.Incarnation++
 	default:
 		return
 	}
-	n.apply(news)
+	n.apply(update)
 }
 
 // Address returns the address of a router; empty if it is unknown or dead.
@@ -300,7 +300,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if m := n.members[router]; m != nil && !m.dead() {
-		return m.news.GetAddress()
+		return m.update.GetAddress()
 	}
 	return ""
 }
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -24,8 +24,8 @@
 	}, discardTransport{}, DefaultPolicy(), rand.New(rand.NewPCG(1, 1)))
 }
 
-func (n *Node) applyNews(news *memberpb.News) {
-	n.locked(func() { n.apply(news) })
+func (n *Node) applyUpdate(update *memberpb.News) {
+	n.locked(func() { n.apply(update) })
 }
 
 func TestOlderUpdateIsIgnored(t *testing.T) {
@@ -62,13 +62,13 @@
 				want:        memberpb.State_STATE_LIVE,
 			},
 		} {
-			n.applyNews(&memberpb.News{
+			n.applyUpdate(&memberpb.News{
 				Id:          "other",
 				Address:     "10.0.0.2:1",
 				State:       step.state,
 				Incarnation: step.incarnation,
 			})
-			if got := n.members["other"].news.GetState(); got != step.want {
+			if got := n.members["other"].update.GetState(); got != step.want {
 				t.Errorf("after %s of %d: got %s, want %s", step.state, step.incarnation, got, step.want)
 			}
 		}
@@ -126,13 +126,13 @@
 func TestDeathIsRefuted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newTestNode()
-		before := n.self().news.GetIncarnation()
-		n.applyNews(&memberpb.News{
+		before := n.self().update.GetIncarnation()
+		n.applyUpdate(&memberpb.News{
 			Id:          "self",
 			State:       memberpb.State_STATE_DEAD,
 			Incarnation: before + 7,
 		})
-		got := n.self().news
+		got := n.self().update
 		if got.GetState() != memberpb.State_STATE_LIVE || got.GetIncarnation() <= before+7 {
 			t.Errorf("got %s of %d, want live above %d", got.GetState(), got.GetIncarnation(), before+7)
 		}
@@ -191,7 +191,7 @@
 		}
 		for i := range 3 {
 			for _, state := range []memberpb.State{memberpb.State_STATE_LIVE, memberpb.State_STATE_DEAD} {
-				n.applyNews(&memberpb.News{
+				n.applyUpdate(&memberpb.News{
 					Id:          "other",
 					Address:     "10.0.0.2:1",
 					State:       state,
@@ -199,7 +199,7 @@
 				})
 			}
 		}
-		n.applyNews(&memberpb.News{
+		n.applyUpdate(&memberpb.News{
 			Id:          "other",
 			Address:     "10.0.0.2:1",
 			Incarnation: 9,
--- a/membership/packet.go
+++ b/membership/packet.go
@@ -39,8 +39,8 @@
 
 func (n *Node) receive(address string, packet *memberpb.Packet) {
 	n.syncWithUnknown(address, packet.GetFrom())
-	for _, news := range packet.GetNews() {
-		n.apply(news)
+	for _, update := range packet.GetNews() {
+		n.apply(update)
 	}
 	if packet.GetConfiguration() > n.version {
 		n.OnVersion(packet.GetFrom(), packet.GetConfiguration())
@@ -81,8 +81,8 @@
 // queueForRefutation queues the state of a probing router that counts as dead or suspect here, so
 // that the reply carries it and the router refutes it.
 func (n *Node) queueForRefutation(id string) {
-	if m := n.members[id]; m != nil && (m.dead() || m.news.GetState() == memberpb.State_STATE_SUSPECT) {
-		n.queue.add(m.news)
+	if m := n.members[id]; m != nil && (m.dead() || m.update.GetState() == memberpb.State_STATE_SUSPECT) {
+		n.queue.add(m.update)
 	}
 }
 
@@ -96,7 +96,7 @@
 		n.send(p.forAddress, n.packet(memberpb.Kind_KIND_ACK, p.forSequence))
 		return
 	}
-	if m := n.members[p.target]; m != nil && m.news.GetState() != memberpb.State_STATE_SUSPECT {
+	if m := n.members[p.target]; m != nil && m.update.GetState() != memberpb.State_STATE_SUSPECT {
 		m.suspectedAt = time.Time{}
 	}
 }
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -53,14 +53,14 @@
 	m.lastProbedDeadAt = now
 	// The packet carries the receiver's state as dead, so that the receiver refutes it.
 	packet := n.packet(memberpb.Kind_KIND_NEWS, 0)
-	packet.News = append(packet.News, m.news)
-	n.send(m.news.GetAddress(), packet)
+	packet.News = append(packet.News, m.update)
+	n.send(m.update.GetAddress(), packet)
 }
 
 func (n *Node) markDead(m *member) {
-	news := proto.Clone(m.news).(*memberpb.News)
-	news.State = memberpb.State_STATE_DEAD
-	n.apply(news)
+	update := proto.Clone(m.update).(*memberpb.News)
+	update.State = memberpb.State_STATE_DEAD
+	n.apply(update)
 }
 
 // nextTarget returns the next router of a shuffled round, or nil.
@@ -74,7 +74,7 @@
 			}
 		}
 		for _, m := range n.randomMembers(len(n.members), "") {
-			n.probeRound = append(n.probeRound, m.news.GetId())
+			n.probeRound = append(n.probeRound, m.update.GetId())
 		}
 	}
 	return nil
@@ -123,9 +123,9 @@
 	n.sequence++
 	sequence := n.sequence
 	n.probes[sequence] = &probe{
-		target: target.news.GetId(),
+		target: target.update.GetId(),
 	}
-	n.send(target.news.GetAddress(), n.packet(memberpb.Kind_KIND_PROBE, sequence))
+	n.send(target.update.GetAddress(), n.packet(memberpb.Kind_KIND_PROBE, sequence))
 	time.AfterFunc(n.Policy.AckTimeout, func() { n.locked(func() { n.requestIndirectProbes(sequence) }) })
 	time.AfterFunc(n.Policy.ProbeInterval, func() { n.locked(func() { n.probeTimedOut(sequence) }) })
 }
@@ -139,9 +139,9 @@
 	}
 	packet := n.packet(memberpb.Kind_KIND_PROBE_FOR, sequence)
 	packet.Target = p.target
-	packet.TargetAddress = n.members[p.target].news.GetAddress()
+	packet.TargetAddress = n.members[p.target].update.GetAddress()
 	for _, helper := range n.randomMembers(n.Policy.IndirectProbes, p.target) {
-		n.send(helper.news.GetAddress(), packet)
+		n.send(helper.update.GetAddress(), packet)
 	}
 }
 
@@ -157,9 +157,9 @@
 		return
 	}
 	m.suspectedAt = time.Now()
-	if m.news.GetState() == memberpb.State_STATE_LIVE {
-		news := proto.Clone(m.news).(*memberpb.News)
-		news.State = memberpb.State_STATE_SUSPECT
-		n.apply(news)
+	if m.update.GetState() == memberpb.State_STATE_LIVE {
+		update := proto.Clone(m.update).(*memberpb.News)
+		update.State = memberpb.State_STATE_SUSPECT
+		n.apply(update)
 	}
 }
--- a/membership/random_members_bench_test.go
+++ b/membership/random_members_bench_test.go
@@ -13,7 +13,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			n := newTestNode()
 			for i := range size {
-				n.applyNews(&memberpb.News{
+				n.applyUpdate(&memberpb.News{
 					Id: fmt.Sprint("r", i),
 				})
 			}
--- a/membership/roster_test.go
+++ b/membership/roster_test.go
@@ -55,7 +55,7 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			n := newTestNode()
 			for i := range size {
-				n.applyNews(&memberpb.News{
+				n.applyUpdate(&memberpb.News{
 					Id: fmt.Sprint("r", i),
 				})
 			}
@@ -84,7 +84,7 @@
 			notified := 0
 			n.OnChange = func(Change) { notified++ }
 			for i := range size {
-				n.applyNews(&memberpb.News{
+				n.applyUpdate(&memberpb.News{
 					Id: fmt.Sprint("r", i),
 				})
 			}
--- a/membership/routers_test.go
+++ b/membership/routers_test.go
@@ -13,7 +13,7 @@
 func TestRouterListIsCopiedOnlyOnChange(t *testing.T) {
 	n := newTestNode()
 	apply := func(id string, state memberpb.State) {
-		n.applyNews(&memberpb.News{
+		n.applyUpdate(&memberpb.News{
 			Id:          id,
 			State:       state,
 			Incarnation: 1,
@@ -55,7 +55,7 @@
 	for _, size := range []int{2, 3, 5, 20, 200} {
 		n := newTestNode()
 		for i := range size {
-			n.applyNews(&memberpb.News{
+			n.applyUpdate(&memberpb.News{
 				Id: fmt.Sprint("r", i),
 			})
 		}
@@ -68,7 +68,7 @@
 				t.Fatalf("%d others: got %d, want %d", size, len(members), want)
 			}
 			for _, m := range members {
-				drawn[m.news.GetId()]++
+				drawn[m.update.GetId()]++
 			}
 		}
 		if drawn["r0"] > 0 || drawn["self"] > 0 {
@@ -92,12 +92,12 @@
 		var reported []int
 		n.OnChange = func(change Change) { reported = append(reported, len(change.Routers)) }
 		for i := range size {
-			n.applyNews(&memberpb.News{
+			n.applyUpdate(&memberpb.News{
 				Id: fmt.Sprint("r", i),
 			})
 		}
 		n.FinishCatchUp()
-		n.applyNews(&memberpb.News{
+		n.applyUpdate(&memberpb.News{
 			Id: "late",
 		})
 		if want := []int{size + 1, size + 2}; !slices.Equal(reported, want) {
--- a/membership/update_queue.go
+++ b/membership/update_queue.go
@@ -9,7 +9,7 @@
 
 // queuedUpdate is an update that is still to be sent.
 type queuedUpdate struct {
-	news *memberpb.News
+	update *memberpb.News
 	sent int
 }
 
@@ -30,7 +30,7 @@
 // Len, Less, Swap, Push and Pop implement heap.Interface.
 func (h updateHeap) Len() int { return len(h) }
 
-func (h updateHeap) Less(i, j int) bool { return h[i].news.GetId() < h[j].news.GetId() }
+func (h updateHeap) Less(i, j int) bool { return h[i].update.GetId() < h[j].update.GetId() }
 
 func (h updateHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
 
@@ -47,14 +47,14 @@
 // sendFactor times the logarithm of the fleet's size is how often each update is sent.
 const sendFactor = 3
 
-func (q *updateQueue) add(news *memberpb.News) {
+func (q *updateQueue) add(update *memberpb.News) {
 	if q.byID == nil {
 		q.byID = make(map[string]*queuedUpdate)
 	}
 	added := &queuedUpdate{
-		news: news,
+		update: update,
 	}
-	q.byID[news.GetId()] = added
+	q.byID[update.GetId()] = added
 	q.push(added)
 }
 
@@ -73,19 +73,19 @@
 	for sent := range q.bySent {
 		waiting := &q.bySent[sent]
 		for waiting.Len() > 0 && len(taken) < count {
-			if next := heap.Pop(waiting).(*queuedUpdate); q.byID[next.news.GetId()] == next {
+			if next := heap.Pop(waiting).(*queuedUpdate); q.byID[next.update.GetId()] == next {
 				taken = append(taken, next)
 			}
 		}
 	}
-	news := make([]*memberpb.News, 0, len(taken))
+	updates := make([]*memberpb.News, 0, len(taken))
 	for _, next := range taken {
-		news = append(news, next.news)
+		updates = append(updates, next.update)
 		if next.sent++; next.sent >= limit {
-			delete(q.byID, next.news.GetId())
+			delete(q.byID, next.update.GetId())
 			continue
 		}
 		q.push(next)
 	}
-	return news
+	return updates
 }
--- a/membership/update_queue_test.go
+++ b/membership/update_queue_test.go
@@ -29,11 +29,11 @@
 			sent["r3"] = 0
 		}
 		least, most := boxes*perPacket, 0
-		for _, news := range q.take(perPacket, boxes) {
-			if news.GetId() == "r3" && takes >= 1 && news != newer {
+		for _, update := range q.take(perPacket, boxes) {
+			if update.GetId() == "r3" && takes >= 1 && update != newer {
 				t.Error("got an older update of a box than the one added last")
 			}
-			sent[news.GetId()]++
+			sent[update.GetId()]++
 		}
 		for i := range boxes {
 			n := sent[fmt.Sprint("r", i)]
--- a/membership/updates.go
+++ b/membership/updates.go
@@ -10,53 +10,53 @@
 const pushDelay = 20 * time.Millisecond
 
 // apply merges an update; one that does not supersede the known state is ignored.
-func (n *Node) apply(news *memberpb.News) {
-	if news.GetId() == n.Self.ID && !news.GetBackend() {
-		n.refute(news)
+func (n *Node) apply(update *memberpb.News) {
+	if update.GetId() == n.Self.ID && !update.GetBackend() {
+		n.refute(update)
 		return
 	}
 	known := n.members
-	if news.GetBackend() {
+	if update.GetBackend() {
 		known = n.backends
 	}
-	m := known[news.GetId()]
-	if m != nil && !supersedes(news, m.news) {
+	m := known[update.GetId()]
+	if m != nil && !supersedes(update, m.update) {
 		return
 	}
 	if m == nil {
-		if news.GetState() == memberpb.State_STATE_DEAD {
+		if update.GetState() == memberpb.State_STATE_DEAD {
 			return
 		}
 		m = &member{}
-		known[news.GetId()] = m
+		known[update.GetId()] = m
 	}
-	n.replace(m, news)
-	n.broadcast(news)
+	n.replace(m, update)
+	n.broadcast(update)
 }
 
 // replace replaces a member's state by a newer update.
-func (n *Node) replace(m *member, news *memberpb.News) {
-	wasDead := m.news != nil && m.dead()
+func (n *Node) replace(m *member, update *memberpb.News) {
+	wasDead := m.update != nil && m.dead()
 	now := time.Now()
-	n.set(m, news)
+	n.set(m, update)
 	m.suspectedAt = time.Time{}
 	switch {
-	case news.GetBackend():
+	case update.GetBackend():
 		n.changed = true
-	case news.GetState() == memberpb.State_STATE_SUSPECT:
+	case update.GetState() == memberpb.State_STATE_SUSPECT:
 		m.suspectedAt = now
-	case news.GetState() == memberpb.State_STATE_DEAD && !wasDead:
+	case update.GetState() == memberpb.State_STATE_DEAD && !wasDead:
 		m.diedAt = now
 		m.addPenalty(&n.Policy, now)
-		n.died = append(n.died, news.GetId())
+		n.died = append(n.died, update.GetId())
 		n.changed = true
 	}
 }
 
 // set stores a member's update, and adjusts the digest and the router lists.
-func (n *Node) set(m *member, news *memberpb.News) {
-	m.news = news
-	if !news.GetBackend() {
+func (n *Node) set(m *member, update *memberpb.News) {
+	m.update = update
+	if !update.GetBackend() {
 		n.live.set(m.router(), !m.dead())
 		n.updateOwner(m)
 	}
@@ -73,21 +73,21 @@
 }
 
 // refute answers a report that this router is suspect or dead with a higher incarnation.
-func (n *Node) refute(news *memberpb.News) {
+func (n *Node) refute(update *memberpb.News) {
 	own := n.self()
-	if news.GetIncarnation() < own.news.GetIncarnation() || !supersedes(news, own.news) {
+	if update.GetIncarnation() < own.update.GetIncarnation() || !supersedes(update, own.update) {
 		return
 	}
-	refutation := newsOf(n.Self)
-	refutation.State = own.news.GetState()
-	refutation.Incarnation = news.GetIncarnation() + 1
+	refutation := updateOf(n.Self)
+	refutation.State = own.update.GetState()
+	refutation.Incarnation = update.GetIncarnation() + 1
 	n.set(own, refutation)
 	n.broadcast(refutation)
 }
 
 // broadcast queues an update for the next packets, and schedules a push to a few routers.
-func (n *Node) broadcast(news *memberpb.News) {
-	n.queue.add(news)
+func (n *Node) broadcast(update *memberpb.News) {
+	n.queue.add(update)
 	n.schedulePush()
 }
 
@@ -109,6 +109,6 @@
 func (n *Node) push() {
 	packet := n.packet(memberpb.Kind_KIND_NEWS, 0)
 	for _, m := range n.randomMembers(n.Policy.Fanout, "") {
-		n.send(m.news.GetAddress(), packet)
+		n.send(m.update.GetAddress(), packet)
 	}
 }
