--- a/membership/member.go
+++ b/membership/member.go
@@ -12,6 +12,7 @@
 
 // member is the local record of one box.
 type member struct {
+	// update is the latest update about the box.
 	update *memberpb.News
 	// suspectedAt is when this router began to suspect the box; zero if it does not.
 	suspectedAt time.Time
--- a/membership/node.go
+++ b/membership/node.go
@@ -89,6 +89,7 @@
 	return n
 }
 
+// updateOf returns an update with the router's own data.
 func updateOf(router slipwick.Router) *memberpb.News {
 	return &memberpb.News{
 		Id:         router.ID,
--- a/membership/update_queue.go
+++ b/membership/update_queue.go
@@ -10,7 +10,7 @@
 // queuedUpdate is an update that is still to be sent.
 type queuedUpdate struct {
 	update *memberpb.News
-	sent int
+	sent   int
 }
 
 // updateQueue holds each update until it was sent often enough to have reached all routers: a few
