--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -99,7 +99,7 @@
 		Name:    "request-quarantined",
 		Level:   zerolog.WarnLevel,
 		Meaning: "The request with this key crashed several backend servers, `ends` times in all; it is refused from now on.",
-		Remedy:  "Find the caller in the lines of event 204 with the same key; report the crash to the maintainers of the engine.",
+		Remedy:  "Find the caller by lines of event 204 with the same key; have the crash fixed in the engine.",
 	}
 	RequestReleased = Event{
 		Number:  207,
@@ -119,7 +119,7 @@
 		Number:  302,
 		Name:    "platform-call-failed",
 		Level:   zerolog.WarnLevel,
-		Meaning: "A call to the platform failed or its response was invalid; the router retries and keeps the data that it has.",
+		Meaning: "A call to the platform failed or its response was invalid; the router keeps its data and retries.",
 		Remedy:  "Check the platform's address and health.",
 	}
 	FeedRecovered = Event{
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -32,7 +32,7 @@
 // backendChange returns a change that writes or removes the entry of a backend server.
 func backendChange(id string, gone bool) Change[balance.Entry] {
 	return Change[balance.Entry]{
-		Name: id,
+		Name:    id,
 		Removed: gone,
 		Value: balance.Entry{
 			Backend: slipwick.Backend{
--- a/directory/evacuations_test.go
+++ b/directory/evacuations_test.go
@@ -23,9 +23,9 @@
 		put := func(name string, gone bool) {
 			e.Change([]Change[string]{
 				{
-					Name:  name,
-					Value: "dc-" + name,
-					Removed:  gone,
+					Name:    name,
+					Value:   "dc-" + name,
+					Removed: gone,
 				},
 			})
 		}
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -29,7 +29,7 @@
 	// Removed is true if the object was removed, Invalid if its value could not be decoded. Value
 	// is the zero value in both cases.
 	Removed, Invalid bool
-	Value         T
+	Value            T
 }
 
 // Follower follows one feed: it decodes the objects that change and maintains a copy for other
@@ -243,7 +243,7 @@
 	changes := make([]Change[T], 0, len(entries))
 	for _, e := range entries {
 		change := Change[T]{
-			Name: e.Name,
+			Name:    e.Name,
 			Removed: e.Removed,
 		}
 		if !e.Removed {
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -161,7 +161,9 @@
 }
 
 // acquire waits for a slot in the first pool that has a usable backend server.
-func (d *Dispatcher) acquire(ctx context.Context, pools []string, request slipwick.AcquireRequest) (slipwick.Grant, error) {
+func (d *Dispatcher) acquire(
+	ctx context.Context, pools []string, request slipwick.AcquireRequest,
+) (slipwick.Grant, error) {
 	ctx, cancel := context.WithTimeout(ctx, d.MaxSlotWait)
 	defer cancel()
 	var grant slipwick.Grant
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -15,7 +15,7 @@
 // fakeAdmission grants a slot of the first engine that the request does not avoid.
 type fakeAdmission struct {
 	engines  []string
-	requests    []slipwick.AcquireRequest
+	requests []slipwick.AcquireRequest
 	evidence []slipwick.Evidence
 }
 
