--- a/balance/canary.go
+++ b/balance/canary.go
@@ -211,9 +211,9 @@
 	return held
 }
 
-// RolloutsKnown notes that all rollouts are known that the store had at the time. Versions that
+// MarkRolloutsKnown notes that all rollouts are known that the store had at the time. Versions that
 // appeared earlier and are named in none are used like any other.
-func (b *Balancer) RolloutsKnown(asOf time.Time) {
+func (b *Balancer) MarkRolloutsKnown(asOf time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if asOf.After(b.rolloutsAsOf) {
--- a/balance/canary_test.go
+++ b/balance/canary_test.go
@@ -137,12 +137,12 @@
 			}
 			return false
 		}
-		b.RolloutsKnown(time.Now().Add(-time.Millisecond))
+		b.MarkRolloutsKnown(time.Now().Add(-time.Millisecond))
 		if uses() {
 			t.Error("got a new version in use before its rollout can be known")
 		}
 		time.Sleep(time.Millisecond)
-		b.RolloutsKnown(time.Now())
+		b.MarkRolloutsKnown(time.Now())
 		if !uses() {
 			t.Error("got a new version held back that no rollout names")
 		}
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -80,13 +80,13 @@
 		monitor.succeeded(batch)
 		asOf = clock.Now().Add(-batch.Age)
 		if len(batch.Entries) == 0 {
-			p.balancer.RolloutsKnown(asOf)
+			p.balancer.MarkRolloutsKnown(asOf)
 		}
 	}
 	follower.OnChange = func(changes []directory.Change[rollout.Order]) {
 		p.rollouts.change(changes)
-		// Orders take effect before RolloutsKnown allows versions that no order names.
-		p.balancer.RolloutsKnown(asOf)
+		// Orders take effect before MarkRolloutsKnown allows versions that no order names.
+		p.balancer.MarkRolloutsKnown(asOf)
 		if isFirst {
 			isFirst = false
 			close(p.rolloutsKnown)
