--- a/balance/switches.go
+++ b/balance/switches.go
@@ -14,9 +14,10 @@
 	// ColdAsOthers chooses cold engines like the others, within their limit, and not only while
 	// the others are busy.
 	ColdAsOthers bool
-	// WaitForHomes makes requests on a router that has just started wait for the location of
-	// their cached prompt for as long as they can still meet their deadline.
-	WaitForHomes bool
+	// WaitForCacheHolder makes requests on a router that has just started wait until it knows
+	// which engine has their prompt cached, for as long as they can still meet the latency
+	// objective. Otherwise they wait no longer than an engine takes to prefill the prompt.
+	WaitForCacheHolder bool
 	// ForgetEvacuated makes engines prefill prompts that only evacuated engines have cached,
 	// and not fetch them from there.
 	ForgetEvacuated bool
@@ -27,7 +28,7 @@
 	return map[string]*bool{
 		"cold-as-others":   &s.ColdAsOthers,
 		"forget-evacuated": &s.ForgetEvacuated,
-		"wait-for-homes":   &s.WaitForHomes,
+		"wait-for-homes":   &s.WaitForCacheHolder,
 	}
 }
 
--- a/balance/switches_test.go
+++ b/balance/switches_test.go
@@ -9,8 +9,8 @@
 func TestSwitchesAreReadByName(t *testing.T) {
 	got, err := ParseSwitches([]string{"cold-as-others", "wait-for-homes"})
 	want := Switches{
-		ColdAsOthers: true,
-		WaitForHomes: true,
+		ColdAsOthers:       true,
+		WaitForCacheHolder: true,
 	}
 	if err != nil || got != want {
 		t.Errorf("got %+v, %v, want %+v", got, err, want)
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -91,7 +91,7 @@
 // faster, and not so long that the response misses the latency objective in any case.
 func (c *call) maxCacheHolderWait() time.Duration {
 	balancer, limit := c.gateway.Balancer, startupWait
-	if !balancer.Switches.WaitForHomes {
+	if !balancer.Switches.WaitForCacheHolder {
 		limit = min(limit, balancer.PrefillTime(&c.selection))
 	}
 	if c.route.ResponseObjective > 0 {
