--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -110,7 +110,7 @@
 			if b.HasCachedPrompt(prompt(7)) {
 				t.Errorf("router %d: got the prompt cached, want it unknown", i)
 			}
-			if got := b.InFlight("p"); got != 0 {
+			if got := b.RequestsInFlight("p"); got != 0 {
 				t.Errorf("router %d: got %v requests in flight, want the new incarnation to start at none", i, got)
 			}
 		}
@@ -118,9 +118,9 @@
 			f.deliver(i, update)
 		}
 		for i, b := range f.routers {
-			if b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 0 {
+			if b.HasCachedPrompt(prompt(7)) || b.RequestsInFlight("p") != 0 {
 				t.Errorf("router %d: got updates of the earlier incarnation applied: prompt cached %t, %v in flight",
-					i, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
+					i, b.HasCachedPrompt(prompt(7)), b.RequestsInFlight("p"))
 			}
 			// The requests in flight at the earlier incarnation fail.
 			b.Release(leases[i], slipwick.EvidenceError)
@@ -170,9 +170,9 @@
 				b.RecordResponseStart(acquire(t, b, prompt(7)))
 			}
 		}
-		if !b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 1 {
+		if !b.HasCachedPrompt(prompt(7)) || b.RequestsInFlight("p") != 1 {
 			t.Errorf("start times %v: got prompt cached %t and %v in flight, want one incarnation",
-				starts, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
+				starts, b.HasCachedPrompt(prompt(7)), b.RequestsInFlight("p"))
 		}
 	}
 }
--- a/balance/update.go
+++ b/balance/update.go
@@ -184,8 +184,8 @@
 	b.ReceiveCachedParts(parts)
 }
 
-// InFlight returns the requests of all routers at a pool, as far as known.
-func (b *Balancer) InFlight(pool string) float64 {
+// RequestsInFlight returns the requests of all routers at a pool, as far as known.
+func (b *Balancer) RequestsInFlight(pool string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	loads := b.loadsLocked(b.pools[pool], clock.Now())
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -40,7 +40,7 @@
 		tracker := quarantine.NewTracker("0")
 		syncers[0].OnCrashes = tracker.Merge
 		syncers[0].Receive("", packet)
-		if got := syncers[0].Balancer.InFlight("p"); got < 0 {
+		if got := syncers[0].Balancer.RequestsInFlight("p"); got < 0 {
 			t.Errorf("got %v requests in flight", got)
 		}
 		if got := len(tracker.TakePending()); got > len(packet) {
--- a/exchange/syncer_test.go
+++ b/exchange/syncer_test.go
@@ -151,7 +151,7 @@
 		time.Sleep(6 * updateInterval)
 		synctest.Wait()
 		for _, syncer := range syncers {
-			if got := syncer.Balancer.InFlight("p"); got != size {
+			if got := syncer.Balancer.RequestsInFlight("p"); got != size {
 				t.Errorf("router %s: got %v requests in the fleet, want %d", syncer.Self, got, size)
 			}
 			if got := syncer.Balancer.CachedPartCount(); got != size {
@@ -338,7 +338,7 @@
 		cancel()
 		for _, syncer := range syncers {
 			<-syncer.Done()
-			if got := syncer.Balancer.InFlight("p"); got != 10*size {
+			if got := syncer.Balancer.RequestsInFlight("p"); got != 10*size {
 				t.Errorf("router %s: got %v requests in the fleet, want %d", syncer.Self, got, 10*size)
 			}
 		}
@@ -378,7 +378,7 @@
 			}
 			last = packets
 			want := float64((1 + round) * (inFlight - round))
-			if got := router.Balancer.InFlight("p"); got != want {
+			if got := router.Balancer.RequestsInFlight("p"); got != want {
 				t.Errorf("%d in flight, round %d: got %v, want %v", inFlight, round, got, want)
 			}
 		}
--- a/gateway/timeouts_test.go
+++ b/gateway/timeouts_test.go
@@ -151,7 +151,7 @@
 	if got := f.post(t, "/repeatable/x"); got.status != http.StatusOK || got.body != "late" {
 		t.Errorf("got %d %q, want the late response", got.status, got.body)
 	}
-	if got := f.gateway.Balancer.InFlight("p"); got != 0 {
+	if got := f.gateway.Balancer.RequestsInFlight("p"); got != 0 {
 		t.Errorf("got %v requests in flight afterwards, want 0", got)
 	}
 }
@@ -187,9 +187,9 @@
 		t.Fatal("got a response, want none for a disconnected caller")
 	}
 	deadline := time.Now().Add(2 * time.Second)
-	for ; f.gateway.Balancer.InFlight("p") > 0; time.Sleep(10 * time.Millisecond) {
+	for ; f.gateway.Balancer.RequestsInFlight("p") > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("got %v requests in flight after the caller disconnected, want 0", f.gateway.Balancer.InFlight("p"))
+			t.Fatalf("got %v requests in flight after the caller disconnected, want 0", f.gateway.Balancer.RequestsInFlight("p"))
 		}
 	}
 	if got := second.runs.Load(); got != 0 {
