--- a/balance/notice.go
+++ b/balance/notice.go
@@ -167,9 +167,9 @@
 	return isNew
 }
 
-// Notices counts the listed backend servers that are leaving, and those that asked this router
+// NoticeCounts counts the listed backend servers that are leaving, and those that asked this router
 // for a pause.
-func (b *Balancer) Notices() (leaving, paused int) {
+func (b *Balancer) NoticeCounts() (leaving, paused int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
--- a/cmd/internal/gatewayd/metrics.go
+++ b/cmd/internal/gatewayd/metrics.go
@@ -130,12 +130,12 @@
 		{
 			name: "slipwick_leaving_backend_servers",
 			help: "Backend servers that leave, according to the list or to notices in their responses.",
-			read: func() float64 { leaving, _ := p.balancer.Notices(); return float64(leaving) },
+			read: func() float64 { leaving, _ := p.balancer.NoticeCounts(); return float64(leaving) },
 		},
 		{
 			name: "slipwick_resting_backend_servers",
 			help: "Backend servers that asked this router for a pause.",
-			read: func() float64 { _, resting := p.balancer.Notices(); return float64(resting) },
+			read: func() float64 { _, resting := p.balancer.NoticeCounts(); return float64(resting) },
 		},
 		{
 			name: "slipwick_running_rollouts",
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -76,7 +76,7 @@
 		b := newBackend(t, "a", handle)
 		f := newFixture(t, b)
 		f.post(t, "/repeatable/x")
-		if leaving, paused := f.gateway.Balancer.Notices(); leaving > 0 || paused > 0 {
+		if leaving, paused := f.gateway.Balancer.NoticeCounts(); leaving > 0 || paused > 0 {
 			t.Errorf("%s: got leaving %d, paused %d, want neither", name, leaving, paused)
 		}
 	}
