--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -10,8 +10,8 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// remoteDataCentreCost is added to the load of a server in another data centre when a plain
-// service is chosen, in requests in flight.
+// remoteDataCentreCost is added to the load of a server in another data centre when a server of a
+// plain service is chosen, in requests in flight.
 const remoteDataCentreCost = 1.5
 
 // Balancer chooses among the backend servers of all pools. It is safe for concurrent use. Set
@@ -49,8 +49,8 @@
 	servers    map[string]*server
 	pools      map[string][]*server
 	cacheIndex *cacheIndex
-	// hashes has the backend servers by the hash of their incarnation.
-	hashes map[uint64]*server
+	// serversByHash has the backend servers by the hash of their incarnation.
+	serversByHash map[uint64]*server
 	// active has the servers that an update to other routers may have to mention. A router uses
 	// only a few servers of a large pool at a time.
 	active map[*server]bool
@@ -69,15 +69,15 @@
 	pendingLeaving     []uint64
 	// prefills has the prompts that an engine prefills for the first time.
 	prefills prefills
-	// paces has the response times measured for each pool.
-	paces map[string]*poolPace
+	// timings has the response times measured for each pool.
+	timings map[string]*poolTimings
 	// firstListAt is when the first list was received. startedEmpty says that no engine had anything
 	// cached when the router started.
 	firstListAt  time.Time
 	startedEmpty bool
 	// canaries has the canary of each pool. versions has when each version first appeared in a
-	// pool that had no server of it, zero if it was there at first. All rollouts that the store
-	// had at rolloutsAsOf are known.
+	// pool, zero if it was there when the router started. All rollouts that the store had at
+	// rolloutsAsOf are known.
 	canaries     map[string]*canaryState
 	versions     map[string]map[string]time.Time
 	rolloutsAsOf time.Time
@@ -104,7 +104,7 @@
 		OnNotice:        func(slipwick.Backend, slipwick.Notice) {},
 		Random:          rand.Float64,
 		servers:         make(map[string]*server),
-		hashes:          make(map[uint64]*server),
+		serversByHash:   make(map[uint64]*server),
 		active:          make(map[*server]bool),
 		pools:           make(map[string][]*server),
 		cacheIndex:      newCacheIndex(),
@@ -112,7 +112,7 @@
 		prefills:        make(prefills),
 		notices:         make(map[uint64]*notices),
 		unlistedNotices: make(map[uint64]bool),
-		paces:           make(map[string]*poolPace),
+		timings:         make(map[string]*poolTimings),
 		versions:        make(map[string]map[string]time.Time),
 		createdAt:       clock.Now(),
 	}
@@ -152,7 +152,7 @@
 	b.active[lease.server] = true
 	lease.server.recordSend(decay)
 	lease.server.prefillTokens += lease.pendingPrefill
-	if lease.hasPrompt && lease.pendingPrefill >= b.paceLocked(request.Pool).prefill.TokensWithin(longPrefillTime) {
+	if lease.hasPrompt && lease.pendingPrefill >= b.timingsLocked(request.Pool).prefill.TokensWithin(longPrefillTime) {
 		b.OnLongPrefill()
 	}
 	return lease, nil
@@ -172,11 +172,11 @@
 		Remedy:  "check the pool's backend servers; retry after a moment",
 		Outcome: slipwick.OutcomeNotRun,
 	}
-	leaving, evacuated, elsewhere, paused, pause := 0, 0, 0, 0, time.Duration(0)
+	leaving, evacuated, otherRegion, paused, pause := 0, 0, 0, 0, time.Duration(0)
 	for _, s := range pool {
 		switch {
 		case !request.allows(s):
-			elsewhere++
+			otherRegion++
 		case s.evacuated:
 			evacuated++
 		case s.isLeaving():
@@ -189,7 +189,8 @@
 		}
 	}
 	switch {
-	case leaving == len(pool) || leaving+evacuated+elsewhere+paused < len(pool):
+	// The general error stays if all servers are leaving, or some are ejected, cold or excluded.
+	case leaving == len(pool) || leaving+evacuated+otherRegion+paused < len(pool):
 	case paused > 0:
 		err.RetryAfter = pause
 		err.Message = "all backend servers of pool " + request.Pool + " that may get the request asked for a pause"
@@ -219,14 +220,14 @@
 // call.
 func (b *Balancer) usableLocked(pool []*server, request *Request, now time.Time) []*server {
 	usable, cold, ejected := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.ejected[:0]
-	paused := b.scratch.paused[:0]
+	evacuatedOrPaused := b.scratch.evacuatedOrPaused[:0]
 	for _, s := range pool {
 		switch {
 		case s.evacuated:
-			paused = append(paused, s)
+			evacuatedOrPaused = append(evacuatedOrPaused, s)
 		case s.isLeaving() || !request.allows(s) || slices.Contains(request.Exclude, s.ID):
 		case s.notices.isPaused(now):
-			paused = append(paused, s)
+			evacuatedOrPaused = append(evacuatedOrPaused, s)
 		case b.isColdLocked(s, now) && !b.maySendToColdLocked(s, now):
 		case b.isUnavailableLocked(s, now):
 			ejected = append(ejected, s)
@@ -236,7 +237,8 @@
 			usable = append(usable, s)
 		}
 	}
-	b.scratch.usable, b.scratch.cold, b.scratch.ejected, b.scratch.paused = usable, cold, ejected, paused
+	b.scratch.usable, b.scratch.cold, b.scratch.ejected, b.scratch.evacuatedOrPaused =
+		usable, cold, ejected, evacuatedOrPaused
 	switch {
 	case len(usable) > 0:
 		return usable
@@ -288,7 +290,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if evidence == slipwick.EvidenceGood && lease.longestPause > 0 {
-		b.paceLocked(lease.server.Pool).pauses.Add(float64(lease.longestPause))
+		b.timingsLocked(lease.server.Pool).pauses.Add(float64(lease.longestPause))
 	}
 	lease.server.inFlight--
 	lease.server.prefillTokens -= lease.pendingPrefill
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -170,6 +170,8 @@
 	}
 }
 
+// TestPlainServicesPreferLeastLoadedAndLocalServers has 50 routers choose among four servers of a
+// plain service, two of which are in the data centre of the routers.
 func TestPlainServicesPreferLeastLoadedAndLocalServers(t *testing.T) {
 	request := &Request{
 		Pool: "p",
@@ -189,7 +191,8 @@
 	}
 }
 
-func TestEqualServicesShareRequests(t *testing.T) {
+// TestEqualServersShareRequests has four idle servers, none of them in the router's data centre.
+func TestEqualServersShareRequests(t *testing.T) {
 	b := New("elsewhere")
 	b.SetBackends(testEntries(4))
 	counts := make(map[string]int)
@@ -216,7 +219,7 @@
 			ejected = append(ejected, backend.ID+" "+wait.String())
 		}
 		b.Release(acquire(t, b, prompt(7)), slipwick.EvidenceUnreachable)
-		if want := id + " " + shortEjection.String(); len(ejected) != 1 || ejected[0] != want {
+		if want := id + " " + minEjection.String(); len(ejected) != 1 || ejected[0] != want {
 			t.Errorf("got ejections %v, want %s", ejected, want)
 		}
 		lease := acquire(t, b, prompt(7))
@@ -224,9 +227,9 @@
 			t.Errorf("got %s right after it was unreachable", id)
 		}
 		b.Release(lease, slipwick.EvidenceGood)
-		time.Sleep(shortEjection)
+		time.Sleep(minEjection)
 		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
-			t.Errorf("after %v: got %s, want %s again", shortEjection, got, id)
+			t.Errorf("after %v: got %s, want %s again", minEjection, got, id)
 		}
 	})
 }
--- a/balance/cacheindex.go
+++ b/balance/cacheindex.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	// maxCachedParts bounds the prompt parts whose engines a router remembers. An entry takes
+	// maxCachedParts bounds the prompt parts whose engines a router remembers. A part takes
 	// about 200 bytes.
 	maxCachedParts = 1 << 14
 	// maxHoldersPerPart bounds the engines that are remembered for a part.
--- a/balance/cachesnapshot.go
+++ b/balance/cachesnapshot.go
@@ -59,12 +59,12 @@
 	requested := make(map[uint64]*server)
 	if len(query.Wanted) > 0 {
 		for _, hash := range query.Wanted {
-			if s := b.hashes[hash]; s != nil && s.cacheKnown {
+			if s := b.serversByHash[hash]; s != nil && s.cacheKnown {
 				requested[hash] = s
 			}
 		}
 	} else {
-		for hash, s := range b.hashes {
+		for hash, s := range b.serversByHash {
 			if s.cacheKnown {
 				requested[hash] = s
 			}
@@ -88,7 +88,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, hash := range snapshot.Engines {
-		if s := b.hashes[hash]; s != nil {
+		if s := b.serversByHash[hash]; s != nil {
 			s.cacheKnown = true
 		}
 	}
@@ -143,7 +143,7 @@
 	}
 	holders, _ := b.cacheIndex.holdersByPart.Peek(request.Prompt[len(request.Prompt)-1].Key)
 	return slices.ContainsFunc(holders, func(hash uint64) bool {
-		s := b.hashes[hash]
+		s := b.serversByHash[hash]
 		return s != nil && s.Pool == request.Pool && !s.isLeaving()
 	})
 }
--- a/balance/canary.go
+++ b/balance/canary.go
@@ -17,7 +17,8 @@
 	Share   float64
 }
 
-// CanaryCounts has the outcomes in a pool during a canary, of all routers as far as known.
+// CanaryCounts has the outcomes in a pool during a canary, of all routers as far as known: New at
+// servers of the canary's version, Old at all others.
 type CanaryCounts struct {
 	Old, New VersionCounts
 }
@@ -31,11 +32,13 @@
 // canaryState is a Canary with its counts.
 type canaryState struct {
 	Canary
-	// stable and canary are the counts of both sides.
-	stable, canary versionCounts
+	// oldCounts and newCounts are the counts of the two sides of the canary: newCounts is for
+	// servers of its version, oldCounts for all others.
+	oldCounts, newCounts versionCounts
 }
 
-// versionCounts has the counts of one side, with those that were not sent to other routers yet.
+// versionCounts has the counts of one side of a canary, with those that were not sent to other
+// routers yet.
 type versionCounts struct {
 	VersionCounts
 	unsent VersionCounts
@@ -71,10 +74,10 @@
 		entry := known[pool]
 		if entry == nil || entry.Version != c.Version {
 			entry = &canaryState{
-				stable: versionCounts{
+				oldCounts: versionCounts{
 					key: placement.IDHash(pool + "\x00old\x00" + c.Version),
 				},
-				canary: versionCounts{
+				newCounts: versionCounts{
 					key: placement.IDHash(pool + "\x00new\x00" + c.Version),
 				},
 			}
@@ -93,8 +96,8 @@
 		return CanaryCounts{}
 	}
 	return CanaryCounts{
-		Old: c.stable.VersionCounts,
-		New: c.canary.VersionCounts,
+		Old: c.oldCounts.VersionCounts,
+		New: c.newCounts.VersionCounts,
 	}
 }
 
@@ -105,23 +108,23 @@
 	if c == nil && len(held) == 0 {
 		return pool
 	}
-	stable, canary := b.scratch.stable[:0], b.scratch.canary[:0]
+	oldVersion, newVersion := b.scratch.oldVersion[:0], b.scratch.newVersion[:0]
 	for _, s := range pool {
 		switch {
 		case c != nil && s.Version == c.Version:
-			canary = append(canary, s)
+			newVersion = append(newVersion, s)
 		case !held[s.Version]:
-			stable = append(stable, s)
+			oldVersion = append(oldVersion, s)
 		}
 	}
-	b.scratch.stable, b.scratch.canary = stable, canary
+	b.scratch.oldVersion, b.scratch.newVersion = oldVersion, newVersion
 	if c == nil || c.Share <= 0 {
-		return stable
+		return oldVersion
 	}
-	if len(stable) == 0 || len(canary) > 0 && b.Random() < c.Share {
-		return canary
+	if len(oldVersion) == 0 || len(newVersion) > 0 && b.Random() < c.Share {
+		return newVersion
 	}
-	return stable
+	return oldVersion
 }
 
 // recordCanaryResultLocked counts the outcome of a request of this router if its pool has a
@@ -131,9 +134,9 @@
 	if c == nil {
 		return
 	}
-	side := &c.stable
+	side := &c.oldCounts
 	if lease.server.Version == c.Version {
-		side = &c.canary
+		side = &c.newCounts
 	}
 	switch evidence {
 	case slipwick.EvidenceGood:
@@ -147,7 +150,7 @@
 // addCanaryCountsLocked adds the unsent canary counts to an update.
 func (b *Balancer) addCanaryCountsLocked(update *Update) {
 	for _, c := range b.canaries {
-		for _, side := range []*versionCounts{&c.stable, &c.canary} {
+		for _, side := range []*versionCounts{&c.oldCounts, &c.newCounts} {
 			if side.unsent == (VersionCounts{}) {
 				continue
 			}
@@ -164,7 +167,7 @@
 // receiveCanaryCountsLocked takes canary counts of another router.
 func (b *Balancer) receiveCanaryCountsLocked(o *Outcomes) {
 	for _, c := range b.canaries {
-		for _, side := range []*versionCounts{&c.stable, &c.canary} {
+		for _, side := range []*versionCounts{&c.oldCounts, &c.newCounts} {
 			if side.key == o.Server {
 				side.add(o.Good, o.Failed)
 			}
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -90,7 +90,7 @@
 	var sameDataCentre []*server
 	for _, s := range below {
 		if slices.ContainsFunc(holders, func(hash uint64) bool {
-			holder := b.hashes[hash]
+			holder := b.serversByHash[hash]
 			return holder != nil && b.canFetchFromLocked(holder, now) && holder.DataCentre == s.DataCentre
 		}) {
 			sameDataCentre = append(sameDataCentre, s)
@@ -102,7 +102,7 @@
 	slices.SortFunc(below, func(x, y *server) int {
 		return cmp.Compare(placement.Score(prompt, y.hash), placement.Score(prompt, x.hash))
 	})
-	rankLead := b.paceLocked("p").prefill.TokensWithin(rankLeadTime)
+	rankLead := b.timingsLocked("p").prefill.TokensWithin(rankLeadTime)
 	var best *server
 	bestCost := 0
 	for rank, s := range below {
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// ColdLimit limits the requests to a pool's backend servers while they are cold.
+// ColdLimit limits the requests to a pool's backend servers while they are cold, that is, can serve
+// only few requests because they started a short time ago.
 type ColdLimit struct {
 	// MaxPerSecond is how many requests all routers together may send to one server in any
 	// second. With 0 there is no limit.
@@ -12,26 +13,26 @@
 }
 
 // Only a few routers of the fleet, the sharers, send to a cold server: those that rank first
-// for it among all live routers. Each sends up to its part of the limit in any second. If the
-// limit were split evenly over the fleet, the part of a router would be too small for a single
-// request.
+// for it among all live routers. Each sends up to an equal fraction of the limit in any second. If
+// the limit were split evenly over the fleet, the fraction of a router would be too small for a
+// single request.
 const (
-	// sharedPart is the fraction of the limit that the sharers use together. As much again is
+	// sharedFraction is the fraction of the limit that the sharers use together. As much again is
 	// left for a second set of sharers, which can exist when the fleet is partitioned, or when
 	// routers that were frozen resume after others have replaced them.
-	sharedPart = 0.5
+	sharedFraction = 0.5
 	// minSharerLimit is the least that one sharer may send in a second if the limit allows it.
-	// With a smaller part, few of a router's requests would fit.
+	// With a smaller limit, few of a router's requests would fit.
 	minSharerLimit = 3
 	// coldWindow is the second for which the limit holds, plus the possible difference in
 	// network delay between requests.
 	coldWindow = 1200 * time.Millisecond
 )
 
-// split returns how many routers share the limit and how many requests each may send in a
-// second.
-func (l *ColdLimit) split(routers int) (sharers, part int) {
-	shared := int(sharedPart * l.MaxPerSecond)
+// split returns the number of sharers among the live routers, and how many requests each sharer may
+// send to a cold server in a second.
+func (l *ColdLimit) split(routers int) (sharers, sharerLimit int) {
+	shared := int(sharedFraction * l.MaxPerSecond)
 	sharers = max(min(shared/minSharerLimit, routers), 1)
 	return sharers, shared / sharers
 }
@@ -50,10 +51,10 @@
 
 // maySendToColdLocked reports whether this router may send to a cold server now. A router whose
 // rank changed waits for a window first, because the router that was a sharer before may have
-// used its part within that window.
+// used its limit within that window.
 func (b *Balancer) maySendToColdLocked(s *server, now time.Time) bool {
 	limit := b.coldLimits[s.Pool]
-	sharers, part := limit.split(len(b.ranking.live))
+	sharers, sharerLimit := limit.split(len(b.ranking.live))
 	rank := b.rankLocked(s)
 	rankedAt := rank.changedAt
 	if b.createdAt.After(rankedAt) {
@@ -65,7 +66,7 @@
 	for len(s.coldSends) > 0 && now.Sub(s.coldSends[0]) >= coldWindow {
 		s.coldSends = s.coldSends[1:]
 	}
-	return len(s.coldSends) < part
+	return len(s.coldSends) < sharerLimit
 }
 
 const (
@@ -77,7 +78,7 @@
 )
 
 // coldOverflowLocked returns a cold engine for a request while the others are busy, or nil. The
-// sharers prefer it up to their part of the limit: if it were chosen like any other engine, it
+// sharers prefer it to the others up to their limit: if it were chosen like any other engine, it
 // would get almost no requests, because each sharer has so many others to choose from.
 func (b *Balancer) coldOverflowLocked(mean float64) *server {
 	var overflow *server
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -226,10 +226,10 @@
 	})
 }
 
-// TestBurstAfterEvacuationStaysBelowTheColdLimit sends a burst of four times the usual load as an
-// evacuation ends, whose engines are listed as cold before that: 19 routers with 28 engines. When
-// none counted as cold, with 65 routers and 112 engines, an engine got 25 and 26 requests in a
-// second, of 24.5 allowed.
+// TestBurstAfterEvacuationStaysBelowTheColdLimit sends a burst of four times the usual load through
+// 19 routers to 28 engines as an evacuation ends. The evacuated engines are listed as cold before the
+// end. When none of them counted as cold, with 65 routers and 112 engines, an engine got 25 and 26
+// requests in a second, of 24.5 allowed.
 func TestBurstAfterEvacuationStaysBelowTheColdLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const routers, engines, perSecond = 19, 28, 4 * 200
@@ -274,14 +274,14 @@
 		time.Sleep(2 * time.Second)
 		b.RecordResponseStart(lease)
 		b.RecordResponseTime(lease)
-		if got := b.paceLocked("p").slowdown.Len(); got != 0 {
+		if got := b.timingsLocked("p").slowdown.Len(); got != 0 {
 			t.Errorf("got %d response times recorded for a cold engine, want none", got)
 		}
 	})
 }
 
-// BenchmarkSetRouters removes and adds one router, at the largest size in the design: 330 routers
-// and 930 servers.
+// BenchmarkSetRouters removes and adds one router, in the largest fleet that the router is designed
+// for: 330 routers and 930 servers.
 func BenchmarkSetRouters(b *testing.B) {
 	var ids []string
 	for i := range 330 {
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -17,19 +17,20 @@
 	// no reason to eject one.
 	errorLimit  = 0.2
 	errorFactor = 2
-	// chanceDeviations is how many standard deviations above the others' error rate a server
-	// has to be: no server gets there by chance.
+	// chanceDeviations is how many standard deviations the error rate of a server has to be above
+	// that of the others before the server is ejected: no server gets there by chance.
 	chanceDeviations = 4
 	// rateAfterEjection is the error rate that a server starts with after an ejection: a few
 	// more failures eject it again, for longer.
 	rateAfterEjection = 0.12
 	// healthyRate is the error rate below which earlier ejections are forgotten.
 	healthyRate = 0.05
-	// errorEjection is the duration of the first ejection for errors. Ejections by chance are
-	// rare enough, and other servers can take the load meanwhile.
+	// errorEjection is the duration of the first ejection for errors. It may be longer than
+	// minEjection because ejections by chance are rare, and other servers can take the load
+	// meanwhile.
 	errorEjection = time.Second
 	// ejectableOneIn limits ejections to one in ejectableOneIn servers of a pool, rounded up:
-	// the others have to carry the load. Paused servers count as ejected.
+	// the others have to carry the load. Servers that asked for a pause count as ejected.
 	ejectableOneIn = 3
 	// maxUnsentSuccesses bounds the successes that are sent together with the next failure.
 	// More would only say that the server was healthy long before.
@@ -89,7 +90,7 @@
 	switch evidence {
 	case slipwick.EvidenceNone:
 	case slipwick.EvidenceUnreachable, slipwick.EvidenceTimeout, slipwick.EvidenceLeaving:
-		if s.eject(now, shortEjection) {
+		if s.eject(now, minEjection) {
 			b.OnEjected(s.Backend, s.ejectedUntil.Sub(now))
 		}
 	case slipwick.EvidenceRefused:
@@ -97,7 +98,7 @@
 		// themselves, so the failure is sent to them. A broken network path is not sent, as it
 		// concerns only this router.
 		b.recordOutcomeLocked(s, true)
-		if s.eject(now, shortEjection) {
+		if s.eject(now, minEjection) {
 			b.OnEjected(s.Backend, s.ejectedUntil.Sub(now))
 		}
 	case slipwick.EvidenceShed:
@@ -114,9 +115,9 @@
 }
 
 // hasFreeSlotLocked reports whether a server has a free slot, by the load known of all routers.
-// A server that sheds requests in spite of that is as bad as one that fails: it responds at
-// once, holds nothing and so looks the least loaded, until the retry budget is spent on it. A
-// full server sheds because of its load, which an ejection would only move elsewhere.
+// A server that sheds requests in spite of that is as bad as one that fails: it responds at once,
+// has no requests in flight and so looks the least loaded, until the retry budget is spent on it.
+// A full server sheds because of its load, which an ejection would only move elsewhere.
 func (b *Balancer) hasFreeSlotLocked(s *server, now time.Time) bool {
 	return b.loadsLocked([]*server{s}, now)[0] < float64(s.EffectiveSlots())
 }
@@ -147,7 +148,8 @@
 	return max(errorLimit, errorFactor*others, others+chanceDeviations*deviation)
 }
 
-// atEjectionLimitLocked reports whether the pool has no further servers to spare.
+// atEjectionLimitLocked reports whether the ejection of the server would exceed the limit of one in
+// ejectableOneIn servers of its pool.
 func (b *Balancer) atEjectionLimitLocked(s *server, now time.Time) bool {
 	pool := b.pools[s.Pool]
 	unavailable := 0
@@ -186,7 +188,7 @@
 	defer b.mu.Unlock()
 	now := clock.Now()
 	for _, o := range outcomes {
-		if s := b.hashes[o.Server]; s != nil {
+		if s := b.serversByHash[o.Server]; s != nil {
 			s.errors.add(o.Good, o.Failed)
 			b.ejectIfFailingLocked(s, now)
 		} else {
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -14,12 +14,12 @@
 
 // entriesStartedAt returns entries of engines, of which the one with the ID started at another time
 // than the others.
-func entriesStartedAt(id string, born int64) []Entry {
+func entriesStartedAt(id string, startTime int64) []Entry {
 	list := testEntries(restartEngines)
 	for i := range list {
 		list[i].StartTime = 1_000
 		if list[i].ID == id {
-			list[i].StartTime = born
+			list[i].StartTime = startTime
 		}
 	}
 	return list
@@ -160,10 +160,10 @@
 func TestEntryWithoutStartTimeIsTheSameIncarnation(t *testing.T) {
 	for _, starts := range [][]int64{{0, 0}, {1_000, 0}, {1_000, 0, 1_000}, {1_000, 1_000}} {
 		b := New("dc-0")
-		for i, born := range starts {
+		for i, startTime := range starts {
 			list := testEntries(restartEngines)
 			for j := range list {
-				list[j].StartTime = born
+				list[j].StartTime = startTime
 			}
 			b.SetBackends(list)
 			if i == 0 {
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -12,8 +12,8 @@
 	// FetchFrom is the address of another engine that probably has the prompt cached. It is
 	// empty if there is none or the chosen engine has it.
 	FetchFrom string
-	// Wait is how long to delay sending the request, or until PrefillDone is closed: the prompt
-	// is being prefilled for another request. PrefillDone may be nil.
+	// Wait is how long to delay sending the request at most, because its prompt is being prefilled
+	// for another request. If PrefillDone is not nil, the delay ends when it is closed.
 	Wait        time.Duration
 	PrefillDone <-chan struct{}
 
--- a/balance/list.go
+++ b/balance/list.go
@@ -49,7 +49,7 @@
 	}
 	listedAt := now
 	if now.Sub(b.firstListAt) < RelistWindow {
-		// These servers started before this router.
+		// These servers may have been running before this router started.
 		listedAt = time.Time{}
 	}
 	for _, id := range changes.Removed {
@@ -59,7 +59,7 @@
 	}
 	if len(b.servers) == 0 {
 		b.servers = make(map[string]*server, len(changes.Entries))
-		b.hashes = make(map[uint64]*server, len(changes.Entries))
+		b.serversByHash = make(map[uint64]*server, len(changes.Entries))
 	}
 	added := make(map[uint64]bool, len(changes.Entries))
 	for i := range changes.Entries {
@@ -102,7 +102,7 @@
 		s.coldUntil = current.ColdUntil
 	}
 	b.recordVersionLocked(s, !listedAt.IsZero())
-	b.servers[s.ID], b.hashes[s.hash] = s, s
+	b.servers[s.ID], b.serversByHash[s.hash] = s, s
 	if s.poolIndex < 0 {
 		s.poolIndex = len(b.pools[s.Pool])
 		b.pools[s.Pool] = append(b.pools[s.Pool], s)
@@ -113,7 +113,7 @@
 // unlistLocked removes a server that is no longer listed. Leases that refer to it end as usual.
 func (b *Balancer) unlistLocked(s *server) {
 	delete(b.servers, s.ID)
-	delete(b.hashes, s.hash)
+	delete(b.serversByHash, s.hash)
 	b.removeFromPoolLocked(s)
 	b.markUnlistedLocked(s.hash)
 }
@@ -148,7 +148,7 @@
 func (b *Balancer) IsListed(incarnation string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.hashes[placement.IDHash(incarnation)] != nil
+	return b.serversByHash[placement.IDHash(incarnation)] != nil
 }
 
 // ServerCount returns the number of listed backend servers.
--- a/balance/list_test.go
+++ b/balance/list_test.go
@@ -71,7 +71,7 @@
 				t.Fatalf("got %v, want %v", got, want)
 			}
 			for _, in := range byChanges.countsByRouter["peer"].inFlight {
-				if s := byChanges.hashes[in.Server]; s != nil && s.remoteInFlight != in.Count {
+				if s := byChanges.serversByHash[in.Server]; s != nil && s.remoteInFlight != in.Count {
 					t.Fatalf("%s: got %d requests of the peer, want %d", s.ID, s.remoteInFlight, in.Count)
 				}
 			}
@@ -82,7 +82,7 @@
 // testCounts returns counts of another router for each listed server.
 func testCounts(b *Balancer, round int) []InFlight {
 	var counts []InFlight
-	for hash := range b.hashes {
+	for hash := range b.serversByHash {
 		counts = append(counts, InFlight{
 			Server: hash,
 			Count:  int(hash%5) + round,
@@ -97,10 +97,10 @@
 	for name, pool := range b.pools {
 		for i, s := range pool {
 			lines = append(lines, fmt.Sprint(
-				name, s.Incarnation(), s.Leaving, s.remoteInFlight, s.poolIndex == i, b.hashes[s.hash] == s,
+				name, s.Incarnation(), s.Leaving, s.remoteInFlight, s.poolIndex == i, b.serversByHash[s.hash] == s,
 			))
 		}
 	}
 	slices.Sort(lines)
-	return append(lines, fmt.Sprint(len(b.servers), len(b.hashes)))
+	return append(lines, fmt.Sprint(len(b.servers), len(b.serversByHash)))
 }
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -53,17 +53,17 @@
 	return known, mean / float64(max(len(servers), 1))
 }
 
-// poolMeanLocked returns the mean load of the given usable servers and the paused ones, that is
-// those evacuated or asking for a pause, because the bound on an engine's load refers to the
-// mean of all healthy servers. Cold servers do not count: while part of a pool comes back, they
-// would lower the bound so far that prompts had to move away from the engines that have them
-// cached.
+// poolMeanLocked returns the mean load of the usable servers and of those that are evacuated or
+// asked for a pause, because the bound on an engine's load refers to the mean of all healthy
+// servers. mean is that of the usable ones alone. Cold servers do not count: while a part of the
+// pool restarts, they would lower the bound so far that prompts had to move away from the engines
+// that have them cached.
 func (b *Balancer) poolMeanLocked(usable []*server, mean float64, now time.Time) float64 {
-	if len(b.scratch.paused) == 0 {
+	if len(b.scratch.evacuatedOrPaused) == 0 {
 		return mean
 	}
 	sum, complete := mean*float64(len(usable)), b.hasAllUpdatesLocked(now)
-	for _, s := range b.scratch.paused {
+	for _, s := range b.scratch.evacuatedOrPaused {
 		sum += float64(s.inFlight)
 		if complete {
 			sum += float64(s.remoteInFlight)
@@ -71,7 +71,7 @@
 			sum += float64(reported)
 		}
 	}
-	return sum / float64(max(len(usable)+len(b.scratch.paused), 1))
+	return sum / float64(max(len(usable)+len(b.scratch.evacuatedOrPaused), 1))
 }
 
 // meanReportedLoad returns the mean number of other routers' requests in the servers' recent
@@ -90,7 +90,7 @@
 	return float64(sum) / float64(known)
 }
 
-// SetLoadBound sets LoadFactor and LoadSlack.
+// SetLoadBound sets LoadFactor and LoadSlack, also after the first call of other methods.
 func (b *Balancer) SetLoadBound(factor, slack float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,8 +104,8 @@
 }
 
 // usableBoundLocked returns the load bound for the usable engines. The mean that it is based on
-// includes paused servers, whose load keeps falling. The bound is therefore at least one
-// request above the usable engines' own mean, or none of them could get any.
+// includes servers that are evacuated or asked for a pause, whose load keeps falling. The bound is
+// therefore at least one request above the usable engines' own mean, or none of them could get any.
 func (b *Balancer) usableBoundLocked(usable []*server, mean float64, now time.Time) float64 {
 	all := b.poolMeanLocked(usable, mean, now)
 	return max(b.loadBound(all), mean+1)
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -66,7 +66,7 @@
 		}
 		b.notices[incarnation] = n
 	}
-	if s := b.hashes[incarnation]; s != nil {
+	if s := b.serversByHash[incarnation]; s != nil {
 		s.notices = n
 	}
 	return n
@@ -87,7 +87,7 @@
 	now := clock.Now()
 	for incarnation := range b.unlistedNotices {
 		n := b.notices[incarnation]
-		if b.hashes[incarnation] != nil || n == nil {
+		if b.serversByHash[incarnation] != nil || n == nil {
 			delete(b.unlistedNotices, incarnation)
 			continue
 		}
@@ -126,7 +126,7 @@
 // receiveNoticeLocked applies a notice that this router received from the server, and queues it
 // for the other routers.
 func (b *Balancer) receiveNoticeLocked(s *server, notice slipwick.Notice) {
-	if b.applyNoticeLocked(s, notice) && notice.Leaving && len(b.pendingLeaving) < maxPendingEntries {
+	if b.applyNoticeLocked(s, notice) && notice.Leaving && len(b.pendingLeaving) < maxPendingItems {
 		b.pendingLeaving = append(b.pendingLeaving, s.hash)
 	}
 }
@@ -139,7 +139,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, hash := range servers {
-		if s := b.hashes[hash]; s != nil {
+		if s := b.serversByHash[hash]; s != nil {
 			b.applyNoticeLocked(s, slipwick.Notice{
 				Leaving: true,
 			})
@@ -158,7 +158,7 @@
 	if until := now.Add(notice.Pause); notice.Pause > 0 && until.After(known.pausedUntil) {
 		known.pausedUntil = until
 	}
-	if b.hashes[s.hash] == nil {
+	if b.serversByHash[s.hash] == nil {
 		b.unlistedNotices[s.hash] = true
 	}
 	if isNew {
--- a/balance/prefill.go
+++ b/balance/prefill.go
@@ -51,7 +51,7 @@
 	started := &prefill{
 		engine:    lease.server.hash,
 		startedAt: now,
-		deadline:  now.Add(b.paceLocked(lease.server.Pool).maxPrefillTime(lease.tokensToPrefill)),
+		deadline:  now.Add(b.timingsLocked(lease.server.Pool).maxPrefillTime(lease.tokensToPrefill)),
 		done:      make(chan struct{}),
 	}
 	if b.prefills.start(part, started) {
@@ -75,7 +75,7 @@
 // engine other than the one that prefills it will fetch it from there.
 func (b *Balancer) awaitPrefillLocked(request *Request, part uint64, lease *Lease, now time.Time) {
 	tokens := request.tokens()
-	known, p := b.prefills[part], b.paceLocked(lease.server.Pool)
+	known, p := b.prefills[part], b.timingsLocked(lease.server.Pool)
 	if known == nil || known.done == nil && tokens < p.prefill.TokensWithin(longPrefillTime) {
 		// Short prefills of other routers are over before their updates arrive.
 		return
@@ -85,7 +85,7 @@
 		return
 	}
 	lease.Wait, lease.PrefillDone = wait, known.done
-	if source := b.hashes[known.engine]; source != nil && source != lease.server && request.allows(source) {
+	if source := b.serversByHash[known.engine]; source != nil && source != lease.server && request.allows(source) {
 		lease.FetchFrom = source.Address
 	}
 }
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -62,8 +62,8 @@
 	return lease
 }
 
-// leastPrefillLocked returns the engine below the load bound with the least prefill work, with
-// a lead by rank: an engine may have rankLeadTime more work than the next one in the prompt's
+// leastPrefillLocked returns the engine below the load bound with the least prefill work,
+// after a lead by rank: an engine may have rankLeadTime more work than the next one in the prompt's
 // rank order and still get the prompt. Routers learn late of each other's prefills, and without
 // the lead they would choose the same engine for all prompts.
 func (b *Balancer) leastPrefillLocked(
@@ -82,7 +82,7 @@
 		scores = append(scores, placement.Score(prompt, s.hash))
 	}
 	b.scratch.scores = scores
-	rankLead := b.paceLocked(usable[0].Pool).prefill.TokensWithin(rankLeadTime)
+	rankLead := b.timingsLocked(usable[0].Pool).prefill.TokensWithin(rankLeadTime)
 	var best *server
 	bestCost := 0
 	// A lower rank is considered only while its lead could still make it the cheapest.
@@ -115,7 +115,7 @@
 	known, _ := b.cacheIndex.holdersByPart.Peek(prompt)
 	var holderDataCentres []string
 	for _, hash := range known {
-		if holder := b.hashes[hash]; holder != nil && b.canFetchFromLocked(holder, now) {
+		if holder := b.serversByHash[hash]; holder != nil && b.canFetchFromLocked(holder, now) {
 			holderDataCentres = append(holderDataCentres, holder.DataCentre)
 		}
 	}
@@ -156,7 +156,7 @@
 // recordCachedPartsLocked records where parts are cached, also for the next update.
 func (b *Balancer) recordCachedPartsLocked(parts []uint64, s *server) {
 	for _, part := range parts {
-		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingCachedParts) < maxPendingEntries {
+		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingCachedParts) < maxPendingItems {
 			b.pendingCachedParts = append(b.pendingCachedParts, CachedPart{
 				Part:   part,
 				Server: s.hash,
@@ -173,7 +173,7 @@
 	request *Request, parts []uint64, pool []*server, chosen *server, now time.Time,
 ) *server {
 	usable := func(engine uint64) *server {
-		if s := b.hashes[engine]; s != nil && request.allows(s) && b.canFetchFromLocked(s, now) {
+		if s := b.serversByHash[engine]; s != nil && request.allows(s) && b.canFetchFromLocked(s, now) {
 			return s
 		}
 		return nil
--- a/balance/ranking.go
+++ b/balance/ranking.go
@@ -9,9 +9,9 @@
 )
 
 // routerRanking has the live routers by the hash of their ID, and those that joined or left
-// within the last coldWindow. It is used only for cold servers, each ranked when a request
-// considers it: a starting fleet learns of its routers one by one, and ranking all servers each
-// time would cost servers times routers.
+// within the last coldWindow. Routers are ranked only for cold servers, and for each only when a
+// request considers it: the routers of a starting fleet learn of each other one by one, and a
+// ranking for all servers each time would cost servers times routers.
 type routerRanking struct {
 	self uint64
 	live map[uint64]bool
--- a/balance/request.go
+++ b/balance/request.go
@@ -5,8 +5,8 @@
 // Request describes what a request needs from a backend server.
 type Request struct {
 	Pool string
-	// Prompt has the parts of the prompt that the request shares with others, in order. It is
-	// empty for a request without a prompt.
+	// Prompt has the parts of the prompt that other requests may share, in order. It is empty for
+	// a request without a prompt.
 	Prompt []Part
 	// UniqueTokens is the number of prompt tokens that no other request shares.
 	UniqueTokens int
--- a/balance/scratch.go
+++ b/balance/scratch.go
@@ -6,10 +6,11 @@
 	// usable has the servers that a request may go to, cold the cold servers that may get it as
 	// well, ejected the ejected servers, and below those whose load is below the load bound.
 	usable, cold, ejected, below []*server
-	// paused has the evacuated servers and those that asked for a pause.
-	paused []*server
-	// stable and canary split the servers of a pool during a canary.
-	stable, canary []*server
+	// evacuatedOrPaused has the evacuated servers and those that asked for a pause.
+	evacuatedOrPaused []*server
+	// newVersion has the servers of a pool that have the version of its canary, oldVersion the
+	// others that are not held back.
+	oldVersion, newVersion []*server
 	// costs has the costs of the usable servers, scores the rendezvous scores of those below
 	// the load bound.
 	costs  []float64
--- a/balance/sends.go
+++ b/balance/sends.go
@@ -7,14 +7,15 @@
 
 const (
 	// updateDelay is how long it takes until a router knows what the others send: updates are
-	// sent five times a second, and a hub may relay them.
+	// sent five times a second, and another router, a hub, may relay them.
 	updateDelay = 200 * time.Millisecond
 	// sendsRebaseInterval is how often the send counts are rebased to the current time. What
 	// was counted that long before has decayed to nothing.
 	sendsRebaseInterval = 20 * updateDelay
 )
 
-// decayLocked returns what remains now of a request that was sent at sendsFrom.
+// decayLocked returns the weight that a request sent at sendsFrom has now. The weight decays
+// exponentially, with updateDelay as the time constant.
 func (b *Balancer) decayLocked(now time.Time) float64 {
 	age := now.Sub(b.sendsFrom)
 	decay := math.Exp(-age.Seconds() / updateDelay.Seconds())
@@ -52,7 +53,8 @@
 	if typical <= 0 {
 		return 0
 	}
-	// The mean of a Poisson rate, given an exponential prior around the usual.
+	// This is the posterior mean of a Poisson rate after one observation, sent, for an exponential
+	// prior whose mean is typical.
 	expected := typical * (1 + sent) / (1 + typical)
 	return expected - typical
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	// loadReportTTL is how long a load report is used. At the request rates in the design,
-	// a router gets one from each engine about once a second.
+	// loadReportTTL is how long a load report is used. At the request rates that the router is
+	// designed for, it gets one from each engine about once a second.
 	loadReportTTL = 1500 * time.Millisecond
-	// shortEjection is the shortest and maxEjection the longest duration of an ejection.
-	shortEjection = 500 * time.Millisecond
-	maxEjection   = 4 * time.Second
+	// minEjection is the shortest and maxEjection the longest duration of an ejection.
+	minEjection = 500 * time.Millisecond
+	maxEjection = 4 * time.Second
 )
 
 // RelistWindow is how long after a router's first list a newly listed backend server may have
@@ -52,7 +52,7 @@
 	lastActivityAt time.Time
 	busySince      time.Time
 
-	// sends is a decaying count of the requests that this router sent, relative to the
+	// sends is an exponentially decaying count of the requests that this router sent, as of the
 	// balancer's sendsFrom.
 	sends float64
 
@@ -128,7 +128,7 @@
 		return false
 	}
 	silentFor := min(now.Sub(s.busySince), now.Sub(s.lastActivityAt))
-	return silentFor > minSilence && silentFor > b.paceLocked(s.Pool).maxSilenceFor(s.prefillTokens)
+	return silentFor > minSilence && silentFor > b.timingsLocked(s.Pool).maxSilenceFor(s.prefillTokens)
 }
 
 // eject ejects the server, for twice as long each time in a row up to maxEjection. It returns
--- a/balance/timings.go
+++ b/balance/timings.go
@@ -15,8 +15,8 @@
 	// how many are needed before these are used.
 	pausesWindow    = 256
 	minPauseSamples = 32
-	// lateQuantile is the quantile of the response times that a request may take,
-	// medianQuantile that of a usual request.
+	// lateQuantile is the quantile of the response times above which a response counts as late,
+	// medianQuantile that of a usual response.
 	lateQuantile   = 0.99
 	medianQuantile = 0.5
 	// timeoutFactor times the late quantile is how long a request waits before it is sent
@@ -25,49 +25,51 @@
 	timeoutFactor = 2
 	silenceFactor = 4
 	// minFirstByteTimeout allows for some round trips and a pause of a busy server. minSilence
-	// and maxSilence bound the silence: engines send something with every step, and callers
-	// give up within some seconds.
+	// and maxSilence bound how long a backend server may send nothing: engines send something with
+	// every decoding step, and callers give up within some seconds.
 	minFirstByteTimeout = 100 * time.Millisecond
 	minSilence          = 500 * time.Millisecond
 	maxSilence          = 4 * time.Second
 	// longPrefillTime is the prefill time from which a prompt counts as long, so that other
 	// routers are informed before the prefill is over. rankLeadTime is how much more prefill
-	// work an engine may have than the next one in the rank order of a prompt.
+	// work an engine may have than the next one in the rank order of a prompt and still be
+	// preferred to it.
 	longPrefillTime = 40 * time.Millisecond
 	rankLeadTime    = 15 * time.Millisecond
 	// remotePrefillTime is the assumed prefill time of a prompt that is prefilled for another
 	// router.
 	remotePrefillTime = 160 * time.Millisecond
-	// baseMargin and prefillMargin are the factors on the measured times that limit how long to
-	// wait for an engine's prefill. maxPrefillWait is the upper bound.
+	// An engine's prefill may take baseMargin times the measured base time, which does not depend
+	// on the prompt, plus prefillMargin times the measured time for the prompt's tokens, and
+	// maxPrefillWait at most.
 	baseMargin     = 1.5
 	prefillMargin  = 1.2
 	maxPrefillWait = 2 * time.Second
 )
 
-// poolPace has the response times measured for a pool.
-type poolPace struct {
+// poolTimings has the response times measured for a pool.
+type poolTimings struct {
 	// hasPrompts says that the pool's requests have prompts.
 	hasPrompts bool
 	prefill    *pace.PrefillEstimator
-	// slowdown has the times until responses began.
+	// slowdown has the times until responses began, relative to those of an unloaded engine.
 	slowdown *pace.SlowdownEstimator
 	// pauses has the longest pause of each stream that completed, in nanoseconds.
 	pauses *pace.Window
 }
 
-// paceLocked returns the pace of a pool, and creates it if needed.
-func (b *Balancer) paceLocked(pool string) *poolPace {
-	p := b.paces[pool]
+// timingsLocked returns the timings of a pool, and creates them if needed.
+func (b *Balancer) timingsLocked(pool string) *poolTimings {
+	p := b.timings[pool]
 	if p == nil {
-		p = newPoolPace()
-		b.paces[pool] = p
+		p = newPoolTimings()
+		b.timings[pool] = p
 	}
 	return p
 }
 
-func newPoolPace() *poolPace {
-	p := &poolPace{
+func newPoolTimings() *poolTimings {
+	p := &poolTimings{
 		prefill: pace.NewPrefillEstimator(),
 		pauses:  pace.NewWindow(pausesWindow),
 	}
@@ -79,7 +81,7 @@
 
 // unloadedTime returns the response time of an engine without other requests. Nothing is known
 // of the size of requests to plain services, so all of them count the same.
-func (p *poolPace) unloadedTime(tokens int) time.Duration {
+func (p *poolTimings) unloadedTime(tokens int) time.Duration {
 	if !p.hasPrompts {
 		return time.Millisecond
 	}
@@ -88,7 +90,7 @@
 
 // responseTimeQuantile returns the time within which a fraction of the requests with as many
 // tokens to prefill get the start of their response, 0 while too few were measured.
-func (p *poolPace) responseTimeQuantile(quantile float64, tokens int) time.Duration {
+func (p *poolTimings) responseTimeQuantile(quantile float64, tokens int) time.Duration {
 	if p.slowdown.Len() < minSlowdownSamples {
 		return 0
 	}
@@ -96,14 +98,14 @@
 }
 
 // maxPrefillTime returns how long an engine prefills a prompt at most.
-func (p *poolPace) maxPrefillTime(tokens int) time.Duration {
+func (p *poolTimings) maxPrefillTime(tokens int) time.Duration {
 	base := p.prefill.BaseTime()
 	wait := baseMargin*float64(base) + prefillMargin*float64(p.prefill.PrefillTime(tokens)-base)
 	return min(time.Duration(wait), maxPrefillWait)
 }
 
 // maxSilenceFor returns how long a server with that many tokens to prefill may send nothing.
-func (p *poolPace) maxSilenceFor(tokens int) time.Duration {
+func (p *poolTimings) maxSilenceFor(tokens int) time.Duration {
 	limit := silenceFactor * p.responseTimeQuantile(lateQuantile, tokens)
 	return min(max(limit, minSilence), maxSilence)
 }
@@ -124,7 +126,7 @@
 		// Response times of cold servers say nothing about the others.
 		return
 	}
-	elapsed, p := clock.Since(lease.sentAt), b.paceLocked(lease.server.Pool)
+	elapsed, p := clock.Since(lease.sentAt), b.timingsLocked(lease.server.Pool)
 	if typical := p.responseTimeQuantile(medianQuantile, lease.tokensToPrefill); typical > 0 {
 		lease.isSlow = elapsed > slowFactor*typical
 	}
@@ -140,7 +142,7 @@
 func (b *Balancer) FirstByteTimeout(lease *Lease) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	late := b.paceLocked(lease.server.Pool).responseTimeQuantile(lateQuantile, lease.tokensToPrefill)
+	late := b.timingsLocked(lease.server.Pool).responseTimeQuantile(lateQuantile, lease.tokensToPrefill)
 	if late == 0 {
 		return 0
 	}
@@ -152,7 +154,7 @@
 func (b *Balancer) StreamIdleTimeout(lease *Lease) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	pauses := b.paceLocked(lease.server.Pool).pauses
+	pauses := b.timingsLocked(lease.server.Pool).pauses
 	if pauses.Len() < minPauseSamples {
 		return 0
 	}
@@ -164,22 +166,22 @@
 func (b *Balancer) MaxPrefillTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.paceLocked(request.Pool).maxPrefillTime(request.tokens())
+	return b.timingsLocked(request.Pool).maxPrefillTime(request.tokens())
 }
 
-// PrefillTime returns how long an engine of the pool prefills the whole prompt, without the
-// base time of any request.
+// PrefillTime returns how long an engine of the pool prefills the whole prompt, without the base
+// time that every request takes.
 func (b *Balancer) PrefillTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	prefill := b.paceLocked(request.Pool).prefill
+	prefill := b.timingsLocked(request.Pool).prefill
 	return prefill.PrefillTime(request.tokens()) - prefill.BaseTime()
 }
 
-// MedianResponseTime returns the median time until the response to such a request of the pool
-// begins, or 0 while too few were measured.
+// MedianResponseTime returns the median time until the response begins to a request of the pool
+// that has as many unique tokens and its shared parts cached, or 0 while too few were measured.
 func (b *Balancer) MedianResponseTime(request *Request) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.paceLocked(request.Pool).responseTimeQuantile(medianQuantile, request.UniqueTokens)
+	return b.timingsLocked(request.Pool).responseTimeQuantile(medianQuantile, request.UniqueTokens)
 }
--- a/balance/timings_test.go
+++ b/balance/timings_test.go
@@ -88,7 +88,7 @@
 		}
 		expectBetween(t, "a short prompt", firstByteTimeout(t, b, newPrompt(1, 100)), time.Second, 1500*time.Millisecond)
 		expectBetween(t, "a long prompt", firstByteTimeout(t, b, newPrompt(2, 20000)), 4*time.Second, 6500*time.Millisecond)
-		if got := b.paces["p"].prefill.TokensWithin(longPrefillTime); got > 1200 {
+		if got := b.timings["p"].prefill.TokensWithin(longPrefillTime); got > 1200 {
 			t.Errorf("got %d tokens for a long prompt, want about 800", got)
 		}
 	})
--- a/balance/update.go
+++ b/balance/update.go
@@ -20,6 +20,7 @@
 // Outcomes counts the requests that ended since the last update, at a server or, in a canary,
 // at all servers of one side.
 type Outcomes struct {
+	// Server is the hash of the server's incarnation, or the key of the side of a canary.
 	Server uint64
 	Good   int
 	Failed int
@@ -42,8 +43,9 @@
 const (
 	// remoteCountsTTL is how long the counts of another router are used.
 	remoteCountsTTL = time.Second
-	// maxPendingEntries bounds the entries that wait for the next update. More are dropped.
-	maxPendingEntries = 512
+	// maxPendingItems bounds the cached parts, and also the leaving servers, that wait for the next
+	// update. More are dropped.
+	maxPendingItems = 512
 )
 
 // remoteCounts has the latest counts of another router.
@@ -65,7 +67,7 @@
 	b.pendingCachedParts, b.pendingLeaving = nil, nil
 	b.addCanaryCountsLocked(&update)
 	for s := range b.active {
-		if b.hashes[s.hash] != s {
+		if b.serversByHash[s.hash] != s {
 			// The server is no longer listed.
 			delete(b.active, s)
 			continue
@@ -119,7 +121,8 @@
 	}
 }
 
-// ReceiveMoreCounts adds to the latest counts of another router.
+// ReceiveMoreCounts adds to the latest counts of another router, which were sent in several
+// messages.
 func (b *Balancer) ReceiveMoreCounts(router string, counts []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +138,7 @@
 // addRemoteCountsLocked adds counts, multiplied by sign, to the servers' sums.
 func (b *Balancer) addRemoteCountsLocked(counts []InFlight, sign int) {
 	for _, in := range counts {
-		if s := b.hashes[in.Server]; s != nil {
+		if s := b.serversByHash[in.Server]; s != nil {
 			s.remoteInFlight += sign * in.Count
 			s.remotePrefillTokens += sign * in.PrefillTokens
 		}
@@ -157,7 +160,7 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for _, part := range parts {
-		if s := b.hashes[part.Server]; s != nil {
+		if s := b.serversByHash[part.Server]; s != nil {
 			b.cacheIndex.addReported(part.Part, s.hash)
 		}
 	}
@@ -168,12 +171,12 @@
 	b.mu.Lock()
 	now := clock.Now()
 	for _, part := range parts {
-		s := b.hashes[part.Server]
+		s := b.serversByHash[part.Server]
 		if known, _ := b.cacheIndex.holdersByPart.Peek(part.Part); len(known) > 0 || s == nil {
 			continue
 		}
 		// The length of the prompt is not sent.
-		p := b.paceLocked(s.Pool)
+		p := b.timingsLocked(s.Pool)
 		b.prefills.start(part.Part, &prefill{
 			engine:    part.Server,
 			startedAt: now,
--- a/balance/waterfill.go
+++ b/balance/waterfill.go
@@ -13,14 +13,15 @@
 		return 0
 	}
 	perServer := meanSends(servers, decay)
-	typical := b.paceLocked(servers[0].Pool).responseTimeQuantile(medianQuantile, 0)
+	typical := b.timingsLocked(servers[0].Pool).responseTimeQuantile(medianQuantile, 0)
 	if typical > 0 && typical < updateDelay {
 		perServer *= float64(typical) / float64(updateDelay)
 	}
 	return perServer * float64(len(servers)) * float64(b.otherRouters+1)
 }
 
-// minUnreported is the least amount that is distributed: the request itself.
+// minUnreported is the least number of requests that chooseByWaterFilling distributes: the request
+// itself.
 const minUnreported = 1
 
 // chooseByWaterFilling chooses a server by its cost at random, such that the requests not yet
@@ -43,7 +44,7 @@
 	return slices.Index(costs, slices.Min(costs))
 }
 
-// fillLevel returns the level up to which the amount fills the cheapest.
+// fillLevel returns the common cost up to which the amount raises the cheapest servers.
 func fillLevel(costs []float64, amount float64) float64 {
 	sorted := slices.Sorted(slices.Values(costs))
 	below := 0.0
