--- a/balance/canary.go
+++ b/balance/canary.go
@@ -128,7 +128,7 @@
 }
 
 // recordCanaryResultLocked counts the outcome of a request of this router if its pool has a
-// canary. Servers that cannot be reached, or end, say nothing about their version.
+// canary. That a server cannot be reached, or ends, says nothing about its version.
 func (b *Balancer) recordCanaryResultLocked(lease *Lease, evidence slipwick.Evidence) {
 	c := b.canaries[lease.server.Pool]
 	if c == nil {
--- a/balance/cold.go
+++ b/balance/cold.go
@@ -3,7 +3,7 @@
 import "time"
 
 // ColdLimit limits the requests to a pool's backend servers while they are cold, that is, can serve
-// only few requests because they started a short time ago.
+// only few requests for some time, after a start or later.
 type ColdLimit struct {
 	// MaxPerSecond is how many requests all routers together may send to one server in any
 	// second. With 0 there is no limit.
--- a/balance/doc.go
+++ b/balance/doc.go
@@ -13,9 +13,10 @@
 // Rendezvous hashing gives each prompt a rank order of engines, and each server a rank order of
 // routers.
 //
-// A backend server is cold for some time after a start, while it can serve only few requests, and
-// evacuated while operators keep new requests out of its data centre. It has an entry in a list that
-// routers receive from the store. An incarnation is one run of a server between start and end;
-// several may follow each other under one ID. The routers of a fleet send each other updates, in a
-// large fleet through a few routers that relay them, the hubs.
+// A backend server is cold while it can serve only few requests, for some time after a start or
+// later. Its entry in the list of backend servers says for how long. The list comes from a store,
+// or from a file that operators write. A server is evacuated while operators keep new requests out
+// of its data centre. An incarnation is one run of a server between start and end; several may
+// follow each other under one ID. The routers of a fleet send each other updates, in a large fleet
+// through a few routers that relay them, the hubs.
 package balance
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -83,8 +83,8 @@
 }
 
 // TestRestartedServerIsANewIncarnation has an engine restart that has a prompt cached and requests
-// of all routers in flight. It restarts within a heartbeat, so that its entry never expires. Nothing
-// known of the earlier incarnation may be applied to the new one.
+// of all routers in flight. It restarts within a heartbeat interval, so that its entry never expires.
+// Nothing known of the earlier incarnation may be applied to the new one.
 func TestRestartedServerIsANewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestartFleet()
@@ -155,8 +155,9 @@
 	}
 }
 
-// TestEntryWithoutStartTimeIsTheSameIncarnation has entries without start times, as servers of an
-// earlier contract version write them, and an entry that lacks its start time once.
+// TestEntryWithoutStartTimeIsTheSameIncarnation has entries without start times, as servers write
+// them that use an earlier version of the platform's contract, and an entry that lacks its start time
+// once.
 func TestEntryWithoutStartTimeIsTheSameIncarnation(t *testing.T) {
 	for _, starts := range [][]int64{{0, 0}, {1_000, 0}, {1_000, 0, 1_000}, {1_000, 1_000}} {
 		b := New("dc-0")
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -56,8 +56,8 @@
 // poolMeanLocked returns the mean load of the usable servers and of those that are evacuated or
 // asked for a pause, because the bound on an engine's load refers to the mean of all healthy
 // servers. mean is that of the usable ones alone. Cold servers do not count: while a part of the
-// pool restarts, they would lower the bound so far that prompts had to move away from the engines
-// that have them cached.
+// pool is back but still cold, they would lower the bound so far that prompts had to move away from
+// the engines that have them cached.
 func (b *Balancer) poolMeanLocked(usable []*server, mean float64, now time.Time) float64 {
 	if len(b.scratch.evacuatedOrPaused) == 0 {
 		return mean
--- a/balance/scratch.go
+++ b/balance/scratch.go
@@ -11,8 +11,8 @@
 	// newVersion has the servers of a pool that have the version of its canary, oldVersion the
 	// others that are not held back.
 	oldVersion, newVersion []*server
-	// costs has the costs of the usable servers, scores the rendezvous scores of those below
-	// the load bound.
+	// costs has the loads of the usable servers, with remoteDataCentreCost added for a plain
+	// service, scores the rendezvous scores of those below the load bound.
 	costs  []float64
 	scores []uint64
 }
--- a/balance/server.go
+++ b/balance/server.go
@@ -33,8 +33,8 @@
 	// listedAt is when the server was first listed, zero if it was there when the router
 	// started.
 	listedAt time.Time
-	// cacheKnown says that the router knows what the server has cached, because its cache was
-	// empty when it was listed or has been fetched since.
+	// cacheKnown says that the router knows what the server has cached: the cache was empty when
+	// the server was listed, or the server or another router has reported its contents since.
 	cacheKnown bool
 	// inFlight counts the leases of this router.
 	inFlight int
