--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -14,12 +14,12 @@
 
 // entriesStartedAt returns entries of engines, of which the one with the ID started at another time
 // than the others.
-func entriesStartedAt(id string, born int64) []Entry {
+func entriesStartedAt(id string, startTime int64) []Entry {
 	list := testEntries(restartEngines)
 	for i := range list {
 		list[i].StartTime = 1_000
 		if list[i].ID == id {
-			list[i].StartTime = born
+			list[i].StartTime = startTime
 		}
 	}
 	return list
@@ -83,8 +83,8 @@
 }
 
 // TestRestartedServerIsANewIncarnation has an engine restart that has a prompt cached and requests
-// of all routers in flight. It restarts within a heartbeat, so that its entry never expires. Nothing
-// known of the earlier incarnation may be applied to the new one.
+// of all routers in flight. It restarts within a heartbeat interval, so that its entry never expires.
+// Nothing known of the earlier incarnation may be applied to the new one.
 func TestRestartedServerIsANewIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestartFleet()
@@ -110,7 +110,7 @@
 			if b.HasCachedPrompt(prompt(7)) {
 				t.Errorf("router %d: got the prompt cached, want it unknown", i)
 			}
-			if got := b.InFlight("p"); got != 0 {
+			if got := b.RequestsInFlight("p"); got != 0 {
 				t.Errorf("router %d: got %v requests in flight, want the new incarnation to start at none", i, got)
 			}
 		}
@@ -118,9 +118,9 @@
 			f.deliver(i, update)
 		}
 		for i, b := range f.routers {
-			if b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 0 {
+			if b.HasCachedPrompt(prompt(7)) || b.RequestsInFlight("p") != 0 {
 				t.Errorf("router %d: got updates of the earlier incarnation applied: prompt cached %t, %v in flight",
-					i, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
+					i, b.HasCachedPrompt(prompt(7)), b.RequestsInFlight("p"))
 			}
 			// The requests in flight at the earlier incarnation fail.
 			b.Release(leases[i], slipwick.EvidenceError)
@@ -155,24 +155,25 @@
 	}
 }
 
-// TestEntryWithoutStartTimeIsTheSameIncarnation has entries without start times, as servers of an
-// earlier contract version write them, and an entry that lacks its start time once.
+// TestEntryWithoutStartTimeIsTheSameIncarnation has entries without start times, as servers write
+// them that use an earlier version of the platform's contract, and an entry that lacks its start time
+// once.
 func TestEntryWithoutStartTimeIsTheSameIncarnation(t *testing.T) {
 	for _, starts := range [][]int64{{0, 0}, {1_000, 0}, {1_000, 0, 1_000}, {1_000, 1_000}} {
 		b := New("dc-0")
-		for i, born := range starts {
+		for i, startTime := range starts {
 			list := testEntries(restartEngines)
 			for j := range list {
-				list[j].StartTime = born
+				list[j].StartTime = startTime
 			}
 			b.SetBackends(list)
 			if i == 0 {
 				b.RecordResponseStart(acquire(t, b, prompt(7)))
 			}
 		}
-		if !b.HasCachedPrompt(prompt(7)) || b.InFlight("p") != 1 {
+		if !b.HasCachedPrompt(prompt(7)) || b.RequestsInFlight("p") != 1 {
 			t.Errorf("start times %v: got prompt cached %t and %v in flight, want one incarnation",
-				starts, b.HasCachedPrompt(prompt(7)), b.InFlight("p"))
+				starts, b.HasCachedPrompt(prompt(7)), b.RequestsInFlight("p"))
 		}
 	}
 }
