--- a/admission/observe.go
+++ b/admission/observe.go
@@ -8,9 +8,9 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Observe records evidence from probing a backend server. It is ignored unless this router owns the
-// backend server.
-func (c *Coordinator) Observe(backend string, evidence slipwick.Evidence) {
+// RecordProbeResult records the evidence from probing a backend server. It does nothing unless this
+// router owns the backend server.
+func (c *Coordinator) RecordProbeResult(backend string, evidence slipwick.Evidence) {
 	c.withLock(func() {
 		if o := c.owned[placement.IDHash(backend)]; o != nil {
 			c.recordEvidence(o, evidence)
--- a/cmd/internal/daemon/probe.go
+++ b/cmd/internal/daemon/probe.go
@@ -59,9 +59,9 @@
 	switch {
 	case ctx.Err() != nil:
 	case err != nil:
-		r.coordinator.Observe(backend.ID, slipwick.EvidenceUnreachable)
+		r.coordinator.RecordProbeResult(backend.ID, slipwick.EvidenceUnreachable)
 	case report.Leaving:
-		r.coordinator.Observe(backend.ID, slipwick.EvidenceLeaving)
+		r.coordinator.RecordProbeResult(backend.ID, slipwick.EvidenceLeaving)
 	default:
 		r.coordinator.ClearLeaving(backend.ID)
 	}
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -275,9 +275,9 @@
 	w.mu.Unlock()
 	switch {
 	case e.isCrashed():
-		r.Coordinator.Observe(id, slipwick.EvidenceUnreachable)
+		r.Coordinator.RecordProbeResult(id, slipwick.EvidenceUnreachable)
 	case leaving:
-		r.Coordinator.Observe(id, slipwick.EvidenceLeaving)
+		r.Coordinator.RecordProbeResult(id, slipwick.EvidenceLeaving)
 	default:
 		r.Coordinator.ClearLeaving(id)
 	}
