--- a/cmd/internal/daemon/servicehandler.go
+++ b/cmd/internal/daemon/servicehandler.go
@@ -40,7 +40,7 @@
 	}
 	call := cr.dispatchCall(placement.ChatKey(cr.workspace.Name, identity))
 	call.Key = quarantine.KeyOf(cr.workspace.Name, request.Method, call.Pools[0]+request.Path, request.Body)
-	response, err := f.dispatcher.Call(ctx, call, request)
+	response, err := f.dispatcher.CallService(ctx, call, request)
 	claim.recordOutcome(err)
 	if err != nil {
 		return f.refuse(c, cr, err)
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -77,9 +77,9 @@
 	}
 }
 
-// Call runs a request to a plain service and returns the response. Errors are as those of Chat. It
-// blocks until the service has responded or the request has failed.
-func (d *Dispatcher) Call(
+// CallService sends a request to a plain service and returns the response. Errors are the same as
+// those of Chat. It blocks until the service has responded or the request has failed.
+func (d *Dispatcher) CallService(
 	ctx context.Context, call Call, request slipwick.ServiceRequest,
 ) (slipwick.ServiceResponse, error) {
 	var response slipwick.ServiceResponse
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -239,7 +239,7 @@
 			if tc.cancel {
 				time.AfterFunc(time.Second, cancel)
 			}
-			_, err := d.Call(ctx, Call{
+			_, err := d.CallService(ctx, Call{
 				Pools: []string{"p"},
 			}, slipwick.ServiceRequest{})
 			failure, _ := slipwick.AsError(err)
