--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -11,8 +11,9 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// attemptKind says which of an acquisition's attempts a request is: at the first choice, at another
-// choice, or the last one.
+// attemptKind distinguishes the attempts of an acquisition: the one at the chat's first choice
+// (TRY_HOME), those at other choices (TRY_OTHER), and the last one (TRY_LAST), which may wait in the
+// owner's queue until the deadline.
 type attemptKind = peerpb.Try
 
 // defaultAcquireTimeout limits how long Acquire waits if the context has no deadline.
@@ -73,8 +74,8 @@
 	return a, nil
 }
 
-// sendAttempt asks for a slot at a position of the ranking, under a new request ID. The previous
-// attempt is over.
+// sendAttempt asks for a slot at a position of the ranking, under a new request ID. It replaces the
+// previous attempt, if any.
 func (c *Coordinator) sendAttempt(a *acquisition, position int, kind attemptKind) {
 	a.stopTimer()
 	delete(c.acquisitions, a.id)
@@ -117,7 +118,8 @@
 	}
 }
 
-// startOwnerTimer tries the next backend server if the owner does not answer within the limit.
+// startOwnerTimer makes the acquisition try the next backend server if the owner does not answer the
+// current attempt within the limit.
 func (c *Coordinator) startOwnerTimer(a *acquisition, limit time.Duration) {
 	id := a.id
 	a.timer = time.AfterFunc(limit, func() {
@@ -147,7 +149,8 @@
 }
 
 // acceptGrant completes an acquisition with the slot that an owner granted. If the slot is not at
-// the chat's first choice, the owner of that choice is told, unless it redirected the request.
+// the chat's first choice, it notifies the owner of that choice, unless that owner redirected the
+// request.
 func (c *Coordinator) acceptGrant(a *acquisition) {
 	if a.position != 0 && !a.redirected {
 		c.sendPlaced(a)
@@ -155,8 +158,8 @@
 	c.recordSlot(a, false)
 }
 
-// recordSlot stores the slot and returns it to the caller of Acquire. local means that no owner
-// granted it.
+// recordSlot stores the slot of the current attempt and returns it to the caller of Acquire. local
+// means that no owner granted it.
 func (c *Coordinator) recordSlot(a *acquisition, local bool) {
 	c.slots[a.id] = &slot{
 		engine:    a.engine(),
@@ -187,8 +190,8 @@
 	a.result <- result
 }
 
-// Release returns a slot to its owner, with the evidence of how the request went. A slot that is
-// not held, or no longer, is ignored.
+// Release returns a slot to the owner of its backend server, with the evidence of how the request
+// went. It does nothing if the slot is not held, for example because it was released before.
 func (c *Coordinator) Release(grant slipwick.Grant, evidence slipwick.Evidence) {
 	c.withLock(func() {
 		held := c.slots[grant.ID]
@@ -209,7 +212,7 @@
 	return c.view.Owner(engine)
 }
 
-// sendRelease tells the owner that a slot, or a queued request, is given up.
+// sendRelease tells the owner that a slot is free again, or that a queued request no longer waits.
 func (c *Coordinator) sendRelease(owner string, engine, id uint64, evidence slipwick.Evidence) {
 	envelope := c.outbox.envelopeFor(owner)
 	envelope.Releases = append(envelope.Releases, &peerpb.SlotRelease{
--- a/admission/acquisition.go
+++ b/admission/acquisition.go
@@ -18,10 +18,11 @@
 	// tried marks the positions that were tried.
 	tried    []bool
 	attempts int
-	// redirected is true if the owner of the first choice named another backend server.
+	// redirected is true if the owner of the first choice named another backend server, which was
+	// then asked.
 	redirected bool
-	// answered is true if any owner has answered. Without an answer the router grants itself a
-	// slot.
+	// answered is true if any router has answered as the owner of a backend server. If none has, this
+	// router grants itself a slot.
 	answered bool
 
 	// The current attempt. Each attempt has its own request ID.
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -42,8 +42,8 @@
 	c.sendRelease(from, answer.GetEngine(), answer.GetId(), slipwick.EvidenceNone)
 }
 
-// redirect sends the next attempt to the backend server that the owner names, or else to the next
-// one of the ranking. Only the first redirection is followed.
+// redirect sends the next attempt to the backend server that the owner names or, if it names none,
+// to the next one of the ranking. Only the first redirection is followed.
 func (c *Coordinator) redirect(a *acquisition, engine uint64) {
 	position := -1
 	if engine != 0 && !a.redirected {
@@ -59,9 +59,9 @@
 	c.sendAttempt(a, position, peerpb.Try_TRY_OTHER)
 }
 
-// tryNext asks for a slot at the next backend server. If none is left, or the limit of attempts is
-// reached, the request waits in one owner's queue. If no owner has answered at all, the slot is
-// granted locally.
+// tryNext asks for a slot at the next backend server. If none is left, or MaxAttempts is reached, it
+// makes the last attempt, in which the request waits in one owner's queue. If no owner has answered
+// at all, or the last attempt failed too, the slot is granted locally.
 func (c *Coordinator) tryNext(a *acquisition) {
 	if a.kind == peerpb.Try_TRY_LAST {
 		c.grantLocally(a)
@@ -82,8 +82,8 @@
 // nextUntried returns the best position of the ranking that was not tried and that is usable
 // according to the current view, or -1.
 func (c *Coordinator) nextUntried(a *acquisition) int {
-	for position, asked := range a.tried {
-		if !asked && c.isUsable(a, position) {
+	for position, tried := range a.tried {
+		if !tried && c.isUsable(a, position) {
 			return position
 		}
 	}
@@ -108,8 +108,8 @@
 	return 0
 }
 
-// grantLocally grants a slot without the owner's consent, as no owner could be reached. To stay
-// below the limit it grants only one slot at a time for each backend server; beyond that the
+// grantLocally grants a slot without asking an owner, since none could be reached or there is none.
+// To stay below the limit it grants only one slot at a time for each backend server; beyond that the
 // request is refused.
 func (c *Coordinator) grantLocally(a *acquisition) {
 	taken := make(map[uint64]bool)
@@ -123,6 +123,7 @@
 		if !taken[a.engine()] && c.isUsable(a, position) {
 			c.recordSlot(a, true)
 			id := a.id
+			// The renewal tells the owner about the slot, if the owner can be reached.
 			c.renewSlots(func(s *slot) bool { return s == c.slots[id] })
 			return
 		}
--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -42,8 +42,8 @@
 	// renewedAt is the time of the last renewal of the slots held.
 	renewedAt time.Time
 
-	// State as a router that asks for slots: calls of Acquire by the request ID of their current
-	// attempt, and slots held by the ID of their grant.
+	// State as a router that asks for slots: acquisitions by the request ID of their current attempt,
+	// and the slots that this router holds by the ID of their grant.
 	acquisitions map[uint64]*acquisition
 	slots        map[uint64]*slot
 
@@ -105,7 +105,7 @@
 	return c.done
 }
 
-// withLock runs step with the coordinator locked and then sends the messages that step put into the
+// withLock runs step with the coordinator locked and then sends the messages that step added to the
 // outbox.
 func (c *Coordinator) withLock(step func()) {
 	c.mu.Lock()
@@ -122,7 +122,7 @@
 		c.expireLeases(o, now)
 	}
 	for pool := range c.poolLoads {
-		c.refresh(pool, now)
+		c.refreshReport(pool, now)
 	}
 	for engine, early := range c.earlyHandovers {
 		if now.Sub(early.receivedAt) > c.Policy.LeaseTime {
@@ -136,6 +136,7 @@
 	c.withLock(func() { c.receive(from, envelope) })
 }
 
+// receive handles an envelope with the coordinator locked.
 func (c *Coordinator) receive(from string, envelope *peerpb.Envelope) {
 	// Messages about slots that are held or released come before requests for new ones, so that
 	// requests are decided on current counts.
--- a/admission/coordinator_test.go
+++ b/admission/coordinator_test.go
@@ -32,7 +32,8 @@
 }
 
 // TestWorkspaceLimit has a workspace ask for more slots than its max_in_flight. It must get that
-// many, or slightly more because of the load factor, and refusals for load for the rest.
+// many, or slightly more because of the load factor, and its other requests must be refused because
+// of its limit or the load.
 func TestWorkspaceLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newSoleCoordinator(t)
--- a/admission/displaced.go
+++ b/admission/displaced.go
@@ -2,13 +2,13 @@
 
 import "github.com/slipwick/slipwick/peer/peerpb"
 
-// displacedKey identifies a chat at its first choice.
+// displacedKey identifies a displaced chat by the hash of its first choice and its own hash.
 type displacedKey struct {
 	engine, chat uint64
 }
 
-// onPlaced records which backend server serves a chat whose first choice, owned by this router, did
-// not.
+// onPlaced records which backend server serves a displaced chat, if this router owns the chat's first
+// choice.
 func (c *Coordinator) onPlaced(placed *peerpb.ChatPlaced) {
 	if c.owned[placed.GetEngine()] == nil {
 		return
@@ -34,14 +34,14 @@
 
 // displacedTo returns the backend server that last served the chat instead of its first choice. ok
 // is false if there is none or if it is not usable in the current view.
-func (c *Coordinator) displacedTo(engine, chat uint64) (at uint64, ok bool) {
-	at, ok = c.displaced.Get(displacedKey{
+func (c *Coordinator) displacedTo(engine, chat uint64) (target uint64, ok bool) {
+	target, ok = c.displaced.Get(displacedKey{
 		engine: engine,
 		chat:   chat,
 	})
 	if !ok {
 		return 0, false
 	}
-	location, ok := c.view.Locate(at)
-	return at, ok && location.IsUsable()
+	location, ok := c.view.Locate(target)
+	return target, ok && location.IsUsable()
 }
--- a/admission/ejection.go
+++ b/admission/ejection.go
@@ -41,7 +41,7 @@
 }
 
 // canEject reports whether the pool can do without the backend server: at least one other must stay
-// usable, and no more than half of the pool may be out.
+// usable, and at most half of the pool, rounded up, may be unusable.
 func (c *Coordinator) canEject(o *ownedBackend) bool {
 	location, ok := c.view.Locate(o.engine)
 	if !ok {
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -38,13 +38,13 @@
 		return
 	}
 	now := time.Now()
-	may := c.mayGrant(o)
-	if may && o.queue.len() == 0 && c.hasHeadroom(o, request.GetWorkspace(), now) {
+	mayGrant := c.mayGrant(o)
+	if mayGrant && o.queue.len() == 0 && c.hasHeadroom(o, request.GetWorkspace(), now) {
 		c.grant(o, key, request, now)
 		return
 	}
-	if at, ok := c.redirectTarget(o, request); ok {
-		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, at)
+	if target, ok := c.redirectTarget(o, request); ok {
+		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, target)
 		return
 	}
 	if pause := o.pausedUntil.Sub(now); pause > 0 {
@@ -52,7 +52,7 @@
 		c.decline(o, key, request, pause)
 		return
 	}
-	if !may {
+	if !mayGrant {
 		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
 		return
 	}
@@ -143,15 +143,15 @@
 		evicted := o.queue.remove(victim, false)
 		c.decline(o, evicted.key, evicted.request, expected)
 	}
-	w := &queuedRequest{
+	queued := &queuedRequest{
 		key:      key,
 		request:  request,
 		priority: int(request.GetPriority()),
 		deadline: now.Add(wait),
 	}
-	o.queue.push(w, c.workspaceWeight(request.GetWorkspace()))
+	o.queue.push(queued, c.workspaceWeight(request.GetWorkspace()))
 	c.sendAnswer(key, peerpb.Decision_DECISION_HELD, 0)
-	time.AfterFunc(wait, func() { c.withLock(func() { c.expireQueued(o, w) }) })
+	time.AfterFunc(wait, func() { c.withLock(func() { c.expireQueued(o, queued) }) })
 	c.scheduleReport(o.pool)
 	c.grantQueued(o)
 }
@@ -181,27 +181,27 @@
 const maxRetryAfter = time.Minute
 
 // expireQueued declines a queued request whose time is over, if it is still queued.
-func (c *Coordinator) expireQueued(o *ownedBackend, w *queuedRequest) {
-	index := o.queue.indexOf(w.key)
-	if index < 0 || o.queue.requests[index] != w {
+func (c *Coordinator) expireQueued(o *ownedBackend, queued *queuedRequest) {
+	index := o.queue.indexOf(queued.key)
+	if index < 0 || o.queue.requests[index] != queued {
 		return
 	}
 	o.queue.remove(index, false)
-	c.decline(o, w.key, w.request, o.expectedWait(time.Now()))
+	c.decline(o, queued.key, queued.request, o.expectedWait(time.Now()))
 }
 
 // grantQueued grants slots to queued requests, in the queue's order, as far as the limit allows.
 func (c *Coordinator) grantQueued(o *ownedBackend) {
 	now := time.Now()
 	for o.queue.len() > 0 && c.mayGrant(o) && o.headroom(c.slotLimit(o), now) > 0 {
-		index := o.queue.next(func(w *queuedRequest) bool {
-			return !c.atWorkspaceLimit(o, w.request.GetWorkspace())
+		index := o.queue.next(func(r *queuedRequest) bool {
+			return !c.atWorkspaceLimit(o, r.request.GetWorkspace())
 		})
 		if index < 0 {
 			return
 		}
-		w := o.queue.remove(index, true)
-		c.grant(o, w.key, w.request, now)
+		queued := o.queue.remove(index, true)
+		c.grant(o, queued.key, queued.request, now)
 	}
 }
 
--- a/admission/handover.go
+++ b/admission/handover.go
@@ -31,10 +31,10 @@
 		if key.engine != o.engine || len(message.GetPlaced()) == maxHandoverChats {
 			continue
 		}
-		at, _ := c.displaced.Peek(key)
+		target, _ := c.displaced.Peek(key)
 		message.Placed = append(message.Placed, &peerpb.ChatPlaced{
 			Chat: key.chat,
-			At:   at,
+			At:   target,
 		})
 	}
 	envelope := c.outbox.envelopeFor(owner)
--- a/admission/health.go
+++ b/admission/health.go
@@ -39,7 +39,7 @@
 }
 
 // recordEvidence counts the evidence and reports whether the backend server should be ejected: it
-// should after threshold failures in a row, unless it is out already.
+// should after threshold failures in a row, unless it is ejected or leaving already.
 func (h *health) recordEvidence(evidence slipwick.Evidence, threshold int, now time.Time) bool {
 	switch {
 	case evidence == slipwick.EvidenceGood:
@@ -53,8 +53,8 @@
 	return h.state == HealthGood && h.consecutiveBad >= threshold
 }
 
-// eject marks the backend server as ejected and returns the duration, which doubles with each
-// ejection in succession.
+// eject marks the backend server as ejected and returns the duration of the ejection, which doubles
+// with each one in succession.
 func (h *health) eject(policy *Policy, now time.Time) time.Duration {
 	length := policy.EjectTime
 	for range h.ejections {
--- a/admission/hub.go
+++ b/admission/hub.go
@@ -14,14 +14,14 @@
 	direct := t == nil || !slices.Contains(t.hubs, from)
 	for _, e := range message.GetEngines() {
 		known := load.engines[e.GetEngine()]
-		if known != nil && known.sequence > e.GetSequence() && now.Sub(known.at) < c.Policy.ReportExpiry {
+		if known != nil && known.sequence > e.GetSequence() && now.Sub(known.receivedAt) < c.Policy.ReportExpiry {
 			continue
 		}
 		load.engines[e.GetEngine()] = &engineLoad{
-			inFlight: int(e.GetInFlight()),
-			sequence: e.GetSequence(),
-			at:       now,
-			direct:   direct,
+			inFlight:   int(e.GetInFlight()),
+			sequence:   e.GetSequence(),
+			receivedAt: now,
+			direct:     direct,
 		}
 	}
 	switch {
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -78,8 +78,8 @@
 	push(200, "a", 5)
 	var got []string
 	for q.len() > 0 {
-		w := q.remove(q.next(func(*queuedRequest) bool { return true }), true)
-		got = append(got, fmt.Sprintf("%s%d", w.request.GetWorkspace(), w.priority))
+		r := q.remove(q.next(func(*queuedRequest) bool { return true }), true)
+		got = append(got, fmt.Sprintf("%s%d", r.request.GetWorkspace(), r.priority))
 	}
 	served := 0
 	for _, name := range got[1:9] {
--- a/admission/notice.go
+++ b/admission/notice.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// maxPause limits how long a backend server may ask for a pause, in which it gets no new requests. It fits
-// the field of the message.
+// maxPause limits the pause, without new requests, that a backend server may ask for. In
+// milliseconds it fits the uint32 field rest_ms of the message.
 const maxPause = 10 * time.Minute
 
 // onNotice handles an announcement of an owned backend server.
@@ -49,9 +49,10 @@
 }
 
 // setPause stops grants for the duration, even if the backend server is the last usable one of its
-// pool, unless it already rests for longer. It is reported as ejected, so that all routers take it
-// out of the pool's mean load: otherwise the other backend servers of the pool would be limited to
-// a part of the load, and requests would wait for capacity that the paused one does not provide.
+// pool, unless a pause that ends later is in force. The backend server is reported as ejected, so
+// that all routers take it out of the pool's mean load: otherwise the other backend servers of the
+// pool would be limited to a part of the load, and requests would wait for capacity that the paused
+// one does not provide.
 func (c *Coordinator) setPause(o *ownedBackend, length time.Duration) {
 	until := time.Now().Add(length)
 	if !until.After(o.pausedUntil) {
--- a/admission/outbox.go
+++ b/admission/outbox.go
@@ -2,15 +2,15 @@
 
 import "github.com/slipwick/slipwick/peer/peerpb"
 
-// outbox collects the messages of one step by router, so that each router gets them in a single
-// envelope.
+// outbox collects messages by router until flush sends them, so that each router gets them in a
+// single envelope.
 type outbox struct {
 	envelopes map[string]*peerpb.Envelope
 	// order lists the routers in the order in which their envelopes were begun.
 	order []string
 }
 
-// envelopeFor returns the envelope to add messages for the router to.
+// envelopeFor returns the envelope that collects the messages for the router.
 func (o *outbox) envelopeFor(router string) *peerpb.Envelope {
 	if o.envelopes == nil {
 		o.envelopes = make(map[string]*peerpb.Envelope)
@@ -36,8 +36,8 @@
 	return router, envelope, true
 }
 
-// flush sends all envelopes. Messages to the router itself are handled at once, and those without a
-// receiver are dropped.
+// flush sends all envelopes. Messages to the router itself are handled at once. Those to the empty
+// router ID, which stands for a backend server without an owner, are dropped.
 func (c *Coordinator) flush() {
 	for {
 		router, envelope, ok := c.outbox.pop()
--- a/admission/ownedbackend.go
+++ b/admission/ownedbackend.go
@@ -27,8 +27,8 @@
 
 	releases releaseRate
 	health   health
-	// pausedUntil is the time until which the backend server asked for no new requests. lastLeavingAt
-	// is when a response last announced that it is leaving.
+	// pausedUntil is the end of the pause, without new requests, that the backend server asked for.
+	// lastLeavingAt is when a response last announced that it is leaving.
 	pausedUntil, lastLeavingAt time.Time
 	// reported is the load that was last reported to other routers.
 	reported int
@@ -80,8 +80,8 @@
 }
 
 // expectedWait estimates how long one more queued request would wait. It is zero while the backend
-// server has free slots: then the load limit holds the requests back, and that rises with the load
-// of the pool.
+// server has free slots: requests then wait because of the load limit, which rises with the load of
+// the pool.
 func (o *ownedBackend) expectedWait(now time.Time) time.Duration {
 	if len(o.leases) < o.backend.EffectiveSlots() {
 		return 0
@@ -95,7 +95,8 @@
 	bound = o.health.rampedLimit(bound, now)
 	room := bound - len(o.leases)
 	if now.Before(o.windowEnd) {
-		// The previous owner may still grant the other half of the headroom.
+		// The previous owner may still grant the other half of the headroom. learned counts the leases
+		// from handovers and renewals.
 		learned := len(o.leases) - o.windowGranted
 		half := int(math.Ceil(float64(bound-learned) / 2))
 		room = min(room, half-o.windowGranted)
--- a/admission/poolload.go
+++ b/admission/poolload.go
@@ -5,8 +5,9 @@
 // engineLoad is the load of a backend server as another router reported it.
 type engineLoad struct {
 	inFlight int
-	sequence uint64
-	at       time.Time
+	// sequence orders the reports of one backend server: a higher one supersedes a lower one.
+	sequence   uint64
+	receivedAt time.Time
 	// direct is true if a member of this hub's group reported the load, and forwarded if the load
 	// was sent to the other hubs.
 	direct, forwarded bool
--- a/admission/report.go
+++ b/admission/report.go
@@ -6,7 +6,7 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// sendReport reports the loads of this router's backend servers of the pool to its hub.
+// sendReport reports the loads of this router's backend servers of the pool to the hub of its group.
 func (c *Coordinator) sendReport(pool string, load *poolLoad) {
 	load.reportTimer = nil
 	t := c.topology[pool]
@@ -27,7 +27,7 @@
 	envelope.Loads = append(envelope.Loads, message)
 }
 
-// loadReport returns the load for a report and marks it as reported.
+// loadReport returns the backend server's load for a report and records it as reported.
 func (o *ownedBackend) loadReport(now time.Time) *peerpb.EngineLoad {
 	o.reported = len(o.leases)
 	return &peerpb.EngineLoad{
--- a/admission/share.go
+++ b/admission/share.go
@@ -1,6 +1,6 @@
 package admission
 
-// Share is what a workspace is entitled to.
+// Share is a workspace's share of the backend servers' capacity.
 type Share struct {
 	// Weight is the workspace's weight in queues, relative to other workspaces.
 	Weight uint32
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -6,7 +6,7 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// slot is a slot that this router holds.
+// slot is this router's record of a slot that it holds; the owner's record of it is a lease.
 type slot struct {
 	engine    uint64
 	workspace string
--- a/admission/status.go
+++ b/admission/status.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// Status is an owner's view of a backend server, for operators.
+// Status is the state of a backend server at its owner, as shown to operators.
 type Status struct {
 	Backend  string `json:"backend"`
 	Pool     string `json:"pool"`
@@ -17,7 +17,7 @@
 	Health string `json:"health"`
 }
 
-// String returns the name of the state as shown to operators.
+// String returns the name of the health state as shown to operators.
 func (h Health) String() string {
 	switch h {
 	case HealthEjected:
--- a/admission/totals.go
+++ b/admission/totals.go
@@ -6,7 +6,7 @@
 )
 
 // estimateTotal estimates how many slots of the pool are held, for the limit. The known total is
-// some tenths of a second old, so that a falling total is extrapolated.
+// some tenths of a second old, so a falling total is extrapolated by ReportLag.
 func (c *Coordinator) estimateTotal(pool string) float64 {
 	load := c.poolLoad(pool)
 	return float64(c.knownTotal(pool)) * (1 - load.trend.expectedFall(c.Policy.ReportLag))
@@ -57,7 +57,7 @@
 func (c *Coordinator) othersLoad(load *poolLoad, now time.Time) int {
 	sum := 0
 	for engine, l := range load.engines {
-		if now.Sub(l.at) > c.Policy.ReportExpiry {
+		if now.Sub(l.receivedAt) > c.Policy.ReportExpiry {
 			delete(load.engines, engine)
 			continue
 		}
@@ -76,16 +76,16 @@
 }
 
 // hasQueuePressure reports whether so many requests are queued at this router's backend servers of
-// the pool that the pool's load must be rising. A few requests wait for a slot to be released at
-// any time.
+// the pool that the pool's load must be rising. A few queued requests are no sign of that: some wait
+// for a slot to be released at any time.
 func (c *Coordinator) hasQueuePressure(pool string) bool {
-	held := 0
+	queued := 0
 	for _, o := range c.owned {
 		if o.pool == pool {
-			held += o.queue.len()
+			queued += o.queue.len()
 		}
 	}
-	return float64(held) > 1+c.Policy.QueuePressureRatio*float64(c.ownLoad(pool))
+	return float64(queued) > 1+c.Policy.QueuePressureRatio*float64(c.ownLoad(pool))
 }
 
 // isPressed reports whether the pool is under pressure: its load falls fast, or requests wait for
@@ -100,14 +100,14 @@
 // The threshold is lower for a decrease: an estimate that is too high lets owners exceed the limit,
 // while one that is too low only makes requests wait or try elsewhere.
 func (c *Coordinator) isSignificant(current, previous int, pressed bool) bool {
-	share := c.Policy.RiseChange
+	threshold := c.Policy.RiseChange
 	switch {
 	case pressed:
-		share = c.Policy.PressedChange
+		threshold = c.Policy.PressedChange
 	case current < previous:
-		share = c.Policy.FallChange
+		threshold = c.Policy.FallChange
 	}
-	return math.Abs(float64(current-previous)) >= max(1, share*float64(previous))
+	return math.Abs(float64(current-previous)) >= max(1, threshold*float64(previous))
 }
 
 // minReportInterval returns the minimum interval between two reports of a pool.
@@ -148,8 +148,8 @@
 	return len(t.hubs) > 1 && c.isSignificant(c.groupLoad(pool, load), load.forwardedLoad, pressed)
 }
 
-// refresh repeats reports of an unchanged load before they expire.
-func (c *Coordinator) refresh(pool string, now time.Time) {
+// refreshReport repeats the report or broadcast of an unchanged load before it expires.
+func (c *Coordinator) refreshReport(pool string, now time.Time) {
 	load := c.poolLoad(pool)
 	if c.isHub(pool) {
 		if now.Sub(load.fullBroadcastAt) >= c.Policy.RefreshInterval {
--- a/admission/trend.go
+++ b/admission/trend.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// trendTimeConstant is the time constant of the average of a trend.
+// trendTimeConstant is the time constant of the moving average in trend.
 const trendTimeConstant = time.Second
 
 // trend tracks how fast the total of a pool changes, as an exponential moving average.
 type trend struct {
-	total int
-	at    time.Time
+	total     int
+	updatedAt time.Time
 	// rate is the relative change per second.
 	rate float64
 }
 
 // update records the total at the given time.
 func (t *trend) update(total int, now time.Time) {
-	since := now.Sub(t.at)
-	if !t.at.IsZero() && since > 0 && t.total > 0 {
+	since := now.Sub(t.updatedAt)
+	if !t.updatedAt.IsZero() && since > 0 && t.total > 0 {
 		change := float64(total-t.total) / float64(t.total) / since.Seconds()
 		t.rate += (change - t.rate) * -math.Expm1(-since.Seconds()/trendTimeConstant.Seconds())
 	}
-	t.total, t.at = total, now
+	t.total, t.updatedAt = total, now
 }
 
 // expectedFall returns the fraction, from 0 to 1, by which a total is expected to have fallen
--- a/admission/viewchange.go
+++ b/admission/viewchange.go
@@ -8,7 +8,8 @@
 )
 
 // SetView replaces the view. Backend servers that this router no longer owns are handed over to
-// their new owners, held slots are renewed there, and open requests are sent there again.
+// their new owners. The slots that this router holds are renewed at the new owners of their backend
+// servers, and open requests are sent to them again.
 func (c *Coordinator) SetView(view *placement.View) {
 	c.withLock(func() {
 		previous := c.view
@@ -17,22 +18,23 @@
 		for name, pool := range view.Pools {
 			c.topology[name] = newTopology(c.Self, pool, view)
 		}
-		c.dropLostBackends()
-		c.takeNewBackends(previous)
+		c.handOverBackends()
+		c.takeOverBackends(previous)
 		c.renewSlots(func(s *slot) bool {
 			return previous != nil && previous.Owner(s.engine) != view.Owner(s.engine)
 		})
 		c.resendAttempts()
 		for pool := range view.Pools {
-			c.refresh(pool, time.Now().Add(c.Policy.RefreshInterval))
+			// A time in the future makes the report due now.
+			c.refreshReport(pool, time.Now().Add(c.Policy.RefreshInterval))
 			c.grantQueuedInPool(pool)
 		}
 	})
 }
 
-// dropLostBackends hands over the backend servers that this router no longer owns and updates the
+// handOverBackends hands over the backend servers that this router no longer owns and updates the
 // others from the view.
-func (c *Coordinator) dropLostBackends() {
+func (c *Coordinator) handOverBackends() {
 	for engine, o := range c.owned {
 		owner := c.view.Owner(engine)
 		if owner == c.Self {
@@ -51,8 +53,8 @@
 	}
 }
 
-// takeNewBackends takes over the backend servers that the view assigns to this router.
-func (c *Coordinator) takeNewBackends(previous *placement.View) {
+// takeOverBackends takes over the backend servers that the view assigns to this router.
+func (c *Coordinator) takeOverBackends(previous *placement.View) {
 	for _, pool := range c.view.Pools {
 		for i := range pool.Backends {
 			engine := hashOf(&pool.Backends[i])
@@ -63,8 +65,8 @@
 	}
 }
 
-// takeOver starts to own a backend server. If another router may have owned it before, a takeover
-// window begins; a handover ends it.
+// takeOver makes this router the owner of a backend server. If another router may have owned it
+// before, a takeover window begins, in which fewer slots are granted; a handover ends it.
 func (c *Coordinator) takeOver(engine uint64, previous *placement.View) {
 	location, _ := c.view.Locate(engine)
 	o := newOwnedBackend(engine, location)
