--- a/placement/hash.go
+++ b/placement/hash.go
@@ -20,14 +20,16 @@
 	return xxhash.Sum64String(id)
 }
 
-// mixHashes combines a key's hash with that of a box. It applies the 64-bit finaliser of
-// MurmurHash3 to the key and again to the combination, because the rendezvous scores of one key
-// must have independent bits for each box.
+// mixHashes combines a key's hash with that of a box: a backend server or a router. It applies the
+// 64-bit finaliser of MurmurHash3 to the key and again to the combination, because the rendezvous
+// scores of one key must have independent bits for each box. The two hashes are not interchangeable:
+// swapping them gives another result.
 func mixHashes(key, boxHash uint64) uint64 {
 	return fmix64(fmix64(key) ^ (boxHash * goldenRatio))
 }
 
-// goldenRatio is 2^64 divided by the golden ratio, rounded to an odd number.
+// goldenRatio is 2^64 divided by the golden ratio, rounded to an odd number. Multiplying by it spreads
+// the bits of a box's hash.
 const goldenRatio = 0x9e3779b97f4a7c15
 
 // fmix64 is the 64-bit finaliser of MurmurHash3.
--- a/placement/owner.go
+++ b/placement/owner.go
@@ -26,9 +26,9 @@
 	return o
 }
 
-// owner returns the index of the router that owns the backend server: the rendezvous choice among
-// the routers of the same data centre or, if there are none, of the same region or, if there are
-// none either, among all routers. It returns -1 if there are no routers.
+// owner returns the index of the router that owns the backend server: the one with the highest
+// rendezvous score among the routers of the same data centre or, if there are none, of the same
+// region or, if there are none either, among all routers. It returns -1 if there are no routers.
 func (o *ownerChooser) owner(backend *slipwick.Backend) int {
 	best, bestTier, bestScore := -1, tierElsewhere+1, uint64(0)
 	backendHash := IDHash(backend.ID)
@@ -58,7 +58,9 @@
 }
 
 // BestRouter returns the index of the router with the highest rendezvous score for the key, regardless
-// of data centre and region, or -1 if there are no routers.
+// of data centre and region, or -1 if there are no routers. The router's hash takes the place of the
+// key in the score and the key that of the box hash, so that the choice differs from the first one
+// of TopRouters.
 func BestRouter(key uint64, routers []slipwick.Router) int {
 	best, bestScore := -1, uint64(0)
 	for i := range routers {
--- a/placement/ranker.go
+++ b/placement/ranker.go
@@ -73,6 +73,7 @@
 // weight w it corresponds to the largest of w independent draws, so that first choices are in
 // proportion to the weights.
 func (r *Ranker) score(chat uint64, index int) float64 {
+	// The upper 53 bits of the hash, as many as a float64 holds exactly, give a draw between 0 and 1.
 	const mantissa = 1 << 53
 	draw := (float64(mixHashes(chat, r.hashes[index])>>11) + 0.5) / mantissa
 	if r.equalWeights {
--- a/placement/ranker_test.go
+++ b/placement/ranker_test.go
@@ -26,11 +26,11 @@
 // thousand.
 func TestRankSpread(t *testing.T) {
 	const count, chats, bound = 93, 93_000, 150.0
-	set := NewRanker(newBackends(count, unitWeight))
+	ranker := NewRanker(newBackends(count, unitWeight))
 	var firsts, seconds [count]int
 	var ranked []int
 	for i := range chats {
-		ranked = set.Rank(ranked[:0], ChatKey("workspace", fmt.Sprintf("chat-%d", i)))
+		ranked = ranker.Rank(ranked[:0], ChatKey("workspace", fmt.Sprintf("chat-%d", i)))
 		firsts[ranked[0]]++
 		seconds[ranked[1]]++
 	}
@@ -47,11 +47,11 @@
 
 func TestRankFollowsWeights(t *testing.T) {
 	const chats = 40_000
-	set := NewRanker(newBackends(4, func(i int) uint32 { return uint32(i + 1) }))
+	ranker := NewRanker(newBackends(4, func(i int) uint32 { return uint32(i + 1) }))
 	var firsts [4]int
 	var ranked []int
 	for i := range chats {
-		ranked = set.Rank(ranked[:0], ChatKey("w", fmt.Sprint(i)))
+		ranked = ranker.Rank(ranked[:0], ChatKey("w", fmt.Sprint(i)))
 		firsts[ranked[0]]++
 	}
 	for i, got := range firsts {
@@ -81,21 +81,21 @@
 }
 
 func TestRankDoesNotAllocate(t *testing.T) {
-	set := NewRanker(newBackends(93, unitWeight))
+	ranker := NewRanker(newBackends(93, unitWeight))
 	dst := make([]int, 0, 93)
-	got := testing.AllocsPerRun(100, func() { dst = set.Rank(dst[:0], 42) })
+	got := testing.AllocsPerRun(100, func() { dst = ranker.Rank(dst[:0], 42) })
 	if got != 0 {
 		t.Errorf("got %v allocations, want 0", got)
 	}
 }
 
 func BenchmarkRank(b *testing.B) {
-	set := NewRanker(newBackends(93, unitWeight))
+	ranker := NewRanker(newBackends(93, unitWeight))
 	dst := make([]int, 0, 93)
 	b.ReportAllocs()
 	key := uint64(0)
 	for b.Loop() {
 		key++
-		dst = set.Rank(dst[:0], key)
+		dst = ranker.Rank(dst[:0], key)
 	}
 }
--- a/placement/routers.go
+++ b/placement/routers.go
@@ -18,9 +18,9 @@
 	return cmp.Or(cmp.Compare(b.score, a.score), cmp.Compare(a.index, b.index))
 }
 
-// TopRouters returns the count routers with the highest rendezvous scores for the key, best first, or
-// all of them if there are fewer. It takes a single pass instead of sorting all routers, since each
-// member of a large fleet calls it whenever any router changes.
+// TopRouters returns the count routers with the highest rendezvous scores for the key, best first,
+// or all of them if there are fewer. It takes a single pass instead of sorting all routers, since
+// each member of a large fleet calls it whenever any router changes.
 func TopRouters(key uint64, routers []slipwick.Router, count int) []slipwick.Router {
 	best := make([]routerScore, 0, count+1)
 	for i := range routers {
@@ -42,8 +42,8 @@
 	return ranked
 }
 
-// RouterRank returns the number of routers whose rendezvous score for the key is higher than that of the
-// router with the given ID.
+// RouterRank returns the number of routers whose rendezvous score for the key is higher than that of
+// the router with the given ID.
 func RouterRank(key uint64, routers []slipwick.Router, id string) int {
 	own, rank := Score(key, IDHash(id)), 0
 	for i := range routers {
--- a/placement/view.go
+++ b/placement/view.go
@@ -8,7 +8,7 @@
 	// Routers lists the routers that may own backend servers.
 	Routers []slipwick.Router
 
-	// locations finds a backend server by the hash of its ID.
+	// locations holds the position of each backend server by the hash of its ID.
 	locations map[uint64]Location
 }
 
