--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -6,8 +6,8 @@
 const (
 	// retryRatio is the number of retries that each request adds to the budget.
 	retryRatio = 0.1
-	// retryBurst is the capacity of the budget: the number of retries that can follow each other
-	// when no other requests come in.
+	// retryBurst is the capacity of the budget: the maximum number of retries in a row while no new
+	// requests arrive.
 	retryBurst = 10
 )
 
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -19,18 +19,20 @@
 // Dispatcher sends requests to backend servers. Set the exported fields before the first call; the
 // methods are safe for concurrent use.
 type Dispatcher struct {
+	// Admission grants the slots.
 	Admission slipwick.Admission
 	// Engine returns the client of an inference engine.
 	Engine func(slipwick.Backend) slipwick.Engine
-	// Service returns the client of a plain service.
+	// Service returns the client of a plain service: a backend server that is not an inference engine.
 	Service func(backend slipwick.Backend, repeatable bool) slipwick.Service
 	// MaxSlotWait limits how long an attempt waits for a slot.
 	MaxSlotWait time.Duration
-	Limits      stream.Limits
+	// Limits holds the timeouts of a streamed response and the number of times it may be resumed.
+	Limits stream.Limits
 	// Quarantine records the requests during which backend servers crashed and refuses those that
-	// crashed several; nil turns this off. HasCrashed reports whether a backend server whose connection
-	// was lost has crashed.
+	// crashed several; nil turns this off.
 	Quarantine *quarantine.Tracker
+	// HasCrashed reports whether a backend server whose connection was lost has crashed.
 	HasCrashed func(context.Context, slipwick.Backend) bool
 
 	budgets PoolBudgets
@@ -47,29 +49,31 @@
 	ctx context.Context, call Call, request slipwick.ChatRequest, sink func(slipwick.StreamEvent) error,
 ) error {
 	return d.runWithRetries(ctx, call, func(ctx context.Context, backend slipwick.Backend) (bool, error) {
-		answer := &stream.Response{
+		response := &stream.Response{
 			Engine:  d.Engine(backend),
 			Request: request,
 			Limits:  d.Limits,
 		}
-		if err := answer.Start(ctx); err != nil {
+		if err := response.Start(ctx); err != nil {
 			return false, err
 		}
-		defer answer.Close()
-		return forwardEvents(ctx, answer, sink)
+		defer response.Close()
+		return forwardEvents(ctx, response, sink)
 	})
 }
 
-// forwardEvents passes the events of the answer to sink until the answer ends. It returns whether the
-// caller may have received a part of it.
-func forwardEvents(ctx context.Context, answer *stream.Response, sink func(slipwick.StreamEvent) error) (bool, error) {
+// forwardEvents passes the events of the response to sink until the response ends. It returns
+// whether the caller may have received a part of it.
+func forwardEvents(
+	ctx context.Context, response *stream.Response, sink func(slipwick.StreamEvent) error,
+) (bool, error) {
 	for {
-		event, err := answer.Next(ctx)
+		event, err := response.Next(ctx)
 		if errors.Is(err, io.EOF) {
 			return true, nil
 		}
 		if err != nil {
-			return answer.HasStarted(), err
+			return response.HasStarted(), err
 		}
 		if err := sink(event); err != nil {
 			return true, cancelledError(err)
--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -12,7 +12,7 @@
 	"github.com/slipwick/slipwick/stream"
 )
 
-// fakeAdmission grants a slot of the first engine that the request does not avoid.
+// fakeAdmission grants a slot of the first engine that the request does not exclude.
 type fakeAdmission struct {
 	engines  []string
 	requests []slipwick.AcquireRequest
@@ -40,7 +40,7 @@
 	f.evidence = append(f.evidence, evidence)
 }
 
-// fakeEngine fails with startErr at the start or with streamErr after one event. Without either it
+// fakeEngine fails with startErr at the start or with streamErr after one event. If both are nil, it
 // sends three events.
 type fakeEngine struct {
 	slipwick.Engine
--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -8,8 +8,9 @@
 	"github.com/slipwick/slipwick/quarantine"
 )
 
-// checkQuarantine refuses a request during which several backend servers crashed. isTrial is true
-// for a quarantined request that is let through to find out whether it still crashes them.
+// checkQuarantine returns an error for a quarantined request: one during which several backend
+// servers crashed. isTrial is true for a quarantined request that is admitted nevertheless, to find
+// out whether it still crashes them.
 func (d *Dispatcher) checkQuarantine(key quarantine.Key) (isTrial bool, err error) {
 	if d.Quarantine == nil {
 		return false, nil
@@ -32,14 +33,16 @@
 	}
 }
 
-// recordAttempt records that the request is about to be sent. If the request was quarantined while
-// it waited, recordAttempt releases the slot and returns an error.
+// recordAttempt records that the request is about to be sent. It returns nil if Quarantine is nil. If
+// the request was quarantined while it waited for the slot, it releases the slot and returns an
+// error.
 func (d *Dispatcher) recordAttempt(
 	key quarantine.Key, grant slipwick.Grant, isTrial bool,
 ) (*quarantine.Attempt, error) {
 	if d.Quarantine == nil {
 		return nil, nil
 	}
+	// The empty stop function lets an attempt continue if its request is quarantined meanwhile.
 	attempt, ok := d.Quarantine.Begin(key, &grant.Backend, isTrial, func() {})
 	if !ok {
 		d.Admission.Release(grant, slipwick.EvidenceNone)
@@ -48,9 +51,9 @@
 	return attempt, nil
 }
 
-// recordOutcome records what became of the backend server during the request. A backend server that
-// had begun to respond did not crash because of the request: a request that crashes a backend
-// server does so when it begins to run.
+// recordOutcome records whether the attempt completed or crashed the backend server, if either is
+// known; it does nothing if attempt is nil. A backend server that had begun to respond did not crash
+// because of the request: a request that crashes a backend server does so when it begins to run.
 func (d *Dispatcher) recordOutcome(
 	ctx context.Context, attempt *quarantine.Attempt, backend slipwick.Backend, delivered bool, err error,
 ) {
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -10,10 +10,10 @@
 	"github.com/slipwick/slipwick/quarantine"
 )
 
-// crashingEngines is a fakeAdmission whose engines crash, one after the other, when they get a
-// request.
+// crashingEngines is a fakeAdmission whose engines crash when they get a request.
 type crashingEngines struct {
 	fakeAdmission
+	// crashed marks the engines that got a request.
 	crashed map[string]bool
 	// survive makes the engines lose the connection only, and stay alive.
 	survive bool
@@ -143,8 +143,8 @@
 	}
 }
 
-// TestRequestQuarantinedBeforeFirstAttemptIsNotRun has crashes that another router reports arrive while a
-// request waits for its first slot. The request must be refused as not run and its slot released.
+// TestRequestQuarantinedBeforeFirstAttemptIsNotRun checks that a request is refused as not run, and
+// its slot released, if crashes that another router reports arrive while it waits for its first slot.
 func TestRequestQuarantinedBeforeFirstAttemptIsNotRun(t *testing.T) {
 	e := newCrashingEngines(3)
 	d := e.dispatcher()
