--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -27,8 +27,8 @@
 	Transport Transport
 	// Policy holds the tuning parameters.
 	Policy Policy
-	// Share returns what a workspace is entitled to. It is called with the coordinator locked and
-	// must not call its methods.
+	// Share returns a workspace's weight in queues and its limit on requests in flight. It is called
+	// with the coordinator locked and must not call its methods.
 	Share func(workspace string) Share
 	// OnHealth is called when an owned backend server is ejected, is restored, or announces that it
 	// is leaving. It is called with the coordinator locked and must not call its methods.
@@ -81,7 +81,7 @@
 	return c
 }
 
-// tickInterval is the interval at which leases and load reports are renewed and expired.
+// tickInterval is the interval at which Run checks which leases and load reports to renew or expire.
 const tickInterval = time.Second
 
 // Run renews the slots held, expires leases and repeats load reports. It blocks until ctx ends and
--- a/admission/ejection.go
+++ b/admission/ejection.go
@@ -56,16 +56,16 @@
 
 // eject stops grants at the backend server for a time that grows with each ejection.
 func (c *Coordinator) eject(o *ownedBackend) {
-	length := o.health.eject(&c.Policy, time.Now())
+	duration := o.health.eject(&c.Policy, time.Now())
 	c.flushQueue(o, peerpb.Decision_DECISION_MOVE_ON)
 	c.OnHealth(o.backend.ID, HealthEjected)
-	c.restoreAfter(o, length)
+	c.restoreAfter(o, duration)
 }
 
 // restoreAfter restores the backend server after the given time, unless an ejection or a pause that
 // ends later is in force by then.
-func (c *Coordinator) restoreAfter(o *ownedBackend, length time.Duration) {
-	time.AfterFunc(length, func() {
+func (c *Coordinator) restoreAfter(o *ownedBackend, duration time.Duration) {
+	time.AfterFunc(duration, func() {
 		c.withLock(func() {
 			now := time.Now()
 			if c.owned[o.engine] != o || o.health.state != HealthEjected ||
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -124,8 +124,9 @@
 	c.scheduleReport(o.pool)
 }
 
-// enqueue queues a request, or declines it at once if it is not expected to be served in time. If
-// the queue is full, it evicts another request or declines this one.
+// enqueue queues a request. It declines one that may not wait and, on the last attempt, one that is
+// not expected to get a slot in time. If the queue is full, it evicts another request or declines
+// this one.
 func (c *Coordinator) enqueue(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, now time.Time) {
 	wait := time.Duration(request.GetWaitMs()) * time.Millisecond
 	last := request.GetTry() == peerpb.Try_TRY_LAST
@@ -161,8 +162,8 @@
 	return c.Share(workspace).Weight
 }
 
-// decline answers a request that is not queued, or no longer: its router is told to try elsewhere
-// or, on the last attempt, the request is refused.
+// decline answers a request that is not queued, or no longer: it tells the router to try elsewhere
+// or, on the last attempt, refuses the request.
 func (c *Coordinator) decline(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, expected time.Duration) {
 	if request.GetTry() != peerpb.Try_TRY_LAST {
 		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
@@ -177,7 +178,7 @@
 	})
 }
 
-// maxRetryAfter limits the waiting time that a refused caller is told.
+// maxRetryAfter limits the time after which a refused caller is told to try again.
 const maxRetryAfter = time.Minute
 
 // expireQueued declines a queued request whose time is over, if it is still queued.
--- a/admission/health.go
+++ b/admission/health.go
@@ -26,8 +26,9 @@
 // health tracks the evidence on one backend server.
 type health struct {
 	state Health
-	// consecutiveBad counts the requests in a row that failed because of the backend server.
-	consecutiveBad int
+	// consecutiveFailures counts the requests and probes in a row that failed because of the backend
+	// server.
+	consecutiveFailures int
 	// ejections counts the ejections since the backend server was last healthy for longer than
 	// rampUp.
 	ejections int
@@ -43,27 +44,27 @@
 func (h *health) recordEvidence(evidence slipwick.Evidence, threshold int, now time.Time) bool {
 	switch {
 	case evidence == slipwick.EvidenceGood:
-		h.consecutiveBad = 0
+		h.consecutiveFailures = 0
 		if h.ejections > 0 && now.Sub(h.restoredAt) > h.rampUp {
 			h.ejections = 0
 		}
 	case evidence.IsFailure():
-		h.consecutiveBad++
+		h.consecutiveFailures++
 	}
-	return h.state == HealthGood && h.consecutiveBad >= threshold
+	return h.state == HealthGood && h.consecutiveFailures >= threshold
 }
 
 // eject marks the backend server as ejected and returns the duration of the ejection, which doubles
 // with each one in succession.
 func (h *health) eject(policy *Policy, now time.Time) time.Duration {
-	length := policy.EjectTime
+	duration := policy.EjectTime
 	for range h.ejections {
-		length = min(2*length, policy.MaxEjectTime)
+		duration = min(2*duration, policy.MaxEjectTime)
 	}
-	h.state, h.consecutiveBad = HealthEjected, 0
+	h.state, h.consecutiveFailures = HealthEjected, 0
 	h.ejections++
-	h.ejectedUntil = now.Add(length)
-	return length
+	h.ejectedUntil = now.Add(duration)
+	return duration
 }
 
 // restore marks the backend server as healthy, with a limit that rises to its full value within
--- a/admission/local.go
+++ b/admission/local.go
@@ -14,7 +14,8 @@
 var _ slipwick.Admission = (*Local)(nil)
 
 // Local is an Admission that counts the requests of this router alone and exchanges nothing with
-// other routers. It serves as the baseline of measurements. It is safe for concurrent use.
+// other routers. The package emulation uses it as a baseline to compare the Coordinator with. It is
+// safe for concurrent use.
 type Local struct {
 	// EnforceLimit enforces the load limit, by this router's own counts. Without it a backend
 	// server is limited by its slots alone. Set it before the first call of Acquire.
@@ -56,7 +57,7 @@
 	defer l.mu.Unlock()
 	for _, index := range pool.Rank(nil, request.Chat) {
 		backend := pool.Backends[index]
-		if slices.Contains(request.Exclude, backend.ID) || !l.hasRoom(pool, backend) {
+		if slices.Contains(request.Exclude, backend.ID) || !l.isBelowLimit(pool, backend) {
 			continue
 		}
 		l.lastID++
@@ -71,8 +72,9 @@
 	return slipwick.Grant{}, overloaded(time.Second)
 }
 
-// hasRoom reports whether the backend server is below its limit.
-func (l *Local) hasRoom(pool *placement.Pool, backend slipwick.Backend) bool {
+// isBelowLimit reports whether the backend server may get another request: with EnforceLimit, whether
+// it is below the load limit; otherwise, whether it has a free slot.
+func (l *Local) isBelowLimit(pool *placement.Pool, backend slipwick.Backend) bool {
 	count := l.inFlight[backend.ID]
 	if !l.EnforceLimit {
 		return count < backend.EffectiveSlots()
--- a/admission/notice.go
+++ b/admission/notice.go
@@ -53,8 +53,8 @@
 // that all routers take it out of the pool's mean load: otherwise the other backend servers of the
 // pool would be limited to a part of the load, and requests would wait for capacity that the paused
 // one does not provide.
-func (c *Coordinator) setPause(o *ownedBackend, length time.Duration) {
-	until := time.Now().Add(length)
+func (c *Coordinator) setPause(o *ownedBackend, duration time.Duration) {
+	until := time.Now().Add(duration)
 	if !until.After(o.pausedUntil) {
 		return
 	}
@@ -64,5 +64,5 @@
 		c.flushQueue(o, peerpb.Decision_DECISION_MOVE_ON)
 		c.OnHealth(o.backend.ID, HealthEjected)
 	}
-	c.restoreAfter(o, length)
+	c.restoreAfter(o, duration)
 }
