--- a/admission/observe.go
+++ b/admission/ejection.go
@@ -8,9 +8,9 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Observe records evidence from probing a backend server. It is ignored unless this router owns the
-// backend server.
-func (c *Coordinator) Observe(backend string, evidence slipwick.Evidence) {
+// RecordProbeResult records the evidence from probing a backend server. It does nothing unless this
+// router owns the backend server.
+func (c *Coordinator) RecordProbeResult(backend string, evidence slipwick.Evidence) {
 	c.withLock(func() {
 		if o := c.owned[placement.IDHash(backend)]; o != nil {
 			c.recordEvidence(o, evidence)
@@ -41,7 +41,7 @@
 }
 
 // canEject reports whether the pool can do without the backend server: at least one other must stay
-// usable, and no more than half of the pool may be out.
+// usable, and at most half of the pool, rounded up, may be unusable.
 func (c *Coordinator) canEject(o *ownedBackend) bool {
 	location, ok := c.view.Locate(o.engine)
 	if !ok {
@@ -56,16 +56,16 @@
 
 // eject stops grants at the backend server for a time that grows with each ejection.
 func (c *Coordinator) eject(o *ownedBackend) {
-	length := o.health.eject(&c.Policy, time.Now())
+	duration := o.health.eject(&c.Policy, time.Now())
 	c.flushQueue(o, peerpb.Decision_DECISION_MOVE_ON)
 	c.OnHealth(o.backend.ID, HealthEjected)
-	c.restoreAfter(o, length)
+	c.restoreAfter(o, duration)
 }
 
 // restoreAfter restores the backend server after the given time, unless an ejection or a pause that
 // ends later is in force by then.
-func (c *Coordinator) restoreAfter(o *ownedBackend, length time.Duration) {
-	time.AfterFunc(length, func() {
+func (c *Coordinator) restoreAfter(o *ownedBackend, duration time.Duration) {
+	time.AfterFunc(duration, func() {
 		c.withLock(func() {
 			now := time.Now()
 			if c.owned[o.engine] != o || o.health.state != HealthEjected ||
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -38,13 +38,13 @@
 		return
 	}
 	now := time.Now()
-	may := c.mayGrant(o)
-	if may && o.queue.len() == 0 && c.hasHeadroom(o, request.GetWorkspace(), now) {
+	mayGrant := c.mayGrant(o)
+	if mayGrant && o.queue.len() == 0 && c.hasHeadroom(o, request.GetWorkspace(), now) {
 		c.grant(o, key, request, now)
 		return
 	}
-	if at, ok := c.redirectTarget(o, request); ok {
-		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, at)
+	if target, ok := c.redirectTarget(o, request); ok {
+		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, target)
 		return
 	}
 	if pause := o.pausedUntil.Sub(now); pause > 0 {
@@ -52,7 +52,7 @@
 		c.decline(o, key, request, pause)
 		return
 	}
-	if !may {
+	if !mayGrant {
 		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
 		return
 	}
@@ -124,8 +124,9 @@
 	c.scheduleReport(o.pool)
 }
 
-// enqueue queues a request, or declines it at once if it is not expected to be served in time. If
-// the queue is full, it evicts another request or declines this one.
+// enqueue queues a request. It declines one that may not wait and, on the last attempt, one that is
+// not expected to get a slot in time. If the queue is full, it evicts another request or declines
+// this one.
 func (c *Coordinator) enqueue(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, now time.Time) {
 	wait := time.Duration(request.GetWaitMs()) * time.Millisecond
 	last := request.GetTry() == peerpb.Try_TRY_LAST
@@ -143,15 +144,15 @@
 		evicted := o.queue.remove(victim, false)
 		c.decline(o, evicted.key, evicted.request, expected)
 	}
-	w := &queuedRequest{
+	queued := &queuedRequest{
 		key:      key,
 		request:  request,
 		priority: int(request.GetPriority()),
 		deadline: now.Add(wait),
 	}
-	o.queue.push(w, c.workspaceWeight(request.GetWorkspace()))
+	o.queue.push(queued, c.workspaceWeight(request.GetWorkspace()))
 	c.sendAnswer(key, peerpb.Decision_DECISION_HELD, 0)
-	time.AfterFunc(wait, func() { c.withLock(func() { c.expireQueued(o, w) }) })
+	time.AfterFunc(wait, func() { c.withLock(func() { c.expireQueued(o, queued) }) })
 	c.scheduleReport(o.pool)
 	c.grantQueued(o)
 }
@@ -161,8 +162,8 @@
 	return c.Share(workspace).Weight
 }
 
-// decline answers a request that is not queued, or no longer: its router is told to try elsewhere
-// or, on the last attempt, the request is refused.
+// decline answers a request that is not queued, or no longer: it tells the router to try elsewhere
+// or, on the last attempt, refuses the request.
 func (c *Coordinator) decline(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, expected time.Duration) {
 	if request.GetTry() != peerpb.Try_TRY_LAST {
 		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
@@ -177,31 +178,31 @@
 	})
 }
 
-// maxRetryAfter limits the waiting time that a refused caller is told.
+// maxRetryAfter limits the time after which a refused caller is told to try again.
 const maxRetryAfter = time.Minute
 
 // expireQueued declines a queued request whose time is over, if it is still queued.
-func (c *Coordinator) expireQueued(o *ownedBackend, w *queuedRequest) {
-	index := o.queue.indexOf(w.key)
-	if index < 0 || o.queue.requests[index] != w {
+func (c *Coordinator) expireQueued(o *ownedBackend, queued *queuedRequest) {
+	index := o.queue.indexOf(queued.key)
+	if index < 0 || o.queue.requests[index] != queued {
 		return
 	}
 	o.queue.remove(index, false)
-	c.decline(o, w.key, w.request, o.expectedWait(time.Now()))
+	c.decline(o, queued.key, queued.request, o.expectedWait(time.Now()))
 }
 
 // grantQueued grants slots to queued requests, in the queue's order, as far as the limit allows.
 func (c *Coordinator) grantQueued(o *ownedBackend) {
 	now := time.Now()
 	for o.queue.len() > 0 && c.mayGrant(o) && o.headroom(c.slotLimit(o), now) > 0 {
-		index := o.queue.next(func(w *queuedRequest) bool {
-			return !c.atWorkspaceLimit(o, w.request.GetWorkspace())
+		index := o.queue.next(func(r *queuedRequest) bool {
+			return !c.atWorkspaceLimit(o, r.request.GetWorkspace())
 		})
 		if index < 0 {
 			return
 		}
-		w := o.queue.remove(index, true)
-		c.grant(o, w.key, w.request, now)
+		queued := o.queue.remove(index, true)
+		c.grant(o, queued.key, queued.request, now)
 	}
 }
 
