--- a/cmd/internal/gatewayd/cacheindex.go
+++ b/cmd/internal/gatewayd/cacheindex.go
@@ -23,7 +23,7 @@
 	p.fetchCacheIndex(ctx)
 	close(p.cachesKnown)
 	if !p.Settings.FirstStart {
-		p.recovery.LearnLateListings(ctx)
+		p.recovery.LearnLateEngines(ctx)
 	}
 }
 
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -103,10 +103,10 @@
 	r.learnMissing(ctx)
 }
 
-// LearnLateListings learns the caches of engines that are listed late. Call it after Run. It blocks
+// LearnLateEngines learns the caches of engines that are listed late. Call it after Run. It blocks
 // for as long as engines may be listed late, or until ctx ends; engines that are listed later than
 // that are new.
-func (r *Recovery) LearnLateListings(ctx context.Context) {
+func (r *Recovery) LearnLateEngines(ctx context.Context) {
 	for end := clock.Now().Add(balance.RelistWindow + lateListingMargin); clock.Now().Before(end); {
 		if !sleep(ctx, lateListingPollInterval) {
 			return
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -108,7 +108,7 @@
 		for _, r := range started {
 			go func() {
 				r.Run(t.Context())
-				r.LearnLateListings(t.Context())
+				r.LearnLateEngines(t.Context())
 			}()
 		}
 		time.Sleep(time.Second)
@@ -209,7 +209,7 @@
 			for _, r := range routers {
 				go func() {
 					r.Run(ctx)
-					r.LearnLateListings(ctx)
+					r.LearnLateEngines(ctx)
 				}()
 			}
 			<-ctx.Done()
