--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -17,13 +17,14 @@
 	maxOutcomes    = 25
 )
 
-// encode splits an update into datagrams, which all carry the same round number.
+// encode splits an update into datagrams. They all carry the same round number, by which the
+// receiver adds up their counts.
 func (s *Syncer) encode(scope exchangepb.Scope, urgent bool, update balance.Update) [][]byte {
 	round := s.sequence.Add(1)
 	var packets [][]byte
 	for first := true; first || len(update.InFlight)+countEvents(&update) > 0; first = false {
 		e := &encoder{
-			message: s.message(scope),
+			message: s.newMessage(scope),
 			indexes: make(map[uint64]uint32),
 		}
 		e.message.Round, e.message.Urgent = round, urgent
@@ -46,12 +47,13 @@
 	return packets
 }
 
-// countEvents counts the entries of an update that are sent only once, unlike the counts in flight.
+// countEvents counts the events of an update: the cached parts, the outcomes and the leaving
+// servers. The balancer returns each of them only once, unlike the counts of requests in flight.
 func countEvents(update *balance.Update) int {
 	return len(update.CachedParts) + len(update.Outcomes) + len(update.Leaving)
 }
 
-func (s *Syncer) message(scope exchangepb.Scope) *exchangepb.Told {
+func (s *Syncer) newMessage(scope exchangepb.Scope) *exchangepb.Told {
 	return &exchangepb.Told{
 		From:     s.Self,
 		Sequence: s.sequence.Add(1),
@@ -155,6 +157,6 @@
 	return update
 }
 
-// maxOutcomeCount bounds the outcomes accepted from a datagram; older outcomes have no weight, so
-// that more than this is never of use.
+// maxOutcomeCount bounds each count of outcomes accepted from a datagram. A server's error rate
+// covers about its last ten outcomes, so that more outcomes than this would not change it.
 const maxOutcomeCount = 1000
--- a/exchange/counts.go
+++ b/exchange/counts.go
@@ -13,8 +13,9 @@
 // counts are the requests in flight of one router or group, by backend server.
 type counts struct {
 	receivedAt time.Time
-	sequence   uint64
-	byServer   map[uint64]balance.InFlight
+	// round is the number of the round whose datagrams carried the counts.
+	round    uint64
+	byServer map[uint64]balance.InFlight
 }
 
 func newCounts(list []balance.InFlight) *counts {
--- a/exchange/doc.go
+++ b/exchange/doc.go
@@ -1,4 +1,8 @@
-// Package exchange synchronises routers: a few times a second each router sends the others an
-// update with its requests in flight and the parts of prompts that engines cached for it. State
-// that is lost with a datagram is sent again, or learnt in another way.
+// Package exchange synchronises the state of routers. A Syncer sends the other routers an update a
+// few times a second, with the router's requests in flight and the parts of prompts that engines, the
+// backend servers that run models, cached for it. A CrashGossiper spreads which requests were running
+// when backend servers crashed. A Recovery builds the cache index of a router that starts.
+//
+// Updates and crashes are datagrams, which may be lost. Counts of requests and the crashes of
+// quarantined requests are sent again; a starting router fetches cached parts over TCP.
 package exchange
--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -17,7 +17,7 @@
 	// maxCrashes bounds a datagram of crashes so that it fits one packet of 1,500 bytes: a crash
 	// takes at most 28 bytes.
 	maxCrashes = 40
-	// gossipFanOut is the number of routers that each router sends crashes to that are new to it.
+	// gossipFanOut is the number of routers to which each router sends crashes that are new to it.
 	// Those relay them, so that 330 routers know them after three hops, even if one packet in ten
 	// is lost. A small fleet is reached in one hop.
 	gossipFanOut = 10
--- a/exchange/gossip_test.go
+++ b/exchange/gossip_test.go
@@ -21,7 +21,7 @@
 	routers  []slipwick.Router
 	trackers map[string]*quarantine.Tracker
 	// lossRate is the share of datagrams that are lost, maxPacket the size of the largest one, sent
-	// the number of all. Routers in partitioned receive nothing.
+	// the number of all datagrams. Routers in partitioned receive nothing.
 	lossRate  float64
 	seed      uint64
 	maxPacket int
@@ -54,9 +54,9 @@
 		return
 	}
 	time.AfterFunc(2*time.Millisecond, func() {
-		t := NewSyncer(address)
-		t.OnCrashes = tracker.Merge
-		t.Receive("", packet)
+		syncer := NewSyncer(address)
+		syncer.OnCrashes = tracker.Merge
+		syncer.Receive("", packet)
 	})
 }
 
--- a/exchange/hubs.go
+++ b/exchange/hubs.go
@@ -11,8 +11,8 @@
 // maxMeshSize is the largest fleet in which every router sends its updates directly to every other.
 const maxMeshSize = 16
 
-// hubs are the routers that relay updates in a fleet that is too large for a full mesh. There are
-// about as many hubs as routers in the group of each hub. A router sends its updates to a hub in
+// hubs holds the hubs of a fleet that is too large for a full mesh: the routers that relay updates,
+// each to the group of routers that send theirs to it. There are about as many hubs as routers in the group of each hub. A router sends its updates to a hub in
 // its own data centre, because traffic between data centres is expensive, and what a hub sends to
 // its group is most of the traffic.
 type hubs struct {
@@ -21,7 +21,8 @@
 	chosen []slipwick.Router
 	// byDataCentre are the hubs of each data centre.
 	byDataCentre map[string][]slipwick.Router
-	ids          map[string]bool
+	// ids has the IDs of the hubs.
+	ids map[string]bool
 	// groups caches the routers in the group of each hub.
 	groups map[string][]slipwick.Router
 }
@@ -37,14 +38,14 @@
 		return h
 	}
 	key := placement.IDHash("hub")
-	groups := make(map[string][]slipwick.Router)
+	routersByDataCentre := make(map[string][]slipwick.Router)
 	for _, r := range routers {
-		groups[r.DataCentre] = append(groups[r.DataCentre], r)
+		routersByDataCentre[r.DataCentre] = append(routersByDataCentre[r.DataCentre], r)
 	}
-	size := math.Sqrt(float64(len(routers)))
-	for dataCentre, group := range groups {
-		count := int(math.Ceil(float64(len(group)) / size))
-		h.byDataCentre[dataCentre] = placement.TopRouters(key, group, count)
+	groupSize := math.Sqrt(float64(len(routers)))
+	for dataCentre, local := range routersByDataCentre {
+		count := int(math.Ceil(float64(len(local)) / groupSize))
+		h.byDataCentre[dataCentre] = placement.TopRouters(key, local, count)
 		h.chosen = append(h.chosen, h.byDataCentre[dataCentre]...)
 	}
 	for _, r := range h.chosen {
@@ -54,7 +55,7 @@
 }
 
 // hubOf returns the hub that a router sends its updates to; ok is false if the router is itself a
-// hub.
+// hub. A router that is not among the live ones gets a hub of any data centre.
 func (h *hubs) hubOf(id string) (hub slipwick.Router, ok bool) {
 	if h.isHub(id) {
 		return slipwick.Router{}, false
--- a/exchange/receive_bench_test.go
+++ b/exchange/receive_bench_test.go
@@ -13,11 +13,11 @@
 func BenchmarkReceive(b *testing.B) {
 	for _, inFlight := range []int{125, 250, 500, 1000} {
 		b.Run(fmt.Sprint(inFlight), func(b *testing.B) {
-			t := NewSyncer("r")
-			t.Balancer = balance.New("d")
+			syncer := NewSyncer("r")
+			syncer.Balancer = balance.New("d")
 			backends := testBackends(10 * inFlight)
-			t.Balancer.SetBackends(backends)
-			t.Balancer.SetPeers([]string{fleetSource}, 900)
+			syncer.Balancer.SetBackends(backends)
+			syncer.Balancer.SetPeers([]string{fleetSource}, 900)
 			hub := NewSyncer("hub")
 			update := balance.Update{}
 			for i := range inFlight {
@@ -28,7 +28,7 @@
 			}
 			for b.Loop() {
 				for _, packet := range hub.encode(exchangepb.Scope_SCOPE_FLEET, false, update) {
-					t.Receive("", packet)
+					syncer.Receive("", packet)
 				}
 			}
 		})
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -18,7 +18,8 @@
 
 const (
 	testEngines = 20
-	// testParts is the number of shared parts that each engine has cached.
+	// testParts is the mean number of shared parts that each engine has cached: parts that several
+	// prompts have in common.
 	testParts = 30
 )
 
@@ -42,8 +43,9 @@
 	partsByEngine map[string][]uint64
 }
 
-// partsOf returns the parts in an engine's cache: the shared parts that rank it first, and as many
-// ends of prompts, which were sent there whatever its rank for them.
+// partsOf returns the parts in an engine's cache: the shared parts for which the engine ranks first,
+// and f.parts ends of prompts, each of a single prompt that was sent there. For the latter the engine
+// is not among the first 12, so that the balancer leaves them out of the cache index.
 func (f *recoveringFleet) partsOf(engine string) []uint64 {
 	if f.partsByEngine != nil {
 		return f.partsByEngine[engine]
@@ -125,7 +127,8 @@
 	return backends
 }
 
-// add starts a router that knows the engines but none of their caches.
+// add adds a live router that knows the engines but none of their caches. The caller has to run its
+// recovery.
 func (f *recoveringFleet) add(id string) *Recovery {
 	r := NewRecovery(id)
 	r.DataCentre = dataCentreOf(len(f.routers))
@@ -153,12 +156,12 @@
 			return nil, errUnresponsive
 		}
 		q = decodeQuery(encodeQuery(q))
-		k := other.Balancer.CacheSnapshot(q)
+		snapshot := other.Balancer.CacheSnapshot(q)
 		f.mu.Lock()
 		f.enginesNamed += len(q.Known) + len(q.Wanted)
-		f.partsSent += len(k.CachedParts)
+		f.partsSent += len(snapshot.CachedParts)
 		f.mu.Unlock()
-		return &k, nil
+		return &snapshot, nil
 	}
 	r.ListCache = func(ctx context.Context, engine slipwick.Backend) ([]uint64, error) {
 		f.mu.Lock()
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -32,11 +32,11 @@
 	// them: routers that start together find each other within some 100 ms.
 	peerWaitRounds = 4
 	// listsPerRound bounds the engines that a router asks in a round. A router that knows only few
-	// of the others yet would otherwise ask engines that are the turn of routers it does not know.
+	// of the others yet would otherwise ask engines whose turn belongs to routers it does not know.
 	listsPerRound = 3
 	// roundsPerTurn is the number of rounds for which an engine is left to the router whose turn it
-	// is, until the next router asks it too. That is somewhat longer than a listing takes at most
-	// and than the result needs to reach all routers, the number of which doubles with each round.
+	// is, until the next router asks it too. That is somewhat longer than listTimeout, and than a
+	// result takes to reach all routers: the number of those that know it doubles with each round.
 	// Only the routers of the first maxTurns turns ask an engine at all: if all routers asked for
 	// what they miss, then after a restart of the whole fleet each engine would have to list its
 	// cache for all of them.
@@ -44,10 +44,10 @@
 	maxTurns      = 3
 	// maxRounds bounds a whole recovery.
 	maxRounds = roundsPerTurn * maxTurns
-	// lateListingPollInterval is how often a router looks for engines that are listed late, and
-	// lateListingMargin how long after balance.RelistWindow it still does.
-	lateListingPollInterval = 50 * time.Millisecond
-	lateListingMargin       = 500 * time.Millisecond
+	// lateEnginePollInterval is how often a router looks for engines that appear late in the list
+	// of backend servers, and lateEngineMargin how long after balance.RelistWindow it still does.
+	lateEnginePollInterval = 50 * time.Millisecond
+	lateEngineMargin       = 500 * time.Millisecond
 )
 
 // Recovery builds the cache index of a router that starts: it learns which parts of prompts each
@@ -63,7 +63,7 @@
 	Pools func() []string
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
-	// QueryRouter queries another router for what it knows.
+	// QueryRouter queries another router for what it knows of the caches of engines.
 	QueryRouter func(ctx context.Context, router slipwick.Router, q *balance.CacheQuery) (*balance.CacheSnapshot, error)
 	// ListCache asks an engine for the parts in its cache. If it is nil, no engine is asked.
 	ListCache func(context.Context, slipwick.Backend) ([]uint64, error)
@@ -73,7 +73,7 @@
 
 	// askedEngines are the engines that were asked so far, abandoned those whose caches were still
 	// unknown when the last run of learnMissing gave up, and queries counts the queries to routers.
-	// turnOrder is computed from the routers known last.
+	// turnOrder is computed again when the known routers have changed.
 	askedEngines map[string]bool
 	abandoned    map[string]bool
 	queries      int
@@ -103,24 +103,25 @@
 	r.learnMissing(ctx)
 }
 
-// LearnLateEngines learns the caches of engines that are listed late. Call it after Run. It blocks
-// for as long as engines may be listed late, or until ctx ends; engines that are listed later than
-// that are new.
+// LearnLateEngines learns the caches of engines that appear late in the list of backend servers,
+// because their entries had expired while the store was away. Call it after Run. It blocks for as
+// long as such engines may appear, or until ctx ends; engines that appear later than that have just
+// started, so that their caches are empty.
 func (r *Recovery) LearnLateEngines(ctx context.Context) {
-	for end := clock.Now().Add(balance.RelistWindow + lateListingMargin); clock.Now().Before(end); {
-		if !sleep(ctx, lateListingPollInterval) {
+	for end := clock.Now().Add(balance.RelistWindow + lateEngineMargin); clock.Now().Before(end); {
+		if !sleep(ctx, lateEnginePollInterval) {
 			return
 		}
-		isNew := func(e slipwick.Backend) bool { return !r.askedEngines[e.ID] && !r.abandoned[e.ID] }
-		if slices.ContainsFunc(r.missing(), isNew) {
+		isUntried := func(e slipwick.Backend) bool { return !r.askedEngines[e.ID] && !r.abandoned[e.ID] }
+		if slices.ContainsFunc(r.missing(), isUntried) {
 			r.learnMissing(ctx)
 		}
 	}
 }
 
-// learnMissing queries routers and engines round after round, less often while nothing is learnt: a
-// few of many engines may never answer, and each round has to look at everything that is missing or
-// known.
+// learnMissing queries routers and engines round after round, until no cache is unknown or maxRounds
+// have passed. The rounds are less frequent while nothing is learnt: a few of many engines may never
+// answer, and each round has to look at all engines, whether their caches are known or not.
 func (r *Recovery) learnMissing(ctx context.Context) {
 	previous, intervals := math.MaxInt, 1
 	for round := 0; round < maxRounds; round += intervals {
@@ -152,7 +153,7 @@
 }
 
 // isFleetKnown reports whether this router knows enough of the fleet to tell which engines it has
-// to ask.
+// to ask, or has waited long enough for that.
 func (r *Recovery) isFleetKnown(round int) bool {
 	if r.FleetKnown != nil {
 		select {
@@ -170,6 +171,7 @@
 	return len(r.missing())
 }
 
+// missing returns the engines whose caches are not known.
 func (r *Recovery) missing() []slipwick.Backend {
 	var missing []slipwick.Backend
 	for _, pool := range r.Pools() {
@@ -190,11 +192,11 @@
 			return
 		}
 		limited, cancel := context.WithTimeout(ctx, queryTimeout)
-		k, err := r.QueryRouter(limited, other, &query)
+		snapshot, err := r.QueryRouter(limited, other, &query)
 		cancel()
 		// A router that doesn't answer is skipped; the next round queries another one.
 		if err == nil {
-			r.Balancer.MergeCacheSnapshot(k)
+			r.Balancer.MergeCacheSnapshot(snapshot)
 		}
 	}
 }
@@ -225,8 +227,8 @@
 	return local
 }
 
-// listEngines asks some of the engines that are this router's to ask by this turn, in parallel, and
-// waits for their answers.
+// listEngines asks some of the engines for which this router's turn has come to list their caches,
+// in parallel, and waits for their answers.
 func (r *Recovery) listEngines(ctx context.Context, engines []slipwick.Backend, turn int) {
 	if r.ListCache == nil {
 		return
@@ -236,7 +238,7 @@
 		DataCentre: r.DataCentre,
 	}
 	r.turnOrder.update(self, excluding(r.Routers(), r.Self))
-	var lists sync.WaitGroup
+	var listings sync.WaitGroup
 	started := 0
 	for _, i := range rand.Perm(len(engines)) {
 		engine := engines[i]
@@ -248,16 +250,16 @@
 		}
 		started++
 		r.askedEngines[engine.ID] = true
-		lists.Go(func() {
+		listings.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, listTimeout)
 			defer cancel()
-			// The cache of an engine that doesn't answer stays unknown. List logs the reason.
+			// The cache of an engine that doesn't answer stays unknown. ListCache logs the reason.
 			if parts, err := r.ListCache(limited, engine); err == nil {
 				r.Balancer.RecordCachedParts(engine.ID, parts)
 			}
 		})
 	}
-	lists.Wait()
+	listings.Wait()
 }
 
 // sleep waits for a duration; it returns false if ctx ended first.
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -93,8 +93,8 @@
 	})
 }
 
-// TestEnginesListedLateKeepTheirCaches starts routers when the store has just returned, and half of
-// the engines register a second later.
+// TestEnginesListedLateKeepTheirCaches starts routers that find only half of the engines in the list
+// of backend servers; the others appear there a second later, as after an outage of the store.
 func TestEnginesListedLateKeepTheirCaches(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecoveringFleet()
@@ -117,8 +117,8 @@
 		}
 		time.Sleep(time.Second)
 		for _, r := range started {
-			// While few engines were listed, each ranked high for ends of prompts too, so that
-			// routers may know more than the shared parts.
+			// While 10 engines were listed, each was among the first 12 for any part, so that routers
+			// may know ends of prompts besides the shared parts.
 			if got := f.unknownParts(r); got > 0 || r.MissingCount() > 0 {
 				t.Errorf("router %s: got %d shared parts unknown and %d engines missing, want none", r.Self, got, r.MissingCount())
 			}
@@ -145,7 +145,7 @@
 		f.routers["silent"] = nil
 		started := time.Now()
 		for _, r := range f.startAll(t, 4, 0) {
-			// Its cache holds shared parts, and as many ends of prompts as the mean of the engines.
+			// Only the shared parts in its cache are lost; it also holds testParts ends of prompts.
 			lost := len(f.partsOf("engine-3")) - testParts
 			if got, want := r.Balancer.CachedPartCount(), testEngines*testParts-lost; got != want || r.MissingCount() != 1 {
 				t.Errorf("router %s: got %d parts and %d engines missing, want %d and 1", r.Self, got, r.MissingCount(), want)
@@ -180,7 +180,7 @@
 // TestFewQueriesForUnresponsiveEngines has one engine of many never list its cache. Routers may
 // query each other while they learn something, and must do so seldom after that.
 //
-// After a power loss at 986 routers before 9,621 engines, 36 % of the processor time went into
+// After a power loss in a fleet of 986 routers and 9,621 engines, 36 % of the processor time went into
 // queries for the few engines still missing, round after round, and again each time that recovery
 // had ended with some missing.
 func TestFewQueriesForUnresponsiveEngines(t *testing.T) {
@@ -189,18 +189,18 @@
 			f := newRecoveringFleet()
 			f.unresponsive["engine-3"] = true
 			var mu sync.Mutex
-			asked := make(map[string]int)
+			queries := make(map[string]int)
 			var routers []*Recovery
 			for i := range size {
 				r := f.add(fmt.Sprint("r", i))
-				ask := r.QueryRouter
+				queryRouter := r.QueryRouter
 				r.QueryRouter = func(
 					ctx context.Context, other slipwick.Router, q *balance.CacheQuery,
 				) (*balance.CacheSnapshot, error) {
 					mu.Lock()
-					asked[r.Self]++
+					queries[r.Self]++
 					mu.Unlock()
-					return ask(ctx, other, q)
+					return queryRouter(ctx, other, q)
 				}
 				routers = append(routers, r)
 			}
@@ -215,12 +215,12 @@
 			<-ctx.Done()
 			synctest.Wait()
 			most := 0
-			for _, n := range asked {
+			for _, n := range queries {
 				most = max(most, n)
 			}
-			// Half of the rounds, and the initial queries once.
+			// A query in every second round, and the initial queries once.
 			if limit := maxRounds/2 + initialQueries; most > limit {
-				t.Errorf("%d routers: one asked %d times, want at most %d", size, most, limit)
+				t.Errorf("%d routers: got %d queries by one of them, want at most %d", size, most, limit)
 			}
 		})
 	}
--- a/exchange/snapshot.go
+++ b/exchange/snapshot.go
@@ -34,8 +34,8 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	k := s.Balancer.CacheSnapshot(decodeQuery(message))
-	body, err := proto.Marshal(encodeSnapshot(&k))
+	snapshot := s.Balancer.CacheSnapshot(decodeQuery(message))
+	body, err := proto.Marshal(encodeSnapshot(&snapshot))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
@@ -88,8 +88,8 @@
 	return message, nil
 }
 
-// encodeQuery sends the engines that are known as covered, or those that are wanted as not
-// covered. Older routers read only the known ones, and answer a query for wanted engines with all
+// encodeQuery marks the known engines of a query as covered, or the wanted ones as not covered.
+// Older routers read only the known ones, and answer a query for wanted engines with all
 // that they know.
 func encodeQuery(q *balance.CacheQuery) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
@@ -118,7 +118,7 @@
 	return q
 }
 
-func encodeSnapshot(k *balance.CacheSnapshot) *exchangepb.Knowledge {
+func encodeSnapshot(snapshot *balance.CacheSnapshot) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
 	indexes := make(map[uint64]uint32)
 	indexOf := func(engine uint64) uint32 {
@@ -131,10 +131,10 @@
 		}
 		return index
 	}
-	for _, engine := range k.Engines {
+	for _, engine := range snapshot.Engines {
 		message.Covered[indexOf(engine)] = true
 	}
-	for _, part := range k.CachedParts {
+	for _, part := range snapshot.CachedParts {
 		message.Parts = append(message.Parts, part.Part)
 		message.Keepers = append(message.Keepers, indexOf(part.Server))
 	}
@@ -143,21 +143,21 @@
 
 // decodeSnapshot leaves out entries whose lists are too short or whose index is out of range.
 func decodeSnapshot(message *exchangepb.Knowledge) *balance.CacheSnapshot {
-	k := &balance.CacheSnapshot{}
+	snapshot := &balance.CacheSnapshot{}
 	servers := message.GetServers()
 	for i, covered := range message.GetCovered() {
 		if covered && i < len(servers) {
-			k.Engines = append(k.Engines, servers[i])
+			snapshot.Engines = append(snapshot.Engines, servers[i])
 		}
 	}
 	for i, part := range message.GetParts() {
 		if i >= len(message.GetKeepers()) || int(message.GetKeepers()[i]) >= len(servers) {
 			break
 		}
-		k.CachedParts = append(k.CachedParts, balance.CachedPart{
+		snapshot.CachedParts = append(snapshot.CachedParts, balance.CachedPart{
 			Part:   part,
 			Server: servers[message.GetKeepers()[i]],
 		})
 	}
-	return k
+	return snapshot
 }
--- a/exchange/syncer.go
+++ b/exchange/syncer.go
@@ -19,15 +19,16 @@
 	// updateInterval is the interval between updates: shorter than requests run, but long enough
 	// that updates cost a router little.
 	updateInterval = 200 * time.Millisecond
-	// urgentDelay is the delay before an urgent update, relayDelay the delay before a hub relays
-	// urgent parts. Together with the time to send them, they are shorter than the shortest prefill
+	// urgentDelay is the delay before an urgent update, and before new crashes are sent. relayDelay
+	// is the delay before a hub relays urgent parts. Together with the time to send them, they are shorter than the shortest prefill
 	// that is reported as urgent.
 	urgentDelay = 10 * time.Millisecond
 	relayDelay  = 15 * time.Millisecond
 	// sequenceBits is the number of low bits of a sequence number that count the datagrams within a
 	// millisecond.
 	sequenceBits = 16
-	// fleetSource is the source of the counts of the whole fleet, which a hub sends.
+	// fleetSource is passed to the balancer as the sender of the counts of the whole fleet, which a
+	// hub sends.
 	fleetSource = "fleet"
 	// maxQueued bounds the cached parts, the outcomes and the leaving servers that a hub has queued
 	// for relay.
@@ -49,7 +50,7 @@
 	Routers func() []slipwick.Router
 	// Address returns the address at which a router receives datagrams.
 	Address func(slipwick.Router) string
-	// OnCrashes is called with the crashes that arrive among the other datagrams.
+	// OnCrashes is called with the crashes that the CrashGossiper of another router sent.
 	OnCrashes func([]quarantine.Crash)
 
 	sequence atomic.Uint64
@@ -67,9 +68,9 @@
 	received map[string]*counts
 	// own are the counts that this router sent last.
 	own *counts
-	// groupEvents and hubEvents are cached parts, outcomes and leaving servers to relay. A router
-	// in the group of a hub receives its own outcomes with those of the fleet, and counts them
-	// twice.
+	// groupEvents and hubEvents are the cached parts, outcomes and leaving servers that a hub has
+	// to relay: those from its own group and those from the other hubs. A router in the group of a
+	// hub receives its own outcomes with those of the fleet, and counts them twice.
 	groupEvents, hubEvents balance.Update
 	// urgentGroupParts and urgentHubParts are the cached parts among these that are relayed at
 	// once. They are sent again with the next update, since datagrams may be lost.
@@ -80,7 +81,7 @@
 
 // NewSyncer returns a syncer for the router with this ID. Set the other exported fields before Run.
 func NewSyncer(self string) *Syncer {
-	t := &Syncer{
+	s := &Syncer{
 		Self:      self,
 		OnCrashes: func([]quarantine.Crash) {},
 
@@ -95,8 +96,8 @@
 	}
 	// The sequence starts at the time of day, so that the datagrams of a restarted router are newer
 	// than those it sent before.
-	t.sequence.Store(uint64(time.Now().UnixMilli()) << sequenceBits)
-	return t
+	s.sequence.Store(uint64(time.Now().UnixMilli()) << sequenceBits)
+	return s
 }
 
 // Done returns a channel that is closed when Run has returned.
@@ -147,7 +148,7 @@
 		s.hubs = chooseHubs(routers)
 	}
 	hubs := s.hubs
-	others := len(excluding(hubs.routers, s.Self))
+	otherCount := len(excluding(hubs.routers, s.Self))
 	s.fleetSize.Store(int64(len(hubs.routers)))
 	update := s.Balancer.TakeUpdate()
 	s.mu.Lock()
@@ -156,26 +157,26 @@
 	switch {
 	case len(hubs.chosen) == 0:
 		peers := excluding(hubs.routers, s.Self)
-		s.Balancer.SetPeers(idsOf(peers), others)
+		s.Balancer.SetPeers(idsOf(peers), otherCount)
 		s.send(peers, s.encode(exchangepb.Scope_SCOPE_OWN, urgent, update))
 	case hubs.isHub(s.Self):
-		s.sendHubUpdates(hubs, update, others)
+		s.sendHubUpdates(hubs, update, otherCount)
 	default:
 		s.mu.Lock()
 		s.groupEvents, s.hubEvents = balance.Update{}, balance.Update{}
 		s.urgentGroupParts, s.urgentHubParts = nil, nil
 		s.mu.Unlock()
 		hub, _ := hubs.hubOf(s.Self)
-		s.Balancer.SetPeers([]string{fleetSource}, others)
+		s.Balancer.SetPeers([]string{fleetSource}, otherCount)
 		s.send([]slipwick.Router{hub}, s.encode(exchangepb.Scope_SCOPE_OWN, urgent, update))
 	}
 }
 
-// sendHubUpdates sends the counts of the group to the other hubs, and the counts of the fleet to
-// the group.
-func (s *Syncer) sendHubUpdates(hubs *hubs, own balance.Update, fleet int) {
+// sendHubUpdates sends the counts and events of the group to the other hubs, and those of the fleet
+// to the group.
+func (s *Syncer) sendHubUpdates(hubs *hubs, own balance.Update, otherCount int) {
 	group, others := hubs.groupOf(s.Self), excluding(hubs.chosen, s.Self)
-	s.Balancer.SetPeers(slices.Concat(idsOf(group), idsOf(others)), fleet)
+	s.Balancer.SetPeers(slices.Concat(idsOf(group), idsOf(others)), otherCount)
 	groupSum, hubSum := s.sumCounts(idsOf(group), idsOf(others))
 	s.mu.Lock()
 	update, hubEvents := s.groupEvents, s.hubEvents
@@ -259,7 +260,7 @@
 	s.Balancer.ReceiveLeaving(update.Leaving)
 }
 
-// hasCounts reports whether a datagram carries counts in flight.
+// hasCounts reports whether a datagram carries counts of requests in flight.
 func hasCounts(message *exchangepb.Told) bool {
 	return message.GetScope() != exchangepb.Scope_SCOPE_NONE && message.GetScope() != exchangepb.Scope_SCOPE_NEWS
 }
@@ -304,7 +305,7 @@
 }
 
 // storeCounts stores the counts of a datagram, for a hub to add up. isMore says that the datagram
-// adds to a known round, isOld that its round is over. Counts of the whole fleet are not stored,
+// adds to the stored round, isOld that a later round is stored already. Counts of the whole fleet are not stored,
 // since no hub adds them up again.
 func (s *Syncer) storeCounts(message *exchangepb.Told, list []balance.InFlight) (isMore, isOld bool) {
 	if message.GetScope() == exchangepb.Scope_SCOPE_FLEET {
@@ -315,14 +316,14 @@
 	id, round := message.GetFrom(), message.GetRound()
 	known := s.received[id]
 	switch {
-	case known != nil && known.sequence > round:
+	case known != nil && known.round > round:
 		return false, true
-	case known != nil && known.sequence == round:
+	case known != nil && known.round == round:
 		known.merge(list)
 		return true, false
 	}
 	counts := newCounts(list)
-	counts.sequence = round
+	counts.round = round
 	s.received[id] = counts
 	return false, false
 }
--- a/exchange/syncer_bench_test.go
+++ b/exchange/syncer_bench_test.go
@@ -23,8 +23,8 @@
 					DataCentre: fmt.Sprint("dc-", i%6),
 				})
 			}
-			t := NewSyncer("r-0000")
-			t.Balancer = balance.New("dc-0")
+			syncer := NewSyncer("r-0000")
+			syncer.Balancer = balance.New("dc-0")
 			var list []balance.Entry
 			for i := range 10 * size {
 				list = append(list, balance.Entry{
@@ -34,17 +34,17 @@
 					},
 				})
 			}
-			t.Balancer.SetBackends(list)
-			t.Transport = discardTransport{}
-			t.Routers = func() []slipwick.Router { return routers }
-			t.Address = func(r slipwick.Router) string { return r.ID }
-			if _, err := t.Balancer.Acquire(&balance.Request{
+			syncer.Balancer.SetBackends(list)
+			syncer.Transport = discardTransport{}
+			syncer.Routers = func() []slipwick.Router { return routers }
+			syncer.Address = func(r slipwick.Router) string { return r.ID }
+			if _, err := syncer.Balancer.Acquire(&balance.Request{
 				Pool: "p",
 			}); err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				t.sendUpdate(false)
+				syncer.sendUpdate(false)
 			}
 		})
 	}
--- a/exchange/syncer_test.go
+++ b/exchange/syncer_test.go
@@ -74,18 +74,18 @@
 	}
 	var syncers []*Syncer
 	for i := range n {
-		t := NewSyncer(fmt.Sprint(i))
-		t.Balancer = balance.New(routers[i].DataCentre)
-		t.Balancer.OnLongPrefill = t.TriggerUpdate
-		t.Balancer.SetBackends(backends)
-		t.Routers = func() []slipwick.Router { return routers }
-		t.Address = func(r slipwick.Router) string { return r.ID }
-		t.Transport = &testTransport{
+		syncer := NewSyncer(fmt.Sprint(i))
+		syncer.Balancer = balance.New(routers[i].DataCentre)
+		syncer.Balancer.OnLongPrefill = syncer.TriggerUpdate
+		syncer.Balancer.SetBackends(backends)
+		syncer.Routers = func() []slipwick.Router { return routers }
+		syncer.Address = func(r slipwick.Router) string { return r.ID }
+		syncer.Transport = &testTransport{
 			network: network,
-			from:    t.Self,
+			from:    syncer.Self,
 		}
-		network.syncers[t.Self] = t
-		syncers = append(syncers, t)
+		network.syncers[syncer.Self] = syncer
+		syncers = append(syncers, syncer)
 	}
 	return syncers, network
 }
@@ -125,7 +125,7 @@
 		for _, syncer := range syncers {
 			<-syncer.Done()
 		}
-		// 1.6 * 90 / 20 + 2, and one that was chosen below the bound.
+		// The bound is 1.6 (load factor) * 90 / 20 + 2 (load slack); an engine below it gets one more.
 		for id, got := range counts {
 			if got > 11 {
 				t.Errorf("%s: got %d of 90 requests at 20 engines, want at most 11", id, got)
@@ -235,11 +235,11 @@
 	})
 	defer server.Close()
 	learn := func() {
-		k, err := FetchCacheSnapshot(t.Context(), server.Client(), server.Listener.Addr().String(), &balance.CacheQuery{})
+		snapshot, err := FetchCacheSnapshot(t.Context(), server.Client(), server.Listener.Addr().String(), &balance.CacheQuery{})
 		if err != nil {
 			t.Fatal(err)
 		}
-		syncers[1].Balancer.MergeCacheSnapshot(k)
+		syncers[1].Balancer.MergeCacheSnapshot(snapshot)
 	}
 	learn()
 	if got := len(syncers[1].Balancer.EnginesWithUnknownCaches("p")); got != 20 {
@@ -308,7 +308,7 @@
 					}
 					lease := acquireLongPrompt(t, syncer.Balancer)
 					if lease.Wait <= 0 || lease.Backend.ID != first.Backend.ID && lease.FetchFrom != first.Backend.Address {
-						t.Errorf("%d data centres, prefill for %d: router %s got %+v, want it to wait for the prefill at %s",
+						t.Errorf("%d data centres, long prompt at router %d: router %s got %+v, want it to wait for the prefill at %s",
 							dataCentres, sender, syncer.Self, lease, first.Backend.ID)
 					}
 				}
--- a/exchange/turnorder_test.go
+++ b/exchange/turnorder_test.go
@@ -30,21 +30,21 @@
 // must be asked by exactly one router in each turn, all of them in its own data centre.
 func TestEachEngineHasOneRouterForEachTurn(t *testing.T) {
 	fleet, pool := testFleet(60, 300)
-	asked := make(map[string][]int)
+	turns := make(map[string][]int)
 	most := 0
 	for i, self := range fleet {
-		var s turnOrder
-		s.update(self, excluding(fleet, self.ID))
+		var order turnOrder
+		order.update(self, excluding(fleet, self.ID))
 		own := 0
 		for e := range pool {
-			turn := s.turn(&pool[e])
+			turn := order.turn(&pool[e])
 			if turn == maxTurns {
 				continue
 			}
 			if turn == 0 {
 				own++
 			}
-			asked[pool[e].ID] = append(asked[pool[e].ID], turn)
+			turns[pool[e].ID] = append(turns[pool[e].ID], turn)
 			if fleet[i].DataCentre != pool[e].DataCentre {
 				t.Errorf("%s: got %s of %s among its routers", pool[e].ID, self.ID, self.DataCentre)
 			}
@@ -52,7 +52,7 @@
 		most = max(most, own)
 	}
 	for _, engine := range pool {
-		got := slices.Sorted(slices.Values(asked[engine.ID]))
+		got := slices.Sorted(slices.Values(turns[engine.ID]))
 		if want := []int{0, 1, 2}; !slices.Equal(got, want) {
 			t.Errorf("%s: got turns %v, want %v", engine.ID, got, want)
 		}
@@ -67,9 +67,9 @@
 	fleet, _ := testFleet(3, 0)
 	var got []int
 	for _, self := range fleet {
-		var s turnOrder
-		s.update(self, excluding(fleet, self.ID))
-		got = append(got, s.turn(&slipwick.Backend{
+		var order turnOrder
+		order.update(self, excluding(fleet, self.ID))
+		got = append(got, order.turn(&slipwick.Backend{
 			ID:         "e",
 			DataCentre: "dc-1",
 		}))
@@ -79,9 +79,9 @@
 	}
 }
 
-// TestQueriesNameMissingEngines restarts fleets before pools of several sizes, in which some
-// engines never answer. Once all others are known, a query must name these few and not all that are
-// known.
+// TestQueriesNameMissingEngines restarts a fleet with pools of several sizes, in which some engines
+// never answer. Once the caches of all others are known, a query must name these few engines and not
+// all whose caches are known.
 func TestQueriesNameMissingEngines(t *testing.T) {
 	const unresponsive = 3
 	for _, engines := range []int{50, 100, 200} {
@@ -93,8 +93,9 @@
 			}
 			const routers = 20
 			f.startAll(t, routers, 0)
-			// Queries name at most half of the engines while there is something to learn, for about
-			// as many rounds as the known part takes to double up to all.
+			// While there is something to learn, a query names at most half of the engines. That takes
+			// about 10 rounds, since the number of known caches doubles with each. Later queries name
+			// the unresponsive engines.
 			most := routers * (10*engines/2 + (maxRounds+initialQueries)*unresponsive)
 			if f.enginesNamed > most {
 				t.Errorf("%d engines: got %d named in queries, want at most %d", engines, f.enginesNamed, most)
@@ -109,10 +110,10 @@
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			fleet, pool := testFleet(size, 10*size)
 			for b.Loop() {
-				var s turnOrder
-				s.update(fleet[0], fleet[1:])
+				var order turnOrder
+				order.update(fleet[0], fleet[1:])
 				for e := range pool {
-					s.turn(&pool[e])
+					order.turn(&pool[e])
 				}
 			}
 		})
--- a/exchange/urgent.go
+++ b/exchange/urgent.go
@@ -8,7 +8,7 @@
 )
 
 // sendUrgent sends the parts that engines have just begun to prefill for this router's requests. A
-// hub sends them without its counts, which are many.
+// hub sends them without its counts, which are many; any other router sends a whole update.
 func (s *Syncer) sendUrgent() {
 	if !s.hubs.isHub(s.Self) {
 		s.sendUpdate(true)
@@ -44,8 +44,8 @@
 	}))
 }
 
-// queueUrgentLocked queues parts that have to be relayed at once. Parts are dropped while the queue
-// is full.
+// queueUrgentLocked queues the parts of an urgent datagram, which have to be relayed at once. Parts
+// are dropped while the queue is full.
 func (s *Syncer) queueUrgentLocked(queue *[]balance.CachedPart, urgent bool, parts []balance.CachedPart) {
 	if !urgent || len(parts) == 0 || len(*queue) >= maxQueued {
 		return
