--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -64,7 +64,7 @@
 // evictExcused removes an excused crash to make room for another; it returns false if there is
 // none.
 func (r *record) evictExcused() bool {
-	at := slices.IndexFunc(r.crashes, func(m Crash) bool { return m.Excused })
+	at := slices.IndexFunc(r.crashes, func(c Crash) bool { return c.Excused })
 	if at < 0 {
 		return false
 	}
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -21,44 +21,49 @@
 	crashingRequestInterval = 100 * time.Millisecond
 	// timeToCrash is how long the crashing request runs until its engine crashes, restartTime how
 	// long the engine is then away, crashDetectionDelay how late a router sees a crash, and
-	// firstEventDelay how long a request runs until its first event. A request that has sent events
-	// for longer than suspicionPeriod is not suspected.
+	// firstEventDelay how long a request runs until the first event of its response. A request whose
+	// response began more than suspicionPeriod before the crash is not suspected, as in the gateway.
 	timeToCrash         = 80 * time.Millisecond
 	restartTime         = 3 * time.Second
 	crashDetectionDelay = 30 * time.Millisecond
 	firstEventDelay     = 60 * time.Millisecond
 	suspicionPeriod     = 500 * time.Millisecond
 	meanRunTime         = 800 * time.Millisecond
-	maxAttempts         = 2
-	maxCallerTries      = 2
+	// maxAttempts is how often a router attempts a request before it fails, maxCallerTries how often
+	// a caller sends it.
+	maxAttempts    = 2
+	maxCallerTries = 2
 )
 
 // simulation runs requests at engines, on a simulated clock.
 type simulation struct {
-	random  *rand.Rand
-	tracker *Tracker
-	now     time.Duration
-	events  eventQueue
+	random    *rand.Rand
+	tracker   *Tracker
+	now       time.Duration
+	scheduled callQueue
 	// engines are the incarnations of the engines; 0 is an engine that is restarting.
+	// started counts the incarnations started so far.
 	engines    [simulatedEngines]int64
 	started    int64
 	running    map[*execution]bool
 	crashes    int
 	completed  int
 	executions int
-	// suspectAll also reports crashes under requests that have sent events for longer than
-	// suspicionPeriod.
+	// suspectAll also reports crashes under requests whose response began more than suspicionPeriod
+	// before.
 	suspectAll bool
 }
 
 // execution is one attempt of a request at one engine.
 type execution struct {
-	key      Key
-	engine   int
-	began    time.Duration
-	attempts int
-	tries    int
-	attempt  *Attempt
+	key    Key
+	engine int
+	began  time.Duration
+	// attempts counts the router's earlier attempts since the caller last sent the request,
+	// callerTries the earlier times that the caller sent it.
+	attempts    int
+	callerTries int
+	attempt     *Attempt
 	// number is the position of this execution in the order in which they began.
 	number int
 }
@@ -66,7 +71,7 @@
 const crashingKey Key = 1
 
 func (s *simulation) schedule(after time.Duration, do func()) {
-	heap.Push(&s.events, event{
+	heap.Push(&s.scheduled, scheduledCall{
 		at: s.now + after,
 		do: do,
 	})
@@ -135,9 +140,9 @@
 		retry := *e
 		retry.attempts++
 		if retry.attempts >= maxAttempts {
-			retry.attempts, retry.tries = 0, retry.tries+1
+			retry.attempts, retry.callerTries = 0, retry.callerTries+1
 		}
-		if retry.tries < maxCallerTries {
+		if retry.callerTries < maxCallerTries {
 			s.schedule(crashDetectionDelay/2, func() { s.send(retry) })
 		}
 	}
@@ -166,8 +171,8 @@
 			})
 		})
 	}
-	for len(s.events) > 0 {
-		next := heap.Pop(&s.events).(event)
+	for len(s.scheduled) > 0 {
+		next := heap.Pop(&s.scheduled).(scheduledCall)
 		s.now = next.at
 		next.do()
 	}
@@ -215,19 +220,19 @@
 	}
 }
 
-// event is a scheduled function call, eventQueue a heap of events by time.
-type event struct {
+// scheduledCall is a scheduled function call, callQueue a heap of calls by time.
+type scheduledCall struct {
 	at time.Duration
 	do func()
 }
 
-type eventQueue []event
+type callQueue []scheduledCall
 
-func (q eventQueue) Len() int           { return len(q) }
-func (q eventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
-func (q eventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *eventQueue) Push(x any)        { *q = append(*q, x.(event)) }
-func (q *eventQueue) Pop() any {
+func (q callQueue) Len() int           { return len(q) }
+func (q callQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q callQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *callQueue) Push(x any)        { *q = append(*q, x.(scheduledCall)) }
+func (q *callQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -31,7 +31,7 @@
 // The crashes that a router sees itself and those that other routers report form one set. The set
 // only grows, so that routers which received the same crashes, in any order, reach the same
 // decision. Set the exported fields before the first call; the callbacks must not call back into
-// it.
+// the tracker.
 type Tracker struct {
 	// Self is the router's ID, Routers returns the live routers.
 	Self    string
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -14,11 +14,11 @@
 )
 
 // runAttempt runs a request at an incarnation of a backend server, with the given outcome.
-func runAttempt(t *testing.T, tracker *Tracker, key Key, id string, born int64, outcome Outcome) {
+func runAttempt(t *testing.T, tracker *Tracker, key Key, id string, startTime int64, outcome Outcome) {
 	t.Helper()
 	attempt, ok := tracker.Begin(key, &slipwick.Backend{
 		ID:        id,
-		StartTime: born,
+		StartTime: startTime,
 	}, false, func() {})
 	if !ok {
 		t.Fatalf("request %v at %s: got it quarantined, want it sent", key, id)
@@ -212,7 +212,7 @@
 }
 
 // TestNumberOfRecordsIsBounded adds far more requests than are kept. One of them is quarantined and
-// asked for now and then, and must not be evicted.
+// looked up now and then, and must not be evicted.
 func TestNumberOfRecordsIsBounded(t *testing.T) {
 	tracker := NewTracker("r")
 	for _, id := range []string{"a", "b", "c"} {
@@ -233,7 +233,7 @@
 	}
 	recent := tracker.RecentCrashes(10)
 	if len(recent) > 10 || recent[0].Key != 1 {
-		t.Errorf("got %v from Recent, want those of the quarantined request first and at most ten", recent)
+		t.Errorf("got %v from RecentCrashes, want those of the quarantined request first and at most ten", recent)
 	}
 }
 
