--- a/retry/budget.go
+++ b/retry/budget.go
@@ -13,17 +13,17 @@
 const windowSlots = 40
 
 const (
-	// ratioShare is the share of Ratio that is used. The rest covers for routers whose windows do
+	// ratioShare is the share of Ratio that is used. The rest allows for routers whose windows do
 	// not slide at the same moments.
 	ratioShare = 0.85
-	// extraShare is the share of Extra used by routers that have run for at least a window.
-	// restartedShare applies to routers that began within the last window, as the processes before
-	// them may have used their part: the fleet may restart twice within a window.
+	// extraShare is the share of Extra that the routers divide among themselves. A router that
+	// replaces another process uses restartedShare instead in its first window, as that process may
+	// have used its part of Extra: the fleet may restart twice within a window.
 	extraShare     = 0.6
 	restartedShare = 0.25
 	// roundingPeriod is the number of windows for which a router keeps the random number by which
-	// it rounds its share. A window in which the number changes has two of them, so that more
-	// routers round up; with a long period few windows do.
+	// it rounds its share. In a window in which the number changes, a router may round up by either
+	// of two numbers, so that more routers do; with a long period there are few such windows.
 	roundingPeriod = 10
 )
 
@@ -48,7 +48,8 @@
 	// may be set while the process runs.
 	began time.Time
 	pools map[string]*window
-	// fleetSize is the number of routers over the last window, and fleetSlot its current slot.
+	// fleetSize is the largest number of routers within the last window, and fleetSlot the slot up
+	// to which it has advanced.
 	fleetSize slidingMax
 	fleetSlot int64
 }
@@ -88,7 +89,7 @@
 }
 
 func (b *Budget) allowsLocked(w *window) bool {
-	share := ratioShare*b.Ratio*float64(w.requests.sum) + b.extraShareLocked(w.slot)
+	share := ratioShare*b.Ratio*float64(w.requests.sum) + b.routerExtraLocked(w.slot)
 	// In a large fleet a router's share is a fraction of one retry. If all routers rounded it down,
 	// none would retry. With random rounding the fleet's sum is that of a single budget at any
 	// moment, also when all routers use their shares at once.
@@ -99,9 +100,9 @@
 	return float64(w.retries.sum+1) <= min(share+w.rounding, fleetLimit)
 }
 
-// extraShareLocked returns this router's part of Extra. It divides by the largest number of routers
+// routerExtraLocked returns this router's part of Extra. It divides by the largest number of routers
 // within the window, since routers that have left may have used their part.
-func (b *Budget) extraShareLocked(slot int64) float64 {
+func (b *Budget) routerExtraLocked(slot int64) float64 {
 	for ; b.fleetSlot < slot; b.fleetSlot++ {
 		b.fleetSize.advance()
 		if slot-b.fleetSlot > windowSlots {
@@ -173,15 +174,15 @@
 
 // slidingMax is a maximum over the last windowSlots slots.
 type slidingMax struct {
-	counts  [windowSlots]int
+	maxima  [windowSlots]int
 	current int
 }
 
 func (p *slidingMax) advance() {
 	p.current = (p.current + 1) % windowSlots
-	p.counts[p.current] = 0
+	p.maxima[p.current] = 0
 }
 
-func (p *slidingMax) record(n int) { p.counts[p.current] = max(p.counts[p.current], n) }
+func (p *slidingMax) record(n int) { p.maxima[p.current] = max(p.maxima[p.current], n) }
 
-func (p *slidingMax) highest() int { return slices.Max(p.counts[:]) }
+func (p *slidingMax) highest() int { return slices.Max(p.maxima[:]) }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -91,7 +91,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				started := time.Now()
-				make4 := func(restarted bool) (fleet []*Budget) {
+				newFleet := func(restarted bool) (fleet []*Budget) {
 					for range fleetSize {
 						b := newTestBudget()
 						b.Routers = func() int { return test.live(time.Since(started)) }
@@ -100,12 +100,12 @@
 					}
 					return fleet
 				}
-				fleet := make4(false)
+				fleet := newFleet(false)
 				var taken []time.Time
 				requests := 0
 				for time.Since(started) < 3*window {
 					if time.Since(started) == test.restart {
-						fleet = make4(true)
+						fleet = newFleet(true)
 					}
 					for _, b := range fleet[:test.live(time.Since(started))] {
 						b.CountRequest("p")
--- a/retry/sleep_test.go
+++ b/retry/sleep_test.go
@@ -11,10 +11,10 @@
 // TestWindowCountsSuspensions suspends a router for longer than the window: requests counted before
 // that must not allow retries any more.
 func TestWindowCountsSuspensions(t *testing.T) {
-	for sleep, want := range map[time.Duration]bool{time.Second: true, 30 * time.Second: false} {
+	for suspension, want := range map[time.Duration]bool{time.Second: true, 30 * time.Second: false} {
 		synctest.Test(t, func(t *testing.T) {
-			ahead := time.Duration(0)
-			defer clock.SetSource(func() time.Duration { return ahead })()
+			suspended := time.Duration(0)
+			defer clock.SetSource(func() time.Duration { return suspended })()
 			b := &Budget{
 				Ratio:   0.2,
 				Window:  10 * time.Second,
@@ -23,10 +23,10 @@
 			for range 100 {
 				b.CountRequest("p")
 			}
-			ahead += sleep
+			suspended += suspension
 			clock.DetectSuspension()
 			if got := b.Allows("p"); got != want {
-				t.Errorf("after %v: got a retry allowed %t, want %t", sleep, got, want)
+				t.Errorf("after %v: got a retry allowed %t, want %t", suspension, got, want)
 			}
 		})
 	}
