--- a/exchange/hubs.go
+++ b/exchange/hubs.go
@@ -12,9 +12,9 @@
 const maxMeshSize = 16
 
 // hubs holds the hubs of a fleet that is too large for a full mesh: the routers that relay updates,
-// each to the group of routers that send theirs to it. There are about as many hubs as routers in the group of each hub. A router sends its updates to a hub in
-// its own data centre, because traffic between data centres is expensive, and what a hub sends to
-// its group is most of the traffic.
+// each to the group of routers that send theirs to it. There are about as many hubs as routers in
+// the group of each hub. A router sends its updates to a hub in its own data centre, because traffic
+// between data centres is expensive, and what a hub sends to its group is most of the traffic.
 type hubs struct {
 	routers []slipwick.Router
 	// chosen are the hubs; if it is empty, every router sends to every other.
--- a/exchange/leaving_test.go
+++ b/exchange/leaving_test.go
@@ -14,8 +14,8 @@
 	"github.com/slipwick/slipwick/exchange/exchangepb"
 )
 
-// TestLeavingServerIsKnownToAllRouters has one router receive a notice that an engine is leaving, in a full
-// mesh and in two fleets with hubs. All routers have to learn of it once.
+// TestLeavingServerIsKnownToAllRouters has one router receive a notice that an engine is leaving, in
+// a full mesh and in two fleets with hubs. All routers have to learn of it once.
 func TestLeavingServerIsKnownToAllRouters(t *testing.T) {
 	for _, size := range []int{3, 50, 330} {
 		synctest.Test(t, func(t *testing.T) {
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -15,7 +15,7 @@
 
 const (
 	// initialQueries is the number of other routers queried before any engine is asked: in a fleet
-	// of which half has just restarted, there is a chance of one in sixteen that all of these have.
+	// of which half has just restarted, the chance that all the routers queried have is one in 16.
 	// One in remoteQueryInterval queries goes to a router of any data centre, the others to one of
 	// the same data centre, because traffic between data centres is expensive.
 	initialQueries      = 4
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -180,9 +180,9 @@
 // TestFewQueriesForUnresponsiveEngines has one engine of many never list its cache. Routers may
 // query each other while they learn something, and must do so seldom after that.
 //
-// After a power loss in a fleet of 986 routers and 9,621 engines, 36 % of the processor time went into
-// queries for the few engines still missing, round after round, and again each time that recovery
-// had ended with some missing.
+// After a power loss in a fleet of 986 routers and 9,621 engines, 36 % of the processor time went
+// into queries for the few engines still missing, round after round, and again each time that
+// recovery had ended with some missing.
 func TestFewQueriesForUnresponsiveEngines(t *testing.T) {
 	for _, size := range []int{15, 30, 60} {
 		synctest.Test(t, func(t *testing.T) {
--- a/exchange/syncer.go
+++ b/exchange/syncer.go
@@ -20,8 +20,8 @@
 	// that updates cost a router little.
 	updateInterval = 200 * time.Millisecond
 	// urgentDelay is the delay before an urgent update, and before new crashes are sent. relayDelay
-	// is the delay before a hub relays urgent parts. Together with the time to send them, they are shorter than the shortest prefill
-	// that is reported as urgent.
+	// is the delay before a hub relays urgent parts. Together with the time to send the parts, the
+	// delays are shorter than the shortest prefill that is reported as urgent.
 	urgentDelay = 10 * time.Millisecond
 	relayDelay  = 15 * time.Millisecond
 	// sequenceBits is the number of low bits of a sequence number that count the datagrams within a
@@ -305,8 +305,8 @@
 }
 
 // storeCounts stores the counts of a datagram, for a hub to add up. isMore says that the datagram
-// adds to the stored round, isOld that a later round is stored already. Counts of the whole fleet are not stored,
-// since no hub adds them up again.
+// adds to the stored round, isOld that a later round is stored already. Counts of the whole fleet
+// are not stored, since no hub adds them up again.
 func (s *Syncer) storeCounts(message *exchangepb.Told, list []balance.InFlight) (isMore, isOld bool) {
 	if message.GetScope() == exchangepb.Scope_SCOPE_FLEET {
 		list = nil
