--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -50,7 +50,7 @@
 	completed  int
 	executions int
 	// suspectAll also reports crashes under requests whose response began more than suspicionPeriod
-	// before.
+	// before the crash.
 	suspectAll bool
 }
 
