--- a/retry/budget.go
+++ b/retry/budget.go
@@ -117,6 +117,7 @@
 	return share * b.Extra / float64(max(b.fleetSize.highest(), 1))
 }
 
+// windowLocked returns the pool's window, advanced to the current slot.
 func (b *Budget) windowLocked(pool string) *window {
 	now := clock.Now()
 	if b.pools == nil {
--- a/retry/suspension_test.go
+++ b/retry/suspension_test.go
@@ -8,8 +8,8 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// TestWindowCountsSuspensions suspends a router for longer than the window: requests counted before
-// that must not allow retries any more.
+// TestWindowCountsSuspensions suspends a router for less and for more than the window. Requests
+// counted before the longer suspension must not allow retries any more.
 func TestWindowCountsSuspensions(t *testing.T) {
 	for suspension, want := range map[time.Duration]bool{time.Second: true, 30 * time.Second: false} {
 		synctest.Test(t, func(t *testing.T) {
