--- a/exchange/syncer_test.go
+++ b/exchange/syncer_test.go
@@ -235,7 +235,9 @@
 	})
 	defer server.Close()
 	learn := func() {
-		snapshot, err := FetchCacheSnapshot(t.Context(), server.Client(), server.Listener.Addr().String(), &balance.CacheQuery{})
+		snapshot, err := FetchCacheSnapshot(
+			t.Context(), server.Client(), server.Listener.Addr().String(), &balance.CacheQuery{},
+		)
 		if err != nil {
 			t.Fatal(err)
 		}
