--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -174,7 +174,7 @@
 			smallest = min(smallest, pool.MaxConnections)
 		}
 	}
-	p.client.SetMaxIdle(smallest / (2 * max(routers, 1)))
+	p.client.SetMaxIdleConns(smallest / (2 * max(routers, 1)))
 }
 
 // onEjected logs that a backend server was ejected for the given time.
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -34,7 +34,7 @@
 	keepAliveInterval = time.Second
 	bufferSize        = 4 << 10
 	// maxIdlePerServer is the largest number of idle connections kept for one backend server;
-	// SetMaxIdle can lower it.
+	// SetMaxIdleConns can lower it.
 	maxIdlePerServer = 16
 )
 
@@ -56,13 +56,13 @@
 	// dialTimes holds, by key, the longest recent dial time of each backend server; it decays by
 	// half with each dial.
 	dialTimes map[string]time.Duration
-	// maxIdle is the limit that SetMaxIdle set; 0 stands for maxIdlePerServer.
+	// maxIdle is the limit that SetMaxIdleConns set; 0 stands for maxIdlePerServer.
 	maxIdle int
 }
 
-// SetMaxIdle sets how many idle connections are kept for one backend server, between 1 and
+// SetMaxIdleConns sets how many idle connections are kept for one backend server, between 1 and
 // maxIdlePerServer: a backend server accepts a limited number of connections from all routers.
-func (c *Client) SetMaxIdle(limit int) {
+func (c *Client) SetMaxIdleConns(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.maxIdle = min(max(limit, 1), maxIdlePerServer)
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -243,7 +243,7 @@
 	})
 	client := &Client{}
 	defer client.Close()
-	client.SetMaxIdle(2)
+	client.SetMaxIdleConns(2)
 	var asks sync.WaitGroup
 	for range 5 {
 		asks.Go(func() { mustExchange(t, client, server.address, request("1"), "one") })
