--- a/gateway/call.go
+++ b/gateway/call.go
@@ -101,7 +101,7 @@
 	}
 	request.Timeouts = c.timeoutsFor(lease)
 	if !c.route.MayRepeat() {
-		request.MaxIdle = nonRepeatableMaxIdle
+		request.MaxIdleTime = nonRepeatableMaxIdle
 	}
 	return request
 }
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -72,7 +72,7 @@
 // are pooled by key. If ctx ends, the exchange is interrupted, also while the body is read. Errors
 // are of type *slipwick.Error; OutcomeNotRun means that nothing was sent.
 func (c *Client) Do(ctx context.Context, key, address string, request *Request) (*Response, error) {
-	conn, err := c.connection(ctx, key, address, request.MaxIdle)
+	conn, err := c.connection(ctx, key, address, request.MaxIdleTime)
 	if err != nil {
 		return nil, err
 	}
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -208,7 +208,7 @@
 	mustExchange(t, client, server.address, request("1"), "one")
 	time.Sleep(30 * time.Millisecond)
 	r := request("1")
-	r.MaxIdle = 10 * time.Millisecond
+	r.MaxIdleTime = 10 * time.Millisecond
 	mustExchange(t, client, server.address, r, "one")
 	if got := client.OpenedConnections.Load(); got != 2 {
 		t.Errorf("got %d connections, want 2", got)
--- a/upstream/request.go
+++ b/upstream/request.go
@@ -18,9 +18,9 @@
 	// ID is the request ID, which the backend server repeats in the response header named IDHeader.
 	ID       string
 	IDHeader string
-	// MaxIdle is the longest time for which a pooled connection may have been idle to be used; 0
+	// MaxIdleTime is the longest time for which a pooled connection may have been idle to be used; 0
 	// sets no bound. The shorter, the less likely the connection has been closed unnoticed.
-	MaxIdle time.Duration
+	MaxIdleTime time.Duration
 	// Timeouts end the exchange if the backend server sends nothing for too long. The zero value
 	// sets none.
 	Timeouts Timeouts
