--- a/gateway/call.go
+++ b/gateway/call.go
@@ -101,14 +101,14 @@
 	}
 	request.Timeouts = c.timeoutsFor(lease)
 	if !c.route.MayRepeat() {
-		request.MaxIdleTime = nonRepeatableMaxIdle
+		request.MaxIdleTime = nonRepeatableMaxIdleTime
 	}
 	return request
 }
 
-// nonRepeatableMaxIdle bounds the idle time of connections used for requests that must not be
+// nonRepeatableMaxIdleTime bounds the idle time of connections used for requests that must not be
 // repeated: the shorter a connection was idle, the less likely it has been closed unnoticed.
-const nonRepeatableMaxIdle = 2 * time.Second
+const nonRepeatableMaxIdleTime = 2 * time.Second
 
 // Priorities range from 0, the most urgent, to lowestPriority. The workspace's priority takes
 // precedence over the route's.
--- a/upstream/client.go
+++ b/upstream/client.go
@@ -32,10 +32,11 @@
 	defaultUserTimeout = 2 * time.Second
 	// keepAliveInterval is the time between keep-alive probes on an idle connection.
 	keepAliveInterval = time.Second
-	bufferSize        = 4 << 10
-	// maxIdlePerServer is the largest number of idle connections kept for one backend server;
+	// bufferSize is the size, in bytes, of a connection's read buffer.
+	bufferSize = 4 << 10
+	// maxIdleConnsPerServer is the largest number of idle connections kept for one backend server;
 	// SetMaxIdleConns can lower it.
-	maxIdlePerServer = 16
+	maxIdleConnsPerServer = 16
 )
 
 // Client makes requests to backend servers and pools the connections. It is safe for concurrent
@@ -46,31 +47,33 @@
 	DialTimeout time.Duration
 	UserTimeout time.Duration
 
-	// OpenedConnections counts connections opened, StrayResponses the responses skipped because
+	// OpenedConnections counts the connections opened, StrayResponses the responses skipped because
 	// they belonged to an earlier request.
 	OpenedConnections atomic.Int64
 	StrayResponses    atomic.Int64
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// idle holds the idle connections of each backend server by its key, longest idle first.
 	idle map[string][]*connection
 	// dialTimes holds, by key, the longest recent dial time of each backend server; it decays by
 	// half with each dial.
 	dialTimes map[string]time.Duration
-	// maxIdle is the limit that SetMaxIdleConns set; 0 stands for maxIdlePerServer.
-	maxIdle int
+	// maxIdleConns is the limit that SetMaxIdleConns set; 0 stands for maxIdleConnsPerServer.
+	maxIdleConns int
 }
 
 // SetMaxIdleConns sets how many idle connections are kept for one backend server, between 1 and
-// maxIdlePerServer: a backend server accepts a limited number of connections from all routers.
+// maxIdleConnsPerServer: a backend server accepts a limited number of connections from all routers.
 func (c *Client) SetMaxIdleConns(limit int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.maxIdle = min(max(limit, 1), maxIdlePerServer)
+	c.maxIdleConns = min(max(limit, 1), maxIdleConnsPerServer)
 }
 
-// Do sends the request to a backend server and reads the header of the response. Idle connections
-// are pooled by key. If ctx ends, the exchange is interrupted, also while the body is read. Errors
-// are of type *slipwick.Error; OutcomeNotRun means that nothing was sent.
+// Do sends the request to a backend server and reads the header of the response. The key identifies
+// the backend server, and idle connections are pooled by it. If ctx ends, the exchange is
+// interrupted, also while the body is read. Errors are of type *slipwick.Error; OutcomeNotRun means
+// that nothing was sent.
 func (c *Client) Do(ctx context.Context, key, address string, request *Request) (*Response, error) {
 	conn, err := c.connection(ctx, key, address, request.MaxIdleTime)
 	if err != nil {
@@ -106,15 +109,16 @@
 	}, nil
 }
 
-// connection returns an idle connection that is still usable, or dials a new one.
-func (c *Client) connection(ctx context.Context, key, address string, maxIdle time.Duration) (*connection, error) {
+// connection returns an idle connection that is still usable and was idle for no longer than
+// maxIdleTime, or dials a new one. A maxIdleTime of 0 sets no bound.
+func (c *Client) connection(ctx context.Context, key, address string, maxIdleTime time.Duration) (*connection, error) {
 	now := clock.Now()
 	for {
 		conn := c.popIdle(key)
 		if conn == nil {
 			return c.dial(ctx, key, address)
 		}
-		isRecent := maxIdle == 0 || now.Sub(conn.idleSince) <= maxIdle
+		isRecent := maxIdleTime == 0 || now.Sub(conn.idleSince) <= maxIdleTime
 		if isRecent && now.Before(conn.idleUntil) && conn.isIdle() {
 			conn.exchanges++
 			return conn, nil
@@ -194,11 +198,12 @@
 	if err != nil {
 		return IsConnectionRefused(err)
 	}
-	c.putIdle(key, conn, defaultMaxIdle)
+	c.putIdle(key, conn, defaultMaxIdleTime)
 	return false
 }
 
-// setUserTimeout makes the kernel close a connection whose data stays unacknowledged for too long.
+// setUserTimeout sets TCP_USER_TIMEOUT, which makes the kernel close a connection whose data stays
+// unacknowledged for too long.
 func (c *Client) setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	timeout := int(orDefault(c.UserTimeout, defaultUserTimeout).Milliseconds())
 	var sockoptErr error
@@ -211,20 +216,21 @@
 	return sockoptErr
 }
 
-// putIdle keeps a connection for later exchanges and closes the oldest ones that are over the limit
-// or have been idle for too long.
-func (c *Client) putIdle(key string, conn *connection, maxIdle time.Duration) {
+// putIdle keeps a connection for later exchanges, during at most maxIdleTime. It closes connections
+// to the same backend server, the longest idle first, that are over the limit or have been idle for
+// too long.
+func (c *Client) putIdle(key string, conn *connection, maxIdleTime time.Duration) {
 	now := clock.Now()
-	conn.idleSince, conn.idleUntil = now, now.Add(maxIdle)
+	conn.idleSince, conn.idleUntil = now, now.Add(maxIdleTime)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.idle == nil {
 		c.idle = make(map[string][]*connection)
 	}
 	idle := c.idle[key]
-	limit := c.maxIdle
+	limit := c.maxIdleConns
 	if limit == 0 {
-		limit = maxIdlePerServer
+		limit = maxIdleConnsPerServer
 	}
 	// The slice is ordered by idle time, longest first.
 	for len(idle) > 0 && (len(idle) >= limit || now.After(idle[0].idleUntil)) {
--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -36,12 +36,12 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), 5*time.Second)
 	defer cancel()
-	a, err := client.Do(ctx, "key", address, r)
+	response, err := client.Do(ctx, "key", address, r)
 	if err != nil {
 		return "", err
 	}
-	defer a.Close()
-	body, err := io.ReadAll(a)
+	defer response.Close()
+	body, err := io.ReadAll(response)
 	return string(body), err
 }
 
@@ -156,9 +156,9 @@
 
 func TestFailureAfterSendingMeansUnknownOutcome(t *testing.T) {
 	for name, text := range map[string]string{
-		"no answer":     "",
+		"no response":   "",
 		"not HTTP":      "garbage\r\n\r\n",
-		"broken head":   "HTTP/1.1 200 OK\r\nContent-Le",
+		"broken header": "HTTP/1.1 200 OK\r\nContent-Le",
 		"other ID":      "HTTP/1.1 200 OK\r\nId: 9\r\nConnection: close\r\n\r\nbody",
 		"short body":    "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 10\r\n\r\nshort",
 		"broken chunks": "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhel",
@@ -201,7 +201,7 @@
 	}
 }
 
-func TestClientObservesMaxIdleOfARequest(t *testing.T) {
+func TestClientObservesMaxIdleTimeOfARequest(t *testing.T) {
 	server := serve(t, script(responseText("1", "one"), responseText("2", "two")))
 	client := &Client{}
 	defer client.Close()
@@ -244,15 +244,15 @@
 	client := &Client{}
 	defer client.Close()
 	client.SetMaxIdleConns(2)
-	var asks sync.WaitGroup
+	var exchanges sync.WaitGroup
 	for range 5 {
-		asks.Go(func() { mustExchange(t, client, server.address, request("1"), "one") })
+		exchanges.Go(func() { mustExchange(t, client, server.address, request("1"), "one") })
 	}
 	for range 5 {
 		<-server.connections
 	}
 	close(hold)
-	asks.Wait()
+	exchanges.Wait()
 	client.mu.Lock()
 	defer client.mu.Unlock()
 	if got := len(client.idle["key"]); got != 2 {
@@ -263,26 +263,26 @@
 func TestClientObservesKeepAliveTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"timeout=5, max=100": 5*time.Second - idleMargin,
-		"timeout=100":        defaultMaxIdle,
-		"":                   defaultMaxIdle,
-		"max=3":              defaultMaxIdle,
+		"timeout=100":        defaultMaxIdleTime,
+		"":                   defaultMaxIdleTime,
+		"max=3":              defaultMaxIdleTime,
 	} {
 		header := http.Header{}
 		header.Set("Keep-Alive", text)
-		if got := maxIdleTime(header); got != want {
+		if got := parseMaxIdleTime(header); got != want {
 			t.Errorf("Keep-Alive %q: got %v, want %v", text, got, want)
 		}
 	}
 }
 
 // TestContextCancellationClosesTheConnection checks that a cancelled exchange closes its
-// connection, so that the backend server stops working.
+// connection, so that the backend server stops working on the request.
 func TestContextCancellationClosesTheConnection(t *testing.T) {
-	gone := make(chan struct{})
+	closed := make(chan struct{})
 	server := serve(t, func(_ net.Conn, requests *bufio.Reader) {
 		_, _ = http.ReadRequest(requests)
 		_, _ = io.Copy(io.Discard, requests)
-		close(gone)
+		close(closed)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	time.AfterFunc(50*time.Millisecond, cancel)
@@ -291,7 +291,7 @@
 		t.Errorf("got error %v, want kind %s", err, slipwick.KindCancelled)
 	}
 	select {
-	case <-gone:
+	case <-closed:
 	case <-time.After(2 * time.Second):
 		t.Error("the connection is still open")
 	}
--- a/upstream/connection.go
+++ b/upstream/connection.go
@@ -25,8 +25,8 @@
 	exchanges int
 }
 
-// isIdle reports whether the connection is open and has no unread bytes, which would belong to no
-// request.
+// isIdle reports whether the connection is open and has no unread bytes. Bytes that arrive while no
+// exchange is in progress belong to no request.
 func (c *connection) isIdle() bool {
 	_, err := c.peek()
 	return errors.Is(err, unix.EAGAIN)
@@ -78,8 +78,9 @@
 	return result
 }
 
-// maxStrayResponses is how many responses to earlier requests, and informational ones, are skipped.
-const maxStrayResponses = 3
+// maxResponsesRead is how many responses are read to find the one to the current request. Those to
+// earlier requests, and informational ones, are skipped.
+const maxResponsesRead = 3
 
 // readHead reads the header of the response to the request. Responses to other requests are
 // skipped: a backend server may respond to a request twice, and the right response follows.
@@ -87,7 +88,7 @@
 	httpRequest := &http.Request{
 		Method: request.Method,
 	}
-	for range maxStrayResponses {
+	for range maxResponsesRead {
 		response, err := http.ReadResponse(c.reader, httpRequest)
 		if err != nil {
 			return nil, err
--- a/upstream/fakeserver_test.go
+++ b/upstream/fakeserver_test.go
@@ -7,14 +7,15 @@
 	"testing"
 )
 
-// fakeServer is a server that handles each connection with a function of the test.
+// fakeServer is a backend server whose connections are handled by a function that the test
+// provides.
 type fakeServer struct {
 	address string
 	// connections receives a value for each accepted connection.
 	connections chan struct{}
 }
 
-// serve starts a server that runs handle for each connection.
+// serve starts a fake server that runs handle for each connection.
 func serve(t *testing.T, handle func(conn net.Conn, requests *bufio.Reader)) *fakeServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
--- a/upstream/response.go
+++ b/upstream/response.go
@@ -18,14 +18,18 @@
 	// Length is the length of the body in bytes, or -1 if it is unknown.
 	Length int64
 
-	ctx      context.Context
-	client   *Client
-	key      string
-	address  string
-	conn     *connection
-	written  <-chan error
-	body     io.ReadCloser
-	stop     func() bool
+	ctx     context.Context
+	client  *Client
+	key     string
+	address string
+	conn    *connection
+	// written receives the result of writing the request.
+	written <-chan error
+	body    io.ReadCloser
+	// stop ends the interruption of the connection by ctx; see connection.interruptOnDone.
+	stop func() bool
+	// reusable says that the connection stays open after a body with a known end, complete that the
+	// body was read to its end.
 	reusable bool
 	complete bool
 	closed   bool
@@ -53,7 +57,8 @@
 }
 
 // Close returns the connection to the pool if the body was read to its end and the connection is
-// still usable. Otherwise it closes the connection, which tells the backend server to stop.
+// still usable. Otherwise it closes the connection, which tells the backend server to stop
+// working on the request.
 func (r *Response) Close() {
 	if r.closed {
 		return
@@ -71,27 +76,27 @@
 		_ = r.conn.Close()
 		return
 	}
-	r.client.putIdle(r.key, r.conn, maxIdleTime(r.Header))
+	r.client.putIdle(r.key, r.conn, parseMaxIdleTime(r.Header))
 }
 
 const (
-	// defaultMaxIdle is how long an idle connection is kept if the backend server sends no
+	// defaultMaxIdleTime is how long an idle connection is kept if the backend server sends no
 	// Keep-Alive timeout.
-	defaultMaxIdle = 10 * time.Second
+	defaultMaxIdleTime = 10 * time.Second
 	// idleMargin is how much earlier than the backend server the client stops using an idle
 	// connection.
 	idleMargin = 500 * time.Millisecond
 )
 
-// maxIdleTime returns how long the connection may stay idle, from the timeout in the Keep-Alive
-// header and at most defaultMaxIdle.
-func maxIdleTime(header http.Header) time.Duration {
+// parseMaxIdleTime returns how long the connection may stay idle, by the timeout in the Keep-Alive
+// header: idleMargin less than that, and at most defaultMaxIdleTime.
+func parseMaxIdleTime(header http.Header) time.Duration {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
 		seconds, err := strconv.Atoi(value)
 		if name == "timeout" && err == nil {
-			return min(time.Duration(seconds)*time.Second-idleMargin, defaultMaxIdle)
+			return min(time.Duration(seconds)*time.Second-idleMargin, defaultMaxIdleTime)
 		}
 	}
-	return defaultMaxIdle
+	return defaultMaxIdleTime
 }
--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -16,18 +16,19 @@
 	// bytes of a body of unknown length may take; 0 sets no bound.
 	FirstByte, Idle time.Duration
 	// OnTimeout is called when one of these times has passed, by the goroutine that reads the
-	// response. It returns how long to wait for longer: 0 ends the exchange, NoTimeout waits until
-	// data arrives.
+	// response. It returns how much longer to wait: 0 ends the exchange, NoTimeout waits until data
+	// arrives.
 	OnTimeout func() time.Duration
 }
 
-// NoTimeout lets a read wait for as long as the exchange may last.
+// NoTimeout as the result of OnTimeout lets a read wait until the context of the exchange ends.
 const NoTimeout = time.Duration(1<<63 - 1)
 
 // errResponseTimeout is the cause of the errors of exchanges that one of the Timeouts ended.
 var errResponseTimeout = errors.New("no data within the response timeout")
 
-// awaitData blocks until a byte can be read, and calls onTimeout each time the wait has passed.
+// awaitData blocks until a byte can be read, the connection is closed or onTimeout ends the exchange.
+// It calls onTimeout when wait has passed, and again after each further wait that onTimeout returns.
 func (c *connection) awaitData(ctx context.Context, wait time.Duration, onTimeout func() time.Duration) error {
 	if wait <= 0 || wait == NoTimeout || c.reader.Buffered() > 0 {
 		return nil
@@ -38,8 +39,8 @@
 			return err
 		}
 		if ctx.Err() != nil {
-			// The interruption may have come before the read deadline was set, which then replaced
-			// it.
+			// ctx may have interrupted the connection before the read deadline was set, which
+			// then replaced the interruption.
 			return ctx.Err()
 		}
 		_, err := c.reader.Peek(1)
@@ -63,7 +64,7 @@
 	}
 }
 
-// clearDeadline removes the read deadline, unless ctx has ended.
+// clearDeadline removes the read deadline. If ctx has ended, it interrupts reads instead.
 func (c *connection) clearDeadline(ctx context.Context) {
 	// If this fails, the next read or write on the connection fails as well.
 	_ = c.SetReadDeadline(time.Time{})
--- a/upstream/timeouts_test.go
+++ b/upstream/timeouts_test.go
@@ -31,12 +31,12 @@
 	defer close(writes)
 	server := serve(t, writeOnDemand(writes))
 	r := request("1")
-	asked := 0
+	calls := 0
 	r.Timeouts = Timeouts{
 		FirstByte: 20 * time.Millisecond,
 		OnTimeout: func() time.Duration {
-			asked++
-			if asked < 3 {
+			calls++
+			if calls < 3 {
 				return 10 * time.Millisecond
 			}
 			return 0
@@ -46,8 +46,8 @@
 	if !IsResponseTimeout(err) || errorOutcome(t, err) != slipwick.OutcomeUnknown {
 		t.Errorf("got %v, want a response timeout with unknown outcome", err)
 	}
-	if asked != 3 {
-		t.Errorf("got %d calls of Overdue, want 3", asked)
+	if calls != 3 {
+		t.Errorf("got %d calls of OnTimeout, want 3", calls)
 	}
 }
 
@@ -86,8 +86,8 @@
 	}
 }
 
-// TestTimeoutsKeepTheConnectionReusable has a response end in time: the connection serves the next
-// request.
+// TestTimeoutsKeepTheConnectionReusable has a response arrive within the timeouts: the connection
+// has to serve the next request.
 func TestTimeoutsKeepTheConnectionReusable(t *testing.T) {
 	chunked := "HTTP/1.1 200 OK\r\nId: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"
 	server := serve(t, script(chunked, responseText("2", "second")))
@@ -117,9 +117,9 @@
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	started := time.Now()
-	a, err := (&Client{}).Do(ctx, "key", server.address, r)
+	response, err := (&Client{}).Do(ctx, "key", server.address, r)
 	if err == nil {
-		_, err = io.ReadAll(a)
+		_, err = io.ReadAll(response)
 	}
 	if took := time.Since(started); !slipwick.IsKind(err, slipwick.KindTimeout) ||
 		IsResponseTimeout(err) || took > time.Second {
