--- a/gateway/buffered.go
+++ b/gateway/buffered.go
@@ -16,16 +16,17 @@
 // as they arrive.
 const maxBufferedBytes = 1 << 20
 
-// bufferedResponse is a backend server's response that was read to its end.
+// bufferedResponse is a backend server's response of which the whole body, or the first
+// maxBufferedBytes, was read into memory.
 type bufferedResponse struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// bufferResponse reads a response to its end; tooLong means that it is larger than maxBufferedBytes
-// and the rest is still to be read.
-func bufferResponse(response *upstream.Response) (buffered *bufferedResponse, tooLong bool, err error) {
+// bufferResponse reads a response to its end; tooLarge means that it is larger than
+// maxBufferedBytes and the rest is still to be read.
+func bufferResponse(response *upstream.Response) (buffered *bufferedResponse, tooLarge bool, err error) {
 	var body bytes.Buffer
 	if response.Length > 0 {
 		body.Grow(int(min(response.Length, maxBufferedBytes)) + bytes.MinRead)
@@ -35,13 +36,13 @@
 	case errors.Is(err, io.EOF):
 		err = nil
 	case err == nil:
-		tooLong = true
+		tooLarge = true
 	}
 	return &bufferedResponse{
 		status: response.Status,
 		header: response.Header,
 		body:   body.Bytes(),
-	}, tooLong, err
+	}, tooLarge, err
 }
 
 // copyHeader copies a response header except for the hop-by-hop headers.
@@ -58,10 +59,10 @@
 }
 
 // write writes the response to the caller. An error means that the caller has disconnected.
-func (a *bufferedResponse) write(w http.ResponseWriter) error {
-	copyHeader(w.Header(), a.header)
-	w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
-	w.WriteHeader(a.status)
-	_, err := w.Write(a.body)
+func (r *bufferedResponse) write(w http.ResponseWriter) error {
+	copyHeader(w.Header(), r.header)
+	w.Header().Set("Content-Length", strconv.Itoa(len(r.body)))
+	w.WriteHeader(r.status)
+	_, err := w.Write(r.body)
 	return err
 }
--- a/gateway/call.go
+++ b/gateway/call.go
@@ -26,7 +26,7 @@
 	workspace *routing.Workspace
 	id        string
 	body      []byte
-	// key identifies the content of the request, whatever its request ID.
+	// key identifies the content of the request; it is the same under another request ID.
 	key     quarantine.Key
 	arrived time.Time
 	// deadline is the earlier one of the caller's deadline and the route's timeout.
@@ -37,7 +37,7 @@
 	// nextLease is the lease of the next send, acquired while the current one was still waiting;
 	// nil if there is none.
 	nextLease *balance.Lease
-	// sends counts how often the request was sent or tried to be sent, unreached those sends that
+	// sends counts how often the gateway sent the request or tried to, unreached those sends that
 	// reached no backend server, possibleRuns those after which the request may have run.
 	sends, unreached, possibleRuns int
 	// progress is how much of a stream the caller has received.
@@ -111,12 +111,14 @@
 const nonRepeatableMaxIdleTime = 2 * time.Second
 
 // Priorities range from 0, the most urgent, to lowestPriority. The workspace's priority takes
-// precedence over the route's.
+// precedence over the route's: for each workspace priority there are routePriorities values, by
+// which the priorities of routes rank the requests.
 const (
 	lowestPriority  = 9
 	routePriorities = 3
 )
 
+// priority returns the priority of the request at an engine.
 func (c *call) priority() int {
 	routePriority := max(c.route.Priority, 0)
 	if c.workspace == nil || c.workspace.Priority == nil {
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -16,15 +16,16 @@
 
 const reasonQuarantined = "quarantined"
 
-// crashWindow is how long after the first event of a stream a crash of the backend server may be
-// caused by the request: a request that crashes a server does so when it begins to run. Most
-// requests in progress at an engine are past it, so that no check whether their server has crashed
-// is needed.
+// crashWindow is how long after the first event of a stream a crash of the backend server still
+// counts as caused by the request: a request that crashes a server does so when it begins to run.
+// Most requests in progress at an engine have run for longer, so that no check whether their server
+// has crashed is needed.
 const crashWindow = 500 * time.Millisecond
 
 var errQuarantined = errors.New("the request is quarantined: several backend servers crashed while running it")
 
-// crashWatch observes one send to find out whether the backend server crashes while running it.
+// crashWatch observes one send to find out whether the backend server crashes while it runs the
+// request.
 type crashWatch struct {
 	call    *call
 	lease   *balance.Lease
@@ -34,7 +35,7 @@
 	stop context.CancelCauseFunc
 }
 
-// checkQuarantine refuses a request that is quarantined.
+// checkQuarantine refuses a request that is quarantined, unless it is let through as a trial.
 func (c *call) checkQuarantine() *Refusal {
 	if c.gateway.Quarantine == nil {
 		return nil
@@ -95,7 +96,7 @@
 }
 
 // mayHaveCrashed reports whether the backend server may have crashed because of this request: it
-// broke off the exchange before the request had run for crashWindow.
+// broke off the exchange no later than crashWindow after the first event.
 func (w *crashWatch) mayHaveCrashed(err error) bool {
 	first := w.call.firstEvent
 	if !first.IsZero() && clock.Since(first) > crashWindow {
@@ -113,8 +114,8 @@
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
 }
 
-// hasCrashed reports whether the backend server has ended without a planned stop. One that stops as
-// planned ends together with the requests that still run there, and the request is not the cause.
+// hasCrashed reports whether the backend server's process has ended without a planned stop. A
+// planned stop also ends the requests that still run there, and none of them is its cause.
 func (w *crashWatch) hasCrashed() bool {
 	backend := &w.lease.Backend
 	return w.call.gateway.Balancer.IsStaying(w.lease) &&
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -17,7 +17,7 @@
 	"github.com/slipwick/slipwick/upstream"
 )
 
-// backend is a backend server that counts the requests it ran.
+// backend is a backend server that counts the requests it ran and keeps the last one.
 type backend struct {
 	id     string
 	server *httptest.Server
@@ -74,10 +74,10 @@
 
 // recordingObserver records all calls.
 type recordingObserver struct {
-	mu       sync.Mutex
-	endings  []RequestSummary
-	refusals []Refusal
-	attempts []FailedAttempt
+	mu        sync.Mutex
+	summaries []RequestSummary
+	refusals  []Refusal
+	attempts  []FailedAttempt
 }
 
 func (o *recordingObserver) Refused(_ *http.Request, refusal *Refusal) {
@@ -92,10 +92,10 @@
 	o.attempts = append(o.attempts, *attempt)
 }
 
-func (o *recordingObserver) Ended(ending *RequestSummary) {
+func (o *recordingObserver) Ended(summary *RequestSummary) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.endings = append(o.endings, *ending)
+	o.summaries = append(o.summaries, *summary)
 }
 
 // fixture is a gateway in front of backend servers that all belong to the one pool of all routes.
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -27,7 +27,8 @@
 	Headers  Headers
 	Balancer *balance.Balancer
 	Client   *upstream.Client
-	Budget   *retry.Budget
+	// Budget limits the retries that all routers together send to each pool.
+	Budget *retry.Budget
 	// Quarantine refuses requests that have crashed several backend servers; nil disables it.
 	Quarantine *quarantine.Tracker
 	// Ready is closed once the router has a configuration, the list of backend servers and the list
@@ -123,7 +124,7 @@
 		g.Observer.Refused(r, refusal)
 		return
 	}
-	c.awaitCacheHolder()
+	c.awaitCachedPrompt()
 	c.serve()
 }
 
--- a/gateway/gateway_test.go
+++ b/gateway/gateway_test.go
@@ -239,10 +239,10 @@
 }
 
 func TestCallerDisconnectCancelsTheExchange(t *testing.T) {
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	b := newBackend(t, "b1", func(_ *backend, _ http.ResponseWriter, r *http.Request) {
 		<-r.Context().Done()
-		close(gone)
+		close(disconnected)
 	})
 	f := newFixture(t, b)
 	client := &http.Client{
@@ -254,7 +254,7 @@
 		t.Fatal("got a response, want a timeout")
 	}
 	select {
-	case <-gone:
+	case <-disconnected:
 	case <-time.After(500 * time.Millisecond):
 		t.Error("the backend server still works half a second after the caller disconnected")
 	}
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -15,7 +15,8 @@
 	Workspace string
 	// Instance names the one backend server that may run the request; all others reject it.
 	Instance string
-	// Load is the number of requests running and waiting at the backend server.
+	// Load holds the numbers of requests running and waiting at the backend server, separated by a
+	// comma.
 	Load string
 	// NotRun says that the backend server has not run the request and will not.
 	NotRun string
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -60,8 +60,9 @@
 	})
 }
 
-// TestInvalidNoticesAreIgnored covers other header values, Retry-After in responses other than
-// rejections, and the response of a backend server other than the intended one.
+// TestInvalidNoticesAreIgnored covers values of Slipwick-Leaving other than 1, Retry-After in
+// responses other than rejections or without a valid time, and the response of a backend server
+// other than the intended one.
 func TestInvalidNoticesAreIgnored(t *testing.T) {
 	for name, handle := range map[string]func(*backend, http.ResponseWriter, *http.Request){
 		"0":                             withHeaders(respondWith(http.StatusOK, "x"), "Slipwick-Leaving", "0"),
@@ -100,7 +101,7 @@
 		if got, want := first.status, http.StatusServiceUnavailable; got != want {
 			t.Errorf("%s: got status %d, want %d", path, got, want)
 		}
-		asked := time.Now()
+		started := time.Now()
 		for range 5 {
 			last := f.post(t, path)
 			left, err := time.ParseDuration(last.header.Get("Retry-After") + "s")
@@ -108,10 +109,10 @@
 				t.Errorf("%s: got Retry-After %q, want the remaining time", path, last.header.Get("Retry-After"))
 			}
 		}
-		if got, want := arrivals, len(backends); got != want && time.Since(asked) < pause {
+		if got, want := arrivals, len(backends); got != want && time.Since(started) < pause {
 			t.Errorf("%s: got %d requests at paused servers, want one at each", path, got)
 		}
-		time.Sleep(time.Until(asked.Add(pause)))
+		time.Sleep(time.Until(started.Add(pause)))
 		f.post(t, path)
 		if got, want := arrivals, len(backends); got <= want {
 			t.Errorf("%s: got no further request after the Retry-After time, want one", path)
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -16,10 +16,11 @@
 	// Attempted is called for each send that did not deliver the response.
 	Attempted(attempt *FailedAttempt)
 	// Ended is called once for each request that was not refused at admission.
-	Ended(ending *RequestSummary)
+	Ended(summary *RequestSummary)
 }
 
-// FailedAttempt describes one send that did not deliver the response.
+// FailedAttempt describes one attempt, that is, one send of a request to a backend server, that did
+// not deliver the response.
 type FailedAttempt struct {
 	RequestID string
 	// Key is the same for requests with the same content.
@@ -27,8 +28,10 @@
 	Route   string
 	Backend string
 	Address string
-	// Result is the reason: not-run, unsent, failed, broken, cut or left.
+	// Result is how the send ended: not-run, unsent, failed, broken, cut or left. The constants of
+	// type result describe each.
 	Result string
+	// Status is the status of the backend server's response, or 0 without a response.
 	Status int
 	// Notice is what the backend server announced about itself.
 	Notice slipwick.Notice
@@ -49,8 +52,10 @@
 	// Result is delivered, failed, refused, cut or left.
 	Result string
 	// Reason is why the request was refused or given up; empty if the response was delivered.
-	Reason   string
-	Status   int
+	Reason string
+	// Status is the status of the response to a failed or refused request, and 0 otherwise.
+	Status int
+	// Sends is how often the request was sent, Events how many events of a stream were forwarded.
 	Sends    int
 	Events   int
 	Duration time.Duration
--- a/gateway/prompt.go
+++ b/gateway/prompt.go
@@ -12,7 +12,7 @@
 // promptParts parses the parts of a prompt. It returns the parts that other requests share, which
 // are all but the last, and the token count of the last part. A prompt of one part counts as
 // shared.
-func promptParts(prompt string) (shared []balance.Part, own int) {
+func promptParts(prompt string) (shared []balance.Part, uniqueTokens int) {
 	if prompt == "" {
 		return nil, 0
 	}
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -107,7 +107,7 @@
 			f.post(t, "/resumable/x")
 		}
 		if tracker.QuarantinedCount() > 0 || len(tracker.TakePending()) > 0 {
-			t.Errorf("servers that %s: got a request quarantined or marked, want neither", name)
+			t.Errorf("servers that %s: got a request quarantined or a crash recorded, want neither", name)
 		}
 	}
 }
@@ -126,7 +126,7 @@
 	}
 	f.post(t, "/repeatable/x")
 	if got := tracker.TakePending(); len(got) > 0 {
-		t.Errorf("got %v marked, want nothing", got)
+		t.Errorf("got crashes %v recorded, want none", got)
 	}
 }
 
@@ -153,12 +153,12 @@
 // TestRunningSendIsCancelledWhenItsRequestIsQuarantined has a request still wait at a backend
 // server when the crashes that other routers report quarantine it.
 func TestRunningSendIsCancelledWhenItsRequestIsQuarantined(t *testing.T) {
-	gone := make(chan struct{})
+	disconnected := make(chan struct{})
 	began := make(chan struct{})
 	b := newBackend(t, "b", func(_ *backend, _ http.ResponseWriter, r *http.Request) {
 		close(began)
 		<-r.Context().Done()
-		close(gone)
+		close(disconnected)
 	})
 	f := newFixture(t, b)
 	tracker := f.enableQuarantine()
@@ -169,7 +169,7 @@
 	key := quarantine.KeyOf("w", http.MethodPost, "/repeatable/x", []byte("question"))
 	tracker.Merge([]quarantine.Crash{{Key: key, Server: 1}, {Key: key, Server: 2}, {Key: key, Server: 3}})
 	select {
-	case <-gone:
+	case <-disconnected:
 	case <-time.After(2 * time.Second):
 		t.Error("got the run going on after 2 s, want its connection closed")
 	}
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -112,7 +112,7 @@
 	}
 }
 
-func refuseUnknown(reason string) *Refusal {
+func refuseUnknownOutcome(reason string) *Refusal {
 	return &Refusal{
 		Status:     http.StatusBadGateway,
 		Reason:     reason,
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -60,10 +60,10 @@
 	return c.forwardBuffered(response)
 }
 
-// evidenceOfRejection returns what a response that says not-run tells about the backend server. A
-// 503 or 429 means that it is overloaded. One that is caused by the limit of a workspace does no
-// harm: all backend servers send it alike, so that none of them fails more often than the others.
-// Other statuses are about the request.
+// evidenceOfRejection returns what a response with the header Headers.NotRun says about the backend
+// server. A 503 or 429 means that it is overloaded. One that is caused by the limit of a workspace
+// ejects no backend server: all of them send it alike, so that none fails more often than the
+// others. Other statuses are about the request.
 func evidenceOfRejection(status int) slipwick.Evidence {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
@@ -84,10 +84,10 @@
 }
 
 // forwardBuffered reads a response to its end and forwards it. A failure is kept instead, and
-// forwarded only if no other response follows. Once a part of a stream was forwarded, any other
-// response counts as a failure.
+// forwarded only if no other response follows. Once a part of a stream was forwarded, any response
+// that does not continue the stream counts as a failure.
 func (c *call) forwardBuffered(response *upstream.Response) (result, slipwick.Evidence, error) {
-	buffered, tooLong, err := bufferResponse(response)
+	buffered, tooLarge, err := bufferResponse(response)
 	switch {
 	case err != nil && c.request.Context().Err() != nil:
 		return resultDisconnected, slipwick.EvidenceNone, err
@@ -98,7 +98,7 @@
 			c.failedResponse = buffered
 		}
 		return resultFailed, slipwick.EvidenceError, nil
-	case tooLong:
+	case tooLarge:
 		return c.forwardLarge(buffered, response)
 	}
 	if err := buffered.write(c.writer); err != nil {
@@ -112,8 +112,8 @@
 }
 
 // impliesNotRun reports whether callers take the status for a promise that the request was not run.
-// Such a response is not forwarded, as only the header NotRun says for certain that the request was
-// not run.
+// Such a response is not forwarded, as only the header Headers.NotRun says for certain that the
+// request was not run.
 func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout:
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -12,16 +12,16 @@
 )
 
 const (
-	// extraSends is how often a request may be sent in addition to the route's attempts, after
-	// sends that certainly did not run. maxUnreached bounds the sends that reached no backend
-	// server: each costs the backend servers nothing and the caller one round trip, and when a
-	// third of a pool has just crashed, two in a thousand requests meet that many dead servers in a
-	// row.
+	// extraSends is how often a request may be sent in addition to the route's MaxAttempts, after
+	// sends in which it certainly did not run. maxUnreached bounds the sends that reached no
+	// backend server: each costs the backend servers nothing and the caller one round trip, and
+	// when a third of a pool has just crashed, two in a thousand requests are sent to that many
+	// crashed servers in a row.
 	extraSends   = 2
 	maxUnreached = 6
 	// defaultMinRetryTime is the time that must be left for another send until the balancer knows
-	// the usual response time of the pool; from then on the usual time divided by
-	// minRetryTimeDivisor must be left.
+	// the median response time of the pool; from then on the median divided by minRetryTimeDivisor
+	// must be left.
 	defaultMinRetryTime = 30 * time.Millisecond
 	minRetryTimeDivisor = 2
 )
@@ -39,7 +39,8 @@
 			break
 		}
 		if c.awaitPrefill(lease); lease.Wait > 0 && !c.gateway.Balancer.StillAccepts(lease) {
-			// The backend server left the pool or its data centre was evacuated during the wait.
+			// During the wait, the backend server left the pool, asked for a pause or became cold,
+			// or its data centre was evacuated.
 			c.gateway.Balancer.Abandon(lease)
 			continue
 		}
@@ -73,7 +74,8 @@
 }
 
 // takeRetryBudget takes another send from the fleet's retry budget and reports whether it may be
-// made. A send that reached no backend server added no load, so that the next one costs no budget.
+// made. If nextLease is set, the budget was taken together with that lease. A send that reached no
+// backend server added no load, so that the next one costs no budget.
 func (c *call) takeRetryBudget(sendResult result) bool {
 	return c.nextLease != nil || sendResult == resultUnsent || c.gateway.Budget.Take(c.pool)
 }
@@ -111,7 +113,8 @@
 	}
 }
 
-// noRetryReason returns why the request must not be sent again, or the empty string if it may.
+// noRetryReason returns why the request must not be sent again after a send with this result, or the
+// empty string if it may.
 func (c *call) noRetryReason(sendResult result) string {
 	clock.DetectSuspension()
 	switch {
@@ -131,15 +134,16 @@
 	return ""
 }
 
-// maxSends is how often the request may be sent, whether it runs or not.
+// maxSends is how often the request may be sent to backend servers that are reached, whether it runs
+// there or not.
 func (c *call) maxSends() int {
 	return c.route.MaxAttempts + extraSends
 }
 
 // minRetryTime returns how much time must be left for another send.
 func (c *call) minRetryTime() time.Duration {
-	if usualTime := c.gateway.Balancer.MedianResponseTime(&c.selection); usualTime > 0 {
-		return usualTime / minRetryTimeDivisor
+	if median := c.gateway.Balancer.MedianResponseTime(&c.selection); median > 0 {
+		return median / minRetryTimeDivisor
 	}
 	return defaultMinRetryTime
 }
@@ -164,7 +168,7 @@
 	case clock.Now().After(c.deadline):
 		c.refuse(refuseTimeout())
 	default:
-		c.refuse(refuseUnknown(reason))
+		c.refuse(refuseUnknownOutcome(reason))
 	}
 }
 
@@ -266,7 +270,7 @@
 	}
 	c.possibleRuns++
 	if c.ctx.Err() == context.DeadlineExceeded || upstream.IsResponseTimeout(err) {
-		// The slow response has already been reported to the balancer.
+		// If the response was overdue, onTimeout has already reported that to the balancer.
 		return resultBroken, slipwick.EvidenceNone
 	}
 	return resultBroken, slipwick.EvidenceError
--- a/gateway/start.go
+++ b/gateway/start.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// startupWait is how long a request waits for the router to learn which engine has its prompt
-	// cached, and for a router that has no configuration yet and so cannot know the time limit of
-	// the request.
+	// startupWait is how long a request waits at most for the router to learn which engine has its
+	// prompt cached. It is also how long a request waits for a router that has no configuration yet
+	// and so cannot know the time limit of the request.
 	startupWait = 400 * time.Millisecond
 	// startupWaitShare is the share of its time limit for which a request waits until a starting
 	// router is ready. The rest is left for a retry at another router, in case this one does not
 	// become ready.
 	startupWaitShare = 0.5
-	// maxStartupWait caps that wait, so that a router without any connection does not hold requests
-	// that have no time limit.
+	// maxStartupWait caps that wait, so that a router without any connection, which cannot become
+	// ready, does not hold requests that set no time limit.
 	maxStartupWait = 5 * time.Second
 	// startupPollInterval is how often a waiting request checks whether it can go on.
 	startupPollInterval = 20 * time.Millisecond
@@ -61,21 +61,21 @@
 	return min(time.Duration(startupWaitShare*float64(left)), maxStartupWait)
 }
 
-// awaitCacheHolder blocks until the router knows an engine that has the request's prompt cached, or
-// knows that there is none: computing a long prompt again takes longer than the wait. Requests
-// without a prompt do not wait.
-func (c *call) awaitCacheHolder() {
-	cacheIndex := c.gateway.CachesKnown
-	if len(c.selection.Prompt) == 0 || cacheIndex == nil || isClosed(cacheIndex) {
+// awaitCachedPrompt blocks until the router knows an engine that has the request's prompt cached, or
+// knows that there is none: prefilling a long prompt again takes longer than the wait. It blocks for
+// maxCachedPromptWait at most. Requests without a prompt do not wait.
+func (c *call) awaitCachedPrompt() {
+	cachesKnown := c.gateway.CachesKnown
+	if len(c.selection.Prompt) == 0 || cachesKnown == nil || isClosed(cachesKnown) {
 		return
 	}
-	timer := time.NewTimer(c.maxCacheHolderWait() - clock.Since(c.arrived))
+	timer := time.NewTimer(c.maxCachedPromptWait() - clock.Since(c.arrived))
 	defer timer.Stop()
 	ticker := time.NewTicker(startupPollInterval)
 	defer ticker.Stop()
 	for !c.gateway.Balancer.HasCachedPrompt(&c.selection) {
 		select {
-		case <-cacheIndex:
+		case <-cachesKnown:
 			return
 		case <-timer.C:
 			return
@@ -86,10 +86,11 @@
 	}
 }
 
-// maxCacheHolderWait returns how long after its arrival the request may wait for an engine that has
-// its prompt cached: no longer than an engine takes to compute the prompt again, which would be
-// faster, and not so long that the response misses the latency objective in any case.
-func (c *call) maxCacheHolderWait() time.Duration {
+// maxCachedPromptWait returns how long after its arrival the request may wait for an engine that has
+// its prompt cached: no longer than an engine takes to prefill the prompt again, which would be
+// faster, unless the switch WaitForHomes is set, and not so long that the response misses the
+// latency objective in any case.
+func (c *call) maxCachedPromptWait() time.Duration {
 	balancer, limit := c.gateway.Balancer, startupWait
 	if !balancer.Switches.WaitForHomes {
 		limit = min(limit, balancer.PrefillTime(&c.selection))
--- a/gateway/start_test.go
+++ b/gateway/start_test.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// TestStartingRouterHoldsOnlyPromptsWithoutCacheHolder covers a router that does not know yet which
-// prompts the engines have cached.
-func TestStartingRouterHoldsOnlyPromptsWithoutCacheHolder(t *testing.T) {
+// TestStartingRouterHoldsOnlyUncachedPrompts covers a router that does not know yet which prompts the
+// engines have cached: only requests whose prompt it knows at no engine wait for that.
+func TestStartingRouterHoldsOnlyUncachedPrompts(t *testing.T) {
 	for _, test := range []struct {
 		name, path, prompt string
 		wait               time.Duration
 	}{
 		{"no prompt", "/affine/x", "", 0},
-		{"a prompt with a holder", "/affine/x", "ab:100,cd:10", 0},
-		// Computing these prompts again takes 1, 200 and 900 ms by the balancer's default values.
-		{"a short prompt without a holder", "/affine/x", "ef:100,cd:10", time.Millisecond},
-		{"a long prompt without a holder", "/affine/x", "ef:20000,cd:10", 200 * time.Millisecond},
-		{"a very long prompt without a holder", "/affine/x", "ef:90000,cd:10", startupWait},
-		// Computing this prompt again takes 179 ms at most: after a wait of more than 21 ms the
+		{"a cached prompt", "/affine/x", "ab:100,cd:10", 0},
+		// Prefilling these prompts again takes 1, 200 and 900 ms by the balancer's default values.
+		{"a short uncached prompt", "/affine/x", "ef:100,cd:10", time.Millisecond},
+		{"a long uncached prompt", "/affine/x", "ef:20000,cd:10", 200 * time.Millisecond},
+		{"a very long uncached prompt", "/affine/x", "ef:90000,cd:10", startupWait},
+		// Prefilling this prompt again takes 179 ms at most: after a wait of more than 21 ms the
 		// response would miss the objective of 200 ms.
-		{"a prompt without a holder, with an objective", "/soon/x", "ef:8000,cd:10", 21 * time.Millisecond},
+		{"an uncached prompt with an objective", "/soon/x", "ef:8000,cd:10", 21 * time.Millisecond},
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			f := newFixture(t, newBackend(t, "b1", respondWith(http.StatusOK, "answer")))
@@ -42,16 +42,16 @@
 	}
 }
 
-// TestStartingRouterServesOnceCacheIndexIsReady has the router learn which engines have which
+// TestStartingRouterServesOnceCachesAreKnown has the router learn which engines have which
 // prompts cached while a request waits for that.
-func TestStartingRouterServesOnceCacheIndexIsReady(t *testing.T) {
+func TestStartingRouterServesOnceCachesAreKnown(t *testing.T) {
 	f := newFixture(t, newBackend(t, "b1", respondWith(http.StatusOK, "answer")))
-	ready, cacheIndex := make(chan struct{}), make(chan struct{})
-	f.gateway.Ready, f.gateway.CachesKnown = ready, cacheIndex
+	ready, cachesKnown := make(chan struct{}), make(chan struct{})
+	f.gateway.Ready, f.gateway.CachesKnown = ready, cachesKnown
 	request := f.request(t, "/affine/x", "question")
 	request.Header.Set("Slipwick-Prompt", "ef:90000,cd:10")
 	time.AfterFunc(startupWait/8, func() { close(ready) })
-	time.AfterFunc(startupWait/4, func() { close(cacheIndex) })
+	time.AfterFunc(startupWait/4, func() { close(cachesKnown) })
 	started := time.Now()
 	got := send(t, request)
 	if took := time.Since(started); got.status != http.StatusOK || took < startupWait/4 || took > startupWait*3/4 {
@@ -68,10 +68,10 @@
 func TestStartingRouterHoldsRequestsForHalfOfTheirTime(t *testing.T) {
 	const never = time.Hour
 	for _, test := range []struct {
-		name, path          string
-		readyAfter, longest time.Duration
-		status              int
-		took                time.Duration
+		name, path           string
+		readyAfter, deadline time.Duration
+		status               int
+		took                 time.Duration
 	}{
 		{"ready in time", "/affine/x", 3 * startupWait, 4 * time.Second, http.StatusOK, 3 * startupWait},
 		{"never ready", "/affine/x", never, 2 * time.Second, http.StatusServiceUnavailable, time.Second},
@@ -85,7 +85,7 @@
 			timer := time.AfterFunc(test.readyAfter, func() { close(ready) })
 			defer timer.Stop()
 			request := f.request(t, test.path, "question")
-			request.Header.Set(f.gateway.Headers.Deadline, strconv.FormatInt(test.longest.Milliseconds(), 10))
+			request.Header.Set(f.gateway.Headers.Deadline, strconv.FormatInt(test.deadline.Milliseconds(), 10))
 			started := time.Now()
 			got := send(t, request)
 			took := time.Since(started)
--- a/gateway/streamprogress.go
+++ b/gateway/streamprogress.go
@@ -12,6 +12,7 @@
 	// lastID is the ID of the last event forwarded or, before the first, the one in the caller's
 	// Last-Event-Id header.
 	lastID string
+	// events counts the events forwarded.
 	events int
 }
 
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -11,23 +11,23 @@
 const (
 	// objectiveFactor times the route's latency objective, and at least defaultFirstByteTimeout, is
 	// how long a backend server may take to start its response before the request is retried at
-	// another one. It applies until the balancer knows the usual times of the pool: a response that
-	// takes longer is late in any case.
+	// another one. It applies until the balancer knows the usual response times of the pool: a
+	// response that takes longer is late in any case.
 	objectiveFactor         = 2
 	defaultFirstByteTimeout = 400 * time.Millisecond
 	// retryTimeShare is the share of the remaining time that is kept for a retry, if one may
 	// follow.
 	retryTimeShare = 0.5
 	// pauseObjectiveFactor times the pause that the route allows between events is how long a
-	// stream may stay silent after it has begun; defaultIdleTimeout applies if the route sets none.
-	// Callers give up after some seconds.
+	// stream may stay silent after it has begun; defaultIdleTimeout applies if the route sets no
+	// such pause. Callers give up after some seconds.
 	pauseObjectiveFactor = 4
 	defaultIdleTimeout   = 1200 * time.Millisecond
 	// maxIdleTimeout caps an idle timeout that is derived from the pauses of a slow pool: callers
 	// do not wait for longer.
 	maxIdleTimeout = 4 * time.Second
-	// retryPollInterval is how often a send without response tries to acquire the lease for a
-	// retry.
+	// retryPollInterval is how often a timed-out send that still waits tries to acquire the lease
+	// for a retry.
 	retryPollInterval = 100 * time.Millisecond
 )
 
@@ -75,7 +75,8 @@
 	return min(max(timeout, c.gateway.Balancer.StreamIdleTimeout(lease)), max(timeout, maxIdleTimeout))
 }
 
-// onTimeout returns how long to wait for longer for an unresponsive backend server: 0 ends the send.
+// onTimeout returns how much longer to wait for an unresponsive backend server: 0 ends the send, and
+// upstream.NoTimeout waits until the deadline of the request.
 func (h *timeoutHandler) onTimeout() time.Duration {
 	c := h.call
 	if !h.reported {
--- a/gateway/timeouts_test.go
+++ b/gateway/timeouts_test.go
@@ -131,11 +131,11 @@
 func TestLastAllowedSendIsNotTimedOut(t *testing.T) {
 	late := respondAfter(defaultFirstByteTimeout+200*time.Millisecond, "late")
 	var mu sync.Mutex
-	asked := 0
+	requests := 0
 	handle := func(b *backend, w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		asked++
-		n := asked
+		requests++
+		n := requests
 		mu.Unlock()
 		if n < 4 {
 			rejectNotRun(b, w, r)
