--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -3,7 +3,8 @@
 // Headers holds the names of the headers that routers read and set. Header values that are
 // durations are in milliseconds.
 type Headers struct {
-	// RequestID identifies one attempt of a caller; the response repeats it.
+	// RequestID identifies one request of a caller, whose retries have IDs of their own; the
+	// response repeats it.
 	RequestID string
 	// Deadline is how long the sender waits for the response.
 	Deadline string
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -11,11 +11,12 @@
 
 // Observer receives what happens to requests. Its methods must not block.
 type Observer interface {
-	// Refused is called for each request that was refused before it was sent to any backend server.
+	// Refused is called for each request that was refused at admission, before a backend server was
+	// chosen for it.
 	Refused(request *http.Request, refusal *Refusal)
 	// Attempted is called for each send that did not deliver the response.
 	Attempted(attempt *FailedAttempt)
-	// Ended is called once for each request that was not refused at admission.
+	// Ended is called once for each other request.
 	Ended(summary *RequestSummary)
 }
 
@@ -51,7 +52,8 @@
 	Version uint64
 	// Result is delivered, failed, refused, cut or left.
 	Result string
-	// Reason is why the request was refused or given up; empty if the response was delivered.
+	// Reason is why the request was refused or not sent again. It is empty if the last send ended
+	// the request: the response was delivered or cut, or the caller disconnected.
 	Reason string
 	// Status is the status of the response to a failed or refused request, and 0 otherwise.
 	Status int
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -24,7 +24,8 @@
 	retryElsewhere = 20 * time.Millisecond
 	// retrySoon is for conditions that change within a moment.
 	retrySoon = 150 * time.Millisecond
-	noRetry   = time.Duration(-1)
+	// noRetry leaves out the header Retry-After.
+	noRetry = time.Duration(-1)
 )
 
 func refuseStopping() *Refusal {
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -90,7 +90,7 @@
 }
 
 // abandonNextLease gives back the lease of a retry that is not needed, because the response came
-// after all.
+// after all or the request has ended.
 func (c *call) abandonNextLease() {
 	if c.nextLease != nil {
 		c.gateway.Balancer.Abandon(c.nextLease)
@@ -113,8 +113,8 @@
 	}
 }
 
-// noRetryReason returns why the request must not be sent again after a send with this result, or the
-// empty string if it may.
+// noRetryReason returns why the request must not be sent again after a send with this result, or
+// the empty string if it may.
 func (c *call) noRetryReason(sendResult result) string {
 	clock.DetectSuspension()
 	switch {
@@ -134,8 +134,8 @@
 	return ""
 }
 
-// maxSends is how often the request may be sent to backend servers that are reached, whether it runs
-// there or not.
+// maxSends is how often the request may be sent to backend servers that are reached, whether it
+// runs there or not.
 func (c *call) maxSends() int {
 	return c.route.MaxAttempts + extraSends
 }
--- a/gateway/startupwait.go
+++ b/gateway/startupwait.go
@@ -61,9 +61,9 @@
 	return min(time.Duration(startupWaitShare*float64(left)), maxStartupWait)
 }
 
-// awaitCachedPrompt blocks until the router knows an engine that has the request's prompt cached, or
-// knows that there is none: prefilling a long prompt again takes longer than the wait. It blocks for
-// maxCachedPromptWait at most. Requests without a prompt do not wait.
+// awaitCachedPrompt blocks until the router knows an engine that has the request's prompt cached,
+// or knows that there is none: prefilling a long prompt again takes longer than the wait. It blocks
+// for maxCachedPromptWait at most. Requests without a prompt do not wait.
 func (c *call) awaitCachedPrompt() {
 	cachesKnown := c.gateway.CachesKnown
 	if len(c.selection.Prompt) == 0 || cachesKnown == nil || isClosed(cachesKnown) {
@@ -86,10 +86,10 @@
 	}
 }
 
-// maxCachedPromptWait returns how long after its arrival the request may wait for an engine that has
-// its prompt cached: no longer than an engine takes to prefill the prompt again, which would be
-// faster, unless the switch WaitForHomes is set, and not so long that the response misses the
-// latency objective in any case.
+// maxCachedPromptWait returns how long after its arrival the request may wait for an engine that
+// has its prompt cached: not so long that the response misses the latency objective in any case
+// and, unless the switch WaitForHomes is set, no longer than an engine takes to prefill the prompt
+// again, which would be faster.
 func (c *call) maxCachedPromptWait() time.Duration {
 	balancer, limit := c.gateway.Balancer, startupWait
 	if !balancer.Switches.WaitForHomes {
--- a/gateway/startupwait_test.go
+++ b/gateway/startupwait_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// TestStartingRouterHoldsOnlyUncachedPrompts covers a router that does not know yet which prompts the
-// engines have cached: only requests whose prompt it knows at no engine wait for that.
+// TestStartingRouterHoldsOnlyUncachedPrompts covers a router that does not know yet which prompts
+// the engines have cached: only requests whose prompt no engine is known to have cached wait.
 func TestStartingRouterHoldsOnlyUncachedPrompts(t *testing.T) {
 	for _, test := range []struct {
 		name, path, prompt string
--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -75,8 +75,8 @@
 	return min(max(timeout, c.gateway.Balancer.StreamIdleTimeout(lease)), max(timeout, maxIdleTimeout))
 }
 
-// onTimeout returns how much longer to wait for an unresponsive backend server: 0 ends the send, and
-// upstream.NoTimeout waits until the deadline of the request.
+// onTimeout returns how much longer to wait for an unresponsive backend server: 0 ends the send,
+// and upstream.NoTimeout waits until the deadline of the request.
 func (h *timeoutHandler) onTimeout() time.Duration {
 	c := h.call
 	if !h.reported {
--- a/gateway/timeouts_test.go
+++ b/gateway/timeouts_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// respondAfter is respondWith status 200 after a delay.
+// respondAfter returns a handler that waits, and then runs the request and responds with status 200.
 func respondAfter(wait time.Duration, body string) func(*backend, http.ResponseWriter, *http.Request) {
 	return func(b *backend, w http.ResponseWriter, r *http.Request) {
 		time.Sleep(wait)
