--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -3,7 +3,8 @@
 // Headers holds the names of the headers that routers read and set. Header values that are
 // durations are in milliseconds.
 type Headers struct {
-	// RequestID identifies one attempt of a caller; the response repeats it.
+	// RequestID identifies one request of a caller, whose retries have IDs of their own; the
+	// response repeats it.
 	RequestID string
 	// Deadline is how long the sender waits for the response.
 	Deadline string
@@ -15,7 +16,8 @@
 	Workspace string
 	// Instance names the one backend server that may run the request; all others reject it.
 	Instance string
-	// Load is the number of requests running and waiting at the backend server.
+	// Load holds the numbers of requests running and waiting at the backend server, separated by a
+	// comma.
 	Load string
 	// NotRun says that the backend server has not run the request and will not.
 	NotRun string
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -11,15 +11,17 @@
 
 // Observer receives what happens to requests. Its methods must not block.
 type Observer interface {
-	// Refused is called for each request that was refused before it was sent to any backend server.
+	// Refused is called for each request that was refused at admission, before a backend server was
+	// chosen for it.
 	Refused(request *http.Request, refusal *Refusal)
 	// Attempted is called for each send that did not deliver the response.
 	Attempted(attempt *FailedAttempt)
-	// Ended is called once for each request that was not refused at admission.
-	Ended(ending *RequestSummary)
+	// Ended is called once for each other request.
+	Ended(summary *RequestSummary)
 }
 
-// FailedAttempt describes one send that did not deliver the response.
+// FailedAttempt describes one attempt, that is, one send of a request to a backend server, that did
+// not deliver the response.
 type FailedAttempt struct {
 	RequestID string
 	// Key is the same for requests with the same content.
@@ -27,8 +29,10 @@
 	Route   string
 	Backend string
 	Address string
-	// Result is the reason: not-run, unsent, failed, broken, cut or left.
+	// Result is how the send ended: not-run, unsent, failed, broken, cut or left. The constants of
+	// type result describe each.
 	Result string
+	// Status is the status of the backend server's response, or 0 without a response.
 	Status int
 	// Notice is what the backend server announced about itself.
 	Notice slipwick.Notice
@@ -48,9 +52,12 @@
 	Version uint64
 	// Result is delivered, failed, refused, cut or left.
 	Result string
-	// Reason is why the request was refused or given up; empty if the response was delivered.
-	Reason   string
-	Status   int
+	// Reason is why the request was refused or not sent again. It is empty if the last send ended
+	// the request: the response was delivered or cut, or the caller disconnected.
+	Reason string
+	// Status is the status of the response to a failed or refused request, and 0 otherwise.
+	Status int
+	// Sends is how often the request was sent, Events how many events of a stream were forwarded.
 	Sends    int
 	Events   int
 	Duration time.Duration
--- a/gateway/timeouts_test.go
+++ b/gateway/timeouts_test.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// respondAfter is respondWith status 200 after a delay.
+// respondAfter returns a handler that waits, and then runs the request and responds with status 200.
 func respondAfter(wait time.Duration, body string) func(*backend, http.ResponseWriter, *http.Request) {
 	return func(b *backend, w http.ResponseWriter, r *http.Request) {
 		time.Sleep(wait)
@@ -131,11 +131,11 @@
 func TestLastAllowedSendIsNotTimedOut(t *testing.T) {
 	late := respondAfter(defaultFirstByteTimeout+200*time.Millisecond, "late")
 	var mu sync.Mutex
-	asked := 0
+	requests := 0
 	handle := func(b *backend, w http.ResponseWriter, r *http.Request) {
 		mu.Lock()
-		asked++
-		n := asked
+		requests++
+		n := requests
 		mu.Unlock()
 		if n < 4 {
 			rejectNotRun(b, w, r)
