--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -46,10 +46,10 @@
 		b.LoadSlack = balance.DefaultLoadSlack
 	}
 	if b.ApplyTime == 0 {
-		b.ApplyTime = directory.DefaultWithin
+		b.ApplyTime = directory.DefaultPropagationTime
 	}
 	if b.LeaveTime == 0 {
-		b.LeaveTime = directory.DefaultWithin
+		b.LeaveTime = directory.DefaultPropagationTime
 	}
 	if b.ColdFactor == 0 {
 		b.ColdFactor = 1
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -130,7 +130,7 @@
 func (p *fakePeers) Relay(id, _ string) slipwick.Feed { return p.relays[id] }
 
 // testTiming has the wait times of followers without other settings.
-var testTiming = TimingWithin(DefaultWithin)
+var testTiming = TimingWithin(DefaultPropagationTime)
 
 // at returns a position of a store that has no timelines.
 func at(revision uint64) slipwick.Position {
--- a/directory/timing.go
+++ b/directory/timing.go
@@ -42,20 +42,20 @@
 	listShare        = 1
 )
 
-// DefaultWithin is the time allowed if the settings have none. minWithin and maxWithin bound
+// DefaultPropagationTime is the time allowed if the settings have none. minWithin and maxWithin bound
 // it: with less, the waits come close to the response time of a busy store; with more, the
 // calls saved are not worth the later detection of an unresponsive store.
 const (
-	DefaultWithin = 2 * time.Second
+	DefaultPropagationTime = 2 * time.Second
 	minWithin     = 600 * time.Millisecond
 	maxWithin     = 4 * time.Second
 )
 
 // TimingWithin returns the wait times with which changes are known within the given time; 0
-// stands for DefaultWithin.
+// stands for DefaultPropagationTime.
 func TimingWithin(within time.Duration) Timing {
 	if within <= 0 {
-		within = DefaultWithin
+		within = DefaultPropagationTime
 	}
 	within = min(max(within, minWithin), maxWithin)
 	share := func(of float64) time.Duration {
@@ -77,7 +77,7 @@
 // orDefault returns the default if t is the zero value, else t.
 func (t Timing) orDefault() Timing {
 	if t == (Timing{}) {
-		return TimingWithin(DefaultWithin)
+		return TimingWithin(DefaultPropagationTime)
 	}
 	return t
 }
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -29,7 +29,7 @@
 			t.Errorf("within %v: got a maximum age of %v, want at least the time of a watch", within, r.MaxAge)
 		}
 	}
-	if got, want := TimingWithin(0), TimingWithin(DefaultWithin); got != want {
+	if got, want := TimingWithin(0), TimingWithin(DefaultPropagationTime); got != want {
 		t.Errorf("without a time allowed: got %v, want the default %v", got, want)
 	}
 }
