--- a/directory/evacuations.go
+++ b/directory/evacuations.go
@@ -15,8 +15,8 @@
 	// OnChange receives each new list, sorted. Calls do not overlap, and must not call back
 	// into the list.
 	OnChange func([]string)
-	// Within is the time in which routers have to follow an evacuation.
-	Within time.Duration
+	// EvacuationTime is the time in which routers have to follow an evacuation.
+	EvacuationTime time.Duration
 
 	mu sync.Mutex
 	// listed has the data centres that the store lists, retained those that a restored store
@@ -30,7 +30,7 @@
 func NewEvacuations(within time.Duration, onChange func([]string)) *Evacuations {
 	return &Evacuations{
 		OnChange: onChange,
-		Within:   within,
+		EvacuationTime:   within,
 		listed:   make(map[string]string),
 		retained: make(map[string]string),
 	}
@@ -44,7 +44,7 @@
 func (e *Evacuations) StoreRestored(steady time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	within := e.Within - steady
+	within := e.EvacuationTime - steady
 	e.graceUntil = clock.Now().Add(within)
 	if e.graceTimer != nil {
 		e.graceTimer.Stop()
