--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -26,7 +26,7 @@
 	p.balancer = p.newBalancer()
 	p.client = &upstream.Client{}
 	p.backends = directory.NewBackends(p.onBackends)
-	p.backends.Heartbeat, p.backends.Leave = s.Bounds.Heartbeat, s.Bounds.LeaveTime
+	p.backends.Heartbeat, p.backends.LeaveTime = s.Bounds.Heartbeat, s.Bounds.LeaveTime
 	p.mirrors = map[string]*directory.Mirror{
 		feedTables:   directory.NewMirror(),
 		feedBackends: directory.NewMirror(),
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -20,7 +20,7 @@
 	DefaultHeartbeat = 1200 * time.Millisecond
 	// reregisterTime is how long servers have to write their entries again after an outage of
 	// the store; they do so within about 2 s. It is bounded by reregisterShare of
-	// Backends.Leave.
+	// Backends.LeaveTime.
 	reregisterTime  = 1900 * time.Millisecond
 	reregisterShare = 0.95
 )
@@ -31,10 +31,10 @@
 	// OnChange receives the changes of the list, which are empty if an answer had none. Calls
 	// do not overlap, and must not call back into the list.
 	OnChange func(*balance.Changes)
-	// Heartbeat is the interval at which servers renew their entries. Leave is the time after
+	// Heartbeat is the interval at which servers renew their entries. LeaveTime is the time after
 	// which a server that leaves, or is gone, gets no new requests. With 0, DefaultHeartbeat
 	// applies and reregisterTime has no bound.
-	Heartbeat, Leave time.Duration
+	Heartbeat, LeaveTime time.Duration
 
 	mu      sync.Mutex
 	entries map[string]balance.Entry
@@ -157,15 +157,15 @@
 }
 
 // gracePeriod returns how long servers have to write their entries again after an outage. An
-// outage shorter than Leave may have affected only this router, through a slow peer, while the
+// outage shorter than LeaveTime may have affected only this router, through a slow peer, while the
 // store served others. Entries may then have disappeared as early as the latest copy before the
-// outage was confirmed, which was unconfirmed ago, and are kept no longer than Leave from that
+// outage was confirmed, which was unconfirmed ago, and are kept no longer than LeaveTime from that
 // time.
 func (b *Backends) gracePeriod(outage, unconfirmed time.Duration) time.Duration {
-	if b.Leave <= 0 {
+	if b.LeaveTime <= 0 {
 		return reregisterTime
 	}
-	leave := time.Duration(reregisterShare * float64(b.Leave))
+	leave := time.Duration(reregisterShare * float64(b.LeaveTime))
 	if outage < leave {
 		return min(reregisterTime, leave-unconfirmed)
 	}
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -97,7 +97,7 @@
 }
 
 // TestEntriesRemovedInShortGapAreDroppedInTime has a router receive nothing for less than
-// Backends.Leave while the store answers other routers. An entry may have been removed as early as
+// Backends.LeaveTime while the store answers other routers. An entry may have been removed as early as
 // the start of the gap.
 //
 // It guards against the following failure: one router of eighty sent a request to a removed server
@@ -109,7 +109,7 @@
 		synctest.Test(t, func(t *testing.T) {
 			var list listRecorder
 			b := NewBackends(list.apply)
-			b.Leave = leave
+			b.LeaveTime = leave
 			b.Answered(0, 0)
 			b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 			gapStart := time.Now()
@@ -125,14 +125,14 @@
 }
 
 // TestEntriesRemovedSinceOldCopyAreDroppedInTime has a router follow another one whose copy has
-// the greatest age of a current copy, and then receive nothing for less than Backends.Leave. An
+// the greatest age of a current copy, and then receive nothing for less than Backends.LeaveTime. An
 // entry may have been removed as soon as the copy was confirmed, before the gap.
 func TestEntriesRemovedSinceOldCopyAreDroppedInTime(t *testing.T) {
 	const leave, age, gap = 3 * time.Second, 1200 * time.Millisecond, 1600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Leave = leave
+		b.LeaveTime = leave
 		confirmed := time.Now().Add(-age)
 		b.Answered(age, 0)
 		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
@@ -154,7 +154,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Leave = 2 * time.Second
+		b.LeaveTime = 2 * time.Second
 		b.Answered(0, 0)
 		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(4 * time.Second)
--- a/directory/evacuations.go
+++ b/directory/evacuations.go
@@ -29,10 +29,10 @@
 // NewEvacuations returns an empty list that reports its changes to onChange.
 func NewEvacuations(within time.Duration, onChange func([]string)) *Evacuations {
 	return &Evacuations{
-		OnChange: onChange,
-		EvacuationTime:   within,
-		listed:   make(map[string]string),
-		retained: make(map[string]string),
+		OnChange:       onChange,
+		EvacuationTime: within,
+		listed:         make(map[string]string),
+		retained:       make(map[string]string),
 	}
 }
 
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -88,7 +88,7 @@
 	}
 	close(r.fleetKnown)
 	r.backends = NewBackends(r.applyBackends)
-	r.backends.Leave = modelWithin
+	r.backends.LeaveTime = modelWithin
 	r.createFollowers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/directory/timing.go
+++ b/directory/timing.go
@@ -47,8 +47,8 @@
 // calls saved are not worth the later detection of an unresponsive store.
 const (
 	DefaultPropagationTime = 2 * time.Second
-	minWithin     = 600 * time.Millisecond
-	maxWithin     = 4 * time.Second
+	minWithin              = 600 * time.Millisecond
+	maxWithin              = 4 * time.Second
 )
 
 // TimingWithin returns the wait times with which changes are known within the given time; 0
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -35,12 +35,12 @@
 }
 
 // TestBackendsDropExpiredWithinShortBounds has entries expire in a fleet with a short heartbeat
-// and Leave. Those of servers that do not write theirs again are dropped in time.
+// and LeaveTime. Those of servers that do not write theirs again are dropped in time.
 func TestBackendsDropExpiredWithinShortBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Heartbeat, b.Leave = 600*time.Millisecond, time.Second
+		b.Heartbeat, b.LeaveTime = 600*time.Millisecond, time.Second
 		b.Answered(0, 0)
 		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(900 * time.Millisecond)
