--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -74,7 +74,7 @@
 	follower.Timing = timing
 	follower.Decode = p.Feeds.DecodeBackend
 	follower.OnInvalid = p.invalidEntries.recorder(feedBackends)
-	follower.OnChange = p.backends.Change
+	follower.OnChange = p.backends.Apply
 	monitor := p.newFeedMonitor(feedBackends)
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) {
 		p.backends.Answered(batch.Age, batch.StableFor)
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -70,7 +70,7 @@
 }
 
 // StoreRestored starts a grace period after the store was restored from a backup. Call it before
-// Change with the resulting changes. Entries that the backup lacks may have been written after
+// Apply with the resulting changes. Entries that the backup lacks may have been written after
 // it, and are treated as if they had expired; entries that it has may belong to servers that
 // have left since. Steady is how long ago the fleet noticed the restore. This router had no
 // outage of its own, so servers get the full time to write their entries again. Age is how long
@@ -192,8 +192,8 @@
 	b.publishLocked(expired)
 }
 
-// Change applies changes of entries and reports the resulting changes of the list.
-func (b *Backends) Change(changes []Change[balance.Entry]) {
+// Apply applies changes of entries and reports the resulting changes of the list.
+func (b *Backends) Apply(changes []Change[balance.Entry]) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	isRestored := b.restored
--- a/directory/firstlist_bench_test.go
+++ b/directory/firstlist_bench_test.go
@@ -43,7 +43,7 @@
 				mirror := NewMirror()
 				mirror.Apply(&whole)
 				balancer := balance.New("z")
-				NewBackends(balancer.ChangeBackends).Change(changes)
+				NewBackends(balancer.ChangeBackends).Apply(changes)
 			}
 		})
 	}
--- a/directory/invalid_test.go
+++ b/directory/invalid_test.go
@@ -60,7 +60,7 @@
 			Leaving: string(value) == "leaving",
 		}, nil
 	}
-	follower.OnChange = backends.Change
+	follower.OnChange = backends.Apply
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) { backends.Answered(batch.Age, batch.StableFor) }
 	follower.OnError = func(error) {
 		w.errors++
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -158,7 +158,7 @@
 		r.backends.StoreRestored(batch.Age, batch.StableFor)
 	}
 	backends.OnError = func(error) { r.backends.Failed() }
-	backends.OnChange = r.backends.Change
+	backends.OnChange = r.backends.Apply
 	configs := newModelFollower(r, modelTables, func(_ string, value []byte) (string, error) { return string(value), nil })
 	configs.OnChange = r.applyConfig
 	configs.IsOutdated = func(known, received string) bool { return received < known }
