--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -36,7 +36,7 @@
 	}
 	isFirst := true
 	follower.OnChange = func(changes []directory.Change[string]) {
-		evacuated.Change(changes)
+		evacuated.Apply(changes)
 		if isFirst {
 			isFirst = false
 			close(p.evacuationsKnown)
--- a/directory/evacuations.go
+++ b/directory/evacuations.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// Change applies changes and reports the resulting list. An object that cannot be decoded keeps
+// Apply applies changes and reports the resulting list. An object that cannot be decoded keeps
 // its previous value.
-func (e *Evacuations) Change(changes []Change[string]) {
+func (e *Evacuations) Apply(changes []Change[string]) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, c := range changes {
--- a/directory/evacuations_test.go
+++ b/directory/evacuations_test.go
@@ -21,7 +21,7 @@
 			list = now
 		})
 		put := func(name string, gone bool) {
-			e.Change([]Change[string]{
+			e.Apply([]Change[string]{
 				{
 					Name:    name,
 					Value:   "dc-" + name,
