--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -85,7 +85,7 @@
 		monitor.storeRestored(known, batch)
 	}
 	follower.OnError = func(err error) {
-		p.backends.Failed()
+		p.backends.RecordFailure()
 		monitor.failed(err)
 	}
 	follower.Run(ctx)
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// Failed records a failed call to the store.
-func (b *Backends) Failed() {
+// RecordFailure records a failed call to the store.
+func (b *Backends) RecordFailure() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failed = true
--- a/directory/invalid_test.go
+++ b/directory/invalid_test.go
@@ -64,7 +64,7 @@
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) { backends.RecordAnswer(batch.Age, batch.StableFor) }
 	follower.OnError = func(error) {
 		w.errors++
-		backends.Failed()
+		backends.RecordFailure()
 	}
 	follower.OnInvalid = func(name string, reason error) {
 		if reason == nil {
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -157,7 +157,7 @@
 	backends.OnStoreRestored = func(_ slipwick.Position, batch *slipwick.FeedBatch) {
 		r.backends.StoreRestored(batch.Age, batch.StableFor)
 	}
-	backends.OnError = func(error) { r.backends.Failed() }
+	backends.OnError = func(error) { r.backends.RecordFailure() }
 	backends.OnChange = r.backends.Apply
 	configs := newModelFollower(r, modelTables, func(_ string, value []byte) (string, error) { return string(value), nil })
 	configs.OnChange = r.applyConfig
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -44,7 +44,7 @@
 		b.RecordAnswer(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(900 * time.Millisecond)
-		b.Failed()
+		b.RecordFailure()
 		b.RecordAnswer(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "when the store answers after more than a heartbeat", "a", "b")
