--- a/directory/backends.go
+++ b/directory/backends.go
@@ -36,7 +36,9 @@
 	// applies and reregisterTime has no bound.
 	Heartbeat, LeaveTime time.Duration
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// entries has the entries that the store lists, expired those that disappeared within a grace
+	// period and stay in use until its end, both by name.
 	entries map[string]balance.Entry
 	expired map[string]balance.Entry
 	// ids has the IDs of the published backend servers, by the name of their entry.
@@ -47,13 +49,15 @@
 	// failed is true if the latest call failed, inOutage if the store had not answered for some
 	// time.
 	failed, inOutage bool
-	// graceUntil is until when entries that disappear count as expired, and stay in use.
+	// graceUntil is until when entries that disappear count as expired, and stay in use;
+	// graceTimer ends that.
 	graceUntil time.Time
 	graceTimer *time.Timer
 	// restored is true if the next changes are from the first list after the store was restored
 	// from a backup.
 	restored   bool
 	departures departures
+	// trustTimer ends the suspicion of the entries that are suspect after a restore.
 	trustTimer *time.Timer
 }
 
@@ -72,14 +76,14 @@
 // StoreRestored starts a grace period after the store was restored from a backup. Call it before
 // Apply with the resulting changes. Entries that the backup lacks may have been written after
 // it, and are treated as if they had expired; entries that it has may belong to servers that
-// have left since. Steady is how long ago the fleet noticed the restore. This router had no
+// have left since. StableFor is how long ago the fleet noticed the restore. This router had no
 // outage of its own, so servers get the full time to write their entries again. Age is how long
 // ago the store was in the state of the answer.
-func (b *Backends) StoreRestored(age, steady time.Duration) {
+func (b *Backends) StoreRestored(age, stableFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.restored = true
-	b.startGraceLocked(clock.Now(), b.gracePeriod(math.MaxInt64, math.MaxInt64)-steady)
+	b.startGraceLocked(clock.Now(), b.gracePeriod(math.MaxInt64, math.MaxInt64)-stableFor)
 	b.scheduleTrustLocked(age)
 }
 
@@ -116,10 +120,10 @@
 }
 
 // RecordAnswer records an answer of the store and ends an outage. Age is how long ago the store was
-// in the state of the answer, steady for how long it has been known to answer. If the store
+// in the state of the answer, stableFor for how long it has been known to answer. If the store
 // answered other routers since before this router's outage, the outage was this router's alone
 // and leaves no grace period.
-func (b *Backends) RecordAnswer(age, steady time.Duration) {
+func (b *Backends) RecordAnswer(age, stableFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.isUnresponsiveLocked() && len(b.departures.suspect) > 0 {
@@ -133,7 +137,7 @@
 	wasInOutage := b.inOutage && !b.restored
 	b.inOutage = false
 	if wasInOutage {
-		b.startGraceLocked(b.answeredAt, b.gracePeriod(b.answeredAt.Sub(previous), b.answeredAt.Sub(confirmed))-steady)
+		b.startGraceLocked(b.answeredAt, b.gracePeriod(b.answeredAt.Sub(previous), b.answeredAt.Sub(confirmed))-stableFor)
 	}
 }
 
@@ -145,6 +149,7 @@
 	b.inOutage = b.inOutage || clock.Since(b.answeredAt) > b.outageAfter()
 }
 
+// outageAfter returns for how long the store may not answer before it counts as down.
 func (b *Backends) outageAfter() time.Duration {
 	return time.Duration(outageShare * float64(b.heartbeat()))
 }
@@ -159,25 +164,24 @@
 // gracePeriod returns how long servers have to write their entries again after an outage. An
 // outage shorter than LeaveTime may have affected only this router, through a slow peer, while the
 // store served others. Entries may then have disappeared as early as the latest copy before the
-// outage was confirmed, which was unconfirmed ago, and are kept no longer than LeaveTime from that
-// time.
-func (b *Backends) gracePeriod(outage, unconfirmed time.Duration) time.Duration {
+// outage was confirmed, sinceConfirmed ago, and are kept no longer than LeaveTime from that time.
+func (b *Backends) gracePeriod(outage, sinceConfirmed time.Duration) time.Duration {
 	if b.LeaveTime <= 0 {
 		return reregisterTime
 	}
 	leave := time.Duration(reregisterShare * float64(b.LeaveTime))
 	if outage < leave {
-		return min(reregisterTime, leave-unconfirmed)
+		return min(reregisterTime, leave-sinceConfirmed)
 	}
 	return min(reregisterTime, leave)
 }
 
-func (b *Backends) startGraceLocked(now time.Time, within time.Duration) {
-	b.graceUntil = now.Add(within)
+func (b *Backends) startGraceLocked(now time.Time, period time.Duration) {
+	b.graceUntil = now.Add(period)
 	if b.graceTimer != nil {
 		b.graceTimer.Stop()
 	}
-	b.graceTimer = time.AfterFunc(within, b.dropExpired)
+	b.graceTimer = time.AfterFunc(period, b.dropExpired)
 }
 
 // dropExpired removes the expired entries that were not written again in time.
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -20,8 +20,8 @@
 func (l *listRecorder) apply(changes *balance.Changes) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	isGone := func(id string) bool { return slices.Contains(changes.Removed, id) }
-	l.ids = slices.DeleteFunc(l.ids, isGone)
+	isRemoved := func(id string) bool { return slices.Contains(changes.Removed, id) }
+	l.ids = slices.DeleteFunc(l.ids, isRemoved)
 	for i := range changes.Entries {
 		l.ids = append(l.ids, changes.Entries[i].ID)
 	}
@@ -30,10 +30,10 @@
 }
 
 // backendChange returns a change that writes or removes the entry of a backend server.
-func backendChange(id string, gone bool) Change[balance.Entry] {
+func backendChange(id string, removed bool) Change[balance.Entry] {
 	return Change[balance.Entry]{
 		Name:    id,
-		Removed: gone,
+		Removed: removed,
 		Value: balance.Entry{
 			Backend: slipwick.Backend{
 				ID: id,
--- a/directory/departures.go
+++ b/directory/departures.go
@@ -17,8 +17,8 @@
 	sweepInterval = time.Second
 	// expiryHeartbeats is the number of heartbeats after a restore by which the store has
 	// removed entries that nobody renews, and routers know it: three for the expiry, three more
-	// if an interruption just before had restarted it, and the time of an interruption too
-	// short to notice.
+	// if an interruption of the store just before had restarted the expiry time, and the time of
+	// an interruption too short to notice.
 	expiryHeartbeats = 8
 )
 
@@ -85,8 +85,8 @@
 	delete(d.suspect, name)
 }
 
-// checkWritten handles an entry that its server wrote. The incarnation that it replaces has
-// ended.
+// checkWritten handles an entry that its server wrote, as opposed to one that a restore brought
+// back. The incarnation that it replaces has ended.
 func (d *departures) checkWritten(name string, known, received *balance.Entry) {
 	if known != nil && known.Incarnation() != received.Incarnation() {
 		d.removed(name, known)
--- a/directory/encoding.go
+++ b/directory/encoding.go
@@ -65,9 +65,9 @@
 	return wire.batch(), nil
 }
 
-// delimited accepts messages as large as a whole copy, because a configuration is a single
+// delimitedOptions accept messages as large as a whole copy, because a configuration is a single
 // object.
-var delimited = protodelim.UnmarshalOptions{
+var delimitedOptions = protodelim.UnmarshalOptions{
 	MaxSize: maxCopyBytes,
 }
 
@@ -77,7 +77,7 @@
 
 func decodeProtobuf(r protodelim.Reader) (slipwick.FeedBatch, error) {
 	var head directorypb.Batch
-	if err := delimited.UnmarshalFrom(r, &head); err != nil {
+	if err := delimitedOptions.UnmarshalFrom(r, &head); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
 	batch := slipwick.FeedBatch{
@@ -89,7 +89,7 @@
 	}
 	for range head.GetEntries() {
 		var entry directorypb.Entry
-		if err := delimited.UnmarshalFrom(r, &entry); err != nil {
+		if err := delimitedOptions.UnmarshalFrom(r, &entry); err != nil {
 			return slipwick.FeedBatch{}, err
 		}
 		batch.Entries = append(batch.Entries, slipwick.FeedEntry{
--- a/directory/evacuations.go
+++ b/directory/evacuations.go
@@ -15,41 +15,43 @@
 	// OnChange receives each new list, sorted. Calls do not overlap, and must not call back
 	// into the list.
 	OnChange func([]string)
-	// EvacuationTime is the time in which routers have to follow an evacuation.
+	// EvacuationTime is the time in which routers have to follow the start or the end of an
+	// evacuation.
 	EvacuationTime time.Duration
 
 	mu sync.Mutex
 	// listed has the data centres that the store lists, retained those that a restored store
 	// lacked, both by the name of their object.
 	listed, retained map[string]string
-	graceUntil       time.Time
-	graceTimer       *time.Timer
+	// graceUntil is until when evacuations that disappear from the store are retained;
+	// graceTimer ends that.
+	graceUntil time.Time
+	graceTimer *time.Timer
 }
 
 // NewEvacuations returns an empty list that reports its changes to onChange.
-func NewEvacuations(within time.Duration, onChange func([]string)) *Evacuations {
+func NewEvacuations(evacuationTime time.Duration, onChange func([]string)) *Evacuations {
 	return &Evacuations{
 		OnChange:       onChange,
-		EvacuationTime: within,
+		EvacuationTime: evacuationTime,
 		listed:         make(map[string]string),
 		retained:       make(map[string]string),
 	}
 }
 
-// StoreRestored starts a grace period after the store was restored from a backup; steady is how long
-// ago the fleet noticed the restore. An evacuation that the backup lacks may not have been
-// ended but be about to be written again, so it stays in force for the time in which routers
-// have to follow its end. To send no requests to a data centre for that long costs less than to
-// send some to one that has to be empty.
-func (e *Evacuations) StoreRestored(steady time.Duration) {
+// StoreRestored starts a grace period after the store was restored from a backup; stableFor is how
+// long ago the fleet noticed the restore. An evacuation that the backup lacks may not have been
+// ended but be about to be written again, so it stays in force for EvacuationTime. To send no
+// requests to a data centre for that long costs less than to send some to one that has to be empty.
+func (e *Evacuations) StoreRestored(stableFor time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	within := e.EvacuationTime - steady
-	e.graceUntil = clock.Now().Add(within)
+	period := e.EvacuationTime - stableFor
+	e.graceUntil = clock.Now().Add(period)
 	if e.graceTimer != nil {
 		e.graceTimer.Stop()
 	}
-	e.graceTimer = time.AfterFunc(within, e.dropRetained)
+	e.graceTimer = time.AfterFunc(period, e.dropRetained)
 }
 
 func (e *Evacuations) dropRetained() {
--- a/directory/evacuations_test.go
+++ b/directory/evacuations_test.go
@@ -20,12 +20,12 @@
 			defer mu.Unlock()
 			list = now
 		})
-		put := func(name string, gone bool) {
+		put := func(name string, removed bool) {
 			e.Apply([]Change[string]{
 				{
 					Name:    name,
 					Value:   "dc-" + name,
-					Removed: gone,
+					Removed: removed,
 				},
 			})
 		}
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -104,11 +104,13 @@
 
 // fakePeers provides other routers whose copies are fakes.
 type fakePeers struct {
-	watches bool
-	relays  map[string]*fakeFeed
-	order   []string
-	// turn is the turn of this router at the store.
-	turn int
+	// isWatcher makes the router follow the store. relayIDs are the routers that it follows
+	// otherwise, in order, and all others that it knows.
+	isWatcher bool
+	relays    map[string]*fakeFeed
+	relayIDs  []string
+	// takeoverTurn is the router's turn to ask the store in place of the watchers.
+	takeoverTurn int
 }
 
 func (p *fakePeers) FleetKnown() <-chan struct{} {
@@ -119,13 +121,13 @@
 
 func (p *fakePeers) RelayPosition() fleet.RelayPosition {
 	return fleet.RelayPosition{
-		IsWatcher:    p.watches,
-		Relays:       p.order,
-		TakeoverTurn: p.turn,
+		IsWatcher:    p.isWatcher,
+		Relays:       p.relayIDs,
+		TakeoverTurn: p.takeoverTurn,
 	}
 }
 
-func (p *fakePeers) Others() []string { return p.order }
+func (p *fakePeers) Others() []string { return p.relayIDs }
 
 func (p *fakePeers) Relay(id, _ string) slipwick.Feed { return p.relays[id] }
 
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestFleetStartsAndRestsWithFewCalls counts the calls to the store of fleets that start at once,
+// TestFleetStartsAndIdlesWithFewCalls counts the calls to the store of fleets that start at once,
 // and of idle ones. They must not grow with the fleet.
-func TestFleetStartsAndRestsWithFewCalls(t *testing.T) {
+func TestFleetStartsAndIdlesWithFewCalls(t *testing.T) {
 	for _, size := range []int{1, 8, 62, 295} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSimFleet(size)
@@ -32,7 +32,8 @@
 }
 
 // TestChangesReachTheFleetThoughRoutersFail has the store change while some routers of the relay
-// tree are unresponsive or cut off from the store. All others have to know the change in time.
+// tree are unresponsive or cut off from the store. All others have to know the change within the
+// propagation time.
 func TestChangesReachTheFleetThoughRoutersFail(t *testing.T) {
 	for name, fail := range map[string]func(f *simFleet){
 		"none": func(*simFleet) {},
@@ -70,7 +71,7 @@
 					fail(f)
 					time.Sleep(time.Duration(seed%2) * 50 * time.Millisecond)
 					f.setValue("1")
-					time.Sleep(fleetWithin - 100*time.Millisecond)
+					time.Sleep(fleetPropagationTime - 100*time.Millisecond)
 					if got := f.countLagging("1"); got > 0 {
 						t.Errorf("%d routers, %s, seed %d: got %d without the change in time, want none", size, name, seed, got)
 					}
@@ -111,14 +112,14 @@
 		f.calls.Store(0)
 		time.Sleep(time.Second)
 		f.setValue("2")
-		time.Sleep(fleetWithin)
+		time.Sleep(fleetPropagationTime)
 		if got := f.countLagging("2"); got > 0 {
 			t.Errorf("watchers refused: got %d routers without the change in time, want none", got)
 		}
 		for i := range 5 {
 			value := strings.Repeat("3", i+1)
 			f.setValue(value)
-			time.Sleep(fleetWithin)
+			time.Sleep(fleetPropagationTime)
 			if got := f.countLagging(value); got > 0 {
 				t.Errorf("watchers refused, change %d: got %d routers without it in time, want none", i, got)
 			}
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -19,7 +19,7 @@
 	maxBackoff = 500 * time.Millisecond
 	// maxUrgentBackoff is the upper bound instead of maxBackoff while the latest answer, or the
 	// start, is less than Timing.ListTimeout ago: a router that starts serves no requests without a
-	// copy, and one that has just lost its source can still learn of changes in time.
+	// copy, and one whose feed has only just failed can still learn of changes in time.
 	maxUrgentBackoff = 200 * time.Millisecond
 )
 
@@ -64,13 +64,13 @@
 	OnAnswer func(*slipwick.FeedBatch)
 
 	// position is the store's position of the latest answer. answeredAt is when the latest
-	// current answer arrived. listed is true if the latest answer was current, so that a watch
-	// may follow; watched is true if that answer came from a watch, and at the start. backoff
-	// is the pause after the next failure.
-	position        slipwick.Position
-	answeredAt      time.Time
-	listed, watched bool
-	backoff         time.Duration
+	// current answer arrived. canWatch is true if the latest answer was current, so that the
+	// next call may be a watch. watchSucceeded is true at the start and if the latest answer
+	// came from a watch; a lost history clears it. backoff is the pause after the next failure.
+	position                 slipwick.Position
+	answeredAt               time.Time
+	canWatch, watchSucceeded bool
+	backoff                  time.Duration
 	// latest has the decoded objects by name, if IsOutdated orders them. decoded has the objects
 	// that were decoded for the comparison within the current batch.
 	latest  map[string]T
@@ -106,7 +106,7 @@
 func (f *Follower[T]) Run(ctx context.Context) {
 	defer close(f.done)
 	f.Timing = f.Timing.orDefault()
-	f.watched, f.backoff, f.answeredAt = true, minBackoff, clock.Now()
+	f.watchSucceeded, f.backoff, f.answeredAt = true, minBackoff, clock.Now()
 	for {
 		batch, err := f.callFeed(ctx)
 		if ctx.Err() != nil {
@@ -130,9 +130,9 @@
 func (f *Follower[T]) handleFailure(ctx context.Context, err error) {
 	f.OnError(err)
 	f.Mirror.MarkUnconfirmed()
-	f.listed = false
-	if slipwick.IsKind(err, slipwick.KindHistoryLost) && f.watched {
-		f.watched = false
+	f.canWatch = false
+	if slipwick.IsKind(err, slipwick.KindHistoryLost) && f.watchSucceeded {
+		f.watchSucceeded = false
 		return
 	}
 	f.waitBackoff(ctx)
@@ -154,10 +154,10 @@
 	if len(changes) > 0 || isRestored || f.position.Revision == 0 {
 		f.OnChange(changes)
 	}
-	if f.watched = f.listed; f.watched {
+	if f.watchSucceeded = f.canWatch; f.watchSucceeded {
 		f.backoff = minBackoff
 	}
-	f.position, f.listed = batch.Position(), isCurrent
+	f.position, f.canWatch = batch.Position(), isCurrent
 	switch {
 	case !isCurrent:
 		// A stale copy of another router means that the store does not answer; it must not be
@@ -185,7 +185,7 @@
 func (f *Follower[T]) callFeed(ctx context.Context) (batch slipwick.FeedBatch, err error) {
 	clock.DetectSuspension()
 	suspendedBefore := clock.Suspended()
-	if f.listed {
+	if f.canWatch {
 		batch, err = f.Feed.Watch(ctx, f.position, f.Timing.WatchWait)
 	} else {
 		batch, err = f.Feed.List(ctx)
@@ -238,6 +238,8 @@
 	return f.Decode(e.Name, e.Value)
 }
 
+// decodeChanges returns the entries as changes, and reports with OnInvalid whether each could be
+// decoded.
 func (f *Follower[T]) decodeChanges(entries []slipwick.FeedEntry) []Change[T] {
 	defer clear(f.decoded)
 	changes := make([]Change[T], 0, len(entries))
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -130,11 +130,11 @@
 			FeedName: "backends",
 			Store:    store,
 			Peers: &fakePeers{
-				watches: true,
+				isWatcher: true,
 				relays: map[string]*fakeFeed{
 					"other": other,
 				},
-				order: []string{"other"},
+				relayIDs: []string{"other"},
 			},
 		}
 		var answers atomic.Int64
@@ -180,7 +180,7 @@
 			state, stop := follow(t, &SharedFeed{
 				Store: store,
 				Peers: &fakePeers{
-					watches: true,
+					isWatcher: true,
 				},
 			})
 			defer stop()
@@ -203,7 +203,7 @@
 		state, stop := follow(t, &SharedFeed{
 			Store: store,
 			Peers: &fakePeers{
-				watches: true,
+				isWatcher: true,
 			},
 		})
 		defer stop()
@@ -271,12 +271,14 @@
 	})
 }
 
-// forgetfulFeed is a store that loses its history right after each list.
-type forgetfulFeed struct {
+// historyLosingFeed is a store that loses its history right after each list.
+type historyLosingFeed struct {
 	*fakeFeed
 }
 
-func (f *forgetfulFeed) Watch(ctx context.Context, _ slipwick.Position, _ time.Duration) (slipwick.FeedBatch, error) {
+func (f *historyLosingFeed) Watch(
+	ctx context.Context, _ slipwick.Position, _ time.Duration,
+) (slipwick.FeedBatch, error) {
 	return f.query(ctx, func() (slipwick.FeedBatch, error) { return slipwick.FeedBatch{}, timelineChangedError() })
 }
 
@@ -288,7 +290,7 @@
 func TestFollowerBacksOffWhenHistoryIsLostRepeatedly(t *testing.T) {
 	const period = 5 * time.Second
 	synctest.Test(t, func(t *testing.T) {
-		store := &forgetfulFeed{newFakeFeed(batch(1, true, "a1"))}
+		store := &historyLosingFeed{newFakeFeed(batch(1, true, "a1"))}
 		store.delay = responseTime
 		ctx, cancel := context.WithCancel(t.Context())
 		go keepConfirmed(ctx, store.fakeFeed)
--- a/directory/invalid_test.go
+++ b/directory/invalid_test.go
@@ -16,9 +16,9 @@
 
 // serverBatch returns a batch of entries of backend servers, each given as name=value. The value
 // "invalid" cannot be decoded.
-func serverBatch(revision uint64, whole bool, values ...string) *slipwick.FeedBatch {
+func serverBatch(revision uint64, isSnapshot bool, values ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
-		IsSnapshot: whole,
+		IsSnapshot: isSnapshot,
 		Revision:   revision,
 	}
 	for _, text := range values {
--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -54,9 +54,9 @@
 				}
 			}
 			stop := f.start(t)
-			time.Sleep(2*fleetWithin + time.Second)
+			time.Sleep(2*fleetPropagationTime + time.Second)
 			if got := f.countLagging("0"); got > 0 {
-				t.Errorf("%s: got %d without a copy 1 s after twice the time allowed, want none", name, got)
+				t.Errorf("%s: got %d without a copy 1 s after twice the propagation time, want none", name, got)
 			}
 			stop()
 		})
@@ -89,7 +89,7 @@
 
 // TestChangeIsKnownInHalfOfTheTimeThoughAThirdIsCutOff has the store refuse a third of the
 // routers, with or without watchers among them, and then change, as when keys are revoked. The
-// change has to be in force everywhere in half of the time allowed, because revoked keys have to
+// change has to be in force everywhere in half of the propagation time, because revoked keys have to
 // stop working.
 func TestChangeIsKnownInHalfOfTheTimeThoughAThirdIsCutOff(t *testing.T) {
 	for _, size := range []int{62, 125, 250} {
@@ -105,9 +105,10 @@
 				}
 				time.Sleep(time.Duration(seed) * 500 * time.Millisecond)
 				f.setValue("1")
-				time.Sleep(fleetWithin / 2)
+				time.Sleep(fleetPropagationTime / 2)
 				if got := f.countLagging("1"); got > 0 {
-					t.Errorf("%d routers, seed %d: got %d without the change in half of the time, want none", size, seed, got)
+					t.Errorf("%d routers, seed %d: got %d without the change in half of the propagation time, want none",
+						size, seed, got)
 				}
 				stop()
 			})
@@ -117,7 +118,7 @@
 
 // TestRestartedHalfOfFleetListsFromOthers has more than half of the routers, with or without
 // watchers among them, lose power and start again at once. They get their lists from the routers
-// that kept running, within a part of the time allowed for it.
+// that kept running, within a part of the propagation time.
 func TestRestartedHalfOfFleetListsFromOthers(t *testing.T) {
 	const pages = 50
 	for _, size := range []int{62, 125, 250} {
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -28,18 +28,19 @@
 	// discardedThrough have been discarded.
 	position         slipwick.Position
 	discardedThrough uint64
-	// confirmedAt is when the store was last known to be in this state. failing is true if the
-	// latest call did not confirm it.
+	// confirmedAt is when the store was last known to be in this state. unconfirmed is true
+	// before the first copy and if the latest call did not confirm it.
 	confirmedAt time.Time
-	failing     bool
-	// steadySince is the time since which the store has been known, to this router or one on
+	unconfirmed bool
+	// stableSince is the time since which the store has been known, to this router or one on
 	// the way, to answer without an outage or a restore from a backup.
-	steadySince time.Time
+	stableSince time.Time
 	// hops is the number of routers between the store and this copy.
 	hops int
-	// loadingUntil is the time until which a first list counts as under way.
+	// loadingUntil is the time until which this router's first list counts as under way, as
+	// SetLoading set it.
 	loadingUntil time.Time
-	// changed is closed at the next change of any field above.
+	// changed is closed, and replaced, when a batch is applied or the copy becomes unconfirmed.
 	changed chan struct{}
 }
 
@@ -48,13 +49,13 @@
 // NewMirror returns an empty mirror, which is not current.
 func NewMirror() *Mirror {
 	return &Mirror{
-		entries: make(map[string][]byte),
-		failing: true,
-		changed: make(chan struct{}),
+		entries:     make(map[string][]byte),
+		unconfirmed: true,
+		changed:     make(chan struct{}),
 	}
 }
 
-// Apply applies a batch and returns the entries that changed the copy. A whole batch also
+// Apply applies a batch and returns the entries that changed the copy. A snapshot also
 // removes the objects that it lacks; their removals are among the returned entries.
 func (m *Mirror) Apply(batch *slipwick.FeedBatch) []slipwick.FeedEntry {
 	m.mu.Lock()
@@ -73,8 +74,8 @@
 			differing = append(differing, e)
 		}
 	}
-	if isNewTimeline || m.failing {
-		m.steadySince = clock.Now().Add(-batch.StableFor)
+	if isNewTimeline || m.unconfirmed {
+		m.stableSince = clock.Now().Add(-batch.StableFor)
 	}
 	switch {
 	case isNewTimeline || m.position.IsZero():
@@ -86,7 +87,7 @@
 		m.position = batch.Position()
 	}
 	m.confirmedAt, m.hops = clock.Now().Add(-batch.Age), batch.Hops
-	m.failing = false
+	m.unconfirmed = false
 	m.notifyLocked()
 	return differing
 }
@@ -113,7 +114,7 @@
 	return value, ok
 }
 
-// removeMissingLocked removes the objects that a whole batch lacks and returns the removals.
+// removeMissingLocked removes the objects that a snapshot lacks and returns the removals.
 func (m *Mirror) removeMissingLocked(batch *slipwick.FeedBatch) []slipwick.FeedEntry {
 	present := make(map[string]bool, len(batch.Entries))
 	for _, e := range batch.Entries {
@@ -135,7 +136,9 @@
 	return removals
 }
 
-func (m *Mirror) applyLocked(e slipwick.FeedEntry, revision uint64, whole bool) (differs bool) {
+// applyLocked applies one entry of a batch and records it as a change if a follower may need it. It
+// reports whether the copy differs from before.
+func (m *Mirror) applyLocked(e slipwick.FeedEntry, revision uint64, isSnapshot bool) (differs bool) {
 	known, isKnown := m.entries[e.Name]
 	switch {
 	case e.Removed:
@@ -145,7 +148,7 @@
 		differs = true
 		m.entries[e.Name] = e.Value
 	}
-	if !differs && whole {
+	if !differs && isSnapshot {
 		return false
 	}
 	if m.position.IsZero() {
@@ -170,8 +173,8 @@
 func (m *Mirror) MarkUnconfirmed() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.failing {
-		m.failing = true
+	if !m.unconfirmed {
+		m.unconfirmed = true
 		m.notifyLocked()
 	}
 }
@@ -181,7 +184,7 @@
 	m.changed = make(chan struct{})
 }
 
-// List returns the whole copy, current or not; the batch's age tells. A router that starts
+// List returns the whole copy, current or not, as the batch's age shows. A router that starts
 // during an outage of the store has no better source. Before the first copy it returns a
 // KindNotCurrent error.
 func (m *Mirror) List(context.Context) (slipwick.FeedBatch, error) {
@@ -201,13 +204,14 @@
 	return batch, nil
 }
 
-func (m *Mirror) batchLocked(whole bool) slipwick.FeedBatch {
+// batchLocked returns a batch for the copy's position, without entries.
+func (m *Mirror) batchLocked(isSnapshot bool) slipwick.FeedBatch {
 	return slipwick.FeedBatch{
-		IsSnapshot: whole,
+		IsSnapshot: isSnapshot,
 		Timeline:   m.position.Timeline,
 		Revision:   m.position.Revision,
 		Age:        clock.Since(m.confirmedAt),
-		StableFor:  clock.Since(m.steadySince),
+		StableFor:  clock.Since(m.stableSince),
 		Hops:       m.hops,
 	}
 }
@@ -306,7 +310,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	switch {
-	case m.confirmedAt.IsZero(), m.failing && !acceptStale, isLater(after.Timeline, m.position.Timeline):
+	case m.confirmedAt.IsZero(), m.unconfirmed && !acceptStale, isLater(after.Timeline, m.position.Timeline):
 		return slipwick.FeedBatch{}, nil, notCurrentError()
 	case isLater(m.position.Timeline, after.Timeline):
 		return slipwick.FeedBatch{}, nil, timelineChangedError()
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -12,9 +12,9 @@
 
 // batch returns a batch whose entries are given as a name of one letter and the value. A name
 // without a value is a removal.
-func batch(revision uint64, whole bool, entries ...string) *slipwick.FeedBatch {
+func batch(revision uint64, isSnapshot bool, entries ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
-		IsSnapshot: whole,
+		IsSnapshot: isSnapshot,
 		Revision:   revision,
 	}
 	for _, text := range entries {
--- a/directory/mirrorchanges.go
+++ b/directory/mirrorchanges.go
@@ -6,7 +6,7 @@
 )
 
 // A mirror keeps the latest minChangesKept changes, or changesPerObject for each object if that
-// is more: when a part of a large pool disappears at once, followers still get the difference
+// is more: when many servers of a large pool disappear at once, followers still get the difference
 // instead of a whole list.
 const (
 	minChangesKept   = 2048
@@ -19,11 +19,12 @@
 	revision uint64
 }
 
-// gap is a range of revisions in which this copy missed changes, and which was closed by a list
-// here or at the router that sent the difference. A list shows the final state only: an object
-// may have been removed and written again with the same value in between. A follower whose
-// revision lies strictly inside a gap may have seen such an object as removed and would not get
-// it again, so it has to list. One at the first revision misses nothing.
+// gap is a range of revisions in which this copy may have missed changes, because this router, or
+// the one that sent it the difference, went from the first to the last by a list. A list shows the
+// final state only: an object may have been removed and written again with the same value in
+// between. A follower whose revision lies strictly inside a gap may have seen such an object as
+// removed and would not get it again, so it has to list. A follower at the first revision of the
+// gap has not seen the removal and misses nothing.
 type gap struct {
 	from, to uint64
 }
@@ -55,6 +56,7 @@
 	return sort.Search(len(m.changes), func(i int) bool { return m.changes[i].revision > revision })
 }
 
+// isInGapLocked reports whether a revision lies strictly inside a gap.
 func (m *Mirror) isInGapLocked(revision uint64) bool {
 	return slices.ContainsFunc(m.gaps, func(g gap) bool { return g.from < revision && revision < g.to })
 }
--- a/directory/model_test.go
+++ b/directory/model_test.go
@@ -18,8 +18,8 @@
 	// Duration is how long the event lasts, BackupAge the age of the backup that the store is
 	// restored from, Delay the pause before the event.
 	Duration, BackupAge, Delay time.Duration
-	// Expires has entries expire that are not renewed during the event; else their time starts
-	// again at its end.
+	// Expires has entries expire that are not renewed during the event; else their expiry time
+	// starts again at its end.
 	Expires bool
 }
 
@@ -47,7 +47,7 @@
 	return e
 }
 
-// apply waits for the delay and plays the event.
+// apply waits for the delay and runs the event.
 func (e *event) apply(h *history) {
 	time.Sleep(e.Delay)
 	routers := h.fleet.all()
@@ -92,7 +92,7 @@
 	}
 }
 
-// runHistory plays a history and returns the violations of the promises, and the maximum number of
+// runHistory runs a history and returns the violations of the guarantees, and the maximum number of
 // calls to the store in a second.
 func runHistory(t *testing.T, routers int, events []event) (violations []string, maxCalls int) {
 	synctest.Test(t, func(t *testing.T) {
@@ -113,11 +113,11 @@
 				maxCalls = max(maxCalls, h.fleet.store.callsInLastSecond())
 			}
 		}()
-		time.Sleep(2 * modelWithin)
+		time.Sleep(2 * modelPropagationTime)
 		for i := range events {
 			events[i].apply(h)
 		}
-		time.Sleep(expiryHeartbeats*modelHeartbeat + 3*modelWithin)
+		time.Sleep(expiryHeartbeats*modelHeartbeat + 3*modelPropagationTime)
 		close(ended)
 		<-done
 		violations = h.violations
@@ -125,15 +125,15 @@
 	return violations, maxCalls
 }
 
-// TestPromisesHoldInRandomHistories plays random histories of servers and an operator that write
+// TestGuaranteesHoldInRandomHistories runs random histories of servers and an operator that write
 // to a store, while it does all that its documentation allows: it is down, does not answer, is
 // slow, loses its history, refuses some routers, and is restored from backups, also several times
-// in a row. The promises are: whenever the store has been available for the time allowed, no new
-// request goes to a server later than that time after the store acknowledged that the server
-// leaves or has gone; the newest configuration is in force in time; a router sends nothing more to
-// a server that it knew to have left; a live server is in use; and the number of reads stays
-// within the limit of the store.
-func TestPromisesHoldInRandomHistories(t *testing.T) {
+// in a row. The guarantees are: whenever the store has been available for modelPropagationTime, no
+// new request goes to a server later than that time after the store acknowledged that the server
+// leaves or has gone; the newest configuration is in force within that time; a router sends nothing
+// more to a server that it knew to have left; a live server is in use; and the number of reads
+// stays within the limit of the store.
+func TestGuaranteesHoldInRandomHistories(t *testing.T) {
 	// maxReads is the reads per second that the platform's stores allow for all routers of a small
 	// fleet.
 	const maxReads = 2000
@@ -155,8 +155,8 @@
 }
 
 // TestEntryStaysSuspectThroughInterruption has a server leave unannounced and the store restored
-// from a backup that lists it. Just before the store removes the entry that nobody renews, it does
-// not answer once more, too briefly to be noticed, and may restart the expiry time.
+// from a backup that lists it. Just before the store removes the entry that nobody renews, the store
+// stops answering once more, too briefly to be noticed, and may restart the expiry time.
 //
 // One of 3,088 random histories of the model found the failure that it guards against: all routers
 // sent to the server once more in the moment between the end of the suspicion and the removal of
@@ -212,7 +212,7 @@
 	}
 }
 
-// TestLiveServerIsInUseAfterTwoRestores plays a history in which one router of ten sent nothing to
+// TestLiveServerIsInUseAfterTwoRestores runs a history in which one router of ten sent nothing to
 // a live server 14.2 s after the store was restored.
 func TestLiveServerIsInUseAfterTwoRestores(t *testing.T) {
 	const ms = time.Millisecond
@@ -269,7 +269,7 @@
 	}
 }
 
-// TestLiveServerIsInUseAfterRestoreAndOutage plays a history in which two routers of eleven sent
+// TestLiveServerIsInUseAfterRestoreAndOutage runs a history in which two routers of eleven sent
 // nothing to live servers 11.7 s after the store listed them, with 11.6 s allowed. Their entries
 // had expired during an outage. A router that got the difference from before the outage did not
 // pass it on to routers that knew of the expiry.
--- a/directory/modelcut_test.go
+++ b/directory/modelcut_test.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// TestLiveServersAreInUseThoughRoutersAreCutAfterTheReturn plays a history in which all routers
-// sent nothing to live servers 11.7 s after the store listed them for good. All entries expired in
-// an outage, so every server counts as departed. The store is then restored from a backup that
-// lists all of them. What the servers write again changes nothing, so that no event shows that
-// they are alive, and their entries are suspect for eight heartbeats. Meanwhile half of the
-// routers are cut off from the store, the watchers among them: no router can tell that the store did
-// not stop during that time, and the eight heartbeats start again.
-func TestLiveServersAreInUseThoughRoutersAreCutAfterTheReturn(t *testing.T) {
+// TestLiveServersAreInUseThoughRoutersAreCutOffAfterRestore runs a history in which all routers
+// sent nothing to live servers 11.7 s after the store had last begun to list them. All entries
+// expire in an outage, so every server counts as departed. The store is then restored from a backup
+// that lists all of them. What the servers write again changes nothing, so that no event shows that
+// they are alive, and their entries are suspect for eight heartbeats. Meanwhile half of the routers
+// are cut off from the store, the watchers among them: no router can tell that the store did not
+// stop during that time, and the eight heartbeats start again.
+func TestLiveServersAreInUseThoughRoutersAreCutOffAfterRestore(t *testing.T) {
 	const ms = time.Millisecond
 	for round := range 5 {
 		violations, _ := runHistory(t, 10, []event{
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -22,9 +22,9 @@
 	// configurations.
 	modelBackends = "backends"
 	modelTables   = "tables"
-	// modelWithin is the time after which a leaving server gets no new requests, and in which a
-	// new configuration has to be in force.
-	modelWithin = 2 * time.Second
+	// modelPropagationTime is the time after which a leaving server gets no new requests, and in
+	// which a new configuration has to be in force.
+	modelPropagationTime = 2 * time.Second
 )
 
 // modelFleet has routers that follow a modelStore, and each other through the HTTP handlers and
@@ -88,7 +88,7 @@
 	}
 	close(r.fleetKnown)
 	r.backends = NewBackends(r.applyBackends)
-	r.backends.LeaveTime = modelWithin
+	r.backends.LeaveTime = modelPropagationTime
 	r.createFollowers()
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -140,11 +140,11 @@
 func decodeModelServer(name string, value []byte) (balance.Entry, error) {
 	state, incarnation, _ := strings.Cut(string(value), "@")
 	// The first incarnation has no number.
-	born, _ := strconv.ParseInt(incarnation, 10, 64)
+	startTime, _ := strconv.ParseInt(incarnation, 10, 64)
 	return balance.Entry{
 		Backend: slipwick.Backend{
 			ID:        name,
-			StartTime: born,
+			StartTime: startTime,
 		},
 		Leaving: state == "leaving",
 	}, nil
@@ -167,7 +167,7 @@
 
 // newModelFollower returns the follower of one kind of object.
 func newModelFollower[T any](r *modelRouter, kind string, decode func(string, []byte) (T, error)) *Follower[T] {
-	timing := TimingWithin(modelWithin)
+	timing := TimingWithin(modelPropagationTime)
 	mirror := NewMirror()
 	r.relayServer.Mirrors[kind] = mirror
 	follower := NewFollower[T](&SharedFeed{
--- a/directory/modelhistory_test.go
+++ b/directory/modelhistory_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// modelSettleTime is the time without a disturbance after which the promises apply to what the
+// modelSettleTime is the time without a disturbance after which the guarantees apply to what the
 // store acknowledges. Before that, expired entries may stay in use.
 const modelSettleTime = 3 * time.Second
 
@@ -31,7 +31,7 @@
 	droppedBy map[string]bool
 }
 
-// history plays the events of a store, its servers and its operator, and checks the promises
+// history runs the events of a store, its servers and its operator, and checks the guarantees
 // meanwhile.
 type history struct {
 	fleet *modelFleet
@@ -44,7 +44,7 @@
 	versionAt time.Time
 	// disturbedAt is when the store was last disturbed.
 	disturbedAt time.Time
-	// violations describes the broken promises.
+	// violations describes the violated guarantees.
 	violations []string
 }
 
@@ -90,8 +90,8 @@
 
 // recordDepartureLocked records that the store acknowledged the incarnation's departure.
 func (h *history) recordDepartureLocked(s *modelServer) {
-	for _, l := range h.departures {
-		if l.id == s.id && l.incarnation == s.incarnation {
+	for _, d := range h.departures {
+		if d.id == s.id && d.incarnation == s.incarnation {
 			return
 		}
 	}
@@ -146,7 +146,7 @@
 // writeInterval is the time between two rounds of writes and checks.
 const writeInterval = modelHeartbeat / 12
 
-// runWriters plays one round of what happens without events: servers renew their entries, the
+// runWriters runs one round of what happens without events: servers renew their entries, the
 // store removes expired ones, and the operator writes the newest version again.
 func (h *history) runWriters(step int) {
 	h.mu.Lock()
@@ -207,7 +207,7 @@
 	}
 }
 
-// check compares what the routers would do with the promises.
+// check compares what the routers would do with the guarantees.
 func (h *history) check() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -215,14 +215,14 @@
 	for _, r := range h.fleet.all() {
 		undisturbed := min(now.Sub(h.disturbedAt), now.Sub(r.started))
 		h.checkDeparturesLocked(r, now, undisturbed)
-		isDue := undisturbed > modelSettleTime && now.Sub(h.versionAt) > modelWithin
+		isDue := undisturbed > modelSettleTime && now.Sub(h.versionAt) > modelPropagationTime
 		if got, want := r.version(), modelVersion(h.version); isDue && got != want {
 			h.addViolationLocked("%s has version %s in force %v after %s was stored", r.self.ID, got, now.Sub(h.versionAt), want)
 		}
 		for _, s := range h.servers {
 			// An entry of a backup is suspect for a while if its server had left before the
 			// restore.
-			trustedAfter := expiryHeartbeats*modelHeartbeat + modelWithin
+			trustedAfter := expiryHeartbeats*modelHeartbeat + modelPropagationTime
 			listed := now.Sub(s.listedSince)
 			if !s.listedSince.IsZero() && min(listed, undisturbed) > trustedAfter && !r.wouldSendTo(s.id, s.incarnation) {
 				h.addViolationLocked("%s sends nothing to %s, which the store has listed for %v", r.self.ID, s.id, listed)
@@ -233,27 +233,27 @@
 
 // checkDeparturesLocked checks that a router does not send to departed incarnations.
 func (h *history) checkDeparturesLocked(r *modelRouter, now time.Time, undisturbed time.Duration) {
-	for _, l := range h.departures {
+	for _, d := range h.departures {
 		// A router that started since cannot know an incarnation that a backup lists again.
-		if !r.started.Before(l.at) {
+		if !r.started.Before(d.at) {
 			continue
 		}
-		if !r.wouldSendTo(l.id, l.incarnation) {
-			l.droppedBy[r.self.ID] = true
+		if !r.wouldSendTo(d.id, d.incarnation) {
+			d.droppedBy[r.self.ID] = true
 			continue
 		}
-		if l.droppedBy[r.self.ID] {
+		if d.droppedBy[r.self.ID] {
 			h.addViolationLocked("%s sends again to incarnation %d of %s, which it knew to have left",
-				r.self.ID, l.incarnation, l.id)
+				r.self.ID, d.incarnation, d.id)
 		}
-		if now.Sub(l.at) > modelWithin && undisturbed > modelSettleTime+modelWithin {
+		if now.Sub(d.at) > modelPropagationTime && undisturbed > modelSettleTime+modelPropagationTime {
 			h.addViolationLocked("%s sends to incarnation %d of %s %v after it left",
-				r.self.ID, l.incarnation, l.id, now.Sub(l.at))
+				r.self.ID, d.incarnation, d.id, now.Sub(d.at))
 		}
 	}
 }
 
-// addViolationLocked records a broken promise, up to five different ones.
+// addViolationLocked records a violated guarantee, up to five different ones.
 func (h *history) addViolationLocked(format string, args ...any) {
 	violation := fmt.Sprintf(format, args...)
 	if len(h.violations) < 5 && !slices.Contains(h.violations, violation) {
--- a/directory/modelstore_test.go
+++ b/directory/modelstore_test.go
@@ -32,7 +32,7 @@
 // modelWrite is one write or removal of an object.
 type modelWrite struct {
 	kind, name, value string
-	gone              bool
+	removed           bool
 	revision          uint64
 	at                time.Time
 }
@@ -76,9 +76,9 @@
 		return false
 	}
 	s.writeLocked(modelWrite{
-		kind: modelBackends,
-		name: id,
-		gone: true,
+		kind:    modelBackends,
+		name:    id,
+		removed: true,
 	})
 	return true
 }
@@ -139,7 +139,7 @@
 	for _, w := range s.writes {
 		switch {
 		case w.kind != kind:
-		case w.gone:
+		case w.removed:
 			delete(state, w.name)
 		default:
 			state[w.name] = w
@@ -253,7 +253,7 @@
 		if w.kind == f.kind && w.revision > after {
 			batch.Entries = append(batch.Entries, slipwick.FeedEntry{
 				Name:    w.name,
-				Removed: w.gone,
+				Removed: w.removed,
 				Value:   []byte(w.value),
 			})
 		}
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -17,20 +17,20 @@
 // peerAnswer is the answer of one or several other routers.
 type peerAnswer struct {
 	batch slipwick.FeedBatch
-	// any is true if there is a copy at all, isCurrent if it is a current one, answered if any
+	// any is true if there is a copy at all, isCurrent if it is a current one, answered if a
 	// router answered at all.
 	any, isCurrent, answered bool
 	// loadingFor is how long a first list counts as under way at a router that receives one or
 	// sends its copy to others.
 	loadingFor time.Duration
-	// began is true if the response had begun before it was complete or the call failed.
+	// began is true if a response began, even if the call failed later.
 	began bool
 }
 
-// candidates returns the routers to ask, in order: those that this one follows, in rotation,
+// candidates returns the routers to ask, in order: the relays that this one follows, in rotation,
 // then the reserves, both without those that failed lately unless all did; then some random
-// ones. The preferred ones may all be cut off from the store while others reach it. A router
-// that finds one of these by chance is in turn found by others.
+// ones. The preferred ones may all be cut off from the store while others reach it. A router that
+// gets a current copy from one of the random ones passes it on to those that ask it.
 func (s *SharedFeed) candidates(relayPosition *fleet.RelayPosition) []string {
 	return s.withRandomPeers(s.preferredPeers(relayPosition))
 }
@@ -50,17 +50,18 @@
 	return ids
 }
 
-// preferredPeers returns the routers that this one's position in the relay tree names.
+// preferredPeers returns the relays and reserves that this router's position in the relay tree
+// names, at most maxPreferredPeers.
 func (s *SharedFeed) preferredPeers(relayPosition *fleet.RelayPosition) []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.keepsTurn {
-		s.turn++
+	if !s.keepsRelay {
+		s.relayIndex++
 	}
-	s.keepsTurn = false
+	s.keepsRelay = false
 	var all []string
 	for i := range relayPosition.Relays {
-		all = append(all, relayPosition.Relays[(s.turn+i)%len(relayPosition.Relays)])
+		all = append(all, relayPosition.Relays[(s.relayIndex+i)%len(relayPosition.Relays)])
 	}
 	seen := make(map[string]bool, len(all))
 	for _, id := range all {
@@ -105,7 +106,7 @@
 		id := ids[asked]
 		asked++
 		go func() {
-			f := s.queryPeer(ctx, id, timeout, func() { begins <- struct{}{} }, s.fetchFrom)
+			f := s.queryPeer(ctx, id, timeout, func() { begins <- struct{}{} }, s.fetchFromPeer)
 			answers <- f
 		}()
 	}
@@ -115,13 +116,13 @@
 	defer deadline.Stop()
 	askNext()
 	var best peerAnswer
-	sending, isLate := 0, false
+	receiving, isLate := 0, false
 	for answered := 0; answered < asked; {
 		select {
 		case f := <-answers:
 			answered++
 			if f.began {
-				sending--
+				receiving--
 			}
 			if f.isCurrent {
 				return f
@@ -132,25 +133,25 @@
 				askNext()
 			}
 		case <-begins:
-			sending++
+			receiving++
 			s.noteLoading(storeRetryInterval)
 		case <-hedge.C:
-			if sending <= 0 && !isLate {
+			if receiving <= 0 && !isLate {
 				askNext()
 			}
 		case <-deadline.C:
 			isLate = true
 		}
-		if isLate && sending <= 0 {
+		if isLate && receiving <= 0 {
 			return best
 		}
 	}
 	return best
 }
 
-// fetchFrom reads from another router's feed what differs from the local copy, or all of it if
+// fetchFromPeer reads from another router's feed what differs from the local copy, or all of it if
 // there is none.
-func (s *SharedFeed) fetchFrom(ctx context.Context, feed slipwick.Feed) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) fetchFromPeer(ctx context.Context, feed slipwick.Feed) (slipwick.FeedBatch, error) {
 	if s.Mirror == nil {
 		return feed.List(ctx)
 	}
--- a/directory/reassigned_test.go
+++ b/directory/reassigned_test.go
@@ -14,13 +14,13 @@
 // requests 2.2 to 2.9 s after the store had acknowledged that they were leaving, with 2 s allowed.
 //
 // After a short outage the store was restored from a backup some seconds old and assigned the
-// revisions since then again, while routers compared revisions only. That had three effects. They
-// rejected all its answers as older than what they knew, until its revisions had caught up. They
-// took the entries removed in the meantime for expired in the outage and kept them. A router that
-// learnt from another one got the encoded response of the old state, which had the same revision
-// as the new one. The logs confirmed it: all eight routers rejected answers up to the same moment
-// and dropped the servers 1.90 s later, and the two routers that had not asked the store took a
-// list in which the server was not leaving.
+// revisions since then again, while routers compared revisions only. That had three effects.
+// Routers rejected all its answers as older than what they knew, until its revisions had caught up.
+// Routers took the entries removed in the meantime for expired in the outage and kept them. A
+// router that learnt from another one got the encoded response of the old state, which had the same
+// revision as the new one. The logs confirmed it: all eight routers rejected answers up to the same
+// moment and dropped the servers 1.90 s later, and the two routers that had not asked the store
+// took a list in which the server was not leaving.
 func TestServerLeavingAfterRestoreGetsNothing(t *testing.T) {
 	const (
 		routers = 8
@@ -82,10 +82,10 @@
 					time.Sleep(40 * time.Millisecond)
 					newVersion()
 				}
-				time.Sleep(modelWithin)
+				time.Sleep(modelPropagationTime)
 				for _, r := range f.routers {
 					if r.wouldSend("a") {
-						t.Errorf("%s would send to the leaving server %v after its leave was stored", r.self.ID, modelWithin)
+						t.Errorf("%s would send to the leaving server %v after its leave was stored", r.self.ID, modelPropagationTime)
 					}
 				}
 			})
--- a/directory/relayclient.go
+++ b/directory/relayclient.go
@@ -134,7 +134,8 @@
 	if err != nil {
 		return slipwick.FeedBatch{}, errors.Wrap(err, "missing or invalid header Slipwick-Age-Ms")
 	}
-	// Older routers send no hops; they follow the store or a router that does.
+	// Older routers send no hops. They follow the store or a router that does, so that at most
+	// one router is between the store and their copy.
 	hops, err := strconv.Atoi(response.Header.Get(hopsHeader))
 	if err != nil {
 		hops = 1
@@ -142,13 +143,13 @@
 	if age < 0 || age > maxCopyAge.Milliseconds() || hops < 0 || hops > maxHops {
 		return slipwick.FeedBatch{}, errors.Errorf("implausible copy: age of %d ms, %d hops", age, hops)
 	}
-	// Older routers send no steady time, and no timelines either.
-	steady, err := strconv.ParseInt(response.Header.Get(steadyHeader), 10, 64)
-	if err != nil || steady < 0 || steady > maxCopyAge.Milliseconds() {
-		steady = 0
+	// Older routers send neither this header nor timelines.
+	stableFor, err := strconv.ParseInt(response.Header.Get(steadyHeader), 10, 64)
+	if err != nil || stableFor < 0 || stableFor > maxCopyAge.Milliseconds() {
+		stableFor = 0
 	}
 	batch.Age, batch.Hops = time.Duration(age)*time.Millisecond, hops+1
-	batch.StableFor = time.Duration(steady) * time.Millisecond
+	batch.StableFor = time.Duration(stableFor) * time.Millisecond
 	return batch, nil
 }
 
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -23,14 +23,15 @@
 // same changes, so it is not part of the cached body.
 const ageHeader = "Slipwick-Age-Ms"
 
-// loadingHeader has, in a 429 response, for how many milliseconds a list counts as under way.
+// loadingHeader has, in a 429 response, for how many milliseconds a list counts as under way at
+// the responding router.
 const loadingHeader = "Slipwick-Loading-Ms"
 
 // hopsHeader has the number of routers between the store and the copy.
 const hopsHeader = "Slipwick-Hops"
 
-// steadyHeader has for how many milliseconds the store has been known to answer without an
-// outage or a restore from a backup.
+// steadyHeader has the batch's StableFor: for how many milliseconds the store has been known to
+// answer without an outage or a restore from a backup.
 const steadyHeader = "Slipwick-Steady-Ms"
 
 // RelayServer is an HTTP handler that serves copies of feeds to other routers. Most of them ask
@@ -49,11 +50,11 @@
 // restored store assigns revisions again, and a list of several pages may hold more than its
 // revision says.
 type answerKey struct {
-	encoding string
-	whole    bool
-	skipping bool
-	position slipwick.Position
-	entries  uint64
+	encoding    string
+	isSnapshot  bool
+	isCompacted bool
+	position    slipwick.Position
+	entries     uint64
 }
 
 // maxEncodedAnswers is how many encoded answers are cached: those of the feeds, as lists and as
@@ -67,8 +68,9 @@
 const (
 	largeAnswerBytes = 64 << 10
 	maxLargeSends    = 2
-	// A list of at least largeListObjects counts as large before it is encoded: when a fleet
-	// starts, hundreds of routers ask one router for a list at the same moment and are refused.
+	// A list of at least largeListObjects counts as large before it is encoded, so that a refusal
+	// costs little: when a fleet starts, hundreds of routers ask one router for a list at the
+	// same moment and are refused.
 	largeListObjects = 1024
 )
 
@@ -169,15 +171,15 @@
 	return mirror.AwaitList(ctx, q.wait)
 }
 
-// writeAnswer writes a batch as the response. isReserved is true if the caller holds a send
-// from acquireSend already.
+// writeAnswer writes a batch as the response. isReserved is true if the caller has already
+// called acquireSend.
 func (s *RelayServer) writeAnswer(w http.ResponseWriter, encoding string, batch *slipwick.FeedBatch, isReserved bool) {
 	body, err := s.encodeCached(answerKey{
-		encoding: encoding,
-		whole:    batch.IsSnapshot,
-		skipping: batch.IsCompacted,
-		position: batch.Position(),
-		entries:  hashEntries(batch.Entries),
+		encoding:    encoding,
+		isSnapshot:  batch.IsSnapshot,
+		isCompacted: batch.IsCompacted,
+		position:    batch.Position(),
+		entries:     hashEntries(batch.Entries),
 	}, batch)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
--- a/directory/restored_test.go
+++ b/directory/restored_test.go
@@ -72,10 +72,10 @@
 func TestStoppedServerMissingFromBackupIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestoredFleet(t, func(s *modelStore) { s.put(modelBackends, "d", "ready") })
-		time.Sleep(modelWithin)
+		time.Sleep(modelPropagationTime)
 		if got := f.countSending("d"); got > 0 {
 			t.Errorf("got %d routers that would send to a stopped server %v after the restore, want none",
-				got, modelWithin)
+				got, modelPropagationTime)
 		}
 	})
 }
@@ -104,7 +104,7 @@
 				f := newRestoredFleet(t, tc.leave)
 				time.AfterFunc(tc.repeatAfter, func() { tc.repeat(f.store) })
 				senders := make(map[string]bool)
-				f.pollRouters(tc.repeatAfter+modelWithin, func(r *modelRouter) {
+				f.pollRouters(tc.repeatAfter+modelPropagationTime, func(r *modelRouter) {
 					if r.wouldSend("a") {
 						senders[r.self.ID] = true
 					}
@@ -123,7 +123,7 @@
 // store removes an entry after three missed renewals, restarts that time if it is interrupted, and
 // an interruption is noticed if it is longer than a certain share of a heartbeat.
 func TestServerBackBeforeRestoreIsUsedAgain(t *testing.T) {
-	const within = 2*modelExpiry + time.Duration(outageShare*float64(modelHeartbeat)) + modelWithin
+	const within = 2*modelExpiry + time.Duration(outageShare*float64(modelHeartbeat)) + modelPropagationTime
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestoredFleet(t, func(s *modelStore) { s.removeServer("c") })
 		time.Sleep(within)
@@ -136,8 +136,8 @@
 }
 
 // TestChangeIsKnownSoonAfterShortOutage has the store down for a short time, with or without a
-// restore from a backup. Routers must know the next change within half of the time allowed; the
-// other half is for busy boxes and slow links.
+// restore from a backup. Routers must know the next change within half of the propagation time;
+// the other half is for busy boxes and slow links.
 //
 // It guards against the following failure: routers that followed the store took each other's
 // copies, as old as the outage, as proof that the store still reached the other, and did not ask
@@ -152,21 +152,21 @@
 							f := newModelFleet(routers)
 							f.store.put(modelBackends, "a", "ready")
 							f.start(t)
-							// Watches of the store wait for four tenths of the time allowed; the
+							// Watches of the store wait for four tenths of the propagation time; the
 							// phases cover them.
-							time.Sleep(3*time.Second + time.Duration(phase)*modelWithin/10)
+							time.Sleep(3*time.Second + time.Duration(phase)*modelPropagationTime/10)
 							if isRestored {
 								// The leave is assigned the revision of this lost write, so a
 								// watch after that revision does not return the leave.
 								f.store.put(modelTables, "main", "1")
-								time.Sleep(modelWithin / 2)
+								time.Sleep(modelPropagationTime / 2)
 							}
 							f.interruptStore(outage, isRestored)
 							f.store.put(modelBackends, "a", "leaving")
-							time.Sleep(modelWithin / 2)
+							time.Sleep(modelPropagationTime / 2)
 							if got := f.countSending("a"); got > 0 {
 								t.Errorf("phase %d: got %d routers that do not know the leave %v after the outage, want none",
-									phase, got, modelWithin/2)
+									phase, got, modelPropagationTime/2)
 							}
 						})
 					}
@@ -212,13 +212,13 @@
 			time.Sleep(time.Second)
 			f.store.put(modelTables, "main", version)
 		}
-		time.Sleep(modelWithin)
+		time.Sleep(modelPropagationTime)
 		f.store.setDown(true)
 		time.Sleep(modelShortOutage)
 		f.store.restore(backupTime)
-		time.Sleep(modelWithin)
+		time.Sleep(modelPropagationTime)
 		f.startRouter("late")
-		time.Sleep(modelWithin)
+		time.Sleep(modelPropagationTime)
 		for _, r := range f.routers {
 			if got := r.version(); got != newest {
 				t.Errorf("%s: got version %s in force, want %s", r.self.ID, got, newest)
@@ -232,7 +232,7 @@
 			}
 		}
 		f.store.put(modelTables, "main", "4")
-		time.Sleep(modelWithin)
+		time.Sleep(modelPropagationTime)
 		for _, r := range f.routers {
 			if got, want := r.version(), "4"; got != want {
 				t.Errorf("%s: got version %s after a newer one, want %s", r.self.ID, got, want)
@@ -263,7 +263,7 @@
 		f.store.restore(backupTime)
 		time.AfterFunc(modelRewriteTime, func() { f.store.put(modelBackends, "a", modelEntry("ready", 2)) })
 		senders := make(map[string]bool)
-		f.pollRouters(modelRewriteTime+modelWithin, func(r *modelRouter) {
+		f.pollRouters(modelRewriteTime+modelPropagationTime, func(r *modelRouter) {
 			if r.wouldSendTo("a", 1) {
 				senders[r.self.ID] = true
 			}
--- a/directory/sharedfeed.go
+++ b/directory/sharedfeed.go
@@ -29,8 +29,8 @@
 // SharedFeed is a feed that a few routers of the fleet, the watchers, read from the store. All
 // others read it from the copies of other routers, so that the load on the store does not grow
 // with the fleet. A router whose peers fail asks other ones. It reads from the store in place of
-// the watchers if all peers lack a current copy and its turn has come, or if no peer answers. Set
-// the exported fields before use.
+// the watchers if all peers lack a current copy and its turn has come
+// (fleet.RelayPosition.TakeoverTurn), or if no peer answers. Set the exported fields before use.
 type SharedFeed struct {
 	FeedName string
 	Store    slipwick.Feed
@@ -44,21 +44,22 @@
 	mu sync.Mutex
 	// failedAt is when each peer failed last, by ID.
 	failedAt map[string]time.Time
-	// turn selects the peer to follow in rotation. keepsTurn suppresses its next advance.
-	turn      int
-	keepsTurn bool
-	// startedAt is when this router had discovered the others. confirmedAt is when the store
-	// was last known to be in the state known here. Both are zero before.
+	// relayIndex selects the relay to follow in rotation. keepsRelay suppresses its next advance.
+	relayIndex int
+	keepsRelay bool
+	// startedAt is when the first list had discovered the other routers, or stopped waiting for
+	// them. confirmedAt is when the store was last known to be in the state known here. Both are
+	// zero before.
 	startedAt, confirmedAt time.Time
 	// position is the latest position returned. reusedAt is when a copy of another router that
 	// had nothing new was last returned.
 	position slipwick.Position
 	reusedAt time.Time
 	// acting is true while this router reads from the store in place of the watchers. checkedAt
-	// is when it last checked whether the watchers have a current copy again, triedAt when it
-	// last tried the store in their place.
-	acting             bool
-	checkedAt, triedAt time.Time
+	// is when it last checked whether the watchers have a current copy again, takeoverTriedAt
+	// when it last tried the store in their place.
+	acting                     bool
+	checkedAt, takeoverTriedAt time.Time
 	// avoidStoreUntil is until when a watcher that cannot reach the store follows routers that
 	// can. storeBackoff is the latest such pause when no other router was known to reach the
 	// store either.
@@ -173,9 +174,9 @@
 	return batch, nil
 }
 
-// sinceRestoreLocked returns how long ago at most the store was restored from a backup, if it
-// was: not before it was last confirmed in the known timeline or last failed. It returns 0 if
-// this router has not asked the store for too long to tell.
+// sinceRestoreLocked returns how long ago the store was restored from a backup at most, if it was:
+// the restore is not earlier than the latest confirmation of the known timeline or the latest
+// failed call to the store. It returns 0, for unknown, if both are longer than Timing.MaxAge ago.
 func (s *SharedFeed) sinceRestoreLocked() time.Duration {
 	last := s.confirmedAt
 	if s.storeFailedAt.After(last) {
@@ -210,10 +211,10 @@
 	return s.record(found.batch, nil)
 }
 
-// watchPeers watches the copy of the peer whose turn it is. If that fails, it lists from other
-// routers instead of watching them: time has been lost, and a watch brings every version since
-// the position, which a slow link may not carry in time when versions follow each other
-// quickly. A list has the newest version only.
+// watchPeers watches the copy of the first candidate, usually the next relay in rotation. If that
+// fails, it lists from other routers instead of watching them: time has been lost, and a watch
+// brings every version since the position, which a slow link may not carry in time when versions
+// follow each other quickly. A list has the newest version only.
 func (s *SharedFeed) watchPeers(
 	ctx context.Context, relayPosition *fleet.RelayPosition, after slipwick.Position,
 ) (slipwick.FeedBatch, error) {
@@ -227,7 +228,7 @@
 				return f.Watch(ctx, after, wait)
 			})
 		if watched.isCurrent {
-			s.setKeepsTurn(watched.batch.Age > timing.WatchWait)
+			s.setKeepsRelay(watched.batch.Age > timing.WatchWait)
 			s.avoidIfOthersReachIt(relayPosition, &watched.batch)
 			return s.record(watched.batch, nil)
 		}
@@ -245,13 +246,14 @@
 	return slipwick.FeedBatch{}, notCurrentError()
 }
 
-// setKeepsTurn makes the next call use the same peer again if the peer's copy is overdue. An
-// overdue peer is itself waiting for an unresponsive router and will soon have found another one. The
-// next peer in rotation may be that unresponsive router.
-func (s *SharedFeed) setKeepsTurn(overdue bool) {
+// setKeepsRelay makes the next call use the same relay again if the relay's copy is overdue, which
+// means older than a watch of the store waits. Such a relay is itself waiting for an unresponsive
+// router and will soon have found another one. The next relay in rotation may be that unresponsive
+// router.
+func (s *SharedFeed) setKeepsRelay(isOverdue bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.keepsTurn = overdue
+	s.keepsRelay = isOverdue
 }
 
 // retryAllPeersLocked clears the back-off of all failed peers, once for each value of
@@ -281,9 +283,10 @@
 }
 
 // isUsable reports whether to continue with the current copy of a router that this one does not
-// follow. Copies are confirmed with every round of watches; one that is older comes from a
-// router that is itself waiting for an unresponsive one. When the store stops answering, other routers
-// have what they knew before for a while; returning that again is useful, but with a pause.
+// follow. Copies are confirmed with every round of watches; one that is older comes from a router
+// that is itself waiting for an unresponsive one. For a while after the store has stopped
+// answering, the copies of other routers are current but have nothing new; to return one of these
+// is still useful, but at most once per minBackoff.
 func (s *SharedFeed) isUsable(f *peerAnswer) bool {
 	if !f.isCurrent {
 		return false
--- a/directory/sharedfeed_test.go
+++ b/directory/sharedfeed_test.go
@@ -19,7 +19,7 @@
 			"r1": newFakeFeed(batch(1, true, "a1")),
 			"r2": newFakeFeed(batch(1, true, "a1")),
 		},
-		order: []string{"r1", "r2"},
+		relayIDs: []string{"r1", "r2"},
 	}
 	return &SharedFeed{
 		Store: store,
@@ -83,7 +83,7 @@
 func TestSharedFeedLearnsFromRoutersWhenStoreRefusesIt(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, store, peers := newSharedFeed()
-		peers.watches = true
+		peers.isWatcher = true
 		store.setError(errors.New("503"))
 		peers.relays["r1"].Apply(batch(3, false, "a3"))
 		peers.relays["r2"].Apply(batch(3, false, "a3"))
@@ -139,7 +139,7 @@
 func TestSharedFeedReportsLostHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, store, peers := newSharedFeed()
-		peers.watches = true
+		peers.isWatcher = true
 		store.setError(&slipwick.Error{
 			Kind: slipwick.KindHistoryLost,
 		})
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -16,8 +16,8 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// fleetWithin is the time in which a change has to reach all routers of a simFleet.
-const fleetWithin = 4 * time.Second
+// fleetPropagationTime is the time in which a change has to reach all routers of a simFleet.
+const fleetPropagationTime = 4 * time.Second
 
 // simFleet is a simulated fleet whose routers follow one store. All calls are function calls with
 // a latency.
@@ -91,7 +91,7 @@
 			Store:    &simStoreFeed{r},
 			Peers:    r,
 			Mirror:   mirror,
-			Timing:   TimingWithin(fleetWithin),
+			Timing:   TimingWithin(fleetPropagationTime),
 		}
 		r.follower = NewFollower[string](shared, mirror)
 		r.follower.Timing = shared.Timing
@@ -252,6 +252,7 @@
 	router *simRouter
 }
 
+// reach counts a call to the store and waits for its latency.
 func (s *simStoreFeed) reach(ctx context.Context) error {
 	s.router.fleet.calls.Add(1)
 	s.router.set(func(r *simRouter) { r.calls++ })
--- a/directory/spread_test.go
+++ b/directory/spread_test.go
@@ -44,8 +44,8 @@
 				nineTenths, all, calls := spreadTimes(t, size, sends)
 				t.Logf("%d routers, %d sends at once: nine tenths after %v, all after %v, %d calls",
 					size, sends, nineTenths, all, calls)
-				if sends == maxLargeSends && all > fleetWithin {
-					t.Errorf("%d routers: got the list at every router after %v, want it within %v", size, all, fleetWithin)
+				if sends == maxLargeSends && all > fleetPropagationTime {
+					t.Errorf("%d routers: got the list at every router after %v, want it within %v", size, all, fleetPropagationTime)
 				}
 			})
 		}
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -18,7 +18,8 @@
 	// that time. A slow store is given time, and one that delivers page after page is not asked
 	// again.
 	storeRetryInterval = 500 * time.Millisecond
-	// storePageSize is the least number of objects that stores return in one response.
+	// storePageSize is the smallest page size of the stores: a list of no more objects takes one
+	// response.
 	storePageSize = 200
 )
 
@@ -42,9 +43,9 @@
 	// suffices reports whether a copy of another router is acceptable.
 	suffices func(*peerAnswer) bool
 
-	fromStore chan listResult
-	fromPeers chan peerAnswer
-	progress  chan struct{}
+	storeResults chan listResult
+	peerAnswers  chan peerAnswer
+	progress     chan struct{}
 	// pending is the number of calls to the store under way. askingPeers is true while other
 	// routers are asked.
 	pending     int
@@ -63,8 +64,8 @@
 		relayPosition: relayPosition,
 		retriesStore:  retriesStore,
 		suffices:      suffices,
-		fromStore:     make(chan listResult, s.Timing.orDefault().ListTimeout/storeRetryInterval+1),
-		fromPeers:     make(chan peerAnswer, 1),
+		storeResults:  make(chan listResult, s.Timing.orDefault().ListTimeout/storeRetryInterval+1),
+		peerAnswers:   make(chan peerAnswer, 1),
 		progress:      make(chan struct{}, 1),
 	}
 	return list.run(ctx)
@@ -90,7 +91,7 @@
 			l.askPeers(ctx)
 		case <-hedge.C:
 			l.askPeers(ctx)
-		case answer := <-l.fromStore:
+		case answer := <-l.storeResults:
 			l.shared.recordStoreResult(answer.err)
 			if answer.err == nil {
 				return answer
@@ -98,7 +99,7 @@
 			l.pending--
 			failure = answer
 			l.askPeers(ctx)
-		case found := <-l.fromPeers:
+		case found := <-l.peerAnswers:
 			l.askingPeers = false
 			if l.suffices(&found) {
 				return listResult{
@@ -115,8 +116,8 @@
 func (l *storeList) askStore(ctx context.Context) {
 	l.pending++
 	go func() {
-		batch, err := l.shared.fromStore(tracePages(ctx, l.progress))
-		l.fromStore <- listResult{
+		batch, err := l.shared.fetchFromStore(tracePages(ctx, l.progress))
+		l.storeResults <- listResult{
 			batch:     batch,
 			err:       err,
 			fromStore: true,
@@ -130,7 +131,7 @@
 		return
 	}
 	l.askingPeers = true
-	go func() { l.fromPeers <- l.shared.listPeers(ctx, l.shared.candidates(l.relayPosition), peerTimeout) }()
+	go func() { l.peerAnswers <- l.shared.listPeers(ctx, l.shared.candidates(l.relayPosition), peerTimeout) }()
 }
 
 // tracePages signals progress for each page of a list after the first. The request for the next
@@ -158,10 +159,10 @@
 	}
 }
 
-// fromStore returns what differs from the local copy if a list of it would take several pages,
+// fetchFromStore returns what differs from the local copy if a list of it would take several pages,
 // else the whole list. If the store was restored from a backup it has to be listed, because its
 // revisions may stand for other states.
-func (s *SharedFeed) fromStore(ctx context.Context) (slipwick.FeedBatch, error) {
+func (s *SharedFeed) fetchFromStore(ctx context.Context) (slipwick.FeedBatch, error) {
 	if s.Mirror == nil || s.Mirror.Len() <= storePageSize {
 		return s.Store.List(ctx)
 	}
@@ -182,7 +183,7 @@
 	ctx, cancel := context.WithTimeout(ctx, wait+s.Timing.orDefault().WatchMargin)
 	defer cancel()
 	if s.isStoreFailing() {
-		return s.fromStore(ctx)
+		return s.fetchFromStore(ctx)
 	}
 	return s.Store.Watch(ctx, after, wait)
 }
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// At a start without any copy, the first routers besides the watchers ask the store after
-	// startTurnDelay, and each further group startTurnStep later.
+	// At a start without any copy, the routers whose takeover turn is 0 ask the store after
+	// startTurnDelay, and those of each further turn startTurnStep later.
 	startTurnDelay = 500 * time.Millisecond
 	startTurnStep  = 250 * time.Millisecond
-	// checkFactor times Timing.MaxAge is how long a router that acts in place of the watchers, or
-	// a watcher that avoids the store, stays so before it checks again.
+	// checkFactor times Timing.MaxAge is how long a router acts in place of the watchers, or a
+	// watcher avoids the store, before it checks whether it still has to.
 	checkFactor = 1.5
 )
 
@@ -35,7 +35,7 @@
 	if !answered {
 		return !s.confirmedAt.IsZero() || now.Sub(since) >= first
 	}
-	if relayPosition.TakeoverTurn < 0 || now.Sub(s.triedAt) < timing.MaxAge {
+	if relayPosition.TakeoverTurn < 0 || now.Sub(s.takeoverTriedAt) < timing.MaxAge {
 		return false
 	}
 	return now.Sub(since) >= first+time.Duration(relayPosition.TakeoverTurn)*step
@@ -46,7 +46,7 @@
 func (s *SharedFeed) takeOver(ctx context.Context, relayPosition *fleet.RelayPosition) (slipwick.FeedBatch, error) {
 	timing := s.Timing.orDefault()
 	s.mu.Lock()
-	s.triedAt = clock.Now()
+	s.takeoverTriedAt = clock.Now()
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, timing.ListTimeout)
 	defer cancel()
@@ -97,9 +97,9 @@
 	s.acting = false
 }
 
-// avoidStore makes a watcher that the store does not answer follow other routers, for a long
-// time if these reach the store. Otherwise the store may be back for all at any moment, so it
-// is asked again after a pause that doubles each time.
+// avoidStore makes a watcher that the store does not answer follow other routers, for checkFactor
+// times Timing.MaxAge if these reach the store. Otherwise the store may be back for all at any
+// moment, so it is asked again after storeBackoff, a shorter pause that doubles each time.
 func (s *SharedFeed) avoidStore(othersReachIt bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,8 +112,8 @@
 	s.avoidStoreUntil = clock.Now().Add(s.storeBackoff)
 }
 
-// avoidIfOthersReachIt makes a watcher avoid the store for a long time once it learns that the
-// store has answered other routers since it failed here.
+// avoidIfOthersReachIt makes a watcher avoid the store for checkFactor times Timing.MaxAge once it
+// learns that the store has answered other routers since it failed here.
 func (s *SharedFeed) avoidIfOthersReachIt(relayPosition *fleet.RelayPosition, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
 	othersReachIt := relayPosition.IsWatcher && !s.storeFailedAt.IsZero() &&
@@ -135,7 +135,7 @@
 	return wait
 }
 
-// recordStoreResult resets the pause when the store answers, and records a failure when it does
+// recordStoreResult resets storeBackoff when the store answers, and records a failure when it does
 // not. A lost history is no failure of the store.
 func (s *SharedFeed) recordStoreResult(failure error) {
 	s.mu.Lock()
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -122,11 +122,11 @@
 			FeedName: "backends",
 			Store:    store,
 			Peers: &fakePeers{
-				watches: true,
+				isWatcher: true,
 				relays: map[string]*fakeFeed{
 					"isolated": isolated,
 				},
-				order: []string{"isolated"},
+				relayIDs: []string{"isolated"},
 			},
 			Timing: testTiming,
 		}
--- a/directory/timing.go
+++ b/directory/timing.go
@@ -3,8 +3,8 @@
 import "time"
 
 // Timing has the wait times of calls between routers and to the store. They are chosen so that
-// every router learns of a change within the time allowed, even if a router on the way has
-// stopped answering.
+// every router learns of a change at the store within a given time, the propagation time, even if
+// a router on the way has stopped answering.
 type Timing struct {
 	// WatchWait is how long a watch of the store waits, WatchMargin how much longer its answer
 	// may take. An unresponsive store is detected early enough for the routers that follow this
@@ -13,7 +13,7 @@
 	// RelayWait is how long a watch at another router waits: somewhat longer than a watch of the
 	// store, at whose end the other router confirms its copy. RelayMargin is how much longer
 	// the answer may take, and the time limit of a list from another router. Together with a
-	// few lists and one call to the store they stay within the time allowed.
+	// few lists and one call to the store they stay within the propagation time.
 	RelayWait, RelayMargin time.Duration
 	// MaxAge is how old a current copy may be: the wait of the other router's own watch and the
 	// time to detect that the store does not answer. TurnStep is the delay between the turns in
@@ -28,7 +28,7 @@
 	ListTimeout time.Duration
 }
 
-// The fields of a Timing as shares of the time allowed. A watch that ends in an outage, or the
+// The fields of a Timing as shares of the propagation time. A watch that ends in an outage, or the
 // age of a current copy, fits into it together with a list from the store over a slow link.
 const (
 	watchShare       = 0.4
@@ -42,24 +42,24 @@
 	listShare        = 1
 )
 
-// DefaultPropagationTime is the time allowed if the settings have none. minWithin and maxWithin bound
-// it: with less, the waits come close to the response time of a busy store; with more, the
-// calls saved are not worth the later detection of an unresponsive store.
+// DefaultPropagationTime is the propagation time if the settings have none. minPropagationTime and
+// maxPropagationTime bound it: with less, the waits come close to the response time of a busy
+// store; with more, the calls saved are not worth the later detection of an unresponsive store.
 const (
 	DefaultPropagationTime = 2 * time.Second
-	minWithin              = 600 * time.Millisecond
-	maxWithin              = 4 * time.Second
+	minPropagationTime     = 600 * time.Millisecond
+	maxPropagationTime     = 4 * time.Second
 )
 
-// TimingWithin returns the wait times with which changes are known within the given time; 0
-// stands for DefaultPropagationTime.
-func TimingWithin(within time.Duration) Timing {
-	if within <= 0 {
-		within = DefaultPropagationTime
+// TimingWithin returns the wait times for a propagation time; 0 stands for
+// DefaultPropagationTime.
+func TimingWithin(propagationTime time.Duration) Timing {
+	if propagationTime <= 0 {
+		propagationTime = DefaultPropagationTime
 	}
-	within = min(max(within, minWithin), maxWithin)
+	propagationTime = min(max(propagationTime, minPropagationTime), maxPropagationTime)
 	share := func(of float64) time.Duration {
-		return time.Duration(of * float64(within))
+		return time.Duration(of * float64(propagationTime))
 	}
 	return Timing{
 		WatchWait:   share(watchShare),
@@ -83,4 +83,4 @@
 }
 
 // maxRelayWait bounds the wait of another router's watch.
-const maxRelayWait = maxWithin
+const maxRelayWait = maxPropagationTime
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -8,9 +8,9 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-// TestTimingFitsTimeAllowed has a router on the way stop answering. The remaining time has to
+// TestTimingFitsPropagationTime has a router on the way stop answering. The remaining time has to
 // suffice for one more call.
-func TestTimingFitsTimeAllowed(t *testing.T) {
+func TestTimingFitsPropagationTime(t *testing.T) {
 	for _, within := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 		r := TimingWithin(within)
 		remainder := within / 5
@@ -30,7 +30,7 @@
 		}
 	}
 	if got, want := TimingWithin(0), TimingWithin(DefaultPropagationTime); got != want {
-		t.Errorf("without a time allowed: got %v, want the default %v", got, want)
+		t.Errorf("without a propagation time: got %v, want the default %v", got, want)
 	}
 }
 
@@ -49,6 +49,6 @@
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "when the store answers after more than a heartbeat", "a", "b")
 		time.Sleep(960 * time.Millisecond)
-		list.expect(t, "before the time allowed", "a")
+		list.expect(t, "before LeaveTime is over", "a")
 	})
 }
--- a/directory/wirebatch.go
+++ b/directory/wirebatch.go
@@ -9,34 +9,36 @@
 // wireBatch is the JSON form of a FeedBatch between routers. Values that are valid UTF-8 are
 // sent as strings, which compress well.
 type wireBatch struct {
-	Entries []wireEntry `json:"entries"`
-	Whole   bool        `json:"whole,omitempty"`
-	// Older routers never send it; a whole list is sent instead.
-	Skipping bool `json:"skipping,omitempty"`
+	Entries    []wireEntry `json:"entries"`
+	IsSnapshot bool        `json:"whole,omitempty"`
+	// Older routers never send IsCompacted; they send a snapshot instead.
+	IsCompacted bool `json:"skipping,omitempty"`
 	// Older routers omit Timeline, and so do those whose store has none.
 	Timeline uint64 `json:"timeline,omitempty"`
 	Revision uint64 `json:"revision"`
 }
 
+// wireEntry is the JSON form of a FeedEntry. The value is in Text if it is valid UTF-8, else in
+// Bytes.
 type wireEntry struct {
-	Name  string `json:"name"`
-	Gone  bool   `json:"gone,omitempty"`
-	Text  string `json:"text,omitempty"`
-	Bytes []byte `json:"bytes,omitempty"`
+	Name    string `json:"name"`
+	Removed bool   `json:"gone,omitempty"`
+	Text    string `json:"text,omitempty"`
+	Bytes   []byte `json:"bytes,omitempty"`
 }
 
 func wireBatchOf(batch *slipwick.FeedBatch) *wireBatch {
 	wire := &wireBatch{
-		Entries:  make([]wireEntry, 0, len(batch.Entries)),
-		Whole:    batch.IsSnapshot,
-		Skipping: batch.IsCompacted,
-		Timeline: batch.Timeline,
-		Revision: batch.Revision,
+		Entries:     make([]wireEntry, 0, len(batch.Entries)),
+		IsSnapshot:  batch.IsSnapshot,
+		IsCompacted: batch.IsCompacted,
+		Timeline:    batch.Timeline,
+		Revision:    batch.Revision,
 	}
 	for _, e := range batch.Entries {
 		entry := wireEntry{
-			Name: e.Name,
-			Gone: e.Removed,
+			Name:    e.Name,
+			Removed: e.Removed,
 		}
 		if utf8.Valid(e.Value) {
 			entry.Text = string(e.Value)
@@ -50,15 +52,15 @@
 
 func (w *wireBatch) batch() slipwick.FeedBatch {
 	batch := slipwick.FeedBatch{
-		IsSnapshot:  w.Whole,
-		IsCompacted: w.Skipping,
+		IsSnapshot:  w.IsSnapshot,
+		IsCompacted: w.IsCompacted,
 		Timeline:    w.Timeline,
 		Revision:    w.Revision,
 	}
 	for _, e := range w.Entries {
 		entry := slipwick.FeedEntry{
 			Name:    e.Name,
-			Removed: e.Gone,
+			Removed: e.Removed,
 			Value:   e.Bytes,
 		}
 		if e.Text != "" {
