--- a/directory/backends.go
+++ b/directory/backends.go
@@ -224,7 +224,7 @@
 		case known:
 			delete(b.entries, c.Name)
 			isSuspect := b.departures.suspect[c.Name]
-			b.departures.removed(c.Name, &listed)
+			b.departures.recordRemoval(c.Name, &listed)
 			if !isSuspect {
 				b.keepExpiredLocked(c.Name, listed)
 			}
--- a/directory/departures.go
+++ b/directory/departures.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// removed handles the removal of an entry.
-func (d *departures) removed(name string, listed *balance.Entry) {
+// recordRemoval handles the removal of an entry.
+func (d *departures) recordRemoval(name string, listed *balance.Entry) {
 	d.record(listed)
 	delete(d.suspect, name)
 }
@@ -89,7 +89,7 @@
 // back. The incarnation that it replaces has ended.
 func (d *departures) checkWritten(name string, known, received *balance.Entry) {
 	if known != nil && known.Incarnation() != received.Incarnation() {
-		d.removed(name, known)
+		d.recordRemoval(name, known)
 	}
 	switch {
 	case received.Leaving:
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -257,6 +257,8 @@
 	}
 }
 
+// loadingLeft returns for how long a first list still counts as under way; it is not positive if
+// none does.
 func (m *Mirror) loadingLeft() time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -128,13 +128,13 @@
 				return f
 			}
 			best = best.merge(&f)
-			s.noteLoading(f.loadingFor)
+			s.setLoading(f.loadingFor)
 			if !isLate {
 				askNext()
 			}
 		case <-begins:
 			receiving++
-			s.noteLoading(storeRetryInterval)
+			s.setLoading(storeRetryInterval)
 		case <-hedge.C:
 			if receiving <= 0 && !isLate {
 				askNext()
@@ -181,8 +181,8 @@
 	return joined
 }
 
-// queryPeer calls the feed of another router. Its response has to begin within limit, at which
-// onBegin is called; the rest may take as long as a list.
+// queryPeer calls the feed of another router. Its response has to begin within limit, and onBegin is
+// called when it does; the rest of the response may take as long as a list.
 func (s *SharedFeed) queryPeer(ctx context.Context, id string, limit time.Duration, onBegin func(),
 	call func(context.Context, slipwick.Feed) (slipwick.FeedBatch, error),
 ) peerAnswer {
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -83,7 +83,7 @@
 		case <-l.progress:
 			hedge.Reset(storeHedgeDelay)
 			retry.Reset(storeRetryInterval)
-			l.shared.noteLoading(storeRetryInterval)
+			l.shared.setLoading(storeRetryInterval)
 		case <-retry.C:
 			if l.retriesStore {
 				l.askStore(ctx)
@@ -151,9 +151,9 @@
 	})
 }
 
-// noteLoading makes routers that ask this one for its first copy learn that a list is under
+// setLoading makes routers that ask this one for its first copy learn that a list is under
 // way.
-func (s *SharedFeed) noteLoading(duration time.Duration) {
+func (s *SharedFeed) setLoading(duration time.Duration) {
 	if s.Mirror != nil && duration > 0 {
 		s.Mirror.SetLoading(duration)
 	}
