--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -74,10 +74,10 @@
 	follower.Timing = timing
 	follower.Decode = p.Feeds.DecodeBackend
 	follower.OnInvalid = p.invalidEntries.recorder(feedBackends)
-	follower.OnChange = p.backends.Change
+	follower.OnChange = p.backends.Apply
 	monitor := p.newFeedMonitor(feedBackends)
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) {
-		p.backends.Answered(batch.Age, batch.StableFor)
+		p.backends.RecordAnswer(batch.Age, batch.StableFor)
 		monitor.succeeded(batch)
 	}
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
@@ -85,7 +85,7 @@
 		monitor.storeRestored(known, batch)
 	}
 	follower.OnError = func(err error) {
-		p.backends.Failed()
+		p.backends.RecordFailure()
 		monitor.failed(err)
 	}
 	follower.Run(ctx)
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -20,7 +20,7 @@
 	DefaultHeartbeat = 1200 * time.Millisecond
 	// reregisterTime is how long servers have to write their entries again after an outage of
 	// the store; they do so within about 2 s. It is bounded by reregisterShare of
-	// Backends.Leave.
+	// Backends.LeaveTime.
 	reregisterTime  = 1900 * time.Millisecond
 	reregisterShare = 0.95
 )
@@ -31,12 +31,14 @@
 	// OnChange receives the changes of the list, which are empty if an answer had none. Calls
 	// do not overlap, and must not call back into the list.
 	OnChange func(*balance.Changes)
-	// Heartbeat is the interval at which servers renew their entries. Leave is the time after
+	// Heartbeat is the interval at which servers renew their entries. LeaveTime is the time after
 	// which a server that leaves, or is gone, gets no new requests. With 0, DefaultHeartbeat
 	// applies and reregisterTime has no bound.
-	Heartbeat, Leave time.Duration
+	Heartbeat, LeaveTime time.Duration
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// entries has the entries that the store lists, expired those that disappeared within a grace
+	// period and stay in use until its end, both by name.
 	entries map[string]balance.Entry
 	expired map[string]balance.Entry
 	// ids has the IDs of the published backend servers, by the name of their entry.
@@ -47,13 +49,15 @@
 	// failed is true if the latest call failed, inOutage if the store had not answered for some
 	// time.
 	failed, inOutage bool
-	// graceUntil is until when entries that disappear count as expired, and stay in use.
+	// graceUntil is until when entries that disappear count as expired, and stay in use;
+	// graceTimer ends that.
 	graceUntil time.Time
 	graceTimer *time.Timer
 	// restored is true if the next changes are from the first list after the store was restored
 	// from a backup.
 	restored   bool
 	departures departures
+	// trustTimer ends the suspicion of the entries that are suspect after a restore.
 	trustTimer *time.Timer
 }
 
@@ -70,16 +74,16 @@
 }
 
 // StoreRestored starts a grace period after the store was restored from a backup. Call it before
-// Change with the resulting changes. Entries that the backup lacks may have been written after
+// Apply with the resulting changes. Entries that the backup lacks may have been written after
 // it, and are treated as if they had expired; entries that it has may belong to servers that
-// have left since. Steady is how long ago the fleet noticed the restore. This router had no
+// have left since. StableFor is how long ago the fleet noticed the restore. This router had no
 // outage of its own, so servers get the full time to write their entries again. Age is how long
 // ago the store was in the state of the answer.
-func (b *Backends) StoreRestored(age, steady time.Duration) {
+func (b *Backends) StoreRestored(age, stableFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.restored = true
-	b.startGraceLocked(clock.Now(), b.gracePeriod(math.MaxInt64, math.MaxInt64)-steady)
+	b.startGraceLocked(clock.Now(), b.gracePeriod(math.MaxInt64, math.MaxInt64)-stableFor)
 	b.scheduleTrustLocked(age)
 }
 
@@ -115,11 +119,11 @@
 	return b.failed || clock.Since(b.answeredAt) > b.outageAfter()
 }
 
-// Answered records an answer of the store and ends an outage. Age is how long ago the store was
-// in the state of the answer, steady for how long it has been known to answer. If the store
+// RecordAnswer records an answer of the store and ends an outage. Age is how long ago the store was
+// in the state of the answer, stableFor for how long it has been known to answer. If the store
 // answered other routers since before this router's outage, the outage was this router's alone
 // and leaves no grace period.
-func (b *Backends) Answered(age, steady time.Duration) {
+func (b *Backends) RecordAnswer(age, stableFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.isUnresponsiveLocked() && len(b.departures.suspect) > 0 {
@@ -133,18 +137,19 @@
 	wasInOutage := b.inOutage && !b.restored
 	b.inOutage = false
 	if wasInOutage {
-		b.startGraceLocked(b.answeredAt, b.gracePeriod(b.answeredAt.Sub(previous), b.answeredAt.Sub(confirmed))-steady)
+		b.startGraceLocked(b.answeredAt, b.gracePeriod(b.answeredAt.Sub(previous), b.answeredAt.Sub(confirmed))-stableFor)
 	}
 }
 
-// Failed records a failed call to the store.
-func (b *Backends) Failed() {
+// RecordFailure records a failed call to the store.
+func (b *Backends) RecordFailure() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failed = true
 	b.inOutage = b.inOutage || clock.Since(b.answeredAt) > b.outageAfter()
 }
 
+// outageAfter returns for how long the store may not answer before it counts as down.
 func (b *Backends) outageAfter() time.Duration {
 	return time.Duration(outageShare * float64(b.heartbeat()))
 }
@@ -157,27 +162,26 @@
 }
 
 // gracePeriod returns how long servers have to write their entries again after an outage. An
-// outage shorter than Leave may have affected only this router, through a slow peer, while the
+// outage shorter than LeaveTime may have affected only this router, through a slow peer, while the
 // store served others. Entries may then have disappeared as early as the latest copy before the
-// outage was confirmed, which was unconfirmed ago, and are kept no longer than Leave from that
-// time.
-func (b *Backends) gracePeriod(outage, unconfirmed time.Duration) time.Duration {
-	if b.Leave <= 0 {
+// outage was confirmed, sinceConfirmed ago, and are kept no longer than LeaveTime from that time.
+func (b *Backends) gracePeriod(outage, sinceConfirmed time.Duration) time.Duration {
+	if b.LeaveTime <= 0 {
 		return reregisterTime
 	}
-	leave := time.Duration(reregisterShare * float64(b.Leave))
+	leave := time.Duration(reregisterShare * float64(b.LeaveTime))
 	if outage < leave {
-		return min(reregisterTime, leave-unconfirmed)
+		return min(reregisterTime, leave-sinceConfirmed)
 	}
 	return min(reregisterTime, leave)
 }
 
-func (b *Backends) startGraceLocked(now time.Time, within time.Duration) {
-	b.graceUntil = now.Add(within)
+func (b *Backends) startGraceLocked(now time.Time, period time.Duration) {
+	b.graceUntil = now.Add(period)
 	if b.graceTimer != nil {
 		b.graceTimer.Stop()
 	}
-	b.graceTimer = time.AfterFunc(within, b.dropExpired)
+	b.graceTimer = time.AfterFunc(period, b.dropExpired)
 }
 
 // dropExpired removes the expired entries that were not written again in time.
@@ -192,8 +196,8 @@
 	b.publishLocked(expired)
 }
 
-// Change applies changes of entries and reports the resulting changes of the list.
-func (b *Backends) Change(changes []Change[balance.Entry]) {
+// Apply applies changes of entries and reports the resulting changes of the list.
+func (b *Backends) Apply(changes []Change[balance.Entry]) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	isRestored := b.restored
@@ -220,7 +224,7 @@
 		case known:
 			delete(b.entries, c.Name)
 			isSuspect := b.departures.suspect[c.Name]
-			b.departures.removed(c.Name, &listed)
+			b.departures.recordRemoval(c.Name, &listed)
 			if !isSuspect {
 				b.keepExpiredLocked(c.Name, listed)
 			}
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -20,8 +20,8 @@
 func (l *listRecorder) apply(changes *balance.Changes) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	isGone := func(id string) bool { return slices.Contains(changes.Removed, id) }
-	l.ids = slices.DeleteFunc(l.ids, isGone)
+	isRemoved := func(id string) bool { return slices.Contains(changes.Removed, id) }
+	l.ids = slices.DeleteFunc(l.ids, isRemoved)
 	for i := range changes.Entries {
 		l.ids = append(l.ids, changes.Entries[i].ID)
 	}
@@ -30,10 +30,10 @@
 }
 
 // backendChange returns a change that writes or removes the entry of a backend server.
-func backendChange(id string, gone bool) Change[balance.Entry] {
+func backendChange(id string, removed bool) Change[balance.Entry] {
 	return Change[balance.Entry]{
 		Name:    id,
-		Removed: gone,
+		Removed: removed,
 		Value: balance.Entry{
 			Backend: slipwick.Backend{
 				ID: id,
@@ -55,9 +55,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
-		b.Change([]Change[balance.Entry]{backendChange("b", true)})
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "after the removal", "a")
 	})
 }
@@ -68,15 +68,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false), backendChange("c", false)})
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false), backendChange("c", false)})
 		time.Sleep(5 * time.Second)
-		b.Failed()
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("b", true), backendChange("c", true)})
+		b.RecordFailure()
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("b", true), backendChange("c", true)})
 		list.expect(t, "when the store answers again", "a", "b", "c")
 		time.Sleep(time.Second)
-		b.Change([]Change[balance.Entry]{backendChange("b", false)})
+		b.Apply([]Change[balance.Entry]{backendChange("b", false)})
 		time.Sleep(time.Second)
 		list.expect(t, "two seconds after the store answers again", "a", "b")
 	})
@@ -86,18 +86,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(time.Second)
-		b.Failed()
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("b", true)})
+		b.RecordFailure()
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "after the removal", "a")
 	})
 }
 
 // TestEntriesRemovedInShortGapAreDroppedInTime has a router receive nothing for less than
-// Backends.Leave while the store answers other routers. An entry may have been removed as early as
+// Backends.LeaveTime while the store answers other routers. An entry may have been removed as early as
 // the start of the gap.
 //
 // It guards against the following failure: one router of eighty sent a request to a removed server
@@ -109,14 +109,14 @@
 		synctest.Test(t, func(t *testing.T) {
 			var list listRecorder
 			b := NewBackends(list.apply)
-			b.Leave = leave
-			b.Answered(0, 0)
-			b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+			b.LeaveTime = leave
+			b.RecordAnswer(0, 0)
+			b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 			gapStart := time.Now()
 			time.Sleep(gap)
-			b.Failed()
-			b.Answered(0, 0)
-			b.Change([]Change[balance.Entry]{backendChange("b", true)})
+			b.RecordFailure()
+			b.RecordAnswer(0, 0)
+			b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 			time.Sleep(time.Until(gapStart.Add(leave)))
 			synctest.Wait()
 			list.expect(t, "after a gap of "+gap.String(), "a")
@@ -125,21 +125,21 @@
 }
 
 // TestEntriesRemovedSinceOldCopyAreDroppedInTime has a router follow another one whose copy has
-// the greatest age of a current copy, and then receive nothing for less than Backends.Leave. An
+// the greatest age of a current copy, and then receive nothing for less than Backends.LeaveTime. An
 // entry may have been removed as soon as the copy was confirmed, before the gap.
 func TestEntriesRemovedSinceOldCopyAreDroppedInTime(t *testing.T) {
 	const leave, age, gap = 3 * time.Second, 1200 * time.Millisecond, 1600 * time.Millisecond
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Leave = leave
+		b.LeaveTime = leave
 		confirmed := time.Now().Add(-age)
-		b.Answered(age, 0)
-		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+		b.RecordAnswer(age, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(gap)
-		b.Failed()
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("b", true)})
+		b.RecordFailure()
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		time.Sleep(time.Until(confirmed.Add(leave)))
 		synctest.Wait()
 		list.expect(t, "after a gap of "+gap.String(), "a")
@@ -154,13 +154,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Leave = 2 * time.Second
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+		b.LeaveTime = 2 * time.Second
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(4 * time.Second)
-		b.Failed()
-		b.Answered(100*time.Millisecond, time.Minute)
-		b.Change([]Change[balance.Entry]{backendChange("b", true)})
+		b.RecordFailure()
+		b.RecordAnswer(100*time.Millisecond, time.Minute)
+		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		synctest.Wait()
 		list.expect(t, "after the gap", "a")
 	})
--- a/directory/invalid_test.go
+++ b/directory/invalidentry_test.go
@@ -16,9 +16,9 @@
 
 // serverBatch returns a batch of entries of backend servers, each given as name=value. The value
 // "invalid" cannot be decoded.
-func serverBatch(revision uint64, whole bool, values ...string) *slipwick.FeedBatch {
+func serverBatch(revision uint64, isSnapshot bool, values ...string) *slipwick.FeedBatch {
 	b := &slipwick.FeedBatch{
-		IsSnapshot: whole,
+		IsSnapshot: isSnapshot,
 		Revision:   revision,
 	}
 	for _, text := range values {
@@ -60,11 +60,11 @@
 			Leaving: string(value) == "leaving",
 		}, nil
 	}
-	follower.OnChange = backends.Change
-	follower.OnAnswer = func(batch *slipwick.FeedBatch) { backends.Answered(batch.Age, batch.StableFor) }
+	follower.OnChange = backends.Apply
+	follower.OnAnswer = func(batch *slipwick.FeedBatch) { backends.RecordAnswer(batch.Age, batch.StableFor) }
 	follower.OnError = func(error) {
 		w.errors++
-		backends.Failed()
+		backends.RecordFailure()
 	}
 	follower.OnInvalid = func(name string, reason error) {
 		if reason == nil {
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -8,9 +8,9 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-// TestTimingFitsTimeAllowed has a router on the way stop answering. The remaining time has to
+// TestTimingFitsPropagationTime has a router on the way stop answering. The remaining time has to
 // suffice for one more call.
-func TestTimingFitsTimeAllowed(t *testing.T) {
+func TestTimingFitsPropagationTime(t *testing.T) {
 	for _, within := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
 		r := TimingWithin(within)
 		remainder := within / 5
@@ -29,26 +29,26 @@
 			t.Errorf("within %v: got a maximum age of %v, want at least the time of a watch", within, r.MaxAge)
 		}
 	}
-	if got, want := TimingWithin(0), TimingWithin(DefaultWithin); got != want {
-		t.Errorf("without a time allowed: got %v, want the default %v", got, want)
+	if got, want := TimingWithin(0), TimingWithin(DefaultPropagationTime); got != want {
+		t.Errorf("without a propagation time: got %v, want the default %v", got, want)
 	}
 }
 
 // TestBackendsDropExpiredWithinShortBounds has entries expire in a fleet with a short heartbeat
-// and Leave. Those of servers that do not write theirs again are dropped in time.
+// and LeaveTime. Those of servers that do not write theirs again are dropped in time.
 func TestBackendsDropExpiredWithinShortBounds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.Heartbeat, b.Leave = 600*time.Millisecond, time.Second
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+		b.Heartbeat, b.LeaveTime = 600*time.Millisecond, time.Second
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(900 * time.Millisecond)
-		b.Failed()
-		b.Answered(0, 0)
-		b.Change([]Change[balance.Entry]{backendChange("b", true)})
+		b.RecordFailure()
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "when the store answers after more than a heartbeat", "a", "b")
 		time.Sleep(960 * time.Millisecond)
-		list.expect(t, "before the time allowed", "a")
+		list.expect(t, "before LeaveTime is over", "a")
 	})
 }
