--- a/service/client.go
+++ b/service/client.go
@@ -11,12 +11,13 @@
 
 var _ slipwick.Service = (*Client)(nil)
 
-// maxResponseBytes is the size of the largest response body, which is kept in memory whole.
+// maxResponseBytes is the size of the largest response body that is forwarded. It is limited because
+// each body is kept in memory whole.
 const maxResponseBytes = 8 << 20
 
-// hopHeaders are not forwarded: hop-by-hop headers, which concern only one connection, and
-// Authorization.
-var hopHeaders = []string{
+// removedHeaders are not forwarded in either direction: the hop-by-hop headers, which concern only
+// one connection, and Authorization.
+var removedHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Te", "Trailer",
 	"Transfer-Encoding", "Upgrade", "Authorization",
 }
@@ -26,8 +27,8 @@
 	// Address is host:port.
 	Address string
 	HTTP    *http.Client
-	// OnNotice, if not nil, is called with the notice in each response of the server, including
-	// an empty one.
+	// OnNotice, if not nil, is called with the notice of each response of the server, also if the
+	// notice is empty.
 	OnNotice func(slipwick.Notice)
 }
 
@@ -77,7 +78,7 @@
 	if forwarded == nil {
 		forwarded = make(http.Header)
 	}
-	for _, name := range hopHeaders {
+	for _, name := range removedHeaders {
 		forwarded.Del(name)
 	}
 	return forwarded
