--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -95,12 +95,12 @@
 	}, err
 }
 
-// Create writes a new object; KindConflict if it exists.
+// Create writes a new object. The error is of KindConflict if the object exists.
 func (c *Client) Create(ctx context.Context, key string, value []byte) (slipwick.Version, error) {
 	return c.write(ctx, key, value, "If-None-Match", "*")
 }
 
-// Update replaces an object; KindConflict if its version is no longer the given one.
+// Update replaces an object. The error is of KindConflict if its version is no longer the given one.
 func (c *Client) Update(
 	ctx context.Context, key string, value []byte, version slipwick.Version,
 ) (slipwick.Version, error) {
