--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -59,17 +59,18 @@
 	return client
 }
 
-// NewSingleUse returns a client like New that opens a connection for each request. With a reused
-// connection the server may close it just as the request is sent, and a request that must not be
-// repeated would then end with an unknown outcome.
+// NewSingleUse returns a client like New that opens a connection for each request. A server may
+// close a reused connection just as a request is sent; the outcome of a request that must not be
+// repeated would then be unknown.
 func NewSingleUse() *http.Client {
 	client := New()
 	client.Transport.(*http.Transport).DisableKeepAlives = true
 	return client
 }
 
-// Request returns a request that net/http cannot retry: it has no GetBody, so that a dropped
-// connection is an error and not a second attempt.
+// Request returns a request whose body net/http cannot send again: it has no GetBody, so that a
+// dropped connection is an error and not a second attempt. A request without a body is not
+// protected: net/http may send it again if a reused connection is dropped.
 func Request(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	var reader io.Reader
 	if len(body) > 0 {
