--- a/keyfiles/loader.go
+++ b/keyfiles/loader.go
@@ -10,12 +10,12 @@
 	"github.com/pkg/errors"
 )
 
-// Files are the paths of PEM files.
+// Files holds the paths of the PEM files that a Loader reads.
 type Files struct {
 	Certificate string `json:"certificate" validate:"required"`
 	Key         string `json:"key" validate:"required"`
-	// Authorities holds the certificates of the authorities that sign the fleet's
-	// certificates; empty if the other side needs no certificate.
+	// Authorities is the file with the certificates of the authorities that sign the
+	// fleet's certificates. If it is empty, a server requires no certificate of its clients.
 	Authorities string `json:"authorities"`
 }
 
@@ -115,13 +115,13 @@
 	}
 }
 
-// ClientConfig returns a configuration for connecting within the fleet: both sides
+// ClientConfig returns a configuration for connecting to another router: both sides
 // need a certificate signed by one of the authorities. The name in the certificate is
 // not checked, because boxes are replaced and have no lasting names.
 func (l *Loader) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// VerifyConnection verifies the chain, against authorities that may change.
+		// VerifyConnection verifies the chain instead, against authorities that may change.
 		InsecureSkipVerify: true, //nolint:gosec // VerifyConnection verifies.
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			certificate, _ := l.current()
--- a/keyfiles/loader_test.go
+++ b/keyfiles/loader_test.go
@@ -12,7 +12,7 @@
 )
 
 // handshake connects a client to a server. It returns the serial number of the server's
-// certificate, or that the handshake failed on either side.
+// certificate; failed is true if the handshake failed on either side.
 func handshake(t *testing.T, server, client *tls.Config) (serial int64, failed bool) {
 	t.Helper()
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", server)
