--- a/configuration/diff.go
+++ b/configuration/diff.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// ChangeKind is what happened to an entry.
+// ChangeKind is what happened to an entry of the state, such as a workspace or a pool.
 type ChangeKind string
 
 // The kinds of change.
@@ -21,7 +21,8 @@
 	Kind ChangeKind `json:"kind"`
 	// Entry is the path of the entry, such as "pool/drafting".
 	Entry string `json:"entry"`
-	// Before and After are JSON; empty if there is no entry then.
+	// Before and After are the entry as JSON before and after the change; empty if the
+	// entry does not exist at that time.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
--- a/configuration/pool.go
+++ b/configuration/pool.go
@@ -2,7 +2,7 @@
 
 import "github.com/slipwick/slipwick"
 
-// PoolKind distinguishes pools of engines from pools of plain services.
+// PoolKind distinguishes pools of model engines from pools of other services.
 type PoolKind string
 
 // The kinds of pool.
--- a/configuration/read.go
+++ b/configuration/read.go
@@ -12,7 +12,7 @@
 	"github.com/slipwick/slipwick/jsonfile"
 )
 
-// extensions are those of the files that ReadPath reads in a directory.
+// extensions are the extensions of the files that ReadPath reads in a directory.
 var extensions = []string{".json", ".jsonc", ".hujson"}
 
 // source is one file and the part of the state that it declares.
--- a/configuration/read_test.go
+++ b/configuration/read_test.go
@@ -112,8 +112,8 @@
 	}
 }
 
-// TestOfferIgnoresOlderVersions checks also that a state that can't be decoded leaves the
-// one in force.
+// TestOfferIgnoresOlderVersions checks also that the state in force stays if a newer one can't be
+// decoded.
 func TestOfferIgnoresOlderVersions(t *testing.T) {
 	var inForce []slipwick.Version
 	f := &Follower{
--- a/configuration/references.go
+++ b/configuration/references.go
@@ -6,7 +6,7 @@
 	"github.com/slipwick/slipwick/jsonfile"
 )
 
-// referenceChecker finds the mistakes that only all files together show: names that are
+// referenceChecker finds the mistakes that can be found only with all files: names that are
 // declared twice and names that are not declared.
 type referenceChecker struct {
 	workspaces map[string]bool
@@ -16,6 +16,8 @@
 	mistakes   jsonfile.Mistakes
 }
 
+// checkReferences returns the mistakes that a referenceChecker finds, and one more if no file
+// declares a pool.
 func checkReferences(sources []source, state *State) jsonfile.Mistakes {
 	c := referenceChecker{
 		workspaces: make(map[string]bool),
--- a/configuration/rule.go
+++ b/configuration/rule.go
@@ -7,7 +7,7 @@
 // first rule that matches applies.
 type Rule struct {
 	Workspace string `json:"workspace" validate:"required"`
-	// Model is the model of a chat, or the name of a plain service.
+	// Model is the model of a chat, or the name of a service that is not a model engine.
 	Model string `json:"model" validate:"required"`
 	Pool  string `json:"pool" validate:"required"`
 	// Fallback is the pool that is used if Pool has no usable backend server; empty for none.
--- a/configuration/workspace.go
+++ b/configuration/workspace.go
@@ -7,7 +7,7 @@
 	KeyHashes []string `json:"key_hashes" validate:"min=1,dive,len=64,hexadecimal"`
 	// Share is the workspace's weight against other workspaces with queued requests; 0 means 1.
 	Share uint32 `json:"share" validate:"max=10000"`
-	// Priority is that of its requests; higher ones are served first.
+	// Priority is the priority of the workspace's requests; higher ones are served first.
 	Priority int `json:"priority" validate:"min=0,max=9"`
 	// MaxInFlight bounds its requests in flight in each pool; 0 sets no bound.
 	MaxInFlight int        `json:"max_in_flight" validate:"min=0"`
