--- a/memberlist.go
+++ b/memberlist.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// MemberList is the platform's list of live and leaving boxes, which may be out of date.
-type MemberList interface {
+// BoxLister lists the live and leaving boxes of the platform. The list may be out of date.
+type BoxLister interface {
 	// Boxes returns the platform's current list.
 	Boxes(ctx context.Context) ([]Box, error)
 }
--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -20,7 +20,7 @@
 
 var (
 	_ slipwick.Store      = (*Client)(nil)
-	_ slipwick.MemberList = (*Client)(nil)
+	_ slipwick.BoxLister = (*Client)(nil)
 )
 
 const (
