--- a/admission.go
+++ b/admission.go
@@ -7,7 +7,8 @@
 	Pool      string
 	Workspace string
 	// Chat is the hash of workspace and chat that placement.ChatKey returns.
-	Chat     uint64
+	Chat uint64
+	// Priority is that of the workspace; requests with higher values get slots first.
 	Priority int
 	// Exclude lists backend servers that have already failed this request.
 	Exclude []string
@@ -22,8 +23,8 @@
 
 // Admission decides which backend server serves a request and when.
 type Admission interface {
-	// Acquire blocks until a slot is free or ctx ends. Errors are *Error with
-	// OutcomeNotRun.
+	// Acquire returns a slot, which it may wait for. It fails if the request is refused or ctx
+	// ends. Errors are *Error with OutcomeNotRun.
 	Acquire(ctx context.Context, request AcquireRequest) (Grant, error)
 	// Release returns the slot and records what the request showed of the backend server's health.
 	Release(grant Grant, evidence Evidence)
--- a/box.go
+++ b/box.go
@@ -18,7 +18,8 @@
 	BoxLeaving BoxState = "leaving"
 )
 
-// Box is one entry of the platform's list of boxes, which may be out of date.
+// Box is one entry of the platform's list of boxes, which may be out of date. A box runs one
+// router or one backend server.
 type Box struct {
 	ID   string  `json:"id"`
 	Kind BoxKind `json:"kind"`
--- a/chatrequest.go
+++ b/chatrequest.go
@@ -6,7 +6,8 @@
 	ID        string
 	Workspace string
 	Chat      string
-	Priority  int
+	// Priority is that of the workspace, from 0 to 9; higher ones are served first.
+	Priority int
 	// IdempotencyKey is the caller's idempotency key, for engines that check keys; empty if the
 	// caller sent none.
 	IdempotencyKey string
--- a/evidence.go
+++ b/evidence.go
@@ -14,7 +14,8 @@
 	EvidenceError
 	// EvidenceTimeout is a request that timed out, as when the backend server hangs.
 	EvidenceTimeout
-	// EvidenceUnreachable is a connection that could not be established.
+	// EvidenceUnreachable is a connection that could not be established for a reason other than
+	// a refusal. The network path of this router may be the cause.
 	EvidenceUnreachable
 	// EvidenceRefused is a connection that the backend server's box refused: nothing listens
 	// on the port, so no router can connect.
--- a/feed.go
+++ b/feed.go
@@ -20,7 +20,7 @@
 	// IsSnapshot is true if the entries are all objects of the feed, not just the changes.
 	IsSnapshot bool `json:"whole,omitempty"`
 	// IsCompacted is true if the entries are the difference from the requested position;
-	// changes in between that were undone again may be missing.
+	// changes that a later change undid may be missing.
 	IsCompacted bool `json:"skipping,omitempty"`
 	// Timeline and Revision are the store's position as of this batch, from which the next
 	// Watch continues.
@@ -29,7 +29,8 @@
 	// Age is the time since the store was last known to be in this state.
 	Age time.Duration `json:"age,omitempty"`
 	// StableFor is how long the store has answered without an outage or a restore from a
-	// backup, as far as the routers on the way know; 0 if one has just ended or if unknown.
+	// backup, as far as the routers that relayed the batch know; 0 if one has just ended or if
+	// unknown.
 	StableFor time.Duration `json:"steady,omitempty"`
 	// Hops is the number of routers that relayed the batch; 0 if it comes from the store.
 	Hops int `json:"hops,omitempty"`
--- a/kind.go
+++ b/kind.go
@@ -17,7 +17,8 @@
 	KindUnknownService Kind = "unknown_service"
 	// KindNotReady is a router without configuration, or one that drains.
 	KindNotReady Kind = "not_ready"
-	// KindOverloaded is a full queue or a wait that would exceed the deadline.
+	// KindOverloaded is a request that got no slot: the queue was full, or the wait exceeded the
+	// deadline or would have.
 	KindOverloaded Kind = "overloaded"
 	// KindWorkspaceLimit is a workspace that has reached its own limit.
 	KindWorkspaceLimit Kind = "workspace_limit"
@@ -39,7 +40,8 @@
 	KindKeyExpired Kind = "key_expired"
 	// KindQuarantined is a request that has crashed several backend servers.
 	KindQuarantined Kind = "quarantined"
-	// KindNotFound is an object that does not exist.
+	// KindNotFound is an object that does not exist in the platform, or a request or path that an
+	// engine does not know.
 	KindNotFound Kind = "not_found"
 	// KindConflict is a conditional write that failed because of another write.
 	KindConflict Kind = "conflict"
