--- a/stream/response.go
+++ b/stream/response.go
@@ -10,7 +10,7 @@
 	"github.com/slipwick/slipwick"
 )
 
-// cancelTimeout bounds the call that cancels a response that has no reader any more.
+// cancelTimeout bounds the call by which Close cancels a response that has not ended.
 const cancelTimeout = 2 * time.Second
 
 // Response reads the streamed response to one request. It is not safe for concurrent use. Set
@@ -20,8 +20,10 @@
 	Request slipwick.ChatRequest
 	Limits  Limits
 
-	events  slipwick.EventStream
-	stop    context.CancelFunc
+	events slipwick.EventStream
+	// stop cancels the context of the connection.
+	stop context.CancelFunc
+	// next is the offset of the event that Next returns next.
 	next    int
 	resumes int
 	ended   bool
@@ -35,7 +37,8 @@
 	})
 }
 
-// open connects within limit; the connection itself stays open after the limit.
+// open calls connect, which must return within limit. The limit does not apply to the connection,
+// which stays open until closeConnection.
 func (r *Response) open(
 	ctx context.Context, limit time.Duration,
 	connect func(context.Context) (slipwick.EventStream, error),
--- a/stream/response_test.go
+++ b/stream/response_test.go
@@ -25,7 +25,7 @@
 	faultRate float64
 	started   int
 	cancelled bool
-	// wrap, if not nil, wraps each stream to inject a fault that the checker has to find.
+	// wrap, if not nil, wraps each stream to inject a fault that violation has to find.
 	wrap func(slipwick.EventStream) slipwick.EventStream
 }
 
@@ -158,7 +158,9 @@
 	return ""
 }
 
-func run(t *testing.T, f *fakeEngine) (found string, complete bool) {
+// readAndCheck reads one response from f. It returns what violation finds, or else that the request
+// was not sent exactly once or that a broken response was not cancelled; "" if all is correct.
+func readAndCheck(t *testing.T, f *fakeEngine) (found string, complete bool) {
 	synctest.Test(t, func(*testing.T) {
 		seen, err := readAll(f)
 		found, complete = violation(f, seen, err), err == nil
@@ -166,7 +168,7 @@
 			found = fmt.Sprintf("the request was sent %d times, want once", f.started)
 		}
 		if found == "" && !complete && !f.cancelled {
-			found = "a response that has no reader any more was not cancelled"
+			found = "a response that did not end was not cancelled"
 		}
 	})
 	return found, complete
@@ -175,7 +177,7 @@
 func TestResponseIsCompleteOrAnError(t *testing.T) {
 	complete, count := 0, 0
 	rapid.Check(t, func(r *rapid.T) {
-		found, ended := run(t, &fakeEngine{
+		found, ended := readAndCheck(t, &fakeEngine{
 			random:    rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 1)),
 			length:    rapid.IntRange(0, 30).Draw(r, "length"),
 			faultRate: float64(rapid.IntRange(0, 30).Draw(r, "faultRate")) / 100,
@@ -227,8 +229,9 @@
 	return event, err
 }
 
-// TestCheckerFindsInjectedFaults guards the check of TestResponseIsCompleteOrAnError: it injects
-// the faults that the end marker, IDs and offsets prevent, and expects the check to find them.
+// TestCheckerFindsInjectedFaults guards against TestResponseIsCompleteOrAnError passing because its
+// checker, violation, finds nothing. It injects the faults that the end marker, IDs and offsets
+// prevent, and expects violation to find them.
 func TestCheckerFindsInjectedFaults(t *testing.T) {
 	for name, wrap := range map[string]func(slipwick.EventStream) slipwick.EventStream{
 		"broken stream reported as complete": func(s slipwick.EventStream) slipwick.EventStream {
@@ -244,7 +247,7 @@
 	} {
 		found := ""
 		for seed := uint64(0); seed < 200 && found == ""; seed++ {
-			found, _ = run(t, &fakeEngine{
+			found, _ = readAndCheck(t, &fakeEngine{
 				random:    rand.New(rand.NewPCG(seed, 1)),
 				length:    20,
 				faultRate: 0.2,
