--- a/sse/reader.go
+++ b/sse/reader.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// ErrTooLong is returned for an event larger than MaxEventBytes.
+// ErrTooLong is returned for an event that exceeds MaxEventBytes.
 var ErrTooLong = errors.New("server-sent event is too long; configure the server to send smaller events")
 
-// MaxEventBytes is the size of the largest event that Reader accepts.
+// MaxEventBytes limits the data of an event that Reader accepts, and each of its lines.
 const MaxEventBytes = 256 << 10
 
 // initialBufferBytes is the initial size of the read buffer, which grows up to MaxEventBytes.
@@ -33,7 +33,7 @@
 }
 
 // Next blocks until the next event with data has arrived and returns it. It returns io.EOF at the
-// end of input; an event that is incomplete there is dropped, as the standard requires.
+// end of input; an event that is incomplete there is dropped, as the HTML standard requires.
 func (r *Reader) Next() (Event, error) {
 	var event Event
 	var lines [][]byte
--- a/sse/reader_test.go
+++ b/sse/reader_test.go
@@ -41,8 +41,8 @@
 }
 
 // TestNextAcceptsEachLineEnd reads events whose lines end with LF, CR or CRLF, one byte per read.
-// It guards against a CR without LF being read as data, so that an event read again after Write
-// differs; the fuzz test found this.
+// It guards against a CR without LF being read as part of the data: Write would write an event that
+// is read back with other data. FuzzReader found this failure.
 func TestNextAcceptsEachLineEnd(t *testing.T) {
 	for _, end := range []string{"\n", "\r", "\r\n"} {
 		input := strings.ReplaceAll("id: a\ndata: one\ndata: two\n\ndata:\n\n", "\n", end)
