--- a/chat/request.go
+++ b/chat/request.go
@@ -73,8 +73,8 @@
 	return hex.EncodeToString(digest.Sum(nil))
 }
 
-// EnableStreaming returns the body with streaming and the usage chunk enabled. The error is a
-// *slipwick.Error of KindInvalidRequest if the body is not a JSON object.
+// EnableStreaming returns the body with streaming enabled, including a last chunk with the token
+// usage. The error is a *slipwick.Error of KindInvalidRequest if the body is not a JSON object.
 func EnableStreaming(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
--- a/engine/protocol.go
+++ b/engine/protocol.go
@@ -8,13 +8,14 @@
 // Paths and headers of the protocol between routers and engines.
 const (
 	CompletionsPath = "/v1/chat/completions"
+	// StreamsPath and a request ID are the path of a response, to resume or cancel it.
 	StreamsPath     = "/v1/streams/"
 	LoadPath        = "/v1/load"
 	CacheEventsPath = "/v1/cache-events"
 
 	// RequestHeader carries the request's ID.
 	RequestHeader = "X-Request-Id"
-	// PriorityHeader carries the request's priority.
+	// PriorityHeader carries the request's priority, as ChatRequest.Priority has it.
 	PriorityHeader = "X-Priority"
 	// ChatHeader carries the chat's identity, a hint for the engine's cache.
 	ChatHeader = "X-Chat"
