--- a/burn/rate.go
+++ b/burn/rate.go
@@ -1,11 +1,12 @@
 package burn
 
-// firstTokenObjective is the share of requests whose first token must arrive within the
-// first-token objective: 95 of 100.
-const firstTokenObjective = 0.95
+// firstTokenRatio is the ratio of requests whose first token must arrive in the time that the
+// workspace's first-token objective allows: the objective is a 95th percentile.
+const firstTokenRatio = 0.95
 
-// Rate is the burn rate of an error budget: 1 uses it up exactly by the end of its period, more
-// than 1 earlier. It is nil without an objective or without requests.
+// Rate is the burn rate of an error budget, which is the ratio of requests that may miss the
+// objective. At rate 1 the budget is used up exactly by the end of its period, at a higher rate
+// earlier. It is nil without an objective or without requests.
 type Rate *float64
 
 // Availability returns the burn rate for an availability objective between 0 and 1, exclusive;
@@ -16,7 +17,7 @@
 
 // FirstToken returns the burn rate for the first-token objective.
 func FirstToken(counts Counts) Rate {
-	return rate(counts.SlowFirstTokens, counts.FirstTokens, firstTokenObjective)
+	return rate(counts.SlowFirstTokens, counts.FirstTokens, firstTokenRatio)
 }
 
 func rate(bad, total uint64, objective float64) Rate {
--- a/burn/recorder.go
+++ b/burn/recorder.go
@@ -9,8 +9,9 @@
 var Windows = []time.Duration{5 * time.Minute, 30 * time.Minute, time.Hour, 6 * time.Hour}
 
 const (
+	// bucketWidth is the time whose requests are counted together.
 	bucketWidth = time.Minute
-	// bucketCount covers the longest of Windows.
+	// bucketCount is the length of the longest of Windows, in buckets.
 	bucketCount = 360
 )
 
@@ -23,7 +24,8 @@
 }
 
 // ring is a ring buffer of the counts of the last bucketCount minutes. The counts of minute m, in
-// minutes since the Unix epoch, are at index m modulo bucketCount, if minutes has m there.
+// minutes since the Unix epoch, are at index m modulo bucketCount if minutes has the value m at that
+// index. Another value means that the counts there are of another minute.
 type ring struct {
 	counts  [bucketCount]Counts
 	minutes [bucketCount]int64
@@ -42,12 +44,12 @@
 		r.workspaces[workspace] = current
 	}
 	minute := minuteOf(time.Now())
-	at := minute % bucketCount
-	if current.minutes[at] != minute {
-		current.minutes[at] = minute
-		current.counts[at] = Counts{}
+	index := minute % bucketCount
+	if current.minutes[index] != minute {
+		current.minutes[index] = minute
+		current.counts[index] = Counts{}
 	}
-	current.counts[at].Add(counts)
+	current.counts[index].Add(counts)
 }
 
 // Report returns, by workspace, the counts in each of Windows, in the same order.
@@ -56,10 +58,10 @@
 	defer r.mu.Unlock()
 	now := minuteOf(time.Now())
 	report := make(map[string][]Counts, len(r.workspaces))
-	for workspace, minutes := range r.workspaces {
+	for workspace, buffer := range r.workspaces {
 		windows := make([]Counts, len(Windows))
 		for i, window := range Windows {
-			windows[i] = minutes.sum(now, int64(window/bucketWidth))
+			windows[i] = buffer.sum(now, int64(window/bucketWidth))
 		}
 		report[workspace] = windows
 	}
@@ -68,9 +70,9 @@
 
 func (r *ring) sum(now, length int64) Counts {
 	var sum Counts
-	for at, minute := range r.minutes {
+	for index, minute := range r.minutes {
 		if minute > now-length && minute <= now {
-			sum.Add(r.counts[at])
+			sum.Add(r.counts[index])
 		}
 	}
 	return sum
