--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -1,5 +1,5 @@
-// Package fixedseed runs property-based tests with a fixed random seed, unless the command line
-// sets another one.
+// Package fixedseed runs property-based tests of the library pgregory.net/rapid with a fixed random
+// seed, unless the command line sets another one.
 package fixedseed
 
 import (
@@ -14,8 +14,9 @@
 }
 
 // Main runs a package's tests with a fixed seed for rapid and the given number of checks of each
-// property. Call it from TestMain; it exits the process. The flags -rapid.seed, -rapid.checks and
-// -rapid.nofailfile take precedence if they are set on the command line.
+// property. A failed check writes no file with the failing case. Call Main from TestMain; it exits
+// the process. The flags -rapid.seed, -rapid.checks and -rapid.nofailfile take precedence if they are
+// set on the command line.
 func Main(m runner, checks int) {
 	flag.Parse()
 	isSet := make(map[string]bool)
