--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -19,7 +19,7 @@
 )
 
 var (
-	_ slipwick.Store      = (*Client)(nil)
+	_ slipwick.Store     = (*Client)(nil)
 	_ slipwick.BoxLister = (*Client)(nil)
 )
 
