--- a/backend.go
+++ b/backend.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Backend is a backend server as declared in the configuration.
+// Backend is a backend server as the configuration, or its own entry in the store, declares it.
 type Backend struct {
 	// ID is unique in the fleet.
 	ID string `json:"id" validate:"required,max=100"`
