--- a/objectapi/client.go
+++ b/objectapi/client.go
@@ -19,8 +19,8 @@
 )
 
 var (
-	_ slipwick.Store      = (*Client)(nil)
-	_ slipwick.MemberList = (*Client)(nil)
+	_ slipwick.Store     = (*Client)(nil)
+	_ slipwick.BoxLister = (*Client)(nil)
 )
 
 const (
