--- a/cmd/internal/boundedlog/writer.go
+++ b/cmd/internal/boundedlog/writer.go
@@ -1,6 +1,6 @@
 // Package boundedlog writes log lines without ever blocking the caller. Lines
-// that exceed a budget, or that do not fit into the buffer because the output
-// is slow, are dropped and counted.
+// that exceed a budget of lines per second, or that do not fit into the buffer
+// because the output is slow, are dropped and counted.
 package boundedlog
 
 import (
@@ -25,7 +25,7 @@
 // sampler that enforces the budget. Create it with New. Its methods may be called from
 // several goroutines; Close only once.
 type Writer struct {
-	// Dropped counts lines that were dropped.
+	// Dropped counts the lines that exceeded the budget or did not fit into the buffer.
 	Dropped atomic.Int64
 
 	out     io.Writer
