--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -226,7 +226,7 @@
 	}
 )
 
-// All lists the events by number.
+// All returns the events in ascending order of their numbers.
 func All() []Event {
 	return []Event{
 		RouterStarted,
--- a/cmd/internal/events/catalogue_test.go
+++ b/cmd/internal/events/catalogue_test.go
@@ -12,15 +12,15 @@
 
 var update = flag.Bool("update", false, "write docs/EVENTS.md")
 
-const page = "../../../docs/EVENTS.md"
+const pagePath = "../../../docs/EVENTS.md"
 
 func TestPageAgreesWithCode(t *testing.T) {
 	if *update {
-		if err := os.WriteFile(page, []byte(Markdown()), 0o600); err != nil {
+		if err := os.WriteFile(pagePath, []byte(Markdown()), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	got, err := os.ReadFile(page)
+	got, err := os.ReadFile(pagePath)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/internal/events/event.go
+++ b/cmd/internal/events/event.go
@@ -15,7 +15,8 @@
 	Remedy string
 }
 
-// On returns a log line of the event; the caller adds fields and calls Send.
+// On returns a log line with the event's level, number and name; the caller adds further fields
+// and calls Send, which writes the line to log.
 func (e Event) On(log *zerolog.Logger) *zerolog.Event {
 	return log.WithLevel(e.Level).Int("event", e.Number).Str("name", e.Name)
 }
