--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -25,7 +25,7 @@
 	p.bounds.Store(&s.Bounds)
 	p.balancer = p.newBalancer()
 	p.client = &upstream.Client{}
-	p.backends = directory.NewBackends(p.onBackends)
+	p.backends = directory.NewBackends(p.onBackendsChanged)
 	p.backends.Heartbeat, p.backends.Leave = s.Bounds.Heartbeat, s.Bounds.LeaveTime
 	p.mirrors = map[string]*directory.Mirror{
 		feedTables:   directory.NewMirror(),
@@ -35,7 +35,7 @@
 		feedRollouts:    directory.NewMirror(),
 	}
 	p.rollouts = newRollouts(p)
-	p.joinMembers(open)
+	p.assembleMembership(open)
 	p.exchangeUDP = membership.NewUDP(open.exchangeUDP)
 	p.syncer = p.newSyncer()
 	p.tracker, p.gossiper = p.newTracker()
@@ -55,8 +55,8 @@
 	return b
 }
 
-// joinMembers creates the components that track the other routers.
-func (p *Process) joinMembers(open *listeners) {
+// assembleMembership creates the components that track and query the other routers.
+func (p *Process) assembleMembership(open *listeners) {
 	self := slipwick.Router{
 		ID:         p.Settings.ID,
 		Address:    p.Settings.Listen.Peers,
--- a/cmd/internal/gatewayd/bounds.go
+++ b/cmd/internal/gatewayd/bounds.go
@@ -8,8 +8,9 @@
 	"github.com/slipwick/slipwick/routing"
 )
 
-// Bounds are the limits that the fleet guarantees, and the intervals of backend servers and
-// of the load balancer before the routers that these limits depend on. Zero fields take the defaults.
+// Bounds are the limits that the fleet guarantees, and two intervals that these limits depend on:
+// that of the backend servers' heartbeats, and that of the readiness probes by the load balancer in
+// front of the routers. Fields that are 0 take their defaults, except where 0 disables a feature.
 type Bounds struct {
 	// LoadFactor and LoadSlack bound an engine's load: LoadFactor times the mean
 	// load of its pool, plus LoadSlack requests.
@@ -24,8 +25,9 @@
 	// Exposure is the share of a pool's requests that a bad new version of its backend
 	// servers may get during its rollout; 0 disables rollouts.
 	Exposure float64
-	// ColdFactor and ColdSlack bound the requests that a cold backend server gets in any
-	// second: ColdFactor times the rate that its pool allows for one, plus ColdSlack.
+	// ColdFactor and ColdSlack bound the requests that a cold backend server, which can serve
+	// only few for some time, such as after its start, gets in any second: ColdFactor times the rate
+	// that its pool allows for one, plus ColdSlack.
 	ColdFactor float64
 	ColdSlack  float64
 	// Heartbeat is how often backend servers renew their entries.
--- a/cmd/internal/gatewayd/cacheindex.go
+++ b/cmd/internal/gatewayd/cacheindex.go
@@ -12,13 +12,13 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// listedPollInterval is the interval at which a starting router checks whether it has a table and
-// the list of backend servers.
+// listedPollInterval is the interval at which a starting router checks whether it has a routing
+// table and the list of backend servers.
 const listedPollInterval = 10 * time.Millisecond
 
-// recoverCacheIndex finds out after a start which engines have cached which prompts. It then
-// fetches the caches of engines that are listed late, for as long as that may happen or until
-// ctx ends.
+// recoverCacheIndex finds out after a start which engines have cached which prompts. It then does
+// so for engines that are listed late because their entries had expired during an outage of the
+// store, for as long as such engines may appear or until ctx ends.
 func (p *Process) recoverCacheIndex(ctx context.Context) {
 	p.fetchCacheIndex(ctx)
 	close(p.cachesKnown)
@@ -46,7 +46,8 @@
 		Int("routers", len(p.node.Routers())).Dur("took_ms", time.Since(started)).Send()
 }
 
-// newRecovery creates the recovery of the cache index from other routers and engines.
+// newRecovery creates the component that rebuilds the index of cached prompts with the help of the
+// other routers and of the engines.
 func (p *Process) newRecovery() *exchange.Recovery {
 	r := exchange.NewRecovery(p.Settings.ID)
 	r.Balancer = p.balancer
@@ -78,8 +79,8 @@
 	return names
 }
 
-// listCache returns the keys of the prompt parts that an engine has cached, from the engine
-// itself.
+// listCache asks an engine which prompt parts it has cached and returns their keys. A prompt is a
+// sequence of parts, which several prompts may have in common.
 func (p *Process) listCache(ctx context.Context, engine slipwick.Backend) ([]uint64, error) {
 	ids, notice, err := p.Feeds.Caches.CachedParts(ctx, engine.Address)
 	p.balancer.RecordNoticeFrom(&engine, notice)
--- a/cmd/internal/gatewayd/coldlimits_test.go
+++ b/cmd/internal/gatewayd/coldlimits_test.go
@@ -10,8 +10,8 @@
 	"github.com/slipwick/slipwick/routing"
 )
 
-// TestColdLimitsFollowTheSettingsReadLast reloads the settings with other bounds: the limits
-// of a table that is computed later have to follow the new bounds.
+// TestColdLimitsFollowTheSettingsReadLast reloads the settings with other bounds: limits that are
+// computed from a routing table after that have to follow the new bounds.
 func TestColdLimitsFollowTheSettingsReadLast(t *testing.T) {
 	before := Bounds{
 		ColdFactor: 1.5,
--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -30,19 +30,20 @@
 	evacuationTime time.Duration
 	backend        *httptest.Server
 	// timeline counts how often the store was restored from a backup; 0 if it does not report it.
+	// revision counts its changes.
 	timeline, revision uint64
-	// idle is the limit on idle connections in the table.
-	idle time.Duration
+	// idleTimeout is how long the table allows callers' connections to be idle.
+	idleTimeout time.Duration
 }
 
-// newFixture returns a store with one table and one backend server, which responds
+// newFixture returns a fixture with one table and one backend server, which responds
 // after the time in the request's X-Pause header.
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	f := &fixture{
-		tables:   directory.NewMirror(),
-		backends: directory.NewMirror(),
-		idle:     5 * time.Second,
+		tables:      directory.NewMirror(),
+		backends:    directory.NewMirror(),
+		idleTimeout: 5 * time.Second,
 
 		evacuations: directory.NewMirror(),
 	}
@@ -60,7 +61,8 @@
 	return f
 }
 
-func (f *fixture) put(mirror *directory.Mirror, names ...string) {
+// replaceEntries makes the names the only entries of a feed of the store.
+func (f *fixture) replaceEntries(mirror *directory.Mirror, names ...string) {
 	f.revision++
 	batch := &slipwick.FeedBatch{
 		IsSnapshot: true,
@@ -78,16 +80,16 @@
 
 // setTable stores a table of the version, whose only route has the version as path prefix.
 func (f *fixture) setTable(version int) {
-	f.put(f.tables, fmt.Sprint(version))
+	f.replaceEntries(f.tables, fmt.Sprint(version))
 }
 
 func (f *fixture) setBackends(ids ...string) {
-	f.put(f.backends, ids...)
+	f.replaceEntries(f.backends, ids...)
 }
 
 // setEvacuated evacuates the data centres of the given backend servers, and no others.
 func (f *fixture) setEvacuated(backends ...string) {
-	f.put(f.evacuations, backends...)
+	f.replaceEntries(f.evacuations, backends...)
 }
 
 func (f *fixture) feeds() Feeds {
@@ -104,7 +106,7 @@
 				return nil, err
 			}
 			return routing.NewTable(version, routing.Limits{
-				IdleTimeout: f.idle,
+				IdleTimeout: f.idleTimeout,
 			}, nil, []routing.Route{
 				{
 					Name:        "r",
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -17,7 +17,7 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// Names of the feeds between routers.
+// Names under which routers relay the feeds to each other; feedRollouts is another.
 const (
 	feedTables   = "tables"
 	feedBackends = "backends"
@@ -123,6 +123,7 @@
 	m.process.storeRestores.Add(1)
 }
 
+// succeeded records the store's timeline, and logs the end of a series of failed calls.
 func (m *feedMonitor) succeeded(batch *slipwick.FeedBatch) {
 	m.process.timeline.Store(batch.Timeline)
 	if m.failingSince.IsZero() {
@@ -133,9 +134,9 @@
 	m.failingSince = time.Time{}
 }
 
-// onBackends applies changes of the list of backend servers. It closes connections to
+// onBackendsChanged applies changes of the list of backend servers. It closes connections to
 // servers that were removed and leaves those to listed servers as they are.
-func (p *Process) onBackends(changes *balance.Changes) {
+func (p *Process) onBackendsChanged(changes *balance.Changes) {
 	p.balancer.ChangeBackends(changes)
 	leaving, cold, now := 0, 0, clock.Now()
 	for i := range changes.Entries {
@@ -183,6 +184,7 @@
 		Dur("wait_ms", wait).Send()
 }
 
+// onNotice logs that a backend server announced that it is leaving, or asked for a pause.
 func (p *Process) onNotice(backend slipwick.Backend, notice slipwick.Notice) {
 	events.BackendNotice.On(&p.Log).Str("backend", backend.ID).Str("address", backend.Address).
 		Bool("leaving", notice.Leaving).Dur("rest_ms", notice.Pause).Send()
--- a/cmd/internal/gatewayd/notices_test.go
+++ b/cmd/internal/gatewayd/notices_test.go
@@ -29,7 +29,8 @@
 	routerHeader = "X-Router"
 )
 
-// noticeServer is a backend server that sends notices in its responses.
+// noticeServer is a backend server that sends notices in its responses: that it is leaving, or that
+// it asks for a pause.
 type noticeServer struct {
 	id     string
 	server *httptest.Server
@@ -38,8 +39,9 @@
 	leaving, wantsPause atomic.Bool
 
 	mu sync.Mutex
-	// arrivals are the times of requests, announced those of responses with a notice, by router.
-	arrivals, announced map[string][]time.Time
+	// arrivals are the times of requests, noticesSent the times at which responses with a notice
+	// ended, by router.
+	arrivals, noticesSent map[string][]time.Time
 }
 
 func (s *noticeServer) serve(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +53,7 @@
 		w.Header().Set("Slipwick-Leaving", "1")
 	}
 	if leaving || wantsPause {
-		defer s.record(s.announced, router)
+		defer s.record(s.noticesSent, router)
 	}
 	if wantsPause {
 		w.Header().Set("Slipwick-Not-Run", "1")
@@ -73,29 +75,29 @@
 	times[router] = append(times[router], time.Now())
 }
 
-// lateAfterNotice returns the number of requests that a router sent too long after the first
-// response that announced to it that the server is leaving.
-func (s *noticeServer) lateAfterNotice(router string) (late int) {
+// requestsAfterNotice returns the number of requests that a router sent later than inFlightMargin
+// after the first response that announced to it that the server is leaving.
+func (s *noticeServer) requestsAfterNotice(router string) (late int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.announced[router]) == 0 {
+	if len(s.noticesSent[router]) == 0 {
 		return 0
 	}
 	for _, at := range s.arrivals[router] {
-		if at.Sub(s.announced[router][0]) > inFlightMargin {
+		if at.Sub(s.noticesSent[router][0]) > inFlightMargin {
 			late++
 		}
 	}
 	return late
 }
 
-// duringPause returns the number of requests that a router sent during a pause that the server
-// had asked it for.
-func (s *noticeServer) duringPause(router string) (count int) {
+// requestsDuringPause returns the number of requests that a router sent during a pause that the
+// server had asked it for, and later than inFlightMargin after the response that did so.
+func (s *noticeServer) requestsDuringPause(router string) (count int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, at := range s.arrivals[router] {
-		for _, noticeAt := range s.announced[router] {
+		for _, noticeAt := range s.noticesSent[router] {
 			if since := at.Sub(noticeAt); since > inFlightMargin && since < requestedPause {
 				count++
 				break
@@ -127,9 +129,9 @@
 	var ids []string
 	for i := range servers {
 		s := &noticeServer{
-			id:        fmt.Sprint("s", i),
-			arrivals:  make(map[string][]time.Time),
-			announced: make(map[string][]time.Time),
+			id:          fmt.Sprint("s", i),
+			arrivals:    make(map[string][]time.Time),
+			noticesSent: make(map[string][]time.Time),
 		}
 		s.server = httptest.NewServer(http.HandlerFunc(s.serve))
 		t.Cleanup(s.server.Close)
@@ -153,7 +155,7 @@
 	feeds := f.fixture.feeds()
 	feeds.DecodeTable = func(string, []byte) (*routing.Table, error) {
 		return routing.NewTable(1, routing.Limits{
-			IdleTimeout: f.idle,
+			IdleTimeout: f.idleTimeout,
 		}, nil, []routing.Route{
 			{
 				Name:        "chat",
@@ -230,7 +232,7 @@
 	leaving.leaving.Store(true)
 	statuses := f.sendLoad(t)
 	for _, r := range f.routers {
-		if late := leaving.lateAfterNotice(r.Settings.ID); late > 0 {
+		if late := leaving.requestsAfterNotice(r.Settings.ID); late > 0 {
 			t.Errorf("router %s: got %d requests later than %v after the notice, want none",
 				r.Settings.ID, late, inFlightMargin)
 		}
@@ -247,8 +249,8 @@
 // at once and has no load, so it looked like the least loaded one and was chosen again: servers
 // that asked for 3 s got up to a dozen requests from one router in that time, more than any
 // other server. After 3 s the retry budget was spent and callers were refused, although 13 of
-// 18 servers had room. A rejection affected only the request that met it, and nothing read
-// how long the server wanted no requests.
+// 18 servers had free capacity. A rejection affected only the request that was rejected, and
+// nothing read how long the server wanted no requests.
 func TestServerThatAsksForPauseGetsNoRequests(t *testing.T) {
 	f := newNoticeFleet(t, 6, 3)
 	pausing := f.servers[:2]
@@ -258,7 +260,7 @@
 	statuses := f.sendLoad(t)
 	for _, r := range f.routers {
 		for _, s := range pausing {
-			if got := s.duringPause(r.Settings.ID); got > 0 {
+			if got := s.requestsDuringPause(r.Settings.ID); got > 0 {
 				t.Errorf("router %s: got %d requests at %s during its pause, want none", r.Settings.ID, got, s.id)
 			}
 		}
--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -11,7 +11,9 @@
 	"github.com/slipwick/slipwick/membership"
 )
 
-// peers gives the feeds access to the other routers and to this router's position in the relay tree.
+// peers gives the feeds access to the other routers and to this router's position in the relay
+// tree, through which the store's changes reach the fleet: a few routers, the watchers, follow the
+// store itself, and the others follow these or each other.
 type peers struct {
 	self slipwick.Router
 	node *membership.Node
--- a/cmd/internal/gatewayd/process.go
+++ b/cmd/internal/gatewayd/process.go
@@ -25,11 +25,12 @@
 )
 
 const (
-	// refuseTime is how long a draining router at least refuses requests after the announce
-	// time, so that connections that were on their way get a response.
+	// refuseTime is how long a draining router at least continues to run after
+	// Bounds.announceTime, so that requests over connections that were just being opened get a
+	// response, which may be a refusal.
 	refuseTime = 500 * time.Millisecond
-	// lateRequestTime is how long a draining router serves new requests after the announce time,
-	// provided their timeout ends within it.
+	// lateRequestTime is how long a draining router serves new requests after
+	// Bounds.announceTime, provided their timeout ends within it.
 	lateRequestTime = 3 * time.Second
 	// graceMargin is the part of the grace period that is left for closing connections.
 	graceMargin = 300 * time.Millisecond
@@ -62,11 +63,12 @@
 	membershipUDP *membership.UDP
 	syncer        *exchange.Syncer
 	recovery      *exchange.Recovery
-	// tracker quarantines requests that crash backend servers, gossiper sends the crashes to
+	// tracker quarantines requests that crash backend servers, gossiper reports the crashes to
 	// the other routers.
-	tracker     *quarantine.Tracker
-	gossiper    *exchange.CrashGossiper
-	peers       *peers
+	tracker  *quarantine.Tracker
+	gossiper *exchange.CrashGossiper
+	peers    *peers
+	// mirrors holds this router's copies of the feeds by name, for other routers.
 	mirrors     map[string]*directory.Mirror
 	exchangeUDP *membership.UDP
 	metrics     *metrics
@@ -78,8 +80,8 @@
 	// invalidEntries are the store's entries that cannot be decoded.
 	invalidEntries *invalidEntries
 
-	// timeline is the store's timeline in its latest response. storeRestores counts how often
-	// a feed started over because the store was restored from a backup.
+	// timeline is how often the store was restored from a backup, according to its latest
+	// response. storeRestores counts how often a feed started over because of such a restore.
 	timeline      atomic.Uint64
 	storeRestores atomic.Int64
 
@@ -89,12 +91,14 @@
 	// first known.
 	evacuated        atomic.Pointer[[]string]
 	evacuationsKnown chan struct{}
-	// rollouts follows the rollouts; rolloutsKnown is closed when they are first known.
+	// rollouts compares the versions of running rollouts; rolloutsKnown is closed when the
+	// rollout orders are first known.
 	rollouts      *rollouts
 	rolloutsKnown chan struct{}
-	// ready is closed when the process has a table and the lists of backend servers,
+	// ready is closed when the process has a routing table and the lists of backend servers,
 	// evacuated data centres and rollouts, or waited for the latter two in vain.
-	// cachesKnown is closed when it knows which prompts engines have cached.
+	// cachesKnown is closed when it knows which prompts engines have cached, or has given up
+	// on the engines whose caches it could not find out.
 	ready, cachesKnown chan struct{}
 
 	draining atomic.Bool
--- a/cmd/internal/gatewayd/process_test.go
+++ b/cmd/internal/gatewayd/process_test.go
@@ -93,7 +93,7 @@
 
 func TestIdleConnectionsAreClosedByLimitInForce(t *testing.T) {
 	f := newFixture(t)
-	f.idle = 300 * time.Millisecond
+	f.idleTimeout = 300 * time.Millisecond
 	r := startReady(t, f, "r1")
 	client := newClient()
 	for range 2 {
@@ -121,7 +121,7 @@
 	if status, _, err := r.post(t, newClient(), "/1/x"); status != http.StatusOK {
 		t.Fatalf("got %d %v, want 200", status, err)
 	}
-	// A failed attempt, so that each metric vector has a member.
+	// The metric of failed attempts is served only after the first one.
 	r.observer.Attempted(&gateway.FailedAttempt{})
 	page, err := os.ReadFile("../../../docs/METRICS-GATEWAY.md")
 	if err != nil {
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -8,7 +8,7 @@
 )
 
 // newTracker creates the tracker of requests that crash backend servers, and the gossiper
-// that sends the crashes to the other routers.
+// that reports the crashes to the other routers.
 func (p *Process) newTracker() (*quarantine.Tracker, *exchange.CrashGossiper) {
 	tracker := quarantine.NewTracker(p.Settings.ID)
 	gossiper := exchange.NewCrashGossiper(p.Settings.ID)
--- a/cmd/internal/gatewayd/quarantine_test.go
+++ b/cmd/internal/gatewayd/quarantine_test.go
@@ -39,10 +39,13 @@
 	*fixture
 	t *testing.T
 
-	mu           sync.Mutex
-	addresses    map[string]string
-	incarnations int
-	closed       bool
+	mu sync.Mutex
+	// addresses has the addresses of the running engines by ID. started is the number of engines
+	// started so far, which is part of their IDs. Once the test has ended, closed is set and no
+	// more engines start.
+	addresses map[string]string
+	started   int
+	closed    bool
 	// crashes are the times of crashes, attempts those at which engines got the request that
 	// crashes them.
 	crashes, attempts []time.Time
@@ -77,8 +80,8 @@
 	if err != nil {
 		return
 	}
-	f.incarnations++
-	id := fmt.Sprintf("engine-%d", f.incarnations)
+	f.started++
+	id := fmt.Sprintf("engine-%d", f.started)
 	server := &http.Server{
 		ReadHeaderTimeout: time.Second,
 	}
@@ -108,7 +111,7 @@
 	f.setBackendsLocked()
 }
 
-// crash closes all of an engine's connections. A new engine starts at its address later.
+// crash closes all of an engine's connections. A new engine starts at its address after restartDelay.
 func (f *crashingFleet) crash(id, address string, server *http.Server) {
 	_ = server.Close()
 	f.mu.Lock()
@@ -134,7 +137,7 @@
 	feeds := f.fixture.feeds()
 	feeds.DecodeTable = func(string, []byte) (*routing.Table, error) {
 		return routing.NewTable(1, routing.Limits{
-			IdleTimeout: f.idle,
+			IdleTimeout: f.idleTimeout,
 		}, nil, []routing.Route{
 			{
 				Name:        "chat",
@@ -168,15 +171,16 @@
 	return feeds
 }
 
-// attemptsAfter returns the number of crashes, and of attempts later than the pause after the third one.
-func (f *crashingFleet) attemptsAfter(pause time.Duration) (crashes, attempts int) {
+// crashesAndLateAttempts returns the number of crashes, and the number of attempts that were made
+// later than the delay after the third crash.
+func (f *crashingFleet) crashesAndLateAttempts(delay time.Duration) (crashes, attempts int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.crashes) < 3 {
 		return len(f.crashes), 0
 	}
 	for _, at := range f.attempts {
-		if at.Sub(f.crashes[2]) > pause {
+		if at.Sub(f.crashes[2]) > delay {
 			attempts++
 		}
 	}
@@ -209,9 +213,10 @@
 // It guards against a request that crashes one engine after the other. A caller repeated
 // a request that crashes each engine that runs it, at any router and with a new request ID
 // each time: some 60 crashes of 18 engines in 15 s, which interrupted all other requests
-// there, and their retries met the next crash. Routers counted the broken connection as a
-// failure of the engine alone, retried elsewhere, and neither remembered the request by
-// its content nor told other routers. The test fails if crashes are not tracked by request.
+// there, and their retries were interrupted by the next crash. Routers counted the broken
+// connection as a failure of the engine alone, retried elsewhere, and neither remembered the
+// request by its content nor told other routers. The test fails if crashes are not tracked by
+// request.
 func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	f := newCrashingFleet(t, 6)
 	first := startUnready(t, f.fixture, f.feeds(), "r1")
@@ -257,7 +262,7 @@
 	}
 	callers.Wait()
 
-	crashes, attempts := f.attemptsAfter(maxQuarantineDelay)
+	crashes, attempts := f.crashesAndLateAttempts(maxQuarantineDelay)
 	t.Logf("%d engines crashed, %d attempts later than %v after the third crash", crashes, attempts, maxQuarantineDelay)
 	if crashes < 3 || attempts > maxLateAttempts {
 		t.Errorf("got %d crashes, and %d attempts later than %v after the third, want 3 crashes and at most %d attempts",
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -15,31 +15,32 @@
 )
 
 const (
-	// feedRollouts is the name of the feed of rollout orders.
+	// feedRollouts is the name of the feed of rollout orders, each of which is a store entry that
+	// tells the routers to move a pool's requests to a new version of its backend servers.
 	feedRollouts = "rollouts"
-	// rolloutCheckInterval is the interval at which a router compares the versions.
-	// rolloutWriteInterval is the interval at which a watcher tries to write a state, and
-	// the timeout of a write.
+	// rolloutCheckInterval is the interval at which a router compares the old and the new
+	// version. rolloutWriteInterval is the interval at which a watcher of the store tries to
+	// write a state, and the timeout of a write.
 	rolloutCheckInterval = 100 * time.Millisecond
 	rolloutWriteInterval = 300 * time.Millisecond
-	// rolloutRetention is how long after its deadline a completed rollout still keeps requests
-	// from other versions. After that the old version's entries are gone, and newer versions
-	// belong to other rollouts.
+	// rolloutRetention is how long after its deadline a completed rollout still prevents requests
+	// to other versions than its own. After that the old version's entries are gone, and newer
+	// versions belong to other rollouts.
 	rolloutRetention = 10 * time.Second
-	// maxRolloutsWait bounds how long a starting router waits for the orders.
+	// maxRolloutsWait bounds how long a starting router waits for the rollout orders.
 	maxRolloutsWait = 2 * time.Second
 )
 
 // rollouts follows rollout orders. Each router compares the versions by the outcomes that all
-// routers saw, and acts on its verdict at once. Watchers of the store write the verdict,
-// provided that the order has not changed since they read it. Writers need no coordination: if
-// one is isolated or ends, the others write the same state.
+// routers saw, and acts on its verdict at once. The routers that watch the store write the verdict
+// there, provided that the order has not changed since they read it. Writers need no coordination:
+// if one is isolated or ends, the others write the same state.
 type rollouts struct {
 	process *Process
 
 	mu sync.Mutex
-	// following holds the rollouts by the name of their store entry.
-	following map[string]*followedRollout
+	// followed holds the rollouts by the name of their store entry.
+	followed map[string]*followedRollout
 }
 
 // followedRollout is a rollout with its latest verdict and the time of the last write.
@@ -51,8 +52,8 @@
 
 func newRollouts(p *Process) *rollouts {
 	return &rollouts{
-		process:   p,
-		following: make(map[string]*followedRollout),
+		process:  p,
+		followed: make(map[string]*followedRollout),
 	}
 }
 
@@ -98,7 +99,7 @@
 	checks.Wait()
 }
 
-// awaitRollouts blocks a starting router until it knows the orders, at most for maxRolloutsWait:
+// awaitRollouts blocks a starting router until it knows the rollout orders, at most for maxRolloutsWait:
 // without them it would send to a canary or a rolled back version as to any other.
 func (p *Process) awaitRollouts(ctx context.Context) {
 	if !p.followsRollouts() {
@@ -118,7 +119,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
-	for _, f := range r.following {
+	for _, f := range r.followed {
 		if !f.verdict.IsFinal() {
 			n++
 		}
@@ -126,20 +127,20 @@
 	return n
 }
 
-// change applies changes of the orders.
+// change applies changes of the rollout orders.
 func (r *rollouts) change(changes []directory.Change[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range changes {
 		c := &changes[i]
-		known := r.following[c.Name]
+		known := r.followed[c.Name]
 		switch {
 		case c.Removed:
-			delete(r.following, c.Name)
+			delete(r.followed, c.Name)
 		case c.Invalid:
 			// An order that can no longer be decoded keeps its last valid state.
 		case known == nil, known.Order.Version != c.Value.Version, known.Order.State.IsFinal() && !c.Value.State.IsFinal():
-			r.following[c.Name] = r.follow(&c.Value)
+			r.followed[c.Name] = r.follow(&c.Value)
 		default:
 			known.Order = c.Value
 		}
@@ -165,10 +166,10 @@
 		r.mu.Lock()
 		now := clock.Now()
 		r.applyLocked(now)
-		due := r.dueLocked(now)
+		due := r.dueWritesLocked(now)
 		r.mu.Unlock()
-		for name, order := range due {
-			r.write(ctx, name, order.order, order.state)
+		for name, write := range due {
+			r.write(ctx, name, write.order, write.state)
 		}
 	}
 }
@@ -176,7 +177,7 @@
 // applyLocked updates the verdicts, and the canaries of the balancer. The caller holds mu.
 func (r *rollouts) applyLocked(now time.Time) {
 	canaries := make(map[string]balance.Canary)
-	for name, f := range r.following {
+	for name, f := range r.followed {
 		counts := r.process.balancer.CanaryCounts(f.Order.Pool)
 		verdict := f.Observe(now, rollout.Counts(counts.Old), rollout.Counts(counts.New))
 		if verdict != f.verdict {
@@ -204,13 +205,14 @@
 	state rollout.State
 }
 
-// dueLocked returns the states that this router has to write now. The caller holds mu.
-func (r *rollouts) dueLocked(now time.Time) map[string]dueWrite {
+// dueWritesLocked returns the states that this router has to write now, by the name of the store
+// entry. A router that follows other routers rather than the store has none. The caller holds mu.
+func (r *rollouts) dueWritesLocked(now time.Time) map[string]dueWrite {
 	due := make(map[string]dueWrite)
 	if !r.process.Feeds.Private && !r.process.peers.RelayPosition().IsWatcher {
 		return due
 	}
-	for name, f := range r.following {
+	for name, f := range r.followed {
 		state, ok := f.PendingState()
 		if !ok || now.Sub(f.writtenAt) < rolloutWriteInterval {
 			continue
--- a/cmd/internal/gatewayd/settings.go
+++ b/cmd/internal/gatewayd/settings.go
@@ -18,13 +18,14 @@
 	DataCentre string
 	Region     string
 	Listen     Listen
-	// Seeds are the addresses (Listen.Peers) of other routers.
+	// Seeds are the addresses (Listen.Peers) of other routers, through which this one finds the
+	// fleet.
 	Seeds   []string
 	Headers gateway.Headers
 	Retries Retries
 	Bounds  Bounds
-	// FirstStart says that the whole fleet starts for the first time, so that
-	// engines have no prompts cached for it.
+	// FirstStart says that the whole fleet starts for the first time, so that no
+	// engine has cached any prompts yet.
 	FirstStart bool
 	// GracePeriod bounds the time from SIGTERM to the end of the process.
 	GracePeriod time.Duration
@@ -38,7 +39,8 @@
 	// Ready serves the load balancer's readiness probes, at ReadyPath.
 	Ready     string
 	ReadyPath string
-	// Peers receives from other routers, over TCP and UDP, and over UDP at the next port.
+	// Peers serves other routers: over TCP feeds and the cache index, over UDP membership. The
+	// balancers' updates and reports of crashes arrive over UDP at the next port.
 	Peers string
 	// Metrics serves metrics and status; it is not opened if empty.
 	Metrics string
@@ -54,6 +56,7 @@
 
 // Feeds are the sources of the process' state, with the decoders of their entries.
 type Feeds struct {
+	// Tables has the routing table, which is the configuration: routes, pools and limits.
 	Tables   slipwick.Feed
 	Backends slipwick.Feed
 	// Evacuations has an entry for each evacuated data centre, whose backend servers get
@@ -72,6 +75,6 @@
 	// Private says that each router has a source of its own, such as a file, so that
 	// routers do not relay feeds to each other.
 	Private bool
-	// Caches lists what engines have cached; may be nil.
+	// Caches lists the prompt parts that an engine has cached; may be nil.
 	Caches slipwick.CacheLister
 }
--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -28,7 +28,7 @@
 	InFlight      int64  `json:"in_flight"`
 	// Evacuated are the data centres whose backend servers get no new requests.
 	Evacuated []string `json:"evacuated"`
-	// KnownParts is the number of prompt parts whose engines it knows,
+	// KnownParts is the number of prompt parts that it knows to be cached on some engine,
 	// MissingCaches the number of engines whose caches it does not know.
 	KnownParts    int `json:"known_parts"`
 	MissingCaches int `json:"missing_caches"`
--- a/cmd/internal/gatewayd/suspension.go
+++ b/cmd/internal/gatewayd/suspension.go
@@ -14,9 +14,9 @@
 // it has no requests: each request checks too. A check takes two system calls.
 const suspendCheckInterval = 100 * time.Millisecond
 
-// watchSuspension checks until ctx ends whether the box was suspended. The clock then adds that time
-// to the age of all that is known. The list of live routers is fetched from another router,
-// since members announce each change only once and this router missed the announcements.
+// watchSuspension checks until ctx ends whether the box was suspended. If so, package clock adds that
+// time to the age of all known data, and the list of live routers is fetched from another router,
+// since routers announce each change only once and this one missed the announcements.
 func (p *Process) watchSuspension(ctx context.Context) {
 	known := clock.Suspended()
 	for sleep(ctx, suspendCheckInterval) {
