--- a/Makefile
+++ b/Makefile
@@ -14,10 +14,15 @@
 # The tests that KNOWN-RED.txt lists, as go test -skip takes them; empty without any.
 KNOWN_RED = $(shell sed -n 's/^\(Test[A-Za-z0-9_]*\) |.*/\1/p' KNOWN-RED.txt 2>/dev/null | paste -sd'|' -)
 
-# Runs the tests of all modules but for the known red ones, which it prints.
+# The packages that the race detector tests on one processor only; race_test.go has the reason.
+ONE_PROCESSOR := ./claims ./directory ./emulation
+
+# Runs the tests of all modules but for the known red ones, which it prints; those of ONE_PROCESSOR
+# once more without the race detector, on all processors.
 test:
 	@test -z "$(KNOWN_RED)" || cat KNOWN-RED.txt
 	go test -race $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$') $(PACKAGES)
+	go test $(if $(KNOWN_RED),-skip '^($(KNOWN_RED))$$') $(ONE_PROCESSOR)
 
 # Runs the measurements of docs/MEASURES.md; CASE= and POLICY= choose one.
 measure:
