--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -72,12 +72,12 @@
 
 // onMembershipChange applies a change of the fleet or of the state of backend servers.
 func (r *Router) onMembershipChange(change membership.Change) {
-	r.viewer.SetFleet(change.Routers, fleet.BackendStates(change.Backends))
-	r.members.Store(&change.Routers)
+	r.viewer.SetFleet(change.EligibleRouters, fleet.BackendStates(change.Backends))
+	r.members.Store(&change.EligibleRouters)
 	if r.joined.Load() {
-		r.claims.SetRouters(change.Routers)
+		r.claims.SetRouters(change.EligibleRouters)
 	}
-	r.watchesPlatform.Store(fleet.IsPlatformWatcher(r.self(), change.Routers))
+	r.watchesPlatform.Store(fleet.IsPlatformWatcher(r.self(), change.EligibleRouters))
 	for _, id := range change.Died {
 		events.RouterDied.On(&r.Log).Str("died", id).Send()
 		r.coordinator.HandleRouterFailure(id)
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -157,8 +157,8 @@
 	for _, id := range change.Died {
 		events.RouterDied.On(&p.Log).Str("died", id).Send()
 	}
-	p.limitIdleConnections(len(change.Routers))
-	p.setRouters(change.Routers)
+	p.limitIdleConnections(len(change.EligibleRouters))
+	p.setRouters(change.EligibleRouters)
 }
 
 // limitIdleConnections limits the idle connections to each backend server: every router gets an
--- a/emulation/router.go
+++ b/emulation/router.go
@@ -92,7 +92,7 @@
 }
 
 func (r *Router) onChange(change membership.Change) {
-	r.Viewer.SetFleet(change.Routers, fleet.BackendStates(change.Backends))
+	r.Viewer.SetFleet(change.EligibleRouters, fleet.BackendStates(change.Backends))
 	for _, id := range change.Died {
 		r.Coordinator.HandleRouterFailure(id)
 	}
--- a/membership/change.go
+++ b/membership/change.go
@@ -7,9 +7,9 @@
 
 // Change describes the fleet after a change.
 type Change struct {
-	// Routers may own backend servers. They are sorted by ID; the slice is shared and must not be
-	// modified.
-	Routers []slipwick.Router
+	// EligibleRouters holds the routers that are neither leaving, dead nor flapping, and so may own
+	// backend servers. They are sorted by ID; the slice is shared and must not be modified.
+	EligibleRouters []slipwick.Router
 	// Died holds the IDs of routers that died since the previous Change.
 	Died []string
 	// Backends holds the states of backend servers that are not live, by ID.
--- a/membership/node.go
+++ b/membership/node.go
@@ -161,9 +161,9 @@
 
 func (n *Node) snapshot() Change {
 	change := Change{
-		Routers:  n.owners.share(),
-		Died:     n.died,
-		Backends: make(map[string]memberpb.State),
+		EligibleRouters: n.owners.share(),
+		Died:            n.died,
+		Backends:        make(map[string]memberpb.State),
 	}
 	for id, m := range n.backends {
 		if state := m.update.GetState(); state != memberpb.State_STATE_LIVE {
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -182,7 +182,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		n := newTestNode()
 		owns := func() bool {
-			for _, r := range n.snapshot().Routers {
+			for _, r := range n.snapshot().EligibleRouters {
 				if r.ID == "other" {
 					return true
 				}
--- a/membership/routers_test.go
+++ b/membership/routers_test.go
@@ -90,7 +90,7 @@
 		n := newTestNode()
 		n.CatchUp = true
 		var reported []int
-		n.OnChange = func(change Change) { reported = append(reported, len(change.Routers)) }
+		n.OnChange = func(change Change) { reported = append(reported, len(change.EligibleRouters)) }
 		for i := range size {
 			n.applyUpdate(&memberpb.News{
 				Id: fmt.Sprint("r", i),
