--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -14,18 +14,19 @@
 
 const (
 	// catchUpInterval is the time between two sync requests of a router that has just started: a
-	// few round trips. Routers that start together know more with each.
+	// few round trips. Routers that start together learn more with each request.
 	catchUpInterval = 25 * time.Millisecond
 	// maxCatchUpTime bounds the catch-up; maxWaitForRouter is how long to wait for any other router
-	// to appear. Until startupTime the router sends further requests every slowCatchUpInterval,
-	// because routers that start with it may start a little later.
+	// to appear. After the catch-up, until startupTime after its start, the router sends further
+	// requests every slowCatchUpInterval, because routers that start with it may start a little later.
 	maxCatchUpTime      = 2 * time.Second
 	maxWaitForRouter    = 300 * time.Millisecond
 	startupTime         = time.Second
 	slowCatchUpInterval = 2 * catchUpInterval
 	// The fleet counts as known after minMatchingResponses consecutive responses with the digest of
-	// this node. Routers that die leave some routers with a different digest for seconds, so after
-	// quietTime minQuietResponses responses without anything new suffice.
+	// this node. Routers that die leave some routers with a different digest for seconds, so from
+	// quietTime after the start on, minQuietResponses consecutive responses suffice that have the
+	// digest of this node or no updates.
 	minMatchingResponses = 2
 	minQuietResponses    = 3
 	quietTime            = 200 * time.Millisecond
@@ -54,6 +55,7 @@
 	n.locked(n.finishCatchUp)
 }
 
+// finishCatchUp closes fleetKnown, and has OnChange called with what is known.
 func (n *Node) finishCatchUp() {
 	if !n.isFleetKnown() {
 		close(n.fleetKnown)
@@ -71,7 +73,8 @@
 }
 
 // catchUp sends sync requests to random routers, one at a time, for what this router does not know
-// yet. Without it, routers that start together would take seconds to learn of each other by gossip.
+// yet. Without these requests, routers that start together would take seconds to learn of each
+// other by gossip.
 func (n *Node) catchUp(ctx context.Context) {
 	pause := catchUpInterval
 	for n.isStarting() {
@@ -142,18 +145,20 @@
 	n.send(address, packet)
 }
 
+// syncRequest returns a sync request for the boxes of one shard; each request takes the next shard.
+// back is set in a request that is sent in return for one of the receiver.
 func (n *Node) syncRequest(packets uint32, back bool) *memberpb.Packet {
-	n.requests++
+	n.syncSequence++
 	boxes := len(n.members) + len(n.backends)
 	shards := uint64(boxes+maxKnownInPacket-1) / maxKnownInPacket
 	packet := &memberpb.Packet{
 		Kind:          memberpb.Kind_KIND_SYNC,
-		Sequence:      n.requests,
+		Sequence:      n.syncSequence,
 		From:          n.Self.ID,
 		Digest:        n.digest,
 		Configuration: n.version,
 		News:          []*memberpb.News{n.self().update},
-		Shard:         uint32(n.requests % shards),
+		Shard:         uint32(n.syncSequence % shards),
 		Shards:        uint32(shards),
 		Packets:       packets,
 		Back:          back,
--- a/membership/catchup_test.go
+++ b/membership/catchup_test.go
@@ -63,7 +63,7 @@
 
 // TestFleetStartingTogetherIsKnownToAllRouters starts a fleet within 0.3 s, each router with the
 // same three seeds. Each router must know all others, and detect that it does, 0.3 s after the last
-// start, and the seeds must not send too much meanwhile.
+// start, and the seeds, the routers that the others join first, must not send too much meanwhile.
 func TestFleetStartingTogetherIsKnownToAllRouters(t *testing.T) {
 	for _, size := range []int{8, 62, 295, 330} {
 		synctest.Test(t, func(t *testing.T) {
@@ -96,7 +96,7 @@
 					t.Errorf("%d routers: %s has not detected yet that it knows all", size, n.Self.ID)
 				}
 			}
-			// 20 Mbit/s carry 1.5 MB in that time; the seeds must not need all of it.
+			// A link of 20 Mbit/s carries 1.5 MB in 0.6 s; the seeds must not need all of it.
 			tn.mu.Lock()
 			sent, largest := maps.Clone(tn.sent), tn.largest
 			tn.mu.Unlock()
--- a/membership/member.go
+++ b/membership/member.go
@@ -16,18 +16,20 @@
 	update *memberpb.News
 	// suspectedAt is when this router began to suspect the box; zero if it does not.
 	suspectedAt time.Time
-	diedAt      time.Time
+	// diedAt is when this router learned that the router is dead.
+	diedAt time.Time
 	// lastProbedDeadAt is when the box was last contacted while dead, to find out whether it is
 	// reachable again.
 	lastProbedDeadAt time.Time
-	// penalty grows by one with each death and decays exponentially.
+	// penalty is the penalty for flapping as of penaltyAt. It grows by one with each death and decays
+	// exponentially.
 	penalty   float64
 	penaltyAt time.Time
 	// digestPart is what the box contributes to the node's digest.
 	digestPart uint64
 }
 
-// newer reports whether a supersedes b, an update on the same box.
+// supersedes reports whether a supersedes b, an update on the same box.
 func supersedes(a, b *memberpb.News) bool {
 	if a.GetIncarnation() != b.GetIncarnation() {
 		return a.GetIncarnation() > b.GetIncarnation()
@@ -55,6 +57,7 @@
 	return alive && m.penaltyNow(policy, now) < policy.FlapLimit
 }
 
+// penaltyNow returns the penalty after its decay until now.
 func (m *member) penaltyNow(policy *Policy, now time.Time) float64 {
 	if m.penalty == 0 {
 		return 0
--- a/membership/node.go
+++ b/membership/node.go
@@ -10,7 +10,7 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// Node is one router's member of the gossip protocol. Set the exported fields before Run.
+// Node is one router's participant in the gossip protocol. Set the exported fields before Run.
 type Node struct {
 	Self      slipwick.Router
 	Transport Transport
@@ -29,36 +29,44 @@
 	// must not call the node.
 	OnChange func(Change)
 
-	mu      sync.Mutex
-	members map[string]*member
-	// live holds the routers that are not dead, owners those that may own backend servers.
-	live, owners roster
-	backends     map[string]*member
+	mu sync.Mutex
+	// members holds the known routers, backends the known backend servers, both by ID.
+	members, backends map[string]*member
+	// notDead holds the routers that are not dead, eligible those that may own backend servers.
+	notDead, eligible roster
 	// version is the version of the configuration in force.
 	version uint64
 	// listed holds the state of each backend server in the platform's latest listing.
 	listed map[string]slipwick.BoxState
 	// digest is the XOR of the digest parts of all boxes.
-	digest   uint64
-	queue    updateQueue
-	probes   map[uint64]*probe
-	sequence uint64
+	digest uint64
+	queue  updateQueue
+	// probes holds the probes that have not been acked, by sequence; probeSequence is that of the
+	// last one sent.
+	probes        map[uint64]*probe
+	probeSequence uint64
 	// probeRound holds the routers still to be probed in this round.
-	probeRound       []string
+	probeRound []string
+	// digestMismatches counts the probes and acks in a row with another digest; syncedAt is when a
+	// sync request was last sent because of them.
 	digestMismatches int
 	syncedAt         time.Time
 	// unknownSyncedAt is when a sync request was last sent to an unknown router.
 	unknownSyncedAt time.Time
 	pushPending     bool
-	died            []string
+	// died holds the IDs of routers that died since the last call of OnChange.
+	died []string
 	// changed is set when OnChange has to be called.
 	changed bool
-	// startedAt is when Run began; requests counts the sync requests to other routers.
-	// matchingResponses and quietResponses count the responses since the last one that brought
-	// something new: those with the digest of this node, and others without updates.
-	startedAt                         time.Time
-	syncedBackAt                      time.Time
-	requests                          uint64
+	// startedAt is when Run began; syncedBackAt is when a sync request was last answered with one of
+	// this router.
+	startedAt    time.Time
+	syncedBackAt time.Time
+	// syncSequence is the sequence of the last sync request of this router.
+	syncSequence uint64
+	// matchingResponses counts the responses to sync requests that had the digest of this node,
+	// quietResponses those that had another digest but no updates. A response with another digest
+	// and updates sets both to 0.
 	matchingResponses, quietResponses int
 	fleetKnown                        chan struct{}
 	done                              chan struct{}
@@ -161,7 +169,7 @@
 
 func (n *Node) snapshot() Change {
 	change := Change{
-		EligibleRouters: n.owners.share(),
+		EligibleRouters: n.eligible.share(),
 		Died:            n.died,
 		Backends:        make(map[string]memberpb.State),
 	}
@@ -284,11 +292,11 @@
 	if known != nil {
 		update.Incarnation = known.update.GetIncarnation()
 	}
-	back := last == slipwick.BoxLeaving && box.State == slipwick.BoxLive
+	isLiveAgain := last == slipwick.BoxLeaving && box.State == slipwick.BoxLive
 	switch {
 	case box.State == slipwick.BoxLeaving && last != slipwick.BoxLeaving:
 		update.State = memberpb.State_STATE_LEAVING
-	case back && known != nil && known.update.GetState() == memberpb.State_STATE_LEAVING:
+	case isLiveAgain && known != nil && known.update.GetState() == memberpb.State_STATE_LEAVING:
 		update.Incarnation++
 	default:
 		return
@@ -311,5 +319,5 @@
 func (n *Node) Routers() []slipwick.Router {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.live.share()
+	return n.notDead.share()
 }
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -140,9 +140,9 @@
 	})
 }
 
-// TestOnlyChangesOfListingCount checks that a changed state in the platform's listing is applied,
-// and that a repeated one is not, because the owner may have a newer state.
-func TestOnlyChangesOfListingCount(t *testing.T) {
+// TestRepeatedListingStateIsIgnored checks that a changed state in the platform's listing is
+// applied, and that a repeated one is not, because the owner may have a newer state.
+func TestRepeatedListingStateIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newTestNode()
 		list := func(state slipwick.BoxState) {
--- a/membership/packet.go
+++ b/membership/packet.go
@@ -8,6 +8,7 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
+// packet returns a packet with updates from the queue.
 func (n *Node) packet(kind memberpb.Kind, sequence uint64) *memberpb.Packet {
 	return &memberpb.Packet{
 		Kind:     kind,
@@ -86,6 +87,8 @@
 	}
 }
 
+// receiveAck ends the probe that the ack belongs to, or forwards the ack to the router on whose
+// behalf the probe was sent.
 func (n *Node) receiveAck(packet *memberpb.Packet) {
 	p := n.probes[packet.GetSequence()]
 	if p == nil {
@@ -96,6 +99,8 @@
 		n.send(p.forAddress, n.packet(memberpb.Kind_KIND_ACK, p.forSequence))
 		return
 	}
+	// A router that was announced as suspect stays so until it refutes. A leaving one is suspected
+	// without an announcement, and its ack ends that.
 	if m := n.members[p.target]; m != nil && m.update.GetState() != memberpb.State_STATE_SUSPECT {
 		m.suspectedAt = time.Time{}
 	}
@@ -103,8 +108,8 @@
 
 // probeFor probes a target on behalf of another router.
 func (n *Node) probeFor(address string, packet *memberpb.Packet) {
-	n.sequence++
-	sequence := n.sequence
+	n.probeSequence++
+	sequence := n.probeSequence
 	n.probes[sequence] = &probe{
 		target:      packet.GetTarget(),
 		forAddress:  address,
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -12,16 +12,17 @@
 	IndirectProbes int
 	// SuspicionTimeout is how long a suspect has to refute before it counts as dead.
 	SuspicionTimeout time.Duration
-	// Fanout is how many routers a push goes to.
+	// Fanout is how many random routers new updates are pushed to at once, besides travelling with
+	// probes.
 	Fanout int
 	// UpdatesPerPacket bounds the updates in one packet.
 	UpdatesPerPacket int
-	// SyncAfter is how many packets in a row must have a different digest before a sync request is
-	// sent; MinSyncInterval is the minimum time between such requests.
+	// SyncAfter is how many probes and acks in a row must have a digest other than this router's
+	// before a sync request is sent; MinSyncInterval is the minimum time between such requests.
 	SyncAfter       int
 	MinSyncInterval time.Duration
 	// DeadRetention is how long dead routers are remembered and still contacted from time to time,
-	// in case they were only partitioned: longer than regions lose contact with each other.
+	// in case they were only partitioned. It must exceed the longest loss of contact between regions.
 	DeadRetention time.Duration
 	// FlapLimit is the penalty from which on a router may not own backend servers. A death adds 1
 	// to the penalty, which halves every FlapHalfLife.
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -25,7 +25,7 @@
 	for id, m := range n.members {
 		if m.penalty > 0 {
 			// The penalty decays, so the router may be allowed to own again.
-			n.updateOwner(m)
+			n.updateEligibility(m)
 		}
 		switch {
 		case id == n.Self.ID:
@@ -63,7 +63,7 @@
 	n.apply(update)
 }
 
-// nextTarget returns the next router of a shuffled round, or nil.
+// nextTarget returns the next router of a shuffled round, or nil if all other routers are dead.
 func (n *Node) nextTarget() *member {
 	for range 2 {
 		for len(n.probeRound) > 0 {
@@ -80,10 +80,10 @@
 	return nil
 }
 
-// randomMembers returns up to count random routers, neither dead nor this one nor except. Few of
-// many are drawn without building a candidate list.
+// randomMembers returns up to count random routers, neither dead nor this one nor except. If
+// there are many more routers than count, it builds no list of candidates.
 func (n *Node) randomMembers(count int, except string) []*member {
-	live := n.live.routers
+	live := n.notDead.routers
 	if count*sparseSampleRatio < len(live) {
 		return n.sampleMembers(live, count, except)
 	}
@@ -120,8 +120,8 @@
 }
 
 func (n *Node) probe(target *member) {
-	n.sequence++
-	sequence := n.sequence
+	n.probeSequence++
+	sequence := n.probeSequence
 	n.probes[sequence] = &probe{
 		target: target.update.GetId(),
 	}
@@ -145,7 +145,8 @@
 	}
 }
 
-// probeTimedOut suspects the target of a probe that was not acked, directly or indirectly.
+// probeTimedOut suspects the target of a probe that was not acked, directly or indirectly. A
+// leaving target is not announced as suspect, because that would not supersede its state.
 func (n *Node) probeTimedOut(sequence uint64) {
 	p := n.probes[sequence]
 	if p == nil {
--- a/membership/update_queue.go
+++ b/membership/update_queue.go
@@ -47,6 +47,7 @@
 // sendFactor times the logarithm of the fleet's size is how often each update is sent.
 const sendFactor = 3
 
+// add queues an update in place of an earlier one of the same box.
 func (q *updateQueue) add(update *memberpb.News) {
 	if q.byID == nil {
 		q.byID = make(map[string]*queuedUpdate)
@@ -59,11 +60,11 @@
 }
 
 // push queues an update with those that were sent as often.
-func (q *updateQueue) push(waiting *queuedUpdate) {
-	for len(q.bySent) <= waiting.sent {
+func (q *updateQueue) push(queued *queuedUpdate) {
+	for len(q.bySent) <= queued.sent {
 		q.bySent = append(q.bySent, nil)
 	}
-	heap.Push(&q.bySent[waiting.sent], waiting)
+	heap.Push(&q.bySent[queued.sent], queued)
 }
 
 // take returns up to count updates, the least often sent first, and counts them as sent.
--- a/membership/updates.go
+++ b/membership/updates.go
@@ -57,17 +57,17 @@
 func (n *Node) set(m *member, update *memberpb.News) {
 	m.update = update
 	if !update.GetBackend() {
-		n.live.set(m.router(), !m.dead())
-		n.updateOwner(m)
+		n.notDead.set(m.router(), !m.dead())
+		n.updateEligibility(m)
 	}
 	n.digest ^= m.digestPart
 	m.digestPart = m.digest()
 	n.digest ^= m.digestPart
 }
 
-// updateOwner adds the router to the possible owners of backend servers or removes it from them.
-func (n *Node) updateOwner(m *member) {
-	if n.owners.set(m.router(), m.mayOwn(&n.Policy, time.Now())) {
+// updateEligibility adds the router to the possible owners of backend servers or removes it from them.
+func (n *Node) updateEligibility(m *member) {
+	if n.eligible.set(m.router(), m.mayOwn(&n.Policy, time.Now())) {
 		n.changed = true
 	}
 }
