--- a/peer/conn.go
+++ b/peer/conn.go
@@ -85,8 +85,8 @@
 	}
 }
 
-// send sends an envelope on the stream in use, and on a new one if that is broken. It sends again
-// only after the stream reported its end, because the envelope may have arrived.
+// send sends an envelope on the stream in use, and on a new one if Send reports that the stream has
+// ended. It does not send again in other cases, because the envelope may have arrived.
 func (c *peerConn) send(ctx context.Context, envelope *peerpb.Envelope) {
 	const attempts = 2
 	for range attempts {
--- a/peer/counting.go
+++ b/peer/counting.go
@@ -19,9 +19,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return l.mesh.count(connection), nil
+	return l.mesh.countingConn(connection), nil
 }
 
-func (m *Mesh) count(connection net.Conn) net.Conn {
+// countingConn wraps a connection to count its bytes in Sent and Received.
+func (m *Mesh) countingConn(connection net.Conn) net.Conn {
 	return httpclient.NewCountingConn(connection, &m.Sent, &m.Received)
 }
--- a/peer/mesh.go
+++ b/peer/mesh.go
@@ -52,9 +52,11 @@
 	// Sent and Received count the bytes written to and read from TCP connections.
 	Sent, Received atomic.Int64
 
-	mu      sync.Mutex
-	peers   map[string]*peerConn
-	running context.Context
+	mu sync.Mutex
+	// peers holds the connections by the ID of the other router.
+	peers map[string]*peerConn
+	// runCtx is the context of Run, nil before; stopped is set when Run ends.
+	runCtx  context.Context
 	stopped bool
 	tasks   sync.WaitGroup
 	done    chan struct{}
@@ -74,7 +76,7 @@
 func (m *Mesh) Run(ctx context.Context) error {
 	defer close(m.done)
 	m.mu.Lock()
-	m.running = ctx
+	m.runCtx = ctx
 	m.mu.Unlock()
 	options := []grpc.ServerOption{
 		grpc.ReadBufferSize(bufferBytes),
@@ -125,7 +127,7 @@
 func (m *Mesh) connTo(router string) *peerConn {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.running == nil || m.stopped || m.running.Err() != nil {
+	if m.runCtx == nil || m.stopped || m.runCtx.Err() != nil {
 		return nil
 	}
 	c := m.peers[router]
@@ -136,7 +138,7 @@
 			queue:  make(chan *peerpb.Envelope, queueLength),
 		}
 		m.peers[router] = c
-		m.tasks.Go(func() { c.run(m.running) })
+		m.tasks.Go(func() { c.run(m.runCtx) })
 	}
 	return c
 }
@@ -161,6 +163,7 @@
 	Recv() (*peerpb.Envelope, error)
 }
 
+// receive passes arriving envelopes to OnReceive until the stream ends.
 func (m *Mesh) receive(from string, stream receiver) error {
 	for {
 		envelope, err := stream.Recv()
@@ -190,6 +193,7 @@
 	return connection, errors.Wrap(err, "connect to router")
 }
 
+// dial connects to an address with dialTimeout, and counts the connection's bytes.
 func (m *Mesh) dial(ctx context.Context, address string) (net.Conn, error) {
 	dialer := net.Dialer{
 		Timeout: dialTimeout,
@@ -198,5 +202,5 @@
 	if err != nil {
 		return nil, err
 	}
-	return m.count(connection), nil
+	return m.countingConn(connection), nil
 }
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -30,6 +30,7 @@
 	return ab.addresses[router]
 }
 
+// received is an envelope that a mesh passed to OnReceive.
 type received struct {
 	from     string
 	envelope *peerpb.Envelope
@@ -70,7 +71,7 @@
 func waitRunning(mesh *Mesh) {
 	for {
 		mesh.mu.Lock()
-		running := mesh.running != nil
+		running := mesh.runCtx != nil
 		mesh.mu.Unlock()
 		if running {
 			return
@@ -165,6 +166,8 @@
 	}
 }
 
+// TestMeshDropsEnvelopesForUnknownRouters checks that Send blocks neither for a router without a
+// known address nor after the mesh has stopped.
 func TestMeshDropsEnvelopesForUnknownRouters(t *testing.T) {
 	ab := &addressBook{
 		addresses: make(map[string]string),
