--- a/claims/claim.go
+++ b/claims/claim.go
@@ -16,8 +16,8 @@
 }
 
 // Claim claims the key durably, so that the request may be sent once. It blocks until the holder of
-// the journal has responded, or for WriteTimeout and AnswerTimeout at most. The Outcome of an error
-// is OutcomeNotRun if nothing was claimed, else the outcome of the key's earlier request.
+// the journal has responded, or for WriteTimeout plus AnswerTimeout at most. The Outcome of an
+// error is OutcomeNotRun if nothing was claimed, else the outcome of the key's earlier request.
 func (c *Claims) Claim(ctx context.Context, key Key) (Claim, error) {
 	claim := Claim{
 		key:      key,
@@ -36,14 +36,14 @@
 		return claim, nil
 	}
 	if failure, ok := slipwick.AsError(err); ok && failure.Kind != slipwick.KindKeyUsed {
-		// The holder may have received the request. The request was not sent and will not be, so
-		// the claim is released.
+		// The holder may have granted the claim all the same. The caller's request was not sent and
+		// will not be, so the claim is released.
 		c.RecordOutcome(claim, slipwick.OutcomeNotRun)
 	}
 	return Claim{}, err
 }
 
-// requestClaim asks the journal's holder until it responds or time is up.
+// requestClaim asks the journal's holder until it grants or refuses the claim, or time is up.
 func (c *Claims) requestClaim(ctx context.Context, claim Claim, answers <-chan *peerpb.ClaimAnswer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Policy.WriteTimeout+c.Policy.AnswerTimeout)
 	defer cancel()
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -29,11 +29,14 @@
 	Policy    Policy
 	Stats     Stats
 
-	mu      sync.Mutex
-	running context.Context
+	mu sync.Mutex
+	// runCtx is the context of Run, nil before; stopped is set when Run ends.
+	runCtx  context.Context
 	stopped bool
 	routers []slipwick.Router
-	held    map[int]*heldJournal
+	// held holds the journals assigned to this router, by number.
+	held map[int]*heldJournal
+	// answers holds the channel of each Claim call that waits for an answer, by claimant.
 	answers map[uint64]chan *peerpb.ClaimAnswer
 	tasks   sync.WaitGroup
 	done    chan struct{}
@@ -65,7 +68,7 @@
 func (c *Claims) Run(ctx context.Context) {
 	defer close(c.done)
 	c.mu.Lock()
-	c.running = ctx
+	c.runCtx = ctx
 	c.reassign()
 	c.mu.Unlock()
 	<-ctx.Done()
@@ -92,7 +95,7 @@
 // reassign starts the journals that are now assigned to this router, and stops the others; c.mu
 // must be held.
 func (c *Claims) reassign() {
-	if c.running == nil || c.stopped {
+	if c.runCtx == nil || c.stopped {
 		return
 	}
 	for number := range c.Policy.Journals {
@@ -118,7 +121,7 @@
 }
 
 func (c *Claims) startJournal(number int) {
-	ctx, cancel := context.WithCancel(c.running)
+	ctx, cancel := context.WithCancel(c.runCtx)
 	h := &heldJournal{
 		journal: &journal{
 			number:    number,
@@ -170,7 +173,8 @@
 	}
 }
 
-// enqueue queues a message for its journal, or responds at once if that is not possible.
+// enqueue queues a message for its journal, or answers a claim request at once if that is not
+// possible.
 func (c *Claims) enqueue(m message) {
 	raw := m.claim.GetKey()
 	if m.ending != nil {
@@ -203,6 +207,7 @@
 	}
 }
 
+// answer sends an answer to the router that requested the claim.
 func (c *Claims) answer(router string, answer *peerpb.ClaimAnswer) {
 	if router == c.Self {
 		c.receiveAnswer(answer)
@@ -213,6 +218,7 @@
 	})
 }
 
+// receiveAnswer passes an answer to the Claim call that waits for it.
 func (c *Claims) receiveAnswer(answer *peerpb.ClaimAnswer) {
 	c.mu.Lock()
 	answers := c.answers[answer.GetClaimant()]
@@ -227,5 +233,6 @@
 	}
 }
 
-// holderRetryDelay is the pause before a claim is sent again after the journal's holder changed.
+// holderRetryDelay is the pause before a claim is sent again after CLAIM_MOVED, or after no answer
+// within AnswerTimeout.
 const holderRetryDelay = 50 * time.Millisecond
--- a/claims/fakestore_test.go
+++ b/claims/fakestore_test.go
@@ -18,8 +18,8 @@
 	objects map[string]slipwick.Object
 	last    slipwick.Version
 	outage  bool
-	// slow delays calls. loseAnswer and late are shares of writes that take effect although the
-	// caller gets an error, at once or later.
+	// slow is the maximum delay that is added to a call. loseAnswer and late are the shares of writes
+	// that take effect, at once or later, although the caller gets an error.
 	slow             time.Duration
 	loseAnswer, late float64
 	writes, bytes    int
--- a/claims/fleet_test.go
+++ b/claims/fleet_test.go
@@ -21,6 +21,8 @@
 	random *rand.Rand
 	nodes  map[string]*node
 	ids    []string
+	// lose and double are the shares of messages that are lost or delivered twice; delay is the
+	// maximum delay that is added to a message.
 	lose   float64
 	double float64
 	delay  time.Duration
--- a/claims/history_test.go
+++ b/claims/history_test.go
@@ -29,9 +29,10 @@
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
-	ran        map[int]int
-	runs       map[string]int
-	started    time.Time
+	// ran counts the runs by attempt, runs by key.
+	ran     map[int]int
+	runs    map[string]int
+	started time.Time
 }
 
 func (h *history) run(a attempt) {
@@ -156,10 +157,10 @@
 	}
 }
 
-// TestCheckerFindsInjectedFaults checks that the checks above detect each fault that claims have to
-// prevent.
+// TestCheckerFindsInjectedFaults checks that history.violations detects each fault that claims have
+// to prevent.
 func TestCheckerFindsInjectedFaults(t *testing.T) {
-	const most = 300
+	const maxSchedules = 300
 	for _, tc := range []struct {
 		name   string
 		inject func(*schedule)
@@ -182,7 +183,7 @@
 		},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
-			for seed := range uint64(most) {
+			for seed := range uint64(maxSchedules) {
 				s := schedule{
 					seed:    seed,
 					routers: 3,
@@ -197,7 +198,7 @@
 					return
 				}
 			}
-			t.Errorf("got no violation in %d schedules, want one", most)
+			t.Errorf("got no violation in %d schedules, want one", maxSchedules)
 		})
 	}
 }
--- a/claims/index.go
+++ b/claims/index.go
@@ -7,28 +7,28 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// entry is the latest entry of a key in its journal.
-type entry struct {
+// indexEntry holds the content of a key's latest entry in its journal.
+type indexEntry struct {
 	claimant uint64
 	state    peerpb.ClaimState
 	expires  time.Time
 }
 
-func entryOf(e *claimspb.Entry) entry {
-	return entry{
+func newIndexEntry(e *claimspb.Entry) indexEntry {
+	return indexEntry{
 		claimant: e.GetClaimant(),
 		state:    peerpb.ClaimState(e.GetState()),
 		expires:  time.UnixMilli(int64(e.GetExpiresMs())),
 	}
 }
 
-// index holds a journal's keys. Later entries replace earlier ones.
-type index map[[keyBytes]byte]entry
+// index holds the latest entry of each key of a journal.
+type index map[[keyBytes]byte]indexEntry
 
 func (x index) apply(e *claimspb.Entry) {
 	var key [keyBytes]byte
 	copy(key[:], e.GetKey())
-	x[key] = entryOf(e)
+	x[key] = newIndexEntry(e)
 }
 
 // removeExpired deletes expired entries.
--- a/claims/journal.go
+++ b/claims/journal.go
@@ -32,10 +32,13 @@
 	storeFailing atomic.Bool
 	stats        *Stats
 
+	// writes counts the writes without their retries; writeBase plus the count is the number of the
+	// last one.
 	writes uint64
-	slots  map[uint64]*segment
-	open   *segment
-	index  index
+	// slots holds the journal's segments by slot; open is the latest one, which may be sealed.
+	slots map[uint64]*segment
+	open  *segment
+	index index
 }
 
 // message is a claim request or ending for a journal.
@@ -63,7 +66,7 @@
 			err = j.serve(ctx)
 		}
 		switch {
-		case errors.Is(err, errFull):
+		case errors.Is(err, errJournalFull):
 			j.rejectAll(peerpb.ClaimResult_CLAIM_FULL)
 		case slipwick.IsKind(err, slipwick.KindUnavailable):
 			j.setStoreFailing(true)
@@ -143,7 +146,7 @@
 	err := j.add(ctx, entries)
 	result := peerpb.ClaimResult_CLAIM_GRANTED
 	switch {
-	case errors.Is(err, errFull):
+	case errors.Is(err, errJournalFull):
 		result = peerpb.ClaimResult_CLAIM_FULL
 	case err != nil:
 		result = peerpb.ClaimResult_CLAIM_MOVED
@@ -156,7 +159,7 @@
 	return err
 }
 
-// add writes the entries to the open segment, or to the next one if it is sealed.
+// add writes the entries to the latest segment, or to a new one if that is sealed.
 func (j *journal) add(ctx context.Context, entries []*claimspb.Entry) error {
 	open := j.open
 	if open.content.GetSealed() {
@@ -174,6 +177,7 @@
 	return nil
 }
 
+// setOpen stores the content and version of the latest segment after a write.
 func (j *journal) setOpen(content *claimspb.Segment, version slipwick.Version) {
 	j.open = &segment{
 		content: content,
@@ -182,8 +186,8 @@
 	j.slots[j.slotOf(content)] = j.open
 }
 
-// process returns the entry that a message adds, and whether its claim is granted after the write.
-// Messages that need no write are answered at once.
+// process returns the entry that a message adds, nil if none, and whether its claim is granted
+// after the write. Messages that need no write are answered at once.
 func (j *journal) process(m message) (added *claimspb.Entry, granted bool) {
 	if m.ending != nil {
 		return j.endingEntry(m.ending), false
--- a/claims/measure_test.go
+++ b/claims/measure_test.go
@@ -76,15 +76,15 @@
 	time.Sleep(5 * time.Second)
 	random := rand.New(rand.NewPCG(1, 1))
 	for range runs {
-		out := f.ids[random.IntN(len(f.ids))]
-		key, err := f.node(out).claims.Policy.ParseKey("w", newKey(random), time.Now())
+		removed := f.ids[random.IntN(len(f.ids))]
+		key, err := f.node(removed).claims.Policy.ParseKey("w", newKey(random), time.Now())
 		if err != nil {
 			t.Fatal(err)
 		}
-		requester := f.node(others(f.ids, out)[0])
+		requester := f.node(others(f.ids, removed)[0])
 		began := time.Now()
-		for _, id := range others(f.ids, out) {
-			f.node(id).claims.SetRouters(routersOf(others(f.ids, out)))
+		for _, id := range others(f.ids, removed) {
+			f.node(id).claims.SetRouters(routersOf(others(f.ids, removed)))
 		}
 		for {
 			if _, err := requester.claims.Claim(t.Context(), key); err == nil {
--- a/claims/schedule_test.go
+++ b/claims/schedule_test.go
@@ -15,10 +15,15 @@
 
 // schedule describes one random run.
 type schedule struct {
-	seed                   uint64
+	seed uint64
+	// resends is how often a caller sends each key.
 	routers, keys, resends int
-	pauses, kills, views   int
-	outage, slow           bool
+	// pauses and kills count paused and killed routers, views the changes of a router's view of the
+	// fleet.
+	pauses, kills, views int
+	outage, slow         bool
+	// lostAnswers and lateWrite are shares of writes to the store, lose and double shares of messages
+	// between routers.
 	lostAnswers, lateWrite float64
 	lose, double           float64
 	// inject puts a fault in at the start, for the whole run.
@@ -70,7 +75,7 @@
 		}
 		random := rand.New(rand.NewPCG(s.seed, 11))
 		var tasks sync.WaitGroup
-		s.disturb(f, random, &tasks)
+		s.scheduleFaults(f, random, &tasks)
 		s.call(f, h, random, &tasks)
 		tasks.Wait()
 		f.stop()
@@ -87,9 +92,9 @@
 	return time.Duration(random.Int64N(int64(scheduleLength)))
 }
 
-// disturb pauses and kills routers, gives them different views of the fleet, and makes the store
-// unavailable.
-func (s schedule) disturb(f *fleet, random *rand.Rand, tasks *sync.WaitGroup) {
+// scheduleFaults pauses and kills routers, gives them different views of the fleet, and makes the
+// store unavailable.
+func (s schedule) scheduleFaults(f *fleet, random *rand.Rand, tasks *sync.WaitGroup) {
 	later := func(do func()) {
 		after := anyTime(random)
 		tasks.Go(func() {
--- a/claims/segment.go
+++ b/claims/segment.go
@@ -22,6 +22,7 @@
 	return fmt.Sprintf("slipwick/claims/%02d/", journal)
 }
 
+// objectKey returns the key of the object in a slot of a journal.
 func objectKey(journal int, slot uint64) string {
 	return fmt.Sprintf("%s%04d", keyPrefix(journal), slot)
 }
--- a/claims/segments_test.go
+++ b/claims/segments_test.go
@@ -19,8 +19,8 @@
 	return err
 }
 
-// TestExpiredSegmentsAreReused checks that a journal stays within its segments, refuses claims
-// while none has expired, and accepts them afterwards.
+// TestExpiredSegmentsAreReused checks that a journal has at most MaxSegments objects, refuses
+// claims while no segment has expired, and accepts them afterwards.
 func TestExpiredSegmentsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := testPolicy()
@@ -54,7 +54,7 @@
 	})
 }
 
-// TestParseKeyChecksTimeAndFormat checks keys from the past, from the future and malformed ones.
+// TestParseKeyChecksTimeAndFormat checks keys that are too old, from the future or malformed.
 func TestParseKeyChecksTimeAndFormat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		policy := DefaultPolicy()
--- a/claims/stats.go
+++ b/claims/stats.go
@@ -2,7 +2,7 @@
 
 import "sync/atomic"
 
-// Stats counts claims and what they cost.
+// Stats counts claims and the writes that they cause.
 type Stats struct {
 	// Writes and Bytes count the writes sent to the platform, and their size.
 	Writes, Bytes atomic.Int64
--- a/claims/takeover.go
+++ b/claims/takeover.go
@@ -51,19 +51,20 @@
 	return nil
 }
 
+// decode returns the segments of a journal by slot.
 func decode(objects []slipwick.Object, number int) (map[uint64]*segment, error) {
 	slots := make(map[uint64]*segment, len(objects))
-	byKey := make(map[string]uint64, len(objects))
+	slotByObjectKey := make(map[string]uint64, len(objects))
+	// Slots are filled from 0 on without gaps.
 	for slot := range uint64(len(objects)) {
-		byKey[objectKey(number, slot)] = slot
+		slotByObjectKey[objectKey(number, slot)] = slot
 	}
 	for _, object := range objects {
 		content := &claimspb.Segment{}
 		if err := proto.Unmarshal(object.Value, content); err != nil {
 			return nil, errors.Wrapf(err, "object %s is not a journal segment; move it out of the prefix", object.Key)
 		}
-		// Slots are filled from 0 on without gaps.
-		slots[byKey[object.Key]] = &segment{
+		slots[slotByObjectKey[object.Key]] = &segment{
 			content: content,
 			version: object.Version,
 		}
@@ -71,6 +72,7 @@
 	return slots, nil
 }
 
+// newest returns the segment with the highest sequence, nil if there is none.
 func newest(slots map[uint64]*segment) *segment {
 	var found *segment
 	for _, s := range slots {
@@ -81,8 +83,8 @@
 	return found
 }
 
-// errFull means that the journal's oldest segment has not expired.
-var errFull = errors.New("the journal is full; raise MaxSegments or lower KeyLifetime")
+// errJournalFull means that the journal's oldest segment has not expired.
+var errJournalFull = errors.New("the journal is full; raise MaxSegments or lower KeyLifetime")
 
 // nextSegment returns the segment after a sealed one, in a new slot or in one whose segment has
 // expired.
@@ -94,13 +96,14 @@
 	}
 	if used := slots[j.slotOf(next.content)]; used != nil {
 		if !time.Now().After(used.expires()) {
-			return nil, errFull
+			return nil, errJournalFull
 		}
 		next.version = used.version
 	}
 	return next, nil
 }
 
+// slotOf returns the slot that a segment is stored in.
 func (j *journal) slotOf(content *claimspb.Segment) uint64 {
 	return content.GetSequence() % uint64(j.policy.MaxSegments)
 }
--- a/claims/write.go
+++ b/claims/write.go
@@ -13,13 +13,13 @@
 	"github.com/slipwick/slipwick/claims/claimspb"
 )
 
-// errLost means that another router writes the journal now.
-var errLost = errors.New("another router holds the journal; send the request to that one")
+// errJournalLost means that another router has written the journal, and so has taken it over.
+var errJournalLost = errors.New("another router holds the journal; send the request to that one")
 
 // write replaces the object of a segment if it still has the version. A write without a response is
 // retried with the same content and version, so at most one attempt can take effect. A conflict on
-// a retry may stem from an earlier attempt whose response was lost; reading the content
-// back shows which.
+// a retry may stem from an earlier attempt whose response was lost, or from another router's write;
+// the stored content tells which.
 func (j *journal) write(
 	ctx context.Context, slot uint64, content *claimspb.Segment, version slipwick.Version,
 ) (slipwick.Version, error) {
@@ -38,10 +38,10 @@
 		case err == nil:
 			return written, nil
 		case slipwick.IsKind(err, slipwick.KindConflict) && !tried:
-			return 0, errLost
+			return 0, errJournalLost
 		case slipwick.IsKind(err, slipwick.KindConflict):
 			written, err = j.readBack(ctx, slot, value)
-			if err == nil || errors.Is(err, errLost) {
+			if err == nil || errors.Is(err, errJournalLost) {
 				return written, err
 			}
 		case !slipwick.IsKind(err, slipwick.KindUnavailable):
@@ -65,15 +65,15 @@
 	return j.store.Update(ctx, objectKey(j.number, slot), value, version)
 }
 
-// readBack returns the version that an earlier attempt of the write has made, or errLost if the
-// content is another.
+// readBack returns the version that an earlier attempt of the write has made, or errJournalLost
+// if the stored content is another.
 func (j *journal) readBack(ctx context.Context, slot uint64, value []byte) (slipwick.Version, error) {
 	object, err := j.store.Get(ctx, objectKey(j.number, slot))
 	if err != nil {
 		return 0, err
 	}
 	if !bytes.Equal(object.Value, value) {
-		return 0, errLost
+		return 0, errJournalLost
 	}
 	return object.Version, nil
 }
@@ -85,6 +85,7 @@
 	return wait
 }
 
+// sleep waits, and reports whether it did so before ctx ended.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
