--- a/membership/node.go
+++ b/membership/node.go
@@ -30,10 +30,12 @@
 	OnChange func(Change)
 
 	mu sync.Mutex
-	// members holds the known routers, backends the known backend servers, both by ID.
-	members, backends map[string]*member
+	// members holds the known routers by ID.
+	members map[string]*member
 	// notDead holds the routers that are not dead, eligible those that may own backend servers.
 	notDead, eligible roster
+	// backends holds the known backend servers by ID.
+	backends map[string]*member
 	// version is the version of the configuration in force.
 	version uint64
 	// listed holds the state of each backend server in the platform's latest listing.
--- a/membership/updates.go
+++ b/membership/updates.go
@@ -65,7 +65,7 @@
 	n.digest ^= m.digestPart
 }
 
-// updateEligibility adds the router to the possible owners of backend servers or removes it from them.
+// updateEligibility adds the router to those that may own backend servers, or removes it from them.
 func (n *Node) updateEligibility(m *member) {
 	if n.eligible.set(m.router(), m.mayOwn(&n.Policy, time.Now())) {
 		n.changed = true
