--- a/membership/member.go
+++ b/membership/member.go
@@ -16,7 +16,7 @@
 	update *memberpb.News
 	// suspectedAt is when this router began to suspect the box; zero if it does not.
 	suspectedAt time.Time
-	// diedAt is when this router learned that the router is dead.
+	// diedAt is when this router learned of the box's death.
 	diedAt time.Time
 	// lastProbedDeadAt is when the box was last contacted while dead, to find out whether it is
 	// reachable again.
--- a/membership/node.go
+++ b/membership/node.go
@@ -60,8 +60,8 @@
 	died []string
 	// changed is set when OnChange has to be called.
 	changed bool
-	// startedAt is when Run began; syncedBackAt is when a sync request was last answered with one of
-	// this router.
+	// startedAt is when Run began; syncedBackAt is when a sync request of another router was last
+	// answered with one in return.
 	startedAt    time.Time
 	syncedBackAt time.Time
 	// syncSequence is the sequence of the last sync request of this router.
