--- a/claims/journal.go
+++ b/claims/journal.go
@@ -41,7 +41,7 @@
 	index index
 }
 
-// message is a claim request or ending for a journal.
+// message is a claim request for a journal, or the ending of a claim: its request's outcome.
 type message struct {
 	from   string
 	claim  *peerpb.ClaimRequest
--- a/claims/takeover.go
+++ b/claims/takeover.go
@@ -83,7 +83,7 @@
 	return found
 }
 
-// errJournalFull means that the journal's oldest segment has not expired.
+// errJournalFull means that all slots are in use and the journal's oldest segment has not expired.
 var errJournalFull = errors.New("the journal is full; raise MaxSegments or lower KeyLifetime")
 
 // nextSegment returns the segment after a sealed one, in a new slot or in one whose segment has
--- a/claims/write.go
+++ b/claims/write.go
@@ -85,7 +85,7 @@
 	return wait
 }
 
-// sleep waits, and reports whether it did so before ctx ended.
+// sleep reports whether it slept for the whole wait; it returns false as soon as ctx ends.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
