--- a/balance/suspension_test.go
+++ b/balance/suspension_test.go
@@ -15,7 +15,7 @@
 	for _, sleep := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			suspended := time.Duration(0)
-			defer clock.SetSource(func() time.Duration { return suspended })()
+			defer clock.SetSuspensionOffset(func() time.Duration { return suspended })()
 			b := newTestBalancer(3)
 			b.SetPeers([]string{"r"}, 1)
 			lease := acquire(t, b, &Request{Pool: "p"})
--- a/clock/clock.go
+++ b/clock/clock.go
@@ -66,9 +66,9 @@
 	return suspension
 }
 
-// SetSource replaces how DetectSuspension measures the lead of the clock that counts suspensions
+// SetSuspensionOffset replaces how DetectSuspension measures the lead of the clock that counts suspensions
 // over the runtime's, and returns a function that undoes this. It is for tests.
-func SetSource(from func() time.Duration) (restore func()) {
+func SetSuspensionOffset(from func() time.Duration) (restore func()) {
 	mu.Lock()
 	defer mu.Unlock()
 	oldSource, oldOffset, oldSuspended := source, initialOffset, suspended.Load()
--- a/clock/clock_test.go
+++ b/clock/clock_test.go
@@ -11,7 +11,7 @@
 func TestSuspensionsCountAsElapsedTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		offset := 40 * time.Hour
-		defer SetSource(func() time.Duration { return offset })()
+		defer SetSuspensionOffset(func() time.Duration { return offset })()
 		for _, suspension := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 			began, deadline := Now(), Now().Add(10*time.Second)
 			time.Sleep(time.Second)
@@ -42,7 +42,7 @@
 // not read at the same instant.
 func TestReadingJitterIsNoSuspension(t *testing.T) {
 	offset := time.Duration(0)
-	defer SetSource(func() time.Duration { return offset })()
+	defer SetSuspensionOffset(func() time.Duration { return offset })()
 	for i := range 1000 {
 		offset = time.Duration(i%20) * time.Millisecond
 		if got := DetectSuspension(); got != 0 {
--- a/cmd/internal/gatewayd/suspension_test.go
+++ b/cmd/internal/gatewayd/suspension_test.go
@@ -18,7 +18,7 @@
 func TestSuspensionIsLoggedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var ahead atomic.Int64
-		defer clock.SetSource(func() time.Duration { return time.Duration(ahead.Load()) })()
+		defer clock.SetSuspensionOffset(func() time.Duration { return time.Duration(ahead.Load()) })()
 		var lines bytes.Buffer
 		p := New(&Settings{}, Feeds{})
 		p.Log = zerolog.New(&lines)
--- a/directory/suspend_test.go
+++ b/directory/suspend_test.go
@@ -14,7 +14,7 @@
 	for _, suspension := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
 		synctest.Test(t, func(t *testing.T) {
 			ahead := time.Duration(0)
-			defer clock.SetSource(func() time.Duration { return ahead })()
+			defer clock.SetSuspensionOffset(func() time.Duration { return ahead })()
 			m := NewMirror()
 			m.Apply(batch(1, true, "a1"))
 			time.Sleep(100 * time.Millisecond)
--- a/gateway/suspend_test.go
+++ b/gateway/suspend_test.go
@@ -16,7 +16,7 @@
 func TestSuspendCountsTowardsTheDeadline(t *testing.T) {
 	for sleep, want := range map[time.Duration]int64{time.Second: 2, 30 * time.Second: 1} {
 		var skipped atomic.Int64
-		restore := clock.SetSource(func() time.Duration { return time.Duration(skipped.Load()) })
+		restore := clock.SetSuspensionOffset(func() time.Duration { return time.Duration(skipped.Load()) })
 		first := newBackend(t, "b1", func(b *backend, w http.ResponseWriter, r *http.Request) {
 			skipped.Add(int64(sleep))
 			respondWith(http.StatusInternalServerError, "failed")(b, w, r)
--- a/retry/suspension_test.go
+++ b/retry/suspension_test.go
@@ -14,7 +14,7 @@
 	for suspension, want := range map[time.Duration]bool{time.Second: true, 30 * time.Second: false} {
 		synctest.Test(t, func(t *testing.T) {
 			suspended := time.Duration(0)
-			defer clock.SetSource(func() time.Duration { return suspended })()
+			defer clock.SetSuspensionOffset(func() time.Duration { return suspended })()
 			b := &Budget{
 				Ratio:   0.2,
 				Window:  10 * time.Second,
