--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -68,7 +68,7 @@
 		Transport: r.mesh,
 		OnError:   r.logPlatformError,
 	}
-	r.viewer = &fleet.Viewer{
+	r.viewer = &fleet.ViewBuilder{
 		Self:   self,
 		OnView: r.coordinator.SetView,
 	}
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -35,7 +35,7 @@
 	frontend      *frontend
 	platform      *objectapi.Client
 	follower      *configuration.Follower
-	viewer        *fleet.Viewer
+	viewer        *fleet.ViewBuilder
 	coordinator   *admission.Coordinator
 	node          *membership.Node
 	mesh          *peer.Mesh
--- a/emulation/router.go
+++ b/emulation/router.go
@@ -21,7 +21,7 @@
 	Self        slipwick.Router
 	Coordinator *admission.Coordinator
 	Node        *membership.Node
-	Viewer      *fleet.Viewer
+	Viewer      *fleet.ViewBuilder
 
 	// cancel stops the coordinator and the node.
 	cancel context.CancelFunc
@@ -50,7 +50,7 @@
 		from:    r,
 	}, policy)
 	r.Coordinator.Share = shares(snapshot)
-	r.Viewer = &fleet.Viewer{
+	r.Viewer = &fleet.ViewBuilder{
 		Self:   self,
 		OnView: r.SetView,
 	}
