--- a/fleet/backendstate.go
+++ b/fleet/backendstate.go
@@ -6,7 +6,8 @@
 // The states of a backend server.
 const (
 	BackendLive BackendState = iota
-	// BackendEjected servers get no new requests for a limited time because of errors.
+	// BackendEjected servers get no new requests for a limited time, after errors or at their own
+	// request.
 	BackendEjected
 	// BackendLeaving servers are in a planned stop, or gone.
 	BackendLeaving
--- a/fleet/memberstate.go
+++ b/fleet/memberstate.go
@@ -5,7 +5,8 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// MemberState returns the member state that corresponds to the health an owner found.
+// MemberState returns the member state for the health of a backend server, which the router that
+// owns it determines.
 func MemberState(health admission.Health) memberpb.State {
 	switch health {
 	case admission.HealthEjected:
--- a/fleet/platformwatcher.go
+++ b/fleet/platformwatcher.go
@@ -10,7 +10,8 @@
 const watchersPerDataCentre = 2
 
 // IsPlatformWatcher reports whether the router is among its data centre's watchers of the platform.
-// It is if it knows of no other router.
+// A router that is not in the list itself is one if the list has fewer than watchersPerDataCentre
+// routers of its data centre.
 func IsPlatformWatcher(self slipwick.Router, routers []slipwick.Router) bool {
 	var sameDataCentre []slipwick.Router
 	for _, r := range routers {
--- a/fleet/relayposition.go
+++ b/fleet/relayposition.go
@@ -16,34 +16,41 @@
 	// routersPerRelay bounds the routers that follow one relay, so that a large configuration,
 	// compressed, reaches all of them over a link of 10 Mbit/s within half a second.
 	routersPerRelay = 32
-	// localRelays is how many relays a router follows in turn, remoteRelays how many if none is in
-	// its own data centre.
+	// localRelays is how many relays a router has at most, remoteRelays how many if none is in its
+	// own data centre.
 	localRelays  = 3
 	remoteRelays = 3
-	// If none of its relays has a current copy, a router asks the reserves: the first reserveFactor
-	// * watchers routers by rank. If nobody has one, routers become acting watchers in at most
-	// takeoverTurns turns, each of which doubles the number of routers that watch.
+	// If none of its relays has a current copy of the store, a router asks its reserves: the first
+	// reserveFactor * watchers routers by rank. If none of these has one either, some routers take
+	// over from the watchers, that is, call the store themselves until a watcher has a current copy
+	// again. They do so in takeoverTurns turns, each of which doubles the number of routers that
+	// call the store.
 	reserveFactor = 2
 	takeoverTurns = 3
 )
 
 // RelayPosition is a router's position in the relay tree, through which the store's changes reach
 // the fleet: a few routers watch the store, others follow these, and in a large fleet the rest
-// follow the others. All routers of a region that know of the same routers there compute the same
+// follow the others. To follow a router, its relay, is to get the changes from it.
+//
+// Each region has a tree of its own. In it, the routers are ranked by their rendezvous score for a
+// fixed key, from 0: the watchers rank first, and each further level of the tree has the ranks after
+// the level above. All routers of a region that know of the same routers there compute the same
 // tree.
 type RelayPosition struct {
 	// IsWatcher says that the router watches the store itself.
 	IsWatcher bool
-	// Relays are the IDs of the routers that it follows in turn, Reserves those that it asks when
-	// none of the relays has a current copy.
+	// Relays are the IDs of the routers that it can follow; a watcher, which has the other watchers
+	// here, follows them only while it can't use the store. Reserves are the IDs of those that it
+	// asks when none of the relays has a current copy.
 	Relays, Reserves []string
-	// TakeoverTurn says how soon the router becomes an acting watcher when no router that it asks
-	// has a current copy: the lower, the sooner; never if it is negative.
+	// TakeoverTurn is the turn, from 0, in which the router takes over from the watchers when no
+	// router that it asks has a current copy; it never does if this is -1.
 	TakeoverTurn int
 }
 
 // FindRelayPosition returns the relay position of a router among the live routers, which may or may
-// not include the router itself.
+// not include the router itself. If they don't, it ranks last.
 func FindRelayPosition(self slipwick.Router, routers []slipwick.Router) RelayPosition {
 	key, regional := placement.IDHash("watch"), inRegion(self, routers)
 	size, rank := len(regional), len(regional)
@@ -72,14 +79,16 @@
 	return p
 }
 
-// byScore returns the routers in the order in which the router with the ID prefers them.
+// byScore returns the routers in the order in which the router with the ID prefers them: by their
+// rendezvous score for the ID, best first.
 func byScore(id string, routers []slipwick.Router) []slipwick.Router {
 	return placement.TopRouters(placement.IDHash(id), routers, len(routers))
 }
 
-// relayRanks returns the range of ranks, without end, that a router may follow: the level above its
-// own. There are as few levels below the watchers as routersPerRelay allows, and their width is
-// chosen so that relays of all levels have equally many followers.
+// relayRanks returns the first rank, and the one after the last, of the routers that a router of the
+// rank may follow: the level above its own. There are as few levels below the watchers as
+// routersPerRelay allows, and their width is chosen so that relays of all levels have equally many
+// followers.
 func relayRanks(rank, watchers, routers int) (first, end int) {
 	perWatcher, levels := float64(routers)/float64(watchers), 1.0
 	for math.Pow(routersPerRelay, levels) < perWatcher {
@@ -93,7 +102,8 @@
 	return first, end
 }
 
-// chooseRelays returns the IDs of some candidates, from the router's own data centre if any are.
+// chooseRelays returns the IDs of up to localRelays candidates in the router's own data centre or, if
+// there are none, of up to remoteRelays elsewhere.
 func chooseRelays(self slipwick.Router, candidates []slipwick.Router) []string {
 	ranked := byScore(self.ID, candidates)
 	var local []slipwick.Router
@@ -108,9 +118,9 @@
 	return idsWithout(ranked[:min(len(ranked), remoteRelays)], self.ID)
 }
 
-// takeoverTurn returns the turn in which a router of the rank becomes an acting watcher; -1 for
-// never. The number of routers doubles with each turn, so that a few suffice if one of them reaches
-// the store, and enough try soon if only few can reach it.
+// takeoverTurn returns the turn in which a router of the rank takes over from the watchers; -1 for
+// never. The number of routers that call the store doubles with each turn, so that a few suffice if
+// one of them reaches it, and enough try soon if only few can reach it.
 func takeoverTurn(rank, watchers int) int {
 	turn := 0
 	for limit := 2 * watchers; rank >= limit; limit *= 2 {
--- a/fleet/relayposition_bench_test.go
+++ b/fleet/relayposition_bench_test.go
@@ -7,7 +7,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// BenchmarkFindRelayPosition measures the work that each change of a member causes.
+// BenchmarkFindRelayPosition measures the time of one call. Each router makes one whenever
+// its list of live routers has changed.
 func BenchmarkFindRelayPosition(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/fleet/relayposition_reference_test.go
+++ b/fleet/relayposition_reference_test.go
@@ -47,8 +47,9 @@
 	return p
 }
 
-// TestRelayPositionMatchesReference guards against positions that differ from those in the sorted
-// fleet, for fleets of any size and routers that are in the list themselves or not.
+// TestRelayPositionMatchesReference guards against positions that FindRelayPosition gets wrong
+// because it does not sort the whole fleet, for fleets of any size and routers that are in the list
+// themselves or not.
 func TestRelayPositionMatchesReference(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.OneOf(rapid.IntRange(0, 12), rapid.IntRange(13, 1200)).Draw(r, "size")
--- a/fleet/viewbuilder.go
+++ b/fleet/viewbuilder.go
@@ -13,7 +13,7 @@
 // ViewBuilder builds a new view whenever the configuration or the fleet changes. Set the exported
 // fields before the first call. It is safe for concurrent use.
 type ViewBuilder struct {
-	// Self is this router. It owns all backend servers if no router is known that may own any.
+	// Self is this router. It owns all backend servers as long as the list of routers is empty.
 	Self slipwick.Router
 	// OnView is called with each new view, one call at a time, and must not call the ViewBuilder.
 	OnView func(*placement.View)
@@ -66,8 +66,8 @@
 	b.OnView(placement.NewView(pools, routers))
 }
 
-// usable returns the indexes of the backend servers that may get new requests. Ejected servers
-// count again if no other is left: they are better than an empty pool.
+// usable returns the indexes of the backend servers that may get new requests. If all servers are
+// ejected or leaving, these are the ejected ones: they are better than an empty pool.
 func (b *ViewBuilder) usable(backends []slipwick.Backend) []int {
 	usable := make([]int, 0, len(backends))
 	var ejected []int
