--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -155,9 +155,9 @@
 	}
 }
 
-// TestExposureHoldsAtEveryMoment guards against a plan that gives the new version more than the
+// TestPlanKeepsToTheExposure guards against a plan that gives the new version more than the
 // allowed share of the requests between the order and its deadline. No bad version is found here.
-func TestExposureHoldsAtEveryMoment(t *testing.T) {
+func TestPlanKeepsToTheExposure(t *testing.T) {
 	for _, duration := range []time.Duration{3 * time.Second, 12 * time.Second, time.Minute} {
 		for _, allowed := range []float64{0.02, 0.1, 0.5} {
 			began := time.Unix(0, 0)
