--- a/rollout/comparison.go
+++ b/rollout/comparison.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Counts are the responses of one version: the good ones, and those that failed or took several
-// times as long as usual.
+// Counts are the numbers of responses of one version: of the good ones, and of those that failed or
+// took several times as long as usual.
 type Counts struct {
 	Good, Bad int
 }
@@ -38,16 +38,18 @@
 // because earlier good responses no longer count once the sum is back at zero. Failures that hit
 // both versions, such as the loss of boxes, raise the rate that the new version is compared with.
 type Comparison struct {
-	// old and target are the counts at the last observation, cusum is the test statistic. recentBad
-	// of the recentTotal latest responses of the old version, weighted by age, were bad.
+	// old and target are the counts of the old and the new version at the last observation, cusum is
+	// the test statistic. recentTotal is the number of responses of the old version and recentBad
+	// that of the bad ones, both weighted by age: see recentDecay.
 	old, target            Counts
 	recentTotal, recentBad float64
 	cusum                  float64
 	alarmed                bool
 }
 
-// Observe takes the counts of the old and the new version since the start of the rollout, which
-// only increase, and reports whether the new version is worse. Once true, the result stays true.
+// Observe takes the counts of the old and the new version (target) since the start of the rollout,
+// which only increase, and reports whether the new version is worse. Once true, the result stays
+// true.
 func (c *Comparison) Observe(old, target Counts) bool {
 	baseline := min(c.baselineRate(old), maxRate/minRateFactor)
 	good, bad := target.Good-c.target.Good, target.Bad-c.target.Bad
--- a/rollout/order.go
+++ b/rollout/order.go
@@ -8,7 +8,9 @@
 
 // Order is an operator's order to move a pool's traffic to backend servers of a version.
 type Order struct {
-	Pool    string
+	// Pool is the name of the pool, which on the platform is that of its service.
+	Pool string
+	// Version is the version to move the traffic to.
 	Version string
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration
@@ -38,7 +40,7 @@
 func (o *Order) Check() error {
 	switch {
 	case o.Pool == "":
-		return errors.New("the rollout order names no pool; set the service whose traffic is to move")
+		return errors.New("the rollout order names no service; set the service whose traffic is to move")
 	case o.Version == "":
 		return errors.New("the rollout order names no version; set the version to move the traffic to")
 	case o.Duration <= 0:
--- a/rollout/rollout.go
+++ b/rollout/rollout.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Rollout is the state of one order at one router. Routers send each other their counts, so that
-// each reaches the same verdict and acts on it at once; those that watch the store write it there.
+// Rollout carries out one order at one router. Routers send each other their counts, so that each
+// reaches the same verdict and acts on it at once; those that watch the store write it there.
 // It is not safe for concurrent use.
 type Rollout struct {
 	Order      Order
 	Plan       Plan
 	comparison Comparison
-	// verdict is this router's decision, StateRunning until there is one.
+	// verdict is the state that this router has determined: StateRunning until it is final.
 	verdict State
 }
 
@@ -26,9 +26,9 @@
 	}
 }
 
-// Observe takes the counts of both versions since the order and returns the verdict. A final one,
-// from this router or the store, stays. A version is rolled back only if it is found bad before its
-// state is completed: after that the old version is gone.
+// Observe takes the counts of the old and the new version (target) since the order and returns the
+// verdict. A final verdict stays, unless the store has another final state. A version is rolled back
+// only if it is found bad before its rollout is completed: after that the old version is gone.
 func (r *Rollout) Observe(now time.Time, old, target Counts) State {
 	switch {
 	case r.Order.State.IsFinal():
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// simulation is one rollout in a fleet that sends rate requests a second and observes its counts
-// five times a second.
+// simulation is one rollout of a pool that gets rate requests a second. The counts are observed once
+// per observeInterval.
 type simulation struct {
 	random   *rand.Rand
 	rate     float64
 	duration time.Duration
 	exposure float64
-	// observe replaces the package's comparison of the versions unless it is nil.
+	// observe is called in place of Comparison.Observe unless it is nil.
 	observe func(old, target Counts) bool
 	// oldRate and newRate return the rate of bad responses at a time, given as a fraction of the
 	// duration.
@@ -66,7 +66,7 @@
 			out.verdict = r.Observe(now.Add(observeInterval), old, target)
 			continue
 		}
-		// The package's own comparison gets no counts, so it never finds a bad version.
+		// The rollout's Comparison gets no counts, so it never finds a bad version.
 		if r.verdict == StateRunning && s.observe(old, target) {
 			r.verdict = StateRolledBack
 		}
@@ -109,16 +109,14 @@
 			}
 		}
 		t.Logf("%s: %d of %d rolled back", name, rolledBack, seeds)
-		// The bound is one in a thousand.
 		if rolledBack > seeds/1000 {
 			t.Errorf("%s: got %d of %d good versions rolled back, want 1 in 1000 at most", name, rolledBack, seeds)
 		}
 	}
 }
 
-// TestBadVersionsAreRolledBackWithinTheExposure guards against versions that are completed though
-// bad or get more requests than allowed. They are bad from the start, later, or only under full
-// load.
+// TestBadVersionsAreRolledBackWithinTheExposure guards against bad versions that are completed or get
+// more requests than allowed. They are bad from the start, later, or only once they get all requests.
 func TestBadVersionsAreRolledBackWithinTheExposure(t *testing.T) {
 	const seeds, slack = 500, 50
 	from := func(start, rate float64) func(float64) float64 {
@@ -155,8 +153,9 @@
 	}
 }
 
-// TestPlanKeepsToTheExposure guards against a plan that gives the new version more than the
-// allowed share of the requests between the order and its deadline. No bad version is found here.
+// TestPlanKeepsToTheExposure guards against a plan that gives the new version more than the allowed
+// share of the requests between the order and its deadline, if nothing ends the plan early because
+// the version was found bad.
 func TestPlanKeepsToTheExposure(t *testing.T) {
 	for _, duration := range []time.Duration{3 * time.Second, 12 * time.Second, time.Minute} {
 		for _, allowed := range []float64{0.02, 0.1, 0.5} {
@@ -181,8 +180,8 @@
 	}
 }
 
-// TestFinalStatesStay guards against a final state that changes when counts, the deadline or the
-// store say something else.
+// TestFinalStatesStay guards against a final state that changes after further counts or after the
+// deadline. Only another final state in the store replaces it.
 func TestFinalStatesStay(t *testing.T) {
 	now := time.Unix(0, 0)
 	r := New(&Order{
--- a/rollout/threshold_test.go
+++ b/rollout/threshold_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// threshold returns the simple alternative: a version is bad once its rate of bad responses exceeds
-// that of the old one by the increase, over at least minResponses.
+// threshold returns a simple alternative to Comparison.Observe: the new version is bad once it has
+// given minResponses or more and its rate of bad ones exceeds the old version's by the increase.
 func threshold(minResponses int, increase float64) func(old, target Counts) bool {
 	return func(old, target Counts) bool {
 		if target.total() < minResponses {
@@ -14,9 +14,9 @@
 	}
 }
 
-// TestMeasureThresholds compares plain thresholds with the cumulative sum: how many good versions
-// are rolled back, how many bad ones are completed, and how many requests those get. It logs the
-// figures and asserts nothing.
+// TestMeasureThresholds compares plain thresholds with the cumulative sum test of Comparison: how
+// many good versions are rolled back, how many bad ones are completed, and how many requests the bad
+// ones get at most. It logs the figures and asserts nothing.
 func TestMeasureThresholds(t *testing.T) {
 	const seeds = 500
 	later := func(fraction float64) float64 {
