--- a/clock/clock.go
+++ b/clock/clock.go
@@ -17,10 +17,11 @@
 var (
 	// suspended is the total suspension detected so far, in nanoseconds.
 	suspended atomic.Int64
-	// mu guards source and initialOffset, and writes to suspended. initialOffset is what source
-	// returned before the first suspension.
+	// mu guards readOffset and initialOffset, and writes to suspended. readOffset returns the offset
+	// of the clock that counts suspensions from the runtime's, initialOffset is what it returned
+	// before the first suspension.
 	mu            sync.Mutex
-	source        = suspensionOffset
+	readOffset    = suspensionOffset
 	initialOffset = suspensionOffset()
 )
 
@@ -52,13 +53,13 @@
 	return time.Duration(suspended.Load())
 }
 
-// DetectSuspension compares the clocks and returns how long the box was suspended since the last
-// call; 0 if it was not. It makes two system calls. Call it regularly: Now advances over a
-// suspension only then.
+// DetectSuspension compares the runtime's clock with one that counts suspensions and returns how long
+// the box was suspended since the last call; 0 if it was not. It makes two system calls. Call it
+// regularly: Now advances over a suspension only then.
 func DetectSuspension() time.Duration {
 	mu.Lock()
 	defer mu.Unlock()
-	suspension := source() - initialOffset - time.Duration(suspended.Load())
+	suspension := readOffset() - initialOffset - time.Duration(suspended.Load())
 	if suspension < minSuspension {
 		return 0
 	}
@@ -66,22 +67,23 @@
 	return suspension
 }
 
-// SetSuspensionOffset replaces how DetectSuspension measures the lead of the clock that counts suspensions
-// over the runtime's, and returns a function that undoes this. It is for tests.
-func SetSuspensionOffset(from func() time.Duration) (restore func()) {
+// SetSuspensionOffset replaces the function from which DetectSuspension gets the offset of the clock
+// that counts suspensions from the runtime's, and returns a function that undoes this. It is for
+// tests.
+func SetSuspensionOffset(read func() time.Duration) (restore func()) {
 	mu.Lock()
 	defer mu.Unlock()
-	oldSource, oldOffset, oldSuspended := source, initialOffset, suspended.Load()
-	source, initialOffset = from, from()-time.Duration(oldSuspended)
+	oldRead, oldInitial, oldSuspended := readOffset, initialOffset, suspended.Load()
+	readOffset, initialOffset = read, read()-time.Duration(oldSuspended)
 	return func() {
 		mu.Lock()
 		defer mu.Unlock()
-		source, initialOffset = oldSource, oldOffset
+		readOffset, initialOffset = oldRead, oldInitial
 		suspended.Store(oldSuspended)
 	}
 }
 
-// suspensionOffset returns the lead of the clock that counts suspensions over the one that does
+// suspensionOffset returns the offset of the clock that counts suspensions from the one that does
 // not. It is 0 on systems without such a clock, so that no suspension is ever detected.
 func suspensionOffset() time.Duration {
 	var bootTime, monotonic unix.Timespec
