--- a/pace/doc.go
+++ b/pace/doc.go
@@ -1,4 +1,4 @@
 // Package pace estimates durations from observed ones: how fast the engines of a pool prefill
-// prompts, and how long the responses of a route take to begin. The estimates follow changes within
-// the last few dozen to a few hundred observations.
+// prompts, and how long its responses take to begin. The estimates follow changes within the last
+// few dozen to a few hundred observations.
 package pace
--- a/pace/prefill.go
+++ b/pace/prefill.go
@@ -7,14 +7,15 @@
 // wait behind others take longer, so the estimates are low quantiles of the observed times. It is
 // not safe for concurrent use.
 type PrefillEstimator struct {
-	// tokens holds the numbers of tokens to prefill, shortTimes the times in milliseconds of
-	// requests with few of them, longPerToken the milliseconds per token of requests with many.
+	// tokens holds the numbers of tokens to prefill of the latest requests, shortTimes the times to
+	// the first token, in milliseconds, of requests with few tokens to prefill, longPerToken the
+	// milliseconds per token of requests with many.
 	tokens, shortTimes, longPerToken *Window
 }
 
 const (
-	// prefillWindow and longWindow are how many requests are kept: some seconds of a pool's
-	// traffic. Few requests have many tokens to prefill.
+	// prefillWindow is how many requests are kept, longWindow how many with many tokens to prefill,
+	// which are rarer: some seconds of a pool's traffic.
 	prefillWindow = 128
 	longWindow    = 48
 	// minShort and minLong are how many requests have to be observed before an estimate replaces
@@ -22,8 +23,8 @@
 	minShort = 24
 	minLong  = 8
 	// A request is short if it has no more tokens to prefill than the shortQuantile of the
-	// requests. It is long with at least longFactor times that and at least minLongTokens: the base
-	// time hardly matters there.
+	// requests. It is long if it has at least longFactor times that, and at least minLongTokens: its
+	// time hardly depends on the base time.
 	shortQuantile = 0.5
 	longFactor    = 8
 	minLongTokens = 500
@@ -33,7 +34,7 @@
 )
 
 // Initial values and bounds of the estimates. The initial values fit a large model on current
-// hardware; the bounds are ten times slower than the slowest known engine and some times faster
+// hardware; the bounds are ten times slower than the slowest known engine and several times faster
 // than the fastest.
 const (
 	InitialTokensPerMillisecond = 100.0
@@ -54,7 +55,8 @@
 	}
 }
 
-// Record adds the time to the first token of a request that had so many tokens to prefill.
+// Record adds the time to the first token of a request that had the given number of tokens to
+// prefill.
 func (e *PrefillEstimator) Record(tokens int, took time.Duration) {
 	if took <= 0 || tokens < 0 {
 		return
@@ -90,8 +92,8 @@
 	return min(max(1/perToken, minTokensPerMillisecond), maxTokensPerMillisecond)
 }
 
-// PrefillTime returns how long an unloaded engine takes to the first token with so many tokens to
-// prefill.
+// PrefillTime returns how long an unloaded engine takes to the first token with the given number of
+// tokens to prefill.
 func (e *PrefillEstimator) PrefillTime(tokens int) time.Duration {
 	return e.BaseTime() + time.Duration(float64(tokens)/e.TokensPerMillisecond()*float64(time.Millisecond))
 }
--- a/pace/slowdown.go
+++ b/pace/slowdown.go
@@ -5,21 +5,23 @@
 	"time"
 )
 
-// SlowdownEstimator estimates by what factor requests take longer than they would on an unloaded
-// engine, from the latest ones. It calls UnloadedTime anew each time it sorts, so that a better
-// estimate applies to earlier requests too. It is not safe for concurrent use.
+// SlowdownEstimator estimates the slowdowns of requests, that is, by what factor they take longer
+// than they would on an unloaded engine, from the latest ones. It calls UnloadedTime again for all
+// kept requests each time it sorts their slowdowns, so that a better estimate applies to earlier
+// requests too. It is not safe for concurrent use.
 type SlowdownEstimator struct {
-	// UnloadedTime returns how long a request with so many tokens to prefill takes on an unloaded
-	// engine.
+	// UnloadedTime returns how long a request with the given number of tokens to prefill takes on an
+	// unloaded engine.
 	UnloadedTime func(tokens int) time.Duration
 
 	latest []observation
 	next   int
+	// sorted holds the slowdowns as last sorted; added counts the requests added since.
 	sorted []float64
 	added  int
 }
 
-// observation is the time that one request took.
+// observation is the number of tokens to prefill of one request and the time that it took.
 type observation struct {
 	tokens int
 	took   time.Duration
@@ -28,7 +30,7 @@
 // slowdownWindow is how many requests are kept: some seconds of a pool's traffic.
 const slowdownWindow = 256
 
-// Record adds the time that a request with so many tokens to prefill took.
+// Record adds the time that a request with the given number of tokens to prefill took.
 func (s *SlowdownEstimator) Record(tokens int, took time.Duration) {
 	o := observation{
 		tokens: tokens,
@@ -48,8 +50,9 @@
 	return len(s.latest)
 }
 
-// Quantile returns the time that a share, from 0 to 1, of the requests with so many tokens to
-// prefill do not exceed; 0 without observations.
+// Quantile returns the time that a share, from 0 to 1, of requests with the given number of tokens to
+// prefill are expected not to exceed: their unloaded time, multiplied by that quantile of all kept
+// slowdowns, which may lack the latest few. It is 0 without observations.
 func (s *SlowdownEstimator) Quantile(share float64, tokens int) time.Duration {
 	if len(s.latest) == 0 {
 		return 0
--- a/pace/slowdown_test.go
+++ b/pace/slowdown_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestSlowdownsFollowLaterEstimates guards against slowdowns that keep an outdated unloaded time:
-// it becomes known only after the requests were recorded.
+// TestSlowdownsFollowLaterEstimates guards against slowdowns that keep the unloaded time of the
+// moment at which their requests were recorded, when a better estimate of it comes later.
 func TestSlowdownsFollowLaterEstimates(t *testing.T) {
 	unloaded := time.Millisecond
 	s := &SlowdownEstimator{
--- a/pace/window.go
+++ b/pace/window.go
@@ -7,7 +7,8 @@
 type Window struct {
 	size   int
 	values []float64
-	next   int
+	// next is the index of the oldest value once the window is full.
+	next int
 	// sorted holds the values as last sorted; added counts the values added since.
 	sorted []float64
 	added  int
