--- a/jsonfile/typecheck.go
+++ b/jsonfile/typecheck.go
@@ -61,17 +61,17 @@
 	for i := range object.Members {
 		member := &object.Members[i]
 		name := member.Name.Value.(hujson.Literal).String()
-		below := pointer + "/" + escape(name)
+		memberPointer := pointer + "/" + escape(name)
 		if seen[name] {
-			c.add(below, "duplicate field", "remove one of the two")
+			c.add(memberPointer, "duplicate field", "remove one of the two")
 		}
 		seen[name] = true
 		field, known := fields[name]
 		if !known {
-			c.add(below, "unknown field", "remove it, or use one of "+names(fields))
+			c.add(memberPointer, "unknown field", "remove it, or use one of "+sortedNames(fields))
 			continue
 		}
-		c.checkValue(below, &member.Value, field)
+		c.checkValue(memberPointer, &member.Value, field)
 	}
 }
 
@@ -110,7 +110,7 @@
 	}
 }
 
-// describe returns the name of a type that messages use.
+// describe returns the term that messages use for a type.
 func describe(goType reflect.Type) string {
 	switch goType.Kind() {
 	case reflect.String:
@@ -148,7 +148,8 @@
 	return name
 }
 
-func names(fields map[string]reflect.Type) string {
+// sortedNames returns the names of the fields in alphabetical order, separated by commas.
+func sortedNames(fields map[string]reflect.Type) string {
 	sorted := make([]string, 0, len(fields))
 	for name := range fields {
 		sorted = append(sorted, name)
--- a/jsonfile/values.go
+++ b/jsonfile/values.go
@@ -34,15 +34,17 @@
 	return mistakes
 }
 
-var index = regexp.MustCompile(`\[([^\]]*)\]`)
+// elementIndex matches the index of a list or map in a namespace of the validator.
+var elementIndex = regexp.MustCompile(`\[([^\]]*)\]`)
 
-// pointerOf turns "State.pools[0].name" into "/pools/0/name".
+// pointerOf turns a field's namespace, as the validator reports it, into a JSON pointer:
+// "File.pools[0].name", with the name of the decoded struct, into "/pools/0/name".
 func pointerOf(namespace string) string {
 	_, path, found := strings.Cut(namespace, ".")
 	if !found {
 		return ""
 	}
-	path = index.ReplaceAllString(path, ".$1")
+	path = elementIndex.ReplaceAllString(path, ".$1")
 	return "/" + strings.ReplaceAll(path, ".", "/")
 }
 
@@ -61,7 +63,8 @@
 	return field.Tag() + "=" + field.Param()
 }
 
-// remedies maps a rule to what to do if it is violated; %s is the rule's parameter.
+// remedies maps a validation rule to what to do about a value that violates it; %s is the rule's
+// parameter.
 var remedies = map[string]string{
 	"required":      "give a value",
 	"hostname_port": "write HOST:PORT, such as 127.0.0.1:8080",
