--- a/routing/pool.go
+++ b/routing/pool.go
@@ -10,15 +10,15 @@
 	MaxConnections int
 	// Engine is set for pools of model engines.
 	Engine *Engine
-	// Cold is set for pools whose backend servers can serve only few requests for some time after a
-	// start, or later.
+	// Cold is set for pools whose backend servers can be cold.
 	Cold *Cold
 }
 
-// Cold says how much load a backend server can take while it is cold.
+// Cold says how much load the backend servers of a pool can take while they are cold, that is, can
+// serve only few requests for some time, after a start or later.
 type Cold struct {
-	// RequestsPerSecond bounds the requests that a cold backend server gets from all routers
-	// together.
+	// RequestsPerSecond is how many requests in a second a cold backend server can serve. The limit
+	// on what all routers together send to it is derived from this.
 	RequestsPerSecond float64
 	// Duration is how long a backend server is cold after a start.
 	Duration time.Duration
