--- a/tablefile/evacuated.go
+++ b/tablefile/evacuated.go
@@ -11,10 +11,10 @@
 // evacuatedPointer is the JSON pointer of the file's list of evacuated data centres.
 const evacuatedPointer = "/evacuated"
 
-// SetEvacuated returns the file's source with a data centre added to the list of evacuated
+// SetEvacuated returns the source of a table file with a data centre added to the list of evacuated
 // ones or removed from it. Comments are kept; if nothing changes, the source is returned as it
-// is. The error is jsonfile.Mistakes for an invalid file. A data centre without backend servers
-// can't be evacuated.
+// is. Error messages call the file by the name. The error is jsonfile.Mistakes for an invalid file.
+// A data centre without backend servers can't be evacuated.
 func SetEvacuated(name string, source []byte, dataCentre string, evacuated bool) ([]byte, error) {
 	file, err := Parse(name, source)
 	if err != nil {
@@ -37,7 +37,7 @@
 	return replaceEvacuated(source, list)
 }
 
-// hasDataCentre reports whether a backend server is in the data centre.
+// hasDataCentre reports whether any backend server of the file is in the data centre.
 func (f *File) hasDataCentre(name string) bool {
 	for _, entry := range f.Backends() {
 		if entry.DataCentre == name {
--- a/tablefile/evacuated_test.go
+++ b/tablefile/evacuated_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// TestEvacuatedDataCentresAreChangedInTheFile starts and ends the evacuation of a data centre.
-// Comments have to be kept, and the feed has to return the new list.
+// TestEvacuatedDataCentresAreChangedInTheFile guards against an evacuation whose start or end in the
+// file is missing in the feed, or removes the file's comments.
 func TestEvacuatedDataCentresAreChangedInTheFile(t *testing.T) {
 	evacuated, err := SetEvacuated("table", []byte(validFile), "d", true)
 	if err != nil {
--- a/tablefile/feed.go
+++ b/tablefile/feed.go
@@ -20,11 +20,13 @@
 // within which a changed configuration has to be in force.
 const pollInterval = 500 * time.Millisecond
 
-// Feed lists and watches the objects of one kind in a file. A changed file is returned as a
-// whole list, never as single changes.
+// Feed lists and watches the objects of one kind in a table file: the routing table, the backend
+// servers or the evacuated data centres. A changed file is returned as a whole list, never as single
+// changes.
 type Feed struct {
+	// Path is the path of the table file.
 	Path string
-	// entries returns the objects of the feed in a file, given parsed and as source.
+	// entries returns the objects of the feed from the parsed file and its source.
 	entries func(*File, []byte) ([]slipwick.FeedEntry, error)
 
 	mu sync.Mutex
@@ -47,7 +49,8 @@
 
 var _ slipwick.Feed = (*Feed)(nil)
 
-// Tables returns a feed of the routing table in the file. Its only value is the file's source.
+// Tables returns a feed of the routing table in the file. It has one object, whose value is the
+// file's source.
 func Tables(path string) *Feed {
 	return &Feed{
 		Path: path,
@@ -140,8 +143,8 @@
 	}, err
 }
 
-// Watch reads the file every pollInterval until its revision differs from the position's, and
-// once more when the wait is over. It returns the whole list, as List does.
+// Watch reads the file every pollInterval until its revision differs from that of after, and once
+// more when the wait is over. It returns the whole list, as List does.
 func (f *Feed) Watch(ctx context.Context, after slipwick.Position, wait time.Duration) (slipwick.FeedBatch, error) {
 	deadline := time.NewTimer(wait)
 	defer deadline.Stop()
@@ -171,6 +174,7 @@
 	}
 }
 
+// pointer returns the JSON pointer of an element of a list in the file.
 func pointer(field string, index int) string {
 	return "/" + field + "/" + strconv.Itoa(index)
 }
