--- a/rollout/order.go
+++ b/rollout/order.go
@@ -23,7 +23,8 @@
 // State is the progress of a rollout. It never leaves a final state.
 type State string
 
-// The states of a rollout. The last two are final.
+// The states of a rollout, as logs have them; the platform has names of its own. The last two are
+// final.
 const (
 	StatePending    State = ""
 	StateRunning    State = "running"
