--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -167,8 +167,8 @@
 			t.Error("got no grants at the engine before it left")
 		}
 		report := w.Report()
-		if report.Refused > 0 || w.Meter.FailedRequests() > 0 {
-			t.Errorf("got a share of %.3f refused and %d failed, want none", report.Refused, w.Meter.FailedRequests())
+		if report.Refused > 0 || w.Meter.FailedAttempts() > 0 {
+			t.Errorf("got a share of %.3f refused and %d failed, want none", report.Refused, w.Meter.FailedAttempts())
 		}
 		w.SetLeaving(id, false)
 		w.pause(20 * time.Second)
--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -198,9 +198,9 @@
 	return m.grants[engine]
 }
 
-// FailedRequests returns the number of attempts since the start whose engine
+// FailedAttempts returns the number of attempts since the start whose engine
 // failed or hung.
-func (m *Meter) FailedRequests() int {
+func (m *Meter) FailedAttempts() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.failed
