--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -9,8 +9,8 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// Baseline creates the admission of one router that admission by owners is
-// compared with.
+// Baseline creates another admission for one router, to compare admission by
+// owners with.
 type Baseline func(meter *Meter) BaselineAdmission
 
 // BaselineAdmission is an admission that is told of each new view.
--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -8,11 +8,11 @@
 	"github.com/slipwick/slipwick/configuration"
 )
 
-// Case is a setup and the events that are played against it.
+// Case is a setup and the events that happen during the measurement.
 type Case struct {
 	Name  string
 	Setup Setup
-	// Run plays the events; the measurement ends when it returns.
+	// Run causes the events; the measurement ends when it returns.
 	Run func(w *World)
 }
 
@@ -57,7 +57,7 @@
 		{
 			Name:  "today",
 			Setup: todaySetup(),
-			Run:   func(w *World) { w.pause(caseDuration) },
+			Run:   func(w *World) { w.sleep(caseDuration) },
 		},
 		{
 			Name:  "burst",
@@ -77,30 +77,35 @@
 		{
 			Name:  "lag",
 			Setup: todaySetup(),
+			// The engines' own load reports, which the baseline TwoChoices uses, arrive
+			// a second late.
 			Run: func(w *World) {
 				w.Meter.SetReportDelay(time.Second)
-				w.pause(caseDuration)
+				w.sleep(caseDuration)
 			},
 		},
 		{
 			Name:  "late-totals",
 			Setup: todaySetup(),
+			// The routers' load reports and totals arrive a second late, and a third of
+			// them are lost.
 			Run: func(w *World) {
 				w.Network.SetFaults(Faults{
 					LoadDelay:    time.Second,
 					LoadLossRate: 1.0 / 3,
 				})
-				w.pause(caseDuration)
+				w.sleep(caseDuration)
 			},
 		},
 		{
 			Name:  "large",
 			Setup: largeSetup(),
+			// Halfway through, new chats of one workspace send a request each.
 			Run: func(w *World) {
 				const extra = 4000
-				w.pause(caseDuration / 2)
+				w.sleep(caseDuration / 2)
 				w.Surge(workspaces[0], extra, w.Setup.Chats)
-				w.pause(caseDuration / 2)
+				w.sleep(caseDuration / 2)
 			},
 		},
 	}
@@ -112,31 +117,32 @@
 	const quiet = 20 * time.Second
 	surge := 20 * w.Setup.Chats / len(workspaces) / 5
 	for i := range 2 {
-		w.pause(quiet)
+		w.sleep(quiet)
 		w.ReturnChats()
 		w.Surge(workspaces[len(workspaces)-1], surge, w.Setup.Chats*(i+1))
 	}
-	w.pause(quiet)
+	w.sleep(quiet)
 }
 
 // churn replaces an engine every 10 seconds, alternately after a planned stop
-// and after a crash, while another engine flaps.
+// and after a crash. Meanwhile another engine starts and cancels a planned stop
+// every 3 seconds.
 func churn(w *World) {
-	const interval, notice, flapInterval = 10 * time.Second, 3 * time.Second, 3 * time.Second
+	const interval, replacementDelay, flapInterval = 10 * time.Second, 3 * time.Second, 3 * time.Second
 	flapping := w.Engines()[0]
 	w.goroutines.Go(func() {
-		for leaving := true; w.pause(flapInterval); leaving = !leaving {
+		for leaving := true; w.sleep(flapInterval); leaving = !leaving {
 			w.SetLeaving(flapping, leaving)
 		}
 	})
-	for i := 1; w.pause(interval - notice); i++ {
+	for i := 1; w.sleep(interval - replacementDelay); i++ {
 		id := w.Engines()[i]
 		if i%2 == 0 {
 			w.SetLeaving(id, true)
 		} else {
 			w.CrashEngine(id)
 		}
-		w.pause(notice)
+		w.sleep(replacementDelay)
 		w.ReplaceEngine(id, fmt.Sprintf("new-%03d", i))
 		if i == int(caseDuration/interval) {
 			return
@@ -153,12 +159,12 @@
 		half[w.Router(i).Self.ID] = true
 	}
 	for range 2 {
-		w.pause(quiet)
+		w.sleep(quiet)
 		w.Network.SetFaults(Faults{
 			Cut: func(from, to string) bool { return half[from] != half[to] },
 		})
-		w.pause(partitionTime)
+		w.sleep(partitionTime)
 		w.Network.SetFaults(Faults{})
 	}
-	w.pause(quiet)
+	w.sleep(quiet)
 }
--- a/emulation/chat.go
+++ b/emulation/chat.go
@@ -14,7 +14,7 @@
 // maxSlotWait limits how long a request waits for a slot.
 const maxSlotWait = 10 * time.Second
 
-// Chat is an emulated chat. It sends one request at a time.
+// Chat emulates a caller that sends the requests of one chat, one at a time.
 type Chat struct {
 	world     *World
 	random    *rand.Rand
@@ -47,8 +47,8 @@
 	w := c.world
 	think := w.Setup.ThinkTime
 	if c.random.Float64() >= w.Setup.HotShare {
-		const cold = 10
-		think *= cold
+		const coldThinkFactor = 10
+		think *= coldThinkFactor
 	}
 	// The first requests are spread out, so that the fleet starts in its steady
 	// state and not with a burst.
@@ -60,7 +60,7 @@
 }
 
 // think waits before the next request. When ReturnChats is called, it returns
-// within a second. It reports false when the world has ended.
+// within a second. It reports false if StopChats was called in the meantime.
 func (c *Chat) think(wait time.Duration) bool {
 	w := c.world
 	w.mu.Lock()
@@ -74,7 +74,7 @@
 	case <-timer.C:
 		return true
 	case <-returning:
-		return w.pause(time.Duration(c.random.Int64N(int64(time.Second))))
+		return w.sleep(time.Duration(c.random.Int64N(int64(time.Second))))
 	}
 }
 
@@ -93,7 +93,7 @@
 	for i := range count {
 		c := w.NewChat(workspace, from+i)
 		w.goroutines.Go(func() {
-			if w.pause(time.Duration(c.random.Int64N(int64(time.Second)))) {
+			if w.sleep(time.Duration(c.random.Int64N(int64(time.Second)))) {
 				_ = c.SendRequest()
 			}
 		})
@@ -147,7 +147,7 @@
 	w.Meter.recordRelease(id)
 	router.Release(grant, evidence)
 	if evidence.IsFailure() {
-		w.Meter.recordFailure()
+		w.Meter.recordFailedAttempt()
 		return id, errEngineFailed
 	}
 	return id, nil
@@ -188,7 +188,7 @@
 }
 
 // anyRouter returns the admission of a random running router, as the platform's
-// balancer would choose it.
+// load balancer would choose it.
 func (w *World) anyRouter(random *rand.Rand) slipwick.Admission {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/emulation/doc.go
+++ b/emulation/doc.go
@@ -1,5 +1,6 @@
-// Package emulation runs the production admission, membership and
-// configuration code of many routers in one process. The routers talk over
-// in-memory links with latency and faults and use fake engines. Under
-// testing/synctest hours pass in seconds.
+// Package emulation tests and measures a fleet of many routers in one process.
+// The routers run the production admission, membership and configuration code.
+// They talk over in-memory links with latency and faults, and use fake engines
+// and a fake platform store. Under testing/synctest the clock is virtual, so
+// that hours pass in seconds.
 package emulation
--- a/emulation/failure_test.go
+++ b/emulation/failure_test.go
@@ -18,7 +18,7 @@
 	return setup
 }
 
-// checkNoLeakedSlots checks that no slot leaked: once the callers have stopped,
+// checkNoLeakedSlots checks that no slot leaked: once the chats have stopped,
 // every owner's counts return to zero within the lease time and 5 seconds.
 func checkNoLeakedSlots(t *testing.T, w *World) {
 	t.Helper()
@@ -44,9 +44,9 @@
 	}
 }
 
-// TestFailures causes one failure per case under load. Every request must end,
-// few may be refused, no slot may leak, and the load limit must hold as far as
-// the failure allows.
+// TestFailures causes one failure per case under load. Every request must end, no
+// slot may leak, and the requests above the load limit and the share of refused
+// requests must stay within the bounds of the case.
 func TestFailures(t *testing.T) {
 	for _, tc := range []struct {
 		name string
@@ -67,7 +67,7 @@
 			name: "owner killed mid-grant",
 			fail: func(_ *testing.T, w *World) {
 				w.ReturnChats()
-				w.pause(300 * time.Millisecond)
+				w.sleep(300 * time.Millisecond)
 				w.Router(0).Kill()
 			},
 			maxExcess:  8,
@@ -79,7 +79,7 @@
 				w.Network.SetFaults(Faults{
 					Cut: func(from, to string) bool { return (from < "router-003") != (to < "router-003") },
 				})
-				w.pause(5 * time.Second)
+				w.sleep(5 * time.Second)
 				w.Network.SetFaults(Faults{})
 			},
 			maxExcess:  8,
@@ -89,7 +89,7 @@
 			name: "router paused",
 			fail: func(_ *testing.T, w *World) {
 				w.Router(0).Pause()
-				w.pause(10 * time.Second)
+				w.sleep(10 * time.Second)
 				w.Router(0).Resume()
 			},
 			maxExcess:  8,
@@ -103,7 +103,7 @@
 					DuplicateRate: 0.1,
 					ReorderRate:   0.3,
 				})
-				w.pause(20 * time.Second)
+				w.sleep(20 * time.Second)
 				w.Network.SetFaults(Faults{})
 			},
 			maxExcess:  8,
@@ -114,9 +114,9 @@
 			fail: func(_ *testing.T, w *World) {
 				for range 3 {
 					w.Router(0).Kill()
-					w.pause(4 * time.Second)
+					w.sleep(4 * time.Second)
 					w.StartRouter(0)
-					w.pause(4 * time.Second)
+					w.sleep(4 * time.Second)
 				}
 			},
 			maxExcess:  8,
@@ -129,7 +129,7 @@
 				w.StartChats()
 				w.WarmUp()
 				tc.fail(t, w)
-				w.pause(10 * time.Second)
+				w.sleep(10 * time.Second)
 				report := w.Report()
 				w.StopChats()
 				checkNoLeakedSlots(t, w)
@@ -157,9 +157,9 @@
 		id := w.Engines()[3]
 		before := w.Meter.Grants(id)
 		w.SetLeaving(id, true)
-		w.pause(3 * time.Second)
+		w.sleep(3 * time.Second)
 		after := w.Meter.Grants(id)
-		w.pause(10 * time.Second)
+		w.sleep(10 * time.Second)
 		if got := w.Meter.Grants(id); got != after {
 			t.Errorf("got %d grants after 3 seconds, want 0", got-after)
 		}
@@ -171,7 +171,7 @@
 			t.Errorf("got a share of %.3f refused and %d failed, want none", report.Refused, w.Meter.FailedAttempts())
 		}
 		w.SetLeaving(id, false)
-		w.pause(20 * time.Second)
+		w.sleep(20 * time.Second)
 		if got := w.Meter.Grants(id); got == after {
 			t.Error("got no grants after the engine stopped leaving")
 		}
@@ -190,18 +190,18 @@
 		w.WarmUp()
 		id := w.Engines()[3]
 		w.SetHanging(id, true)
-		w.pause(10 * time.Second)
+		w.sleep(10 * time.Second)
 		before := w.Meter.Grants(id)
-		w.pause(20 * time.Second)
+		w.sleep(20 * time.Second)
 		// The ejection time starts at 5 seconds and doubles. Each time it ends,
 		// the engine gets a few requests.
 		if got := w.Meter.Grants(id) - before; got > 30 {
 			t.Errorf("got %d grants to a hanging engine in 20 seconds, want at most 30", got)
 		}
 		w.SetHanging(id, false)
-		w.pause(time.Minute)
+		w.sleep(time.Minute)
 		before = w.Meter.Grants(id)
-		w.pause(20 * time.Second)
+		w.sleep(20 * time.Second)
 		if got := w.Meter.Grants(id) - before; got < 20 {
 			t.Errorf("got %d grants after the engine responds again, want at least 20", got)
 		}
@@ -223,10 +223,10 @@
 		for _, id := range w.Engines() {
 			w.SetHanging(id, true)
 		}
-		w.pause(30 * time.Second)
+		w.sleep(30 * time.Second)
 		grants := func() int { return w.Meter.Grants(w.Engines()[0]) + w.Meter.Grants(w.Engines()[1]) }
 		before := grants()
-		w.pause(5 * time.Second)
+		w.sleep(5 * time.Second)
 		if grants() == before {
 			t.Error("got no grants, want at least one engine to stay in use")
 		}
@@ -235,10 +235,11 @@
 	})
 }
 
-// TestMembershipConverges checks how fast updates reach every router: within a
-// second that a router left or a backend server leaves, within 6 seconds that a
-// router was killed. The control traffic of a router must not grow with the
-// number of routers.
+// TestMembershipConverges checks how fast updates reach every router. All must know
+// within a second that a router has left or that a backend server is leaving, and
+// within 6 seconds that a router was killed. The control traffic of a router must
+// not grow with the number of routers: with 80 it may be at most 1.5 times that
+// with 20.
 func TestMembershipConverges(t *testing.T) {
 	traffic := make(map[int]float64)
 	for _, routers := range []int{20, 80} {
@@ -247,16 +248,16 @@
 			setup.Routers, setup.Chats = routers, 0
 			w := NewWorld(setup)
 			w.WarmUp()
-			w.pause(20 * time.Second)
+			w.sleep(20 * time.Second)
 			traffic[routers] = w.Report().Control
 			w.Router(1).Node.Leave()
-			w.pause(time.Second)
+			w.sleep(time.Second)
 			checkNotOwner(t, w, 1, 1)
 			w.Router(2).Kill()
-			w.pause(6 * time.Second)
+			w.sleep(6 * time.Second)
 			checkNotOwner(t, w, 2, 2)
 			w.Router(3).SetBackend(w.Engines()[0], memberpb.State_STATE_LEAVING)
-			w.pause(time.Second)
+			w.sleep(time.Second)
 			for i := 4; i < routers; i++ {
 				if got := w.Router(i).UsableCount(poolName); got != setup.Engines-1 {
 					t.Errorf("router %d has %d usable engines, want %d", i, got, setup.Engines-1)
--- a/emulation/faults.go
+++ b/emulation/faults.go
@@ -8,7 +8,7 @@
 	// envelopes, 0 to 1. LossRate applies to packets too.
 	LossRate, DuplicateRate, ReorderRate float64
 	// LoadDelay and LoadLossRate apply only to envelopes that carry nothing but
-	// load reports.
+	// load reports and totals.
 	LoadDelay    time.Duration
 	LoadLossRate float64
 	// Cut reports whether messages from one router to another are dropped; nil
--- a/emulation/follow.go
+++ b/emulation/follow.go
@@ -9,7 +9,7 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// configSync is the state with which a router follows the configuration.
+// configSync holds what a router needs to follow the configuration.
 type configSync struct {
 	follower *configuration.Follower
 	syncer   *configuration.Syncer
@@ -19,7 +19,8 @@
 	versions []slipwick.Version
 }
 
-// Follow starts to follow the configuration in the store, until ctx ends.
+// Follow makes the router follow the configuration, from the store and from its
+// peers, until ctx ends.
 func (r *Router) Follow(ctx context.Context, network *Network, store slipwick.Store) {
 	s := &configSync{}
 	s.follower = &configuration.Follower{
@@ -45,8 +46,8 @@
 	go s.follower.Run(ctx)
 }
 
-// watchesPlatform reports whether the router watches the platform itself. It
-// does so too until it has a view.
+// watchesPlatform reports whether the router watches the platform itself, rather
+// than get the configuration from its peers. Until it has a view, it watches.
 func (r *Router) watchesPlatform() bool {
 	r.mu.Lock()
 	view := r.view
--- a/emulation/measure_test.go
+++ b/emulation/measure_test.go
@@ -13,8 +13,9 @@
 	only    = flag.String("case", "", "run only the case with this name")
 )
 
-// TestMeasure prints the measurements of each policy in each case as Go benchmark
-// output. It is a test because synctest is not available in benchmarks.
+// TestMeasure prints the measurements of admission by owners and of each baseline
+// in each case, as Go benchmark output. It is a test because synctest is not
+// available in benchmarks.
 func TestMeasure(t *testing.T) {
 	if !*measure {
 		t.Skip("run with make measure")
--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -11,23 +11,24 @@
 // Meter counts the requests that are in flight at each engine and records the
 // measurements of a Report. It may be used by several goroutines.
 type Meter struct {
-	mu       sync.Mutex
-	factor   float64
-	inFlight map[string]int
-	total    int
-	usable   map[string]bool
+	mu            sync.Mutex
+	loadFactor    float64
+	inFlight      map[string]int
+	totalInFlight int
+	usable        map[string]bool
 
 	requests, refused       int
-	failed                  int
+	failedAttempts          int
 	grants                  map[string]int
 	returning, reused       int
 	maxExcess, maxGrantSkew float64
 	maxSampledSkew          float64
+	// sampledSkews are in percent, slotWaits in milliseconds.
 	sampledSkews, slotWaits *hdrhistogram.Histogram
 	refusedByWorkspace      map[string]int
 	requestsByWorkspace     map[string]int
-	// reportedLoads are the loads as baselines see them: up to a second old, and
-	// older by reportDelay.
+	// reportedLoads are the loads by engine that the baseline TwoChoices uses. They
+	// are up to a second old, plus reportDelay.
 	reportedLoads map[string]int
 	reportedAt    time.Time
 	reportDelay   time.Duration
@@ -37,14 +38,15 @@
 	histogramDigits = 3
 	maxWaitMillis   = 120_000
 	maxSkewPercent  = 100_000
-	// minMeanLoad is the mean load from which on skews are recorded. Below it a
-	// skew shows only the rounding to whole requests.
+	// minMeanLoad is the mean load from which on the skew is recorded, which is the
+	// ratio of the busiest engine's load to the mean. Below it the skew shows only
+	// the rounding to whole requests.
 	minMeanLoad = 4
 )
 
-func newMeter(factor float64) *Meter {
+func newMeter(loadFactor float64) *Meter {
 	return &Meter{
-		factor:              factor,
+		loadFactor:          loadFactor,
 		inFlight:            make(map[string]int),
 		grants:              make(map[string]int),
 		usable:              make(map[string]bool),
@@ -56,11 +58,11 @@
 }
 
 // reset clears the measurements, but not the requests in flight, the grants by
-// engine and the failed requests.
+// engine and the failed attempts.
 func (m *Meter) reset() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	fresh := newMeter(m.factor)
+	fresh := newMeter(m.loadFactor)
 	m.requests, m.refused, m.returning, m.reused = 0, 0, 0, 0
 	m.maxExcess, m.maxGrantSkew, m.maxSampledSkew = 0, 0, 0
 	m.sampledSkews, m.slotWaits = fresh.sampledSkews, fresh.slotWaits
@@ -79,14 +81,14 @@
 	}
 }
 
-// recordGrant records a grant, how long it was waited for, and how far it put
-// the engine above the mean.
+// recordGrant records a grant, how long the request waited for it, and how far it
+// put the engine above the mean load.
 func (m *Meter) recordGrant(engine string, waited time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight[engine]++
 	m.grants[engine]++
-	m.total++
+	m.totalInFlight++
 	_ = m.slotWaits.RecordValue(max(1, waited.Milliseconds()))
 	mean := m.mean()
 	if !m.usable[engine] {
@@ -95,7 +97,7 @@
 		return
 	}
 	load := float64(m.inFlight[engine])
-	m.maxExcess = max(m.maxExcess, load-m.factor*mean)
+	m.maxExcess = max(m.maxExcess, load-m.loadFactor*mean)
 	if mean >= minMeanLoad {
 		m.maxGrantSkew = max(m.maxGrantSkew, (load-1)/mean)
 	}
@@ -114,11 +116,11 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.inFlight[engine]--
-	m.total--
+	m.totalInFlight--
 }
 
-// sample records the current skew.
-func (m *Meter) sample() {
+// recordSkew records the current skew.
+func (m *Meter) recordSkew() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	mean := m.mean()
@@ -148,7 +150,8 @@
 	m.refusedByWorkspace[workspace]++
 }
 
-// recordReturn records whether the prefix of a returning chat was cached.
+// recordReturn records a request of a returning chat, and whether the chat's
+// prefix was cached.
 func (m *Meter) recordReturn(reused bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -162,7 +165,7 @@
 func (m *Meter) InFlight() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.total
+	return m.totalInFlight
 }
 
 // reportedLoad returns an engine's load by its last report. Reports are made at
@@ -183,8 +186,8 @@
 	return m.reportedLoads[engine]
 }
 
-// SetReportDelay delays the engines' own load reports. Only baselines use them;
-// owners count slots.
+// SetReportDelay delays the engines' own load reports. Only the baseline
+// TwoChoices uses them; owners count slots.
 func (m *Meter) SetReportDelay(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -203,11 +206,11 @@
 func (m *Meter) FailedAttempts() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.failed
+	return m.failedAttempts
 }
 
-func (m *Meter) recordFailure() {
+func (m *Meter) recordFailedAttempt() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.failed++
+	m.failedAttempts++
 }
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -10,7 +10,8 @@
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
-// Network carries envelopes and packets between emulated routers.
+// Network carries messages between emulated routers: envelopes, which production
+// routers send over TCP streams, and membership packets, which they send over UDP.
 type Network struct {
 	// Latency returns the one-way latency between two routers.
 	Latency func(from, to *Router) time.Duration
@@ -55,6 +56,7 @@
 	}
 }
 
+// reset clears the counts of traffic and slot requests.
 func (n *Network) reset() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -84,15 +86,15 @@
 	return n.slotRequests
 }
 
-// deliver counts a message and calls arrive after the latency and the delay,
-// unless the message is cut; n.mu is held.
-func (n *Network) deliver(from, to *Router, size int, delay time.Duration, arrive func()) {
+// deliver counts a message and has the receiver handle it after the latency and
+// the delay, unless Faults.Cut drops it; n.mu is held.
+func (n *Network) deliver(from, to *Router, size int, delay time.Duration, handle func()) {
 	n.traffic[from.Self.ID].add(size)
 	if n.faults.Cut != nil && n.faults.Cut(from.Self.ID, to.Self.ID) {
 		return
 	}
 	n.traffic[to.Self.ID].add(size)
-	time.AfterFunc(n.Latency(from, to)+delay, func() { to.accept(arrive) })
+	time.AfterFunc(n.Latency(from, to)+delay, func() { to.accept(handle) })
 }
 
 // envelopeTransport sends one router's envelopes.
@@ -116,10 +118,10 @@
 		n.onSend(envelope, size)
 	}
 	// The envelope is not copied, so neither side may change it later.
-	arrive := func() { to.receive(t.from.Self.ID, envelope) }
+	handle := func() { to.receive(t.from.Self.ID, envelope) }
 	copies, delay := n.applyFaults(envelope)
 	for range copies {
-		n.deliver(t.from, to, size, delay, arrive)
+		n.deliver(t.from, to, size, delay, handle)
 	}
 }
 
@@ -144,7 +146,8 @@
 	return 1, delay
 }
 
-// loadsOnly reports whether an envelope carries nothing but load reports.
+// loadsOnly reports whether an envelope carries load reports and totals only. It
+// does not check for claims, the configuration, marks and notices.
 func loadsOnly(e *peerpb.Envelope) bool {
 	others := len(e.GetRequests()) + len(e.GetAnswers()) + len(e.GetReleases()) + len(e.GetRenewals()) +
 		len(e.GetHandovers()) + len(e.GetPlaced())
--- a/emulation/report.go
+++ b/emulation/report.go
@@ -30,7 +30,8 @@
 	WaitP99 time.Duration
 	// Refused is the share of requests that were refused.
 	Refused float64
-	// RefusedInShare is the same for the workspaces that did not surge.
+	// RefusedInShare is the share of refused requests among those of all workspaces
+	// but the last one, which sends the surges of the case burst.
 	RefusedInShare float64
 	// Requests is the number of requests sent.
 	Requests int
@@ -39,7 +40,7 @@
 // WarmUp blocks for the warm-up time of the setup and then resets the
 // measurements.
 func (w *World) WarmUp() {
-	w.pause(w.Setup.WarmUp)
+	w.sleep(w.Setup.WarmUp)
 	w.Meter.reset()
 	w.Network.reset()
 	w.started = time.Now()
--- a/emulation/router.go
+++ b/emulation/router.go
@@ -35,8 +35,8 @@
 	backlog []func()
 }
 
-// newRouter creates and starts a router that has the list of boxes and the
-// configuration.
+// newRouter creates a router with the list of boxes and the configuration, and
+// starts it.
 func newRouter(
 	network *Network, self slipwick.Router, policy admission.Policy, snapshot *configuration.Snapshot,
 	boxes []slipwick.Box, seed uint64,
@@ -148,8 +148,8 @@
 	backlog := r.backlog
 	r.paused, r.backlog = false, nil
 	r.mu.Unlock()
-	for _, arrive := range backlog {
-		arrive()
+	for _, handle := range backlog {
+		handle()
 	}
 }
 
@@ -159,17 +159,18 @@
 	return r.stopped
 }
 
-// accept calls arrive, or queues it while the router is paused, or drops it once
-// the router has stopped.
-func (r *Router) accept(arrive func()) {
+// accept takes a message that has arrived: it calls handle, which processes the
+// message, or queues it while the router is paused. Once the router has stopped,
+// it drops the message.
+func (r *Router) accept(handle func()) {
 	r.mu.Lock()
 	switch {
 	case r.stopped:
 	case r.paused:
-		r.backlog = append(r.backlog, arrive)
+		r.backlog = append(r.backlog, handle)
 	default:
 		r.mu.Unlock()
-		arrive()
+		handle()
 		return
 	}
 	r.mu.Unlock()
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -38,18 +38,18 @@
 	switch d.kind {
 	case "kill":
 		w.Router(d.target).Kill()
-		w.pause(d.duration)
+		w.sleep(d.duration)
 		w.StartRouter(d.target)
 	case "pause":
 		w.Router(d.target).Pause()
-		w.pause(d.duration)
+		w.sleep(d.duration)
 		w.Router(d.target).Resume()
 	case "cut":
 		boundary := w.Router(d.target).Self.ID
 		w.Network.SetFaults(Faults{
 			Cut: func(from, to string) bool { return (from <= boundary) != (to <= boundary) },
 		})
-		w.pause(d.duration)
+		w.sleep(d.duration)
 		w.Network.SetFaults(Faults{})
 	case "messages":
 		w.Network.SetFaults(Faults{
@@ -57,21 +57,21 @@
 			DuplicateRate: 0.2,
 			ReorderRate:   0.5,
 		})
-		w.pause(d.duration)
+		w.sleep(d.duration)
 		w.Network.SetFaults(Faults{})
 	case "leave engine":
 		w.SetLeaving(engine, true)
-		w.pause(d.duration)
+		w.sleep(d.duration)
 		w.SetLeaving(engine, false)
 	case "lose engine":
 		w.ReplaceEngine(engine, engine+"'")
 	case "hang":
 		w.SetHanging(engine, true)
-		w.pause(d.duration)
+		w.sleep(d.duration)
 		w.SetHanging(engine, false)
-	default:
+	default: // call back
 		w.ReturnChats()
-		w.pause(d.duration)
+		w.sleep(d.duration)
 	}
 }
 
@@ -93,7 +93,7 @@
 			for _, d := range disturbances {
 				d.apply(w)
 			}
-			w.pause(5 * time.Second)
+			w.sleep(5 * time.Second)
 			report = w.Report()
 			w.StopChats()
 			checkNoLeakedSlots(t, w)
@@ -102,8 +102,9 @@
 		schedules++
 		requests += report.Requests
 		worst = max(worst, report.Excess)
-		// A second owner of an engine sees at most the headroom of a mean load of
-		// half the chats over the engines; see docs/design/admission.md.
+		// While an engine has two owners, the second one may grant slots on top of
+		// the first one's, up to the load limit for a mean load of half the chats
+		// over all engines; see docs/design/admission.md.
 		if limit := 1 + float64(setup.Chats)*setup.LoadFactor/2/float64(setup.Engines); report.Excess > limit {
 			r.Fatalf("got %.2f requests above the limit, want at most %.2f: %+v", report.Excess, limit, disturbances)
 		}
--- a/emulation/setup.go
+++ b/emulation/setup.go
@@ -6,7 +6,7 @@
 	"github.com/slipwick/slipwick/admission"
 )
 
-// Setup describes the size of an emulated fleet and the load from its callers.
+// Setup describes the size of an emulated fleet and the load from its chats.
 type Setup struct {
 	Routers, Engines, DataCentres int
 	// Chats is the number of chats that send requests repeatedly. Each waits
@@ -36,6 +36,6 @@
 // prefillTime is added to a request whose prefix is not cached.
 const prefillTime = 400 * time.Millisecond
 
-// workspaces are those of an emulated fleet. The last one sends a surge of
-// requests in some cases and none otherwise.
+// workspaces are those of an emulated fleet. The last one sends only the surges of
+// the case burst, and nothing in other cases.
 var workspaces = []string{"w0", "w1", "w2", "w3", "w4", "w5", "w6", "w7", "w8", "surging"}
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -13,29 +13,32 @@
 
 const poolName = "pool"
 
-// World is an emulated fleet with its network, engines and callers.
+// World is an emulated fleet with its network, engines and chats.
 type World struct {
 	Setup   Setup
 	Network *Network
 	Meter   *Meter
 
-	mu         sync.Mutex
-	random     *rand.Rand
-	routers    []*Router
+	mu      sync.Mutex
+	random  *rand.Rand
+	routers []*Router
+	// admissions holds each router's coordinator or baseline by the router's ID.
 	admissions map[string]slipwick.Admission
-	engines    map[string]*runningEngine
+	engines    map[string]*engineState
 	snapshot   *configuration.Snapshot
 	started    time.Time
 	boxes      []slipwick.Box
-	// returnChats is closed to make all waiting chats return, and then replaced.
+	// returnChats is closed to make all waiting chats send their next request, and
+	// then replaced.
 	returnChats chan struct{}
-	done        chan struct{}
-	stopOnce    sync.Once
-	goroutines  sync.WaitGroup
+	// done is closed by StopChats.
+	done       chan struct{}
+	stopOnce   sync.Once
+	goroutines sync.WaitGroup
 }
 
-// runningEngine is an engine with its current faults.
-type runningEngine struct {
+// engineState is an engine and its current faults.
+type engineState struct {
 	*Engine
 
 	// crashed is closed when the engine crashes.
@@ -44,7 +47,7 @@
 	hanging bool
 }
 
-func (e *runningEngine) isCrashed() bool {
+func (e *engineState) isCrashed() bool {
 	select {
 	case <-e.crashed:
 		return true
@@ -61,7 +64,7 @@
 		Meter:       newMeter(setup.LoadFactor),
 		random:      rand.New(rand.NewPCG(setup.Seed, 2)),
 		admissions:  make(map[string]slipwick.Admission),
-		engines:     make(map[string]*runningEngine),
+		engines:     make(map[string]*engineState),
 		started:     time.Now(),
 		returnChats: make(chan struct{}),
 		done:        make(chan struct{}),
@@ -103,7 +106,7 @@
 		w.StartRouter(i)
 	}
 	w.goroutines.Go(w.probeEngines)
-	w.goroutines.Go(w.sampleLoads)
+	w.goroutines.Go(w.sampleSkew)
 	return w
 }
 
@@ -175,7 +178,7 @@
 
 func (w *World) addEngine(id string, i int) slipwick.Backend {
 	dataCentre, region := w.location(i)
-	w.engines[id] = &runningEngine{
+	w.engines[id] = &engineState{
 		Engine:  newEngine(id, w.Setup.CachedChats),
 		crashed: make(chan struct{}),
 	}
@@ -250,10 +253,10 @@
 }
 
 // probeEngines has each running router probe the engines it owns once a second,
-// until the world ends.
+// until StopChats.
 func (w *World) probeEngines() {
 	const interval = time.Second
-	for w.pause(interval) {
+	for w.sleep(interval) {
 		w.mu.Lock()
 		routers := append([]*Router(nil), w.routers...)
 		w.mu.Unlock()
@@ -283,16 +286,17 @@
 	}
 }
 
-// sampleLoads samples the skew ten times a second until the world ends.
-func (w *World) sampleLoads() {
+// sampleSkew records the skew ten times a second until StopChats.
+func (w *World) sampleSkew() {
 	const interval = 100 * time.Millisecond
-	for w.pause(interval) {
-		w.Meter.sample()
+	for w.sleep(interval) {
+		w.Meter.recordSkew()
 	}
 }
 
-// pause sleeps. It reports false if the world ended in the meantime.
-func (w *World) pause(duration time.Duration) bool {
+// sleep waits for the duration. It reports false if StopChats was called in the
+// meantime.
+func (w *World) sleep(duration time.Duration) bool {
 	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
@@ -303,13 +307,14 @@
 	}
 }
 
-// StopChats stops the callers and waits until their last requests have ended.
+// StopChats stops the chats, the probes of the engines and the samples of the
+// skew, and waits until the last requests have ended.
 func (w *World) StopChats() {
 	w.stopOnce.Do(func() { close(w.done) })
 	w.goroutines.Wait()
 }
 
-// Close stops the callers, then the routers, and waits for both.
+// Close calls StopChats, then stops the routers and waits for them.
 func (w *World) Close() {
 	w.StopChats()
 	w.mu.Lock()
