--- a/standin/engine.go
+++ b/standin/engine.go
@@ -92,7 +92,7 @@
 		runs:      make(map[string]int),
 	}
 	// NewLRU fails only if the size is not positive.
-	e.cache, _ = lru.NewLRU(profile.CachedChats, func(key string, _ int) { e.recordLocked(key, true) })
+	e.cache, _ = lru.NewLRU(profile.CachedChats, func(key string, _ int) { e.recordEventLocked(key, true) })
 	return e
 }
 
@@ -276,6 +276,7 @@
 	})
 }
 
+// load serves the newest load that is at least ReportDelay old.
 func (e *Engine) load(w http.ResponseWriter, _ *http.Request) {
 	e.mu.Lock()
 	var report slipwick.LoadReport
--- a/standin/enginecache.go
+++ b/standin/enginecache.go
@@ -26,11 +26,11 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cache.Add(a.chat, a.promptTokens+tokens)
-	e.recordLocked(a.chat, false)
+	e.recordEventLocked(a.chat, false)
 }
 
-// recordLocked records a cache event, unless the profile drops it; e.mu is held.
-func (e *Engine) recordLocked(chat string, evicted bool) {
+// recordEventLocked records a cache event, unless the profile drops it; e.mu is held.
+func (e *Engine) recordEventLocked(chat string, evicted bool) {
 	e.lastSequence++
 	if e.profile.EventDropInterval > 0 && e.lastSequence%uint64(e.profile.EventDropInterval) == 0 {
 		return
--- a/standin/faults.go
+++ b/standin/faults.go
@@ -20,11 +20,11 @@
 	SkipEvent bool
 	// Reject responds 503 and says that the request was not run.
 	Reject bool
-	// Leaving rejects new requests, says that the engine is leaving, and
-	// finishes the requests in progress.
+	// Leaving rejects new requests, says in the rejections and in load reports
+	// that the engine is leaving, and finishes the requests in progress.
 	Leaving bool
 	// RetryAfter, if set, is sent as Retry-After with every response to a
-	// request, rejections included, and asks for that long a pause.
+	// request, rejections included.
 	RetryAfter time.Duration
 	// AnnounceLeaving says in all responses that the engine is leaving, while it
 	// keeps serving.
--- a/standin/platform.go
+++ b/standin/platform.go
@@ -32,9 +32,10 @@
 	mu          sync.Mutex
 	objects     map[string]slipwick.Object
 	lastVersion slipwick.Version
-	changed     chan struct{}
-	boxes       map[string]slipwick.Box
-	outage      bool
+	// changed is closed at each write, which wakes the watches, and then replaced.
+	changed chan struct{}
+	boxes   map[string]slipwick.Box
+	outage  bool
 	// lostResponses is how many of the next writes take effect without a
 	// response.
 	lostResponses int
@@ -186,7 +187,7 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	timeout, err := time.ParseDuration(r.URL.Query().Get("timeout"))
 	if err != nil {
-		http.Error(w, "timeout is no duration", http.StatusBadRequest)
+		http.Error(w, "timeout is not a duration", http.StatusBadRequest)
 		return
 	}
 	expired := time.After(timeout)
--- a/standin/service.go
+++ b/standin/service.go
@@ -6,7 +6,8 @@
 	"sync"
 )
 
-// Service is a stand-in for a plain service. It responds to each request with the
+// Service is a stand-in for a backend server of a pool of kind service, which is
+// not an inference engine. It responds to each request with the
 // request's body and records how often each request ran.
 type Service struct {
 	// DropAfterBody aborts the connection after the request's body has been read.
