--- a/cmd/internal/emulator/caller.go
+++ b/cmd/internal/emulator/caller.go
@@ -25,7 +25,7 @@
 const maxHistoryMessages = 20
 
 // caller sends the requests of one chat, one in each burst, to the routers that
-// the platform's balancer would choose.
+// the platform's load balancer would choose.
 type caller struct {
 	world    *world
 	random   *rand.Rand
@@ -67,11 +67,11 @@
 func (c *caller) run(ctx context.Context) callerStats {
 	for burst := 0; ; burst++ {
 		start := c.world.started.Add(time.Duration(burst) * burstInterval)
-		within := time.Duration(c.random.Int64N(int64(time.Second)))
+		offset := time.Duration(c.random.Int64N(int64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return c.stats
-		case <-time.After(time.Until(start.Add(within))):
+		case <-time.After(time.Until(start.Add(offset))):
 		}
 		c.nextTurn(ctx)
 	}
@@ -204,7 +204,7 @@
 	return string(encoded)
 }
 
-// pickRouter returns the address of a random ready router, as the platform's
+// pickRouter returns the address of a random ready router, as the platform's load
 // balancer does, or of any router if none is ready.
 func (w *world) pickRouter(random *rand.Rand) string {
 	first := random.IntN(len(w.routers))
--- a/cmd/internal/emulator/engine.go
+++ b/cmd/internal/emulator/engine.go
@@ -10,7 +10,8 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-// runningEngine is a stand-in for an engine that serves on a loopback port.
+// runningEngine is a stand-in for an engine, with the server through which it
+// serves on a loopback port.
 type runningEngine struct {
 	*standin.Engine
 
--- a/cmd/internal/emulator/result.go
+++ b/cmd/internal/emulator/result.go
@@ -11,7 +11,8 @@
 
 // Result holds the measurements of a scenario.
 type Result struct {
-	// Requests counts the requests sent, including those that were not run.
+	// Requests counts the requests sent. One that was not run and is sent again
+	// counts each time. The next four fields count them by outcome.
 	Requests  int `json:"requests"`
 	Completed int `json:"completed"`
 	NotRun    int `json:"not_run"`
--- a/cmd/internal/emulator/scenario.go
+++ b/cmd/internal/emulator/scenario.go
@@ -76,7 +76,7 @@
 	defer cancel()
 	var goroutines sync.WaitGroup
 	goroutines.Go(func() { s.playIncidents(callersCtx, world, progress) })
-	goroutines.Go(func() { world.sampleLoads(callersCtx) })
+	goroutines.Go(func() { world.sampleSkew(callersCtx) })
 	stats := make([]callerStats, s.Chats)
 	for i := range s.Chats {
 		goroutines.Go(func() {
@@ -89,8 +89,8 @@
 	return world.result(stats, time.Since(started)), ctx.Err()
 }
 
-// playIncidents crashes an engine, has another leave and drains a router, at their
-// times. It returns early if ctx ends.
+// playIncidents crashes an engine, starts the planned stop of another and drains a
+// router, at the times of the incidents. It returns early if ctx ends.
 func (s *Scenario) playIncidents(ctx context.Context, w *world, progress func(string)) {
 	for _, incident := range []struct {
 		at   float64
--- a/cmd/internal/emulator/stats.go
+++ b/cmd/internal/emulator/stats.go
@@ -10,7 +10,9 @@
 type callerStats struct {
 	completed, notRun, failed, unknown int
 	mismatched                         int
-	returning, cached                  int
+	// returning counts the responses after a chat's first turn, and cached those of
+	// them whose prefix was cached.
+	returning, cached int
 	// notRepeatable holds the digests of the requests that must not be repeated.
 	notRepeatable map[string]bool
 }
@@ -35,8 +37,8 @@
 	} `json:"prompt_tokens_details"`
 }
 
-// countReturn counts whether a returning chat's prefix was cached, by the usage
-// record of the response.
+// countReturn counts the response to a returning chat, and whether the chat's
+// prefix was cached, by the usage record of the response.
 func (s *callerStats) countReturn(encoded json.RawMessage, turn int) {
 	var u usage
 	if turn < 2 || json.Unmarshal(encoded, &u) != nil {
--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -25,9 +25,15 @@
 	model     = "demo"
 	workspace = "demo"
 
-	startTimeout      = 30 * time.Second
-	settleTime        = 4 * time.Second
-	announceTime      = 500 * time.Millisecond
+	// startTimeout limits the wait for the routers to get ready, and that for them
+	// to find each other.
+	startTimeout = 30 * time.Second
+	// settleTime is longer than admission.Policy.TakeoverWindow, in which new
+	// owners of engines grant at most half of the headroom.
+	settleTime = 4 * time.Second
+	// announceTime is how long a draining router still accepts requests.
+	announceTime = 500 * time.Millisecond
+	// listDelay is the delay of the platform's list of boxes.
 	listDelay         = time.Second
 	reportDelay       = 200 * time.Millisecond
 	eventDropInterval = 7
@@ -212,8 +218,9 @@
 	return nil
 }
 
-// waitMembers adds the routers to the platform's list and waits until they know
-// each other, and then for settleTime, until the owners' first window is over.
+// waitMembers adds the routers to the platform's list of boxes and waits until
+// they know each other. It then waits for settleTime, until the takeover windows of
+// the owners are over.
 func (w *world) waitMembers(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
@@ -255,8 +262,8 @@
 // sampleInterval is the time between samples of the engines' loads.
 const sampleInterval = 20 * time.Millisecond
 
-// sampleLoads samples the skew regularly until ctx ends.
-func (w *world) sampleLoads(ctx context.Context) {
+// sampleSkew records the skew regularly until ctx ends.
+func (w *world) sampleSkew(ctx context.Context) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for {
@@ -264,14 +271,14 @@
 		case <-ctx.Done():
 			return
 		case <-ticker.C:
-			w.sampleSkew()
+			w.recordSkew()
 		}
 	}
 }
 
-// sampleSkew records the ratio of the busiest engine's load to the mean, if it is
-// the highest so far.
-func (w *world) sampleSkew() {
+// recordSkew records the skew, which is the ratio of the busiest engine's load to
+// the mean, if it is the highest so far.
+func (w *world) recordSkew() {
 	total, busiest, usable := 0, 0, 0
 	for _, e := range w.engines {
 		if e.unusable.Load() {
