--- a/standin/platform.go
+++ b/standin/platform.go
@@ -17,7 +17,7 @@
 
 // Rate limits of the platform, in calls per second of all callers together.
 const (
-	DefaultWriteRate = 100
+	WriteRate = 100
 	DefaultReadRate  = 2000
 )
 
@@ -45,7 +45,7 @@
 // NewPlatform creates a platform without objects and boxes.
 func NewPlatform() *Platform {
 	return &Platform{
-		writes:    rate.NewLimiter(DefaultWriteRate, DefaultWriteRate),
+		writes:    rate.NewLimiter(WriteRate, WriteRate),
 		reads:     rate.NewLimiter(DefaultReadRate, DefaultReadRate),
 		objects:   make(map[string]slipwick.Object),
 		changed:   make(chan struct{}),
