--- a/standin/platform.go
+++ b/standin/platform.go
@@ -18,7 +18,7 @@
 // Rate limits of the platform, in calls per second of all callers together.
 const (
 	WriteRate = 100
-	DefaultReadRate  = 2000
+	ReadRate  = 2000
 )
 
 // Platform is a stand-in for the platform's object API and list of boxes. The
@@ -46,7 +46,7 @@
 func NewPlatform() *Platform {
 	return &Platform{
 		writes:    rate.NewLimiter(WriteRate, WriteRate),
-		reads:     rate.NewLimiter(DefaultReadRate, DefaultReadRate),
+		reads:     rate.NewLimiter(ReadRate, ReadRate),
 		objects:   make(map[string]slipwick.Object),
 		changed:   make(chan struct{}),
 		boxes:     make(map[string]slipwick.Box),
