--- a/standin/platform.go
+++ b/standin/platform.go
@@ -17,8 +17,8 @@
 
 // Rate limits of the platform, in calls per second of all callers together.
 const (
-	DefaultWriteRate = 100
-	DefaultReadRate  = 2000
+	WriteRate = 100
+	ReadRate  = 2000
 )
 
 // Platform is a stand-in for the platform's object API and list of boxes. The
@@ -32,9 +32,10 @@
 	mu          sync.Mutex
 	objects     map[string]slipwick.Object
 	lastVersion slipwick.Version
-	changed     chan struct{}
-	boxes       map[string]slipwick.Box
-	outage      bool
+	// changed is closed at each write, which wakes the watches, and then replaced.
+	changed chan struct{}
+	boxes   map[string]slipwick.Box
+	outage  bool
 	// lostResponses is how many of the next writes take effect without a
 	// response.
 	lostResponses int
@@ -44,8 +45,8 @@
 // NewPlatform creates a platform without objects and boxes.
 func NewPlatform() *Platform {
 	return &Platform{
-		writes:    rate.NewLimiter(DefaultWriteRate, DefaultWriteRate),
-		reads:     rate.NewLimiter(DefaultReadRate, DefaultReadRate),
+		writes:    rate.NewLimiter(WriteRate, WriteRate),
+		reads:     rate.NewLimiter(ReadRate, ReadRate),
 		objects:   make(map[string]slipwick.Object),
 		changed:   make(chan struct{}),
 		boxes:     make(map[string]slipwick.Box),
@@ -186,7 +187,7 @@
 	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	timeout, err := time.ParseDuration(r.URL.Query().Get("timeout"))
 	if err != nil {
-		http.Error(w, "timeout is no duration", http.StatusBadRequest)
+		http.Error(w, "timeout is not a duration", http.StatusBadRequest)
 		return
 	}
 	expired := time.After(timeout)
