--- a/cmd/internal/daemon/status.go
+++ b/cmd/internal/daemon/status.go
@@ -7,13 +7,13 @@
 
 // Status is the state of one router, as GET /v1/status reports it to operators.
 type Status struct {
-	Router        string           `json:"router"`
-	DataCentre    string           `json:"data_centre"`
-	Region        string           `json:"region"`
-	Ready         bool             `json:"ready"`
-	Configuration slipwick.Version `json:"configuration_version"`
-	PlatformCalls int64            `json:"platform_calls"`
-	ControlBytes  int64            `json:"control_bytes"`
+	Router               string           `json:"router"`
+	DataCentre           string           `json:"data_centre"`
+	Region               string           `json:"region"`
+	Ready                bool             `json:"ready"`
+	ConfigurationVersion slipwick.Version `json:"configuration_version"`
+	PlatformCalls        int64            `json:"platform_calls"`
+	ControlBytes         int64            `json:"control_bytes"`
 	// Members are the IDs of the routers that it does not count as dead, itself included.
 	Members []string `json:"members"`
 	// Owned holds the backend servers whose slots it grants.
@@ -38,7 +38,7 @@
 		status.Members = append(status.Members, member.ID)
 	}
 	if current := r.follower.Current(); current != nil {
-		status.Configuration = current.Version
+		status.ConfigurationVersion = current.Version
 	}
 	return status
 }
--- a/cmd/slipwick/apply/wait.go
+++ b/cmd/slipwick/apply/wait.go
@@ -37,7 +37,7 @@
 	for {
 		var status daemon.Status
 		err := options.Factory.ReadRouter(ctx, address, "/v1/status", &status)
-		if err == nil && status.Configuration >= version {
+		if err == nil && status.ConfigurationVersion >= version {
 			return nil
 		}
 		select {
--- a/cmd/slipwick/status/status.go
+++ b/cmd/slipwick/status/status.go
@@ -49,7 +49,7 @@
 		}
 		table.Rows = append(table.Rows, []string{
 			status.Router, status.DataCentre, strconv.FormatBool(status.Ready),
-			strconv.FormatUint(uint64(status.Configuration), 10),
+			strconv.FormatUint(uint64(status.ConfigurationVersion), 10),
 		})
 	}
 	return options.Factory.Streams.Print(options.JSON, statuses, table)
