--- a/cmd/internal/daemon/metrics.go
+++ b/cmd/internal/daemon/metrics.go
@@ -9,11 +9,11 @@
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	Requests      *prometheus.CounterVec
-	FirstToken    *prometheus.HistogramVec
-	BetweenTokens *prometheus.HistogramVec
-	InFlight      prometheus.Gauge
-	Configuration prometheus.Gauge
+	Requests             *prometheus.CounterVec
+	FirstToken           *prometheus.HistogramVec
+	BetweenTokens        *prometheus.HistogramVec
+	InFlight             prometheus.Gauge
+	ConfigurationVersion prometheus.Gauge
 }
 
 var (
@@ -89,12 +89,12 @@
 			Name: "slipwick_requests_in_flight",
 			Help: "Requests in progress at this router.",
 		}),
-		Configuration: prometheus.NewGauge(prometheus.GaugeOpts{
+		ConfigurationVersion: prometheus.NewGauge(prometheus.GaugeOpts{
 			Name: "slipwick_configuration_version",
 			Help: "Version of the configuration in force.",
 		}),
 	}
-	m.Registry.MustRegister(m.Requests, m.FirstToken, m.BetweenTokens, m.InFlight, m.Configuration,
+	m.Registry.MustRegister(m.Requests, m.FirstToken, m.BetweenTokens, m.InFlight, m.ConfigurationVersion,
 		collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	return m
 }
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -165,7 +165,7 @@
 	r.frontend.routes.Store(newRoutes(snapshot))
 	r.viewer.SetConfiguration(snapshot)
 	r.node.SetVersion(uint64(snapshot.Version))
-	r.frontend.metrics.Configuration.Set(float64(snapshot.Version))
+	r.frontend.metrics.ConfigurationVersion.Set(float64(snapshot.Version))
 	events.ConfigurationInForce.On(&r.Log).Uint64("version", uint64(snapshot.Version)).Send()
 }
 
