--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -43,9 +43,9 @@
 type TLS struct {
 	Callers *keyfiles.Files `json:"callers"`
 	Peers   *keyfiles.Files `json:"peers"`
-	// Secret is the path of a file whose content signs the membership packets. It has to be
+	// SecretFile is the path of a file whose content signs the membership packets. It has to be
 	// the same at all routers and at least 16 bytes long.
-	Secret string `json:"secret"`
+	SecretFile string `json:"secret"`
 }
 
 // Limits holds the limits of requests and of the drain. Zero fields take the defaults.
--- a/cmd/internal/daemon/tls.go
+++ b/cmd/internal/daemon/tls.go
@@ -30,17 +30,17 @@
 		r.mesh.ServerCredentials = credentials.NewTLS(loader.ServerConfig())
 		r.mesh.ClientCredentials = credentials.NewTLS(loader.ClientConfig())
 	}
-	if settings.Secret == "" {
+	if settings.SecretFile == "" {
 		return nil
 	}
-	secret, err := os.ReadFile(settings.Secret)
+	secret, err := os.ReadFile(settings.SecretFile)
 	if err != nil {
 		return errors.Wrap(err, "tls.secret")
 	}
 	const minSecretBytes = 16
 	if r.membershipUDP.Secret = bytes.TrimSpace(secret); len(r.membershipUDP.Secret) < minSecretBytes {
 		return errors.Errorf("tls.secret: %s holds fewer than %d bytes; fill it from openssl rand -hex 32",
-			settings.Secret, minSecretBytes)
+			settings.SecretFile, minSecretBytes)
 	}
 	return nil
 }
--- a/cmd/internal/daemon/tls_test.go
+++ b/cmd/internal/daemon/tls_test.go
@@ -36,8 +36,8 @@
 	f := newFixture(t, 2)
 	settings := *f.router.Settings
 	settings.TLS = TLS{
-		Peers:  &files,
-		Secret: secret,
+		Peers:      &files,
+		SecretFile: secret,
 	}
 	first := f.startAnother(t, settings, "t1")
 	settings.Seeds = []string{first.PeersAddress()}
