--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -45,7 +45,7 @@
 	options := &gatewayOptions{}
 	app.Flag("config", "Settings file, in JSON with comments.").StringVar(&options.Config)
 	app.Flag("platform-settings", "The platform's settings file.").Default(platform.SettingsPath()).
-		StringVar(&options.Platform)
+		StringVar(&options.PlatformSettings)
 	app.Flag("check", "Check the settings file and exit.").BoolVar(&options.Check)
 	app.Flag("switch", "Name of an alternative balancing decision to use, for comparisons; may be repeated.").
 		StringsVar(&options.Switches)
@@ -77,10 +77,10 @@
 
 // gatewayOptions holds the flags of slipwickd gateway.
 type gatewayOptions struct {
-	Config   string
-	Platform string
-	Switches []string
-	Check    bool
+	Config           string
+	PlatformSettings string
+	Switches         []string
+	Check            bool
 }
 
 // process reads the settings that the options name and creates the gateway.
@@ -97,16 +97,16 @@
 		}
 		return process, nil
 	}
-	if o.Platform == "" {
+	if o.PlatformSettings == "" {
 		return nil, errors.New("no settings file specified")
 	}
-	settings, err := platform.ReadSettings(o.Platform)
+	settings, err := platform.ReadSettings(o.PlatformSettings)
 	if err != nil {
 		return nil, err
 	}
 	process := gatewayd.New(platformSettings(settings), platformFeeds(settings))
 	process.ReadSettings = func() (*gatewayd.Settings, error) {
-		settings, err := platform.ReadSettings(o.Platform)
+		settings, err := platform.ReadSettings(o.PlatformSettings)
 		if err != nil {
 			return nil, err
 		}
