--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -42,7 +42,7 @@
 		dispatcher: r.newDispatcher(),
 		claims:     r.claims,
 	}
-	r.addFleetMetrics()
+	r.registerScrapedMetrics()
 }
 
 func (r *Router) logPlatformError(err error) {
@@ -90,7 +90,8 @@
 	}
 }
 
-// workspaceShare returns the share of a workspace in the configuration in force, zero if it has none.
+// workspaceShare returns the weight and the limit of a workspace in the configuration in force, or zero
+// values if the configuration does not have the workspace.
 func (r *Router) workspaceShare(name string) admission.Share {
 	current := r.follower.Current()
 	if current == nil {
@@ -107,6 +108,8 @@
 }
 
 func (r *Router) newDispatcher() *dispatch.Dispatcher {
+	// A server may close a reused connection just as a request is sent, which would leave the outcome of
+	// a call that may not be repeated unknown. Such calls open a connection each.
 	shared, singleUse := httpclient.New(), httpclient.NewSingleUse()
 	return &dispatch.Dispatcher{
 		Admission: r.coordinator,
@@ -141,10 +144,11 @@
 // serviceLeavingPause is how long a server of a plain service gets no requests after it announced
 // that it leaves. Unlike engines, these servers are not probed, so nothing reports that the server
 // has been replaced and the announcement has to expire. The time is several times what a planned
-// stop takes.
+// stop of a server takes.
 const serviceLeavingPause = 30 * time.Second
 
-// asPause turns a plain server's announcement that it leaves into a request for a pause.
+// asPause turns the announcement of a plain service's server that it leaves into a request for a
+// pause.
 func asPause(notice slipwick.Notice) slipwick.Notice {
 	if notice.Leaving {
 		notice.Leaving, notice.Pause = false, max(notice.Pause, serviceLeavingPause)
--- a/cmd/internal/daemon/chathandler.go
+++ b/cmd/internal/daemon/chathandler.go
@@ -17,15 +17,15 @@
 func (f *frontend) handleChat(c echo.Context) error {
 	cr, err := f.accept(c)
 	if err != nil {
-		return f.refuse(c, cr, err)
+		return f.failRequest(c, cr, err)
 	}
 	request, parsed, err := f.chatRequest(c, cr)
 	if err != nil {
-		return f.refuse(c, cr, err)
+		return f.failRequest(c, cr, err)
 	}
 	claim, err := f.claimKey(c.Request().Context(), cr, c.Request().Header)
 	if err != nil {
-		return f.refuse(c, cr, err)
+		return f.failRequest(c, cr, err)
 	}
 	var writer responseWriter
 	if parsed.Stream {
@@ -37,7 +37,7 @@
 	}
 	call := cr.dispatchCall(placement.ChatKey(cr.workspace.Name, request.Chat))
 	call.Key = quarantine.KeyOf(cr.workspace.Name, http.MethodPost, c.Request().URL.Path+"#"+request.Chat, request.Body)
-	err = f.dispatcher.Chat(c.Request().Context(), call, request, writer.event)
+	err = f.dispatcher.Chat(c.Request().Context(), call, request, writer.handleEvent)
 	claim.recordOutcome(err)
 	f.recordEnd(cr, err)
 	if err != nil {
@@ -48,8 +48,11 @@
 
 // responseWriter forwards an engine's response to the caller.
 type responseWriter interface {
-	event(event slipwick.StreamEvent) error
+	// handleEvent sends one event of the response or keeps it for finish.
+	handleEvent(event slipwick.StreamEvent) error
+	// finish ends a response that is complete.
 	finish() error
+	// fail ends the response with an error; repeatable tells whether the request may be sent again.
 	fail(failure *slipwick.Error, repeatable bool) error
 }
 
@@ -76,6 +79,7 @@
 	if err := cr.setRepeatable(header); err != nil {
 		return slipwick.ChatRequest{}, nil, err
 	}
+	// The engine streams the response also if the caller wants it whole; bufferedWriter collects it.
 	if !parsed.Stream {
 		if body, err = chat.EnableStreaming(body); err != nil {
 			return slipwick.ChatRequest{}, nil, err
@@ -97,7 +101,7 @@
 	completion chat.Completion
 }
 
-func (w *bufferedWriter) event(event slipwick.StreamEvent) error {
+func (w *bufferedWriter) handleEvent(event slipwick.StreamEvent) error {
 	if event.End {
 		return nil
 	}
--- a/cmd/internal/daemon/failure.go
+++ b/cmd/internal/daemon/failure.go
@@ -27,6 +27,7 @@
 // statusClientDisconnected is the non-standard status that nginx and others log for a caller that disconnected.
 const statusClientDisconnected = 499
 
+// statuses holds the HTTP status of the error response for each kind of error.
 var statuses = map[slipwick.Kind]int{
 	slipwick.KindInvalidRequest:     http.StatusBadRequest,
 	slipwick.KindKeyUsed:            http.StatusConflict,
--- a/cmd/internal/daemon/fixture_test.go
+++ b/cmd/internal/daemon/fixture_test.go
@@ -19,7 +19,8 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-const testKey = "secret"
+// testAPIKey is the API key of the workspace w.
+const testAPIKey = "secret"
 
 // fixture is one router with stand-ins for the platform and the backend servers.
 type fixture struct {
@@ -56,7 +57,7 @@
 		Workspaces: []configuration.Workspace{
 			{
 				Name:      "w",
-				KeyHashes: []string{configuration.HashKey(testKey)},
+				KeyHashes: []string{configuration.HashKey(testAPIKey)},
 			},
 		},
 		Pools: []configuration.Pool{
@@ -164,7 +165,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	request.Header.Set("Authorization", "Bearer "+testKey)
+	request.Header.Set("Authorization", "Bearer "+testAPIKey)
 	for i := 0; i < len(header); i += 2 {
 		request.Header.Set(header[i], header[i+1])
 	}
--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -23,8 +23,9 @@
 	// maxJoinRequests is how many routers are asked for their full state at the start.
 	maxJoinRequests   = 2
 	joinRetryInterval = time.Second
-	catchUpTime       = 500 * time.Millisecond
-	healthQueueSize   = 1024
+	// catchUpTime is how long a router that joins waits for the state of other routers to arrive.
+	catchUpTime     = 500 * time.Millisecond
+	healthQueueSize = 1024
 )
 
 // healthUpdate is a change of health that the owner of a backend server has detected.
@@ -33,7 +34,8 @@
 	health  admission.Health
 }
 
-// onHealth queues a change of health. The coordinator calls it and must not be called from it.
+// onHealth queues a change of health. The coordinator is locked while it calls onHealth, which must
+// therefore not call the coordinator.
 func (r *Router) onHealth(backend string, health admission.Health) {
 	select {
 	case r.healthUpdates <- healthUpdate{
@@ -119,7 +121,8 @@
 
 // catchUp marks the router as joined once it has read the list of boxes or has found other
 // routers through seeds, and has then waited for their state to arrive. A router that counted
-// as joined earlier would take engines and journals as its own that others hold.
+// as joined earlier would see no other routers and take itself for the owner of engines and the
+// holder of claim journals that others have.
 func (r *Router) catchUp(ctx context.Context, listed bool) {
 	if r.joined.Load() {
 		return
--- a/cmd/internal/daemon/frontend.go
+++ b/cmd/internal/daemon/frontend.go
@@ -34,8 +34,9 @@
 	metrics    *Metrics
 	dispatcher *dispatch.Dispatcher
 	claims     *claims.Claims
-	burn       burn.Recorder
-	routes     atomic.Pointer[routes]
+	// burn counts requests for the error budgets of the workspaces.
+	burn   burn.Recorder
+	routes atomic.Pointer[routes]
 	// stopping is set once the router refuses new requests because it is draining.
 	stopping atomic.Bool
 }
@@ -127,12 +128,13 @@
 	return nil
 }
 
-// dispatchCall returns the call for the dispatcher, with the pools that the request may go to.
-func (cr *callerRequest) dispatchCall(chat uint64) dispatch.Call {
+// dispatchCall returns the call for the dispatcher, with the pools that the request may go to. chatKey
+// is the placement key of the chat.
+func (cr *callerRequest) dispatchCall(chatKey uint64) dispatch.Call {
 	call := dispatch.Call{
 		Request: slipwick.AcquireRequest{
 			Workspace: cr.workspace.Name,
-			Chat:      chat,
+			Chat:      chatKey,
 			Priority:  cr.workspace.Priority,
 		},
 		Repeatable: cr.repeatable,
@@ -170,14 +172,15 @@
 	}
 }
 
-// isClientError reports whether kind stands for a 4xx status, which does not count against the
-// service level.
+// isClientError reports whether kind stands for a 4xx status. Requests that end with one do not count
+// for the service level.
 func isClientError(kind slipwick.Kind) bool {
 	status := statuses[kind]
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
 }
 
-// burnCounts returns what the request adds to the service level of its workspace.
+// burnCounts returns what the request adds to the counts from which the error budget burn rates of its
+// workspace are computed.
 func (cr *callerRequest) burnCounts(outcome slipwick.Outcome) burn.Counts {
 	counts := burn.Counts{
 		Total: 1,
@@ -195,8 +198,8 @@
 	return counts
 }
 
-// refuse ends a request with an error; nothing of the response may have been sent before.
-func (f *frontend) refuse(c echo.Context, cr *callerRequest, err error) error {
+// failRequest ends a request with an error; nothing of the response may have been sent before.
+func (f *frontend) failRequest(c echo.Context, cr *callerRequest, err error) error {
 	f.recordEnd(cr, err)
 	return writeFailure(c, toError(err), cr != nil && cr.repeatable)
 }
--- a/cmd/internal/daemon/metrics.go
+++ b/cmd/internal/daemon/metrics.go
@@ -21,8 +21,8 @@
 	betweenTokensBuckets = []float64{.005, .01, .02, .03, .04, .06, .1, .2, .5, 1, 5}
 )
 
-// addFleetMetrics registers the metrics whose values are read at the time of a scrape.
-func (r *Router) addFleetMetrics() {
+// registerScrapedMetrics registers the metrics whose values are read at the time of a scrape.
+func (r *Router) registerScrapedMetrics() {
 	for _, counter := range []struct {
 		name, help string
 		read       func() float64
--- a/cmd/internal/daemon/quarantine.go
+++ b/cmd/internal/daemon/quarantine.go
@@ -44,7 +44,7 @@
 	})
 }
 
-// receiveCrashes adds the crashes that another router reported to the tracker.
+// receiveCrashes adds to the tracker the crashes that another router reported.
 func (r *Router) receiveCrashes(envelope *peerpb.Envelope) {
 	for _, packet := range envelope.GetMarks() {
 		r.crashTracker.Merge(exchange.DecodeCrashes(packet))
@@ -52,7 +52,7 @@
 }
 
 // refusesConnections reports whether a backend server that broke a connection now refuses new
-// ones, which means that it has ended.
+// ones, which means that its process has ended.
 func refusesConnections(ctx context.Context, backend slipwick.Backend) bool {
 	client := &upstream.Client{}
 	defer client.Close()
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -32,27 +32,33 @@
 
 	listeners listeners
 
-	frontend      *frontend
-	platform      *objectapi.Client
-	follower      *configuration.Follower
-	viewer        *fleet.Viewer
-	coordinator   *admission.Coordinator
-	node          *membership.Node
-	mesh          *peer.Mesh
-	claims        *claims.Claims
+	frontend *frontend
+	platform *objectapi.Client
+	// follower keeps the configuration in force up to date.
+	follower *configuration.Follower
+	// viewer combines the configuration and the live routers into the view that coordinator uses.
+	viewer *fleet.Viewer
+	// coordinator gets slots of backend servers for requests and grants those of the owned ones.
+	coordinator *admission.Coordinator
+	// node tracks the live routers by gossip over membershipUDP.
+	node *membership.Node
+	// mesh holds the streams with the other routers.
+	mesh   *peer.Mesh
+	claims *claims.Claims
+	// configSyncer exchanges versions of the configuration with the other routers.
 	configSyncer  *configuration.Syncer
 	membershipUDP *membership.UDP
 	// crashTracker quarantines requests that crash backend servers; crashGossiper
 	// exchanges the crashes with the other routers.
 	crashTracker  *quarantine.Tracker
 	crashGossiper *exchange.CrashGossiper
-	// healthUpdates queues the health changes that this router detects as an owner.
+	// healthUpdates queues the health changes of the backend servers that this router owns.
 	healthUpdates chan healthUpdate
 	// members holds the routers of the latest membership change.
 	members atomic.Pointer[[]slipwick.Router]
 
 	// joined is set once the router has had the time to learn of the other live
-	// routers, draining once it was asked to stop.
+	// routers, draining once it was asked to stop; frontend.stopping follows after limits.announce.
 	joined   atomic.Bool
 	draining atomic.Bool
 	// watchesPlatform is set if this router is one of those that watch the
--- a/cmd/internal/daemon/routes.go
+++ b/cmd/internal/daemon/routes.go
@@ -46,7 +46,8 @@
 }
 
 // pools returns the pools of the kind that a workspace's requests for a model or service go to:
-// the pool of the first matching rule, then its fallback. It returns nil if no rule has one.
+// the pool of the first matching rule that has one, then its fallback. It returns nil if no matching
+// rule has a pool of the kind.
 func (r *routes) pools(workspace, model string, kind configuration.PoolKind) []configuration.Pool {
 	for _, rule := range r.state.Rules {
 		if !rule.Matches(workspace, model) {
--- a/cmd/internal/daemon/servicehandler.go
+++ b/cmd/internal/daemon/servicehandler.go
@@ -16,20 +16,20 @@
 
 const servicesPath = "/v1/services/"
 
-// handleService serves calls to plain services below servicesPath. The first element of the path is
-// the service.
+// handleService serves calls to plain services, whose backend servers are not inference engines, below
+// servicesPath. The first element of the path is the service.
 func (f *frontend) handleService(c echo.Context) error {
 	cr, err := f.accept(c)
 	if err != nil {
-		return f.refuse(c, cr, err)
+		return f.failRequest(c, cr, err)
 	}
 	request, err := f.serviceRequest(c, cr)
 	if err != nil {
-		return f.refuse(c, cr, err)
+		return f.failRequest(c, cr, err)
 	}
 	claim, err := f.claimKey(c.Request().Context(), cr, c.Request().Header)
 	if err != nil {
-		return f.refuse(c, cr, err)
+		return f.failRequest(c, cr, err)
 	}
 	ctx, cancel := context.WithTimeout(c.Request().Context(), f.limits.Service.Or(defaultService))
 	defer cancel()
@@ -43,7 +43,7 @@
 	response, err := f.dispatcher.CallService(ctx, call, request)
 	claim.recordOutcome(err)
 	if err != nil {
-		return f.refuse(c, cr, err)
+		return f.failRequest(c, cr, err)
 	}
 	f.recordEnd(cr, nil)
 	header := c.Response().Header()
--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -19,7 +19,7 @@
 	Region     string   `json:"region"`
 	Listen     Listen   `json:"listen"`
 	Platform   Platform `json:"platform"`
-	// Seeds are addresses, listen.peers, of other routers. They let a router join the
+	// Seeds are the listen.peers addresses of other routers. They let a router join the
 	// fleet while the platform is down.
 	Seeds  []string `json:"seeds" validate:"dive,hostname_port"`
 	TLS    TLS      `json:"tls"`
@@ -27,7 +27,8 @@
 	Log    Log      `json:"log"`
 }
 
-// Listen holds the addresses that a router listens on, as host:port.
+// Listen holds the addresses that a router listens on for callers, operators and other routers, as
+// host:port. Peers is used over TCP and UDP.
 type Listen struct {
 	Callers   string `json:"callers" validate:"required,hostname_port"`
 	Operators string `json:"operators" validate:"required,hostname_port"`
--- a/cmd/internal/daemon/streamwriter.go
+++ b/cmd/internal/daemon/streamwriter.go
@@ -13,7 +13,7 @@
 	"github.com/slipwick/slipwick/sse"
 )
 
-// streamWriter forwards a response event by event. The outcome follows in the trailer;
+// streamWriter forwards a response event by event. The outcome of the request follows in the trailer;
 // an error after the first event is sent as an event.
 type streamWriter struct {
 	context      echo.Context
@@ -36,7 +36,7 @@
 	}
 }
 
-func (w *streamWriter) event(event slipwick.StreamEvent) error {
+func (w *streamWriter) handleEvent(event slipwick.StreamEvent) error {
 	now := time.Now()
 	w.observe(now.Sub(w.lastEvent))
 	w.lastEvent = now
