--- a/cmd/internal/cli/factory.go
+++ b/cmd/internal/cli/factory.go
@@ -19,16 +19,18 @@
 
 // Factory creates the clients that commands use to call the platform and the routers.
 type Factory struct {
-	Streams  Streams
+	Streams Streams
+	// Platform is the URL of the platform.
 	Platform string
-	Routers  []string
+	// Routers are the operators addresses of routers or the metrics addresses of gateways, as host:port.
+	Routers []string
 }
 
 // Register adds the flags that all commands share; parsing them sets the fields.
 func (f *Factory) Register(app *kingpin.Application) {
 	app.Flag("platform", "URL of the platform.").Envar("SLIPWICK_PLATFORM").
 		Default("http://127.0.0.1:8500").StringVar(&f.Platform)
-	app.Flag("router", "Address of a router for operators, HOST:PORT; may be repeated.").
+	app.Flag("router", "Operators address of a router, HOST:PORT; may be repeated.").
 		Envar("SLIPWICK_ROUTERS").StringsVar(&f.Routers)
 }
 
