--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -53,7 +53,7 @@
 	if _, err := app.Parse(args); err != nil {
 		return streams.Fail("slipwickd gateway", cli.NewUsageError(err, "run slipwickd gateway --help"))
 	}
-	process, err := options.process()
+	process, err := options.newProcess()
 	if err != nil {
 		return streams.Fail("slipwickd gateway", settingsError(err))
 	}
@@ -83,8 +83,8 @@
 	Check            bool
 }
 
-// process reads the settings that the options name and creates the gateway.
-func (o *gatewayOptions) process() (*gatewayd.Process, error) {
+// newProcess reads the settings that the options name and creates the gateway.
+func (o *gatewayOptions) newProcess() (*gatewayd.Process, error) {
 	if o.Config != "" {
 		settings, feeds, err := gatewayd.ReadFileSettings(o.Config)
 		if err != nil {
--- a/cmd/slipwickd/slipwickd_test.go
+++ b/cmd/slipwickd/slipwickd_test.go
@@ -26,7 +26,8 @@
 	"github.com/slipwick/slipwick/cmd/internal/loopback"
 )
 
-const settings = `{
+// routerSettings is the template of a router's settings file.
+const routerSettings = `{
 	// A router of the end-to-end test.
 	"id": "%s", "data_centre": "dc",
 	"listen": {"callers": "%s", "operators": "%s", "peers": "%s"},
@@ -127,14 +128,14 @@
 }
 
 // startBinary starts slipwickd and waits until it is ready. If a platform is given, it first adds the
-// router to its boxes.
+// router to the platform's list of boxes.
 func startBinary(
 	t *testing.T, binary string, platform *standin.Platform, id, platformURL string,
 ) (callers string, process *exec.Cmd) {
 	t.Helper()
 	callers, operators, peers := freeAddress(t), freeAddress(t), freeAddress(t)
 	file := filepath.Join(t.TempDir(), "router.jsonc")
-	text := fmt.Sprintf(settings, id, callers, operators, peers, platformURL)
+	text := fmt.Sprintf(routerSettings, id, callers, operators, peers, platformURL)
 	if platform != nil {
 		platform.SetBox(slipwick.Box{
 			ID:         id,
