--- a/cmd/slipwick/gateways/gateways.go
+++ b/cmd/slipwick/gateways/gateways.go
@@ -60,6 +60,9 @@
 	return options.Factory.Streams.Print(options.JSON, statuses, table)
 }
 
+// gatewaysTable returns a row for each gateway. WATCHES tells whether it follows the platform's store
+// itself, PARTS is the number of prompt parts whose engines it knows, and MISSING CACHES the number of
+// engines whose caches it does not know.
 func gatewaysTable(statuses []gatewayd.Status) cli.Table {
 	table := cli.Table{
 		Header: []string{
@@ -90,6 +93,8 @@
 	}
 }
 
+// backendsTable returns a row for each backend server of each gateway. IN FLIGHT counts the requests of
+// this gateway; ERRORS is the failure rate of the latest requests of all gateways.
 func backendsTable(statuses []gatewayd.Status) cli.Table {
 	table := cli.Table{
 		Header: []string{"GATEWAY", "POOL", "BACKEND SERVER", "ADDRESS", "DATA CENTRE", "STATE", "IN FLIGHT", "ERRORS"},
@@ -106,7 +111,8 @@
 	return table
 }
 
-// backendState returns the value of the STATE column of a backend server.
+// backendState returns the value of the STATE column of a backend server. A silent one has not sent
+// anything for a while; a cold one gets only few requests for the time shown.
 func backendState(b *balance.State) string {
 	switch {
 	case b.Leaving:
