--- a/cmd/slipwickd/soak/backend_test.go
+++ b/cmd/slipwickd/soak/backend_test.go
@@ -13,10 +13,12 @@
 	"time"
 )
 
-// baseFailurePercent is the percentage of requests that always fail after they ran.
+// baseFailurePercent is the percentage of requests that fail after they ran while no fault makes
+// more of them fail.
 const baseFailurePercent = 2
 
-// backend is a fake backend server behind a proxy.
+// backend is a fake backend server, reached through a proxy. It has one or more incarnations in
+// turn: after a crash, it may restart under the same ID and at the same proxy address.
 type backend struct {
 	id       string
 	pool     string
@@ -27,16 +29,18 @@
 
 	mu     sync.Mutex
 	server *http.Server
-	// startedAt is when the current incarnation started, in Unix milliseconds. isRetired says
-	// that no other follows.
-	startedAt int64
-	isRetired bool
+	// startedAt is when the current incarnation started, in Unix milliseconds. isShutDown is set
+	// once no other incarnation may follow.
+	startedAt  int64
+	isShutDown bool
 
-	// notices has what the current incarnation tells the gateways.
+	// notices are the notices that the current incarnation sends to the gateways.
 	notices atomic.Pointer[notices]
-	// failurePercent is the percentage of requests that fail after they ran, besides baseFailurePercent.
+	// failurePercent is the percentage of requests that fail after they ran, in addition to
+	// baseFailurePercent.
 	failurePercent atomic.Int32
-	// leavingAt is when the store accepted that the server leaves, in Unix nanoseconds; 0 before.
+	// leavingAt is when the store accepted the draining state of the server, in Unix nanoseconds;
+	// 0 before.
 	leavingAt atomic.Int64
 }
 
@@ -53,12 +57,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(b.crash)
+	t.Cleanup(b.shutDown)
 	b.proxy = newProxy(t, host, address)
 	return b
 }
 
-// startIncarnation starts an incarnation of the server and returns its listen address.
+// startIncarnation starts an incarnation of the server and returns the address at which it
+// listens for its proxy.
 func (b *backend) startIncarnation(host string) (string, error) {
 	listener, err := net.Listen("tcp4", host+":0")
 	if err != nil {
@@ -84,10 +89,11 @@
 	}
 }
 
-// crash closes the server and all its connections at once. It does not restart.
-func (b *backend) crash() {
+// shutDown closes the server and all its connections at once, so that requests in flight fail. The
+// server does not restart.
+func (b *backend) shutDown() {
 	b.mu.Lock()
-	b.isRetired = true
+	b.isShutDown = true
 	server := b.server
 	b.mu.Unlock()
 	b.proxy.setMode(pathResets)
@@ -97,19 +103,20 @@
 // restartDelay is the time after which a server restarts that crashed running the crash request.
 const restartDelay = 700 * time.Millisecond
 
-// crashAndRestart closes the server and all its connections, and then restarts it under its ID
-// and at its address.
+// crashAndRestart closes the server and all its connections, and restarts it under its ID and at
+// its address after restartDelay. It does nothing if the server may not restart now.
 func (b *backend) crashAndRestart() {
 	b.mu.Lock()
 	server, startedAt := b.server, b.startedAt
-	// A server that leaves or sheds load must not restart in the meantime.
+	// A server that is leaving or sheds load must not restart: the new incarnation would have
+	// notices of its own, and the fault would go on changing those of the old one.
 	notices := b.notices.Load()
 	notices.mu.Lock()
-	isBusy := notices.leaving || notices.shedding
+	hasNotices := notices.leaving || notices.shedding
 	notices.mu.Unlock()
-	isUnavailable := isBusy || b.isRetired || time.Since(time.UnixMilli(startedAt)) < restartDelay
+	mustNotRestart := hasNotices || b.isShutDown || time.Since(time.UnixMilli(startedAt)) < restartDelay
 	b.mu.Unlock()
-	if isUnavailable || b.leavingAt.Load() != 0 {
+	if mustNotRestart || b.leavingAt.Load() != 0 {
 		return
 	}
 	b.proxy.close()
@@ -122,9 +129,9 @@
 		return
 	}
 	b.mu.Lock()
-	isRetired := b.isRetired
+	isShutDown := b.isShutDown
 	b.mu.Unlock()
-	if isRetired || b.proxy.open(b.proxy.address, address) != nil {
+	if isShutDown || b.proxy.open(b.proxy.address, address) != nil {
 		return
 	}
 	b.proxy.setMode(pathForwards)
@@ -133,7 +140,8 @@
 	}
 }
 
-// ServeHTTP runs a request. It responds with an event stream if the request accepts one.
+// ServeHTTP runs a request unless it rejects it. It responds with an event stream if the request
+// accepts one.
 func (b *backend) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Request-Id")
 	w.Header().Set("Request-Id", id)
@@ -149,6 +157,7 @@
 		rejectRequest(w)
 		return
 	}
+	// The server rejects 2% of the requests without running them.
 	if rand.IntN(50) == 0 {
 		w.Header().Set("Not-Executed", "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/cmd/slipwickd/soak/caller_test.go
+++ b/cmd/slipwickd/soak/caller_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// caller sends one request after the other over kept connections.
+// caller is a fake caller. It sends one request after the other over persistent connections.
 type caller struct {
 	name     string
 	fleet    *fleet
@@ -36,7 +36,7 @@
 
 var routes = []string{routeSingle, routeRepeatable, routeStream, routeResumable}
 
-// run sends requests to random routes until ctx is canceled.
+// run sends requests to random routes of random ready gateways until ctx is canceled.
 func (c *caller) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		g := c.fleet.randomReadyGateway(c.random)
@@ -49,12 +49,13 @@
 	c.client.CloseIdleConnections()
 }
 
-// call sends one request, records its outcome and reports whether it was served.
+// call sends one request to a route, records its outcome and reports whether it was served.
 func (c *caller) call(g *gateway, route string) bool {
 	return c.send(g, route, "")
 }
 
-// send does the same with the given body. If body is empty, the request gets a body made from its ID.
+// send is like call but sends the given body. If body is empty, the request gets a body made from
+// its ID.
 func (c *caller) send(g *gateway, route, body string) bool {
 	s := &sentRequest{
 		id:             fmt.Sprintf("%s-%d", c.name, c.requests.Add(1)),
--- a/cmd/slipwickd/soak/crash_test.go
+++ b/cmd/slipwickd/soak/crash_test.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// crashBody is the body of the request that crashes each backend server which runs it.
+	// crashBody is the body of the crash request, which crashes each backend server that runs it.
+	// Gateways must quarantine the request after three crashes. They identify a request by its
+	// workspace, method, URI and body, so that all crash requests count as the same one.
 	crashBody = "ends servers"
 	// maxQuarantineDelay is the time after the third crash by which all gateways must have
-	// quarantined the request. maxLateAttempts attempts may be under way at that time. Both
-	// hold only while the gateways live: attempts through a gateway disturbed within settleTime
-	// are not counted, and killing all gateways resets the counts.
+	// quarantined the request. Up to maxLateAttempts attempts may reach backend servers later.
+	// The limits hold only while gateways keep running: attempts through a gateway that was
+	// disturbed within settleTime are not counted, and killing all gateways resets the counts.
 	maxQuarantineDelay = 2 * time.Second
 	maxLateAttempts    = 3
-	// crashRequestInterval is the pause between two crash requests of a caller. Callers keep
-	// sending for crashRequestExtraTime longer than the duration of the fault.
+	// crashRequestInterval is the pause between two crash requests of a caller. Callers send
+	// them for crashRequestExtraTime longer than the duration of the fault.
 	crashRequestInterval  = 60 * time.Millisecond
 	crashRequestExtraTime = 6 * time.Second
 	// crashCallerCount is the number of callers, and so of concurrent crash requests.
@@ -38,15 +40,16 @@
 	r.crashLog.crashes = append(r.crashLog.crashes, time.Now())
 }
 
-// resetCrashes clears the crash log: all gateways were killed, and none remembers a crash.
+// resetCrashes clears the crash log. It is called when all gateways were killed, after which none
+// knows of a crash.
 func (r *recorder) resetCrashes() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.crashLog = crashLog{}
 }
 
-// recordAttemptLocked records that a backend server got the crash request through an
-// undisturbed gateway.
+// recordAttemptLocked records that a backend server got the crash request through a
+// gateway that was not disturbed within settleTime.
 func (r *recorder) recordAttemptLocked() {
 	r.crashLog.attempts = append(r.crashLog.attempts, time.Now())
 }
@@ -87,8 +90,9 @@
 	tasks.Wait()
 }
 
-// writeInvalidEntries writes an invalid entry, as another writer might, among those of the
-// backend servers, and for a while also replaces the entry of a running backend server.
+// writeInvalidEntries adds an invalid entry of an unknown server to the store, as a faulty writer
+// might, and replaces the entry of a running backend server by an invalid one. Both are undone
+// after duration, the latter unless that server is leaving or shut down by then.
 func writeInvalidEntries(f *fleet, random *rand.Rand, duration time.Duration) {
 	invalid := []any{nil, 5, "text", map[string]any{"service": poolEngines}, map[string]any{
 		"service": poolPlain, "address": "10.0.0.1", "zone": 7, "slots": -1, "state": "asleep",
--- a/cmd/slipwickd/soak/fleet_test.go
+++ b/cmd/slipwickd/soak/fleet_test.go
@@ -16,27 +16,35 @@
 )
 
 const (
-	gatewayCount  = 4
-	engineCount   = 5
-	plainCount    = 3
-	poolEngines   = "engines"
-	poolPlain     = "plain"
-	readyInterval = 200 * time.Millisecond
-	startTimeout  = 5 * time.Second
+	gatewayCount = 4
+	// The servers of poolEngines are inference engines, which serve event streams. Those of
+	// poolPlain are other HTTP servers.
+	engineCount      = 5
+	plainServerCount = 3
+	poolEngines      = "engines"
+	poolPlain        = "plain"
+	// pollInterval is the interval at which gateways are polled for readiness, configuration and exit.
+	pollInterval = 200 * time.Millisecond
+	startTimeout = 5 * time.Second
 )
 
-// fleet has the gateways under test and the fakes around them.
+// fleet has the gateways under test, and the fake store and backend servers around them.
 type fleet struct {
 	t        *testing.T
 	recorder *recorder
 	store    *store
 	gateways []*gateway
 
-	mu       sync.Mutex
-	ready    []*gateway
+	mu sync.Mutex
+	// ready are the gateways that were ready when last polled. Callers choose among them.
+	ready []*gateway
+	// backends are the backend servers that faults choose from. It lacks those that are shutting
+	// down for good.
 	backends []*backend
-	// announcers are backend servers that announce in responses that they leave.
-	announcers   []*backend
+	// announcers are backend servers that announce in responses that they are leaving, or did so
+	// before they shut down.
+	announcers []*backend
+	// backendCount is the number of backend servers started so far. It numbers their IDs.
 	backendCount int
 	// version is the newest configuration version, which the store accepted at acceptedAt.
 	version    int
@@ -55,7 +63,7 @@
 	for range engineCount {
 		f.addBackend(poolEngines)
 	}
-	for range plainCount {
+	for range plainServerCount {
 		f.addBackend(poolPlain)
 	}
 	f.configure()
@@ -64,8 +72,9 @@
 		t.Fatalf("%v: %s", err, out)
 	}
 	directory := t.TempDir()
+	// The address of the store and the backend servers ends in .1, those of the gateways in .10 to .13.
 	prefix := strings.TrimSuffix(host, "1")
-	var seeds []string
+	var seedNodes []string
 	for i := range gatewayCount {
 		g := &gateway{
 			name:      fmt.Sprintf("g%d", i),
@@ -75,13 +84,14 @@
 		}
 		f.gateways = append(f.gateways, g)
 		if i < 3 {
-			seeds = append(seeds, fmt.Sprintf("%s:%d", g.host, seedPort))
+			seedNodes = append(seedNodes, fmt.Sprintf("%s:%d", g.host, seedNodePort))
 		}
 	}
 	for i, g := range f.gateways {
-		g.writeSettings(t, f.store.address, fmt.Sprintf("zone-%d", i%2), seeds, true)
+		g.writeSettings(t, f.store.address, fmt.Sprintf("zone-%d", i%2), seedNodes, true)
 		g.start(t)
-		g.writeSettings(t, f.store.address, fmt.Sprintf("zone-%d", i%2), seeds, false)
+		// Later starts of the gateway are not the first start of the fleet.
+		g.writeSettings(t, f.store.address, fmt.Sprintf("zone-%d", i%2), seedNodes, false)
 		t.Cleanup(g.kill)
 	}
 	return f
@@ -98,14 +108,14 @@
 	f.store.put("servers", b.id, b.specification("ready"))
 }
 
-// takeBackend removes a random backend server from the list and returns it. It leaves at least
-// two in each pool, and returns nil if no pool has more.
+// takeBackend removes a random backend server from f.backends and returns it, so that no later
+// fault chooses it. It leaves at least two of each pool there, and returns nil if no pool has more.
 func (f *fleet) takeBackend(random *rand.Rand) *backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, i := range random.Perm(len(f.backends)) {
 		b := f.backends[i]
-		if f.countLocked(b.pool) > 2 {
+		if f.countBackendsLocked(b.pool) > 2 {
 			f.backends = append(f.backends[:i], f.backends[i+1:]...)
 			return b
 		}
@@ -113,14 +123,14 @@
 	return nil
 }
 
-// isListed reports whether a backend server is still in the list.
+// isListed reports whether a backend server is still in f.backends.
 func (f *fleet) isListed(b *backend) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Contains(f.backends, b)
 }
 
-func (f *fleet) countLocked(pool string) int {
+func (f *fleet) countBackendsLocked(pool string) int {
 	n := 0
 	for _, b := range f.backends {
 		if b.pool == pool {
@@ -130,15 +140,16 @@
 	return n
 }
 
-// randomBackend returns one of the backend servers in the list.
+// randomBackend returns one of the servers in f.backends, which stays there.
 func (f *fleet) randomBackend(random *rand.Rand) *backend {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.backends[random.IntN(len(f.backends))]
 }
 
-// configure writes the next configuration version. Its probe route has the version in its
-// path, which shows whether a gateway has that version in force.
+// configure writes the next configuration version to the store. Its probe route has the version in
+// its path: a gateway that does not have that version in force responds to the path with 404. One
+// that does responds with another status, as the route's service, nobody, has no backend servers.
 func (f *fleet) configure() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,7 +199,7 @@
 		for _, g := range f.gateways {
 			if g.isReady() {
 				ready = append(ready, g)
-				f.probe(g)
+				f.checkVersion(g)
 			}
 		}
 		f.mu.Lock()
@@ -197,14 +208,14 @@
 		select {
 		case <-done:
 			return
-		case <-time.After(readyInterval):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// probe checks the configuration version that a gateway has in force: the newest one
-// after at most maxConfigDelay, and never an older one than before.
-func (f *fleet) probe(g *gateway) {
+// checkVersion checks the configuration version that a gateway has in force: it must be the newest
+// one after at most maxConfigDelay, and never an older one than before in the same process.
+func (f *fleet) checkVersion(g *gateway) {
 	f.mu.Lock()
 	version, acceptedAt := f.version, f.acceptedAt
 	f.mu.Unlock()
@@ -247,7 +258,8 @@
 	}
 }
 
-// probeStatus returns the response status of a version's probe route, or 0 without a response.
+// probeStatus returns the status with which a gateway responds at the probe route of a version, or
+// 0 if there is no response.
 func (f *fleet) probeStatus(g *gateway, version int) int {
 	client := &http.Client{
 		Timeout: 300 * time.Millisecond,
@@ -265,7 +277,7 @@
 	return response.StatusCode
 }
 
-// randomReadyGateway returns one of the ready gateways, or nil if there is none.
+// randomReadyGateway returns one of the gateways that were ready when last polled, or nil if none was.
 func (f *fleet) randomReadyGateway(random *rand.Rand) *gateway {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/cmd/slipwickd/soak/gateway_test.go
+++ b/cmd/slipwickd/soak/gateway_test.go
@@ -14,12 +14,14 @@
 	"time"
 )
 
-// All gateways use the same ports, each on an IP address of its own.
+// All gateways use the same ports, each on an IP address of its own: callersPort for callers'
+// requests, readyPort for readiness probes, and peersPort for connections between gateways. They
+// ignore the port of the seed nodes in their settings.
 const (
-	callersPort = 18080
-	readyPort   = 18081
-	seedPort    = 18082
-	peersPort   = 18090
+	callersPort  = 18080
+	readyPort    = 18081
+	seedNodePort = 18082
+	peersPort    = 18090
 )
 
 // gracePeriod is how long a gateway may take to exit after SIGTERM.
@@ -37,7 +39,8 @@
 	running *gatewayProcess
 	// output has the standard output and error of the latest process.
 	output *bytes.Buffer
-	// disturbedAt is the time of the last disturbance. isLasting is set while it goes on.
+	// disturbedAt is the time of the last disturbance: a start of the process, or a signal other
+	// than SIGHUP and SIGTERM. isLasting is set while the disturbance goes on.
 	disturbedAt time.Time
 	isLasting   bool
 	// version is the newest configuration version seen in force in the current process.
@@ -50,8 +53,9 @@
 	exited  chan struct{}
 }
 
-// writeSettings writes the settings file that the platform would write.
-func (g *gateway) writeSettings(t *testing.T, storeAddress, zone string, seeds []string, bootstrap bool) {
+// writeSettings writes the settings file that the platform would write. bootstrap says that the
+// whole fleet starts for the first time.
+func (g *gateway) writeSettings(t *testing.T, storeAddress, zone string, seedNodes []string, bootstrap bool) {
 	t.Helper()
 	settings := map[string]any{
 		"node_name": g.name, "ip_address": g.host, "zone": zone, "region": "r",
@@ -60,7 +64,7 @@
 			"ready":    fmt.Sprintf("%s:%d", g.host, readyPort),
 		},
 		"internal_port_range": []int{peersPort, peersPort + 9},
-		"seed_nodes":          seeds,
+		"seed_nodes":          seedNodes,
 		"bootstrap":           bootstrap,
 		"limits":              map[string]int{"memory_mb": 284},
 		"bounds": map[string]float64{
@@ -109,7 +113,7 @@
 
 // signal sends a signal to the current process and returns that process, or nil if there is
 // none. Signals except SIGHUP and SIGTERM count as disturbances; isLasting says that the
-// disturbance goes on until the next such signal or start.
+// disturbance goes on until the next disturbance.
 func (g *gateway) signal(signal syscall.Signal, isLasting bool) *gatewayProcess {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -132,21 +136,21 @@
 	}
 }
 
-// terminate sends SIGTERM and waits until the process has exited. It does not count as a
-// disturbance because callers with a request there must not be affected.
+// terminate sends SIGTERM and waits until the process has exited. SIGTERM does not count as a
+// disturbance because requests in flight at the gateway must still get their responses.
 func (g *gateway) terminate(r *recorder) {
 	stopped := g.signal(syscall.SIGTERM, false)
 	if stopped == nil {
 		return
 	}
-	for signaledAt := time.Now(); ; time.Sleep(readyInterval) {
+	for signaledAt := time.Now(); ; time.Sleep(pollInterval) {
 		select {
 		case <-stopped.exited:
 			g.clearProcess(stopped)
 			return
 		default:
 		}
-		// A SIGSTOP in the meantime delays the exit.
+		// Another fault may send SIGSTOP in the meantime, which delays the exit.
 		if undisturbed := min(g.undisturbedFor(), time.Since(signaledAt)); undisturbed > gracePeriod+time.Second {
 			r.addViolation("%s is still running %v after SIGTERM", g.name, time.Since(signaledAt))
 			g.kill()
@@ -164,8 +168,7 @@
 	}
 }
 
-// undisturbedFor returns the time since the last disturbance, or 0 while one goes on. A start
-// is a disturbance; SIGTERM and SIGHUP are not.
+// undisturbedFor returns the time since the last disturbance, or 0 while one goes on.
 func (g *gateway) undisturbedFor() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/cmd/slipwickd/soak/notices_test.go
+++ b/cmd/slipwickd/soak/notices_test.go
@@ -9,39 +9,42 @@
 )
 
 const (
-	// maxAnnounceDelay is the time after a gateway forwarded a response with a leaving notice
-	// in which callers' new requests may still be sent to that server.
+	// maxAnnounceDelay is how long after a gateway forwarded a response with a leaving notice
+	// it may still send new requests of callers to that server.
 	maxAnnounceDelay = time.Second
-	// requestedPause is the pause that shedding servers ask for. A gateway may send at most
-	// maxDuringPause requests within it; those in its first pauseDelay are not counted, as
-	// they may have been under way.
-	requestedPause = 1500 * time.Millisecond
-	pauseDelay     = 500 * time.Millisecond
-	maxDuringPause = 2
+	// requestedPause is the pause that servers which shed load ask for with Retry-After. A gateway
+	// may send a server at most maxRequestsInPause requests within it. Requests in the first
+	// maxPauseDelay are not counted, as they may already have been under way.
+	requestedPause     = 1500 * time.Millisecond
+	maxPauseDelay      = 500 * time.Millisecond
+	maxRequestsInPause = 2
 )
 
-// notices records what one incarnation of a backend server told each gateway.
+// notices are the leaving notice and the requests for a pause of one incarnation of a backend
+// server. It records when each gateway got them.
 type notices struct {
 	mu sync.Mutex
-	// leaving and shedding are what the server currently announces.
+	// leaving is set if responses announce that the server is leaving, shedding if the server
+	// rejects all requests and asks for a pause.
 	leaving, shedding bool
-	// announcedAt is when a caller of a gateway first got a response with the leaving notice.
+	// announcedAt is when a caller first got a response with the leaving notice from a gateway,
+	// counted from the gateway's last disturbance.
 	announcedAt map[*gateway]time.Time
-	// pausedAt is when the server last asked a gateway for a pause, duringPause the number of
-	// requests counted since.
-	pausedAt    map[*gateway]time.Time
-	duringPause map[*gateway]int
+	// pausedAt is when the server last asked a gateway for a pause, requestsInPause the number of
+	// requests that the gateway sent in the pause, without those of the first maxPauseDelay.
+	pausedAt        map[*gateway]time.Time
+	requestsInPause map[*gateway]int
 }
 
 func newNotices() *notices {
 	return &notices{
-		announcedAt: make(map[*gateway]time.Time),
-		pausedAt:    make(map[*gateway]time.Time),
-		duringPause: make(map[*gateway]int),
+		announcedAt:     make(map[*gateway]time.Time),
+		pausedAt:        make(map[*gateway]time.Time),
+		requestsInPause: make(map[*gateway]int),
 	}
 }
 
-// isRemembered reports whether a gateway must still know what it was told at noticedAt:
+// isRemembered reports whether a gateway must still know of a notice that it got at noticedAt:
 // it has been undisturbed since.
 func isRemembered(g *gateway, noticedAt time.Time) bool {
 	return !noticedAt.IsZero() && g.undisturbedFor() > time.Since(noticedAt)
@@ -60,23 +63,23 @@
 		b.recorder.addViolation("%s got request %s through %s, sent %v after a response announced that the server leaves",
 			b.id, s.id, g.name, s.sentAt.Sub(at))
 	}
-	if at := n.pausedAt[g]; isRemembered(g, at) && time.Since(at) > pauseDelay && time.Since(at) < requestedPause {
-		n.duringPause[g]++
-		if n.duringPause[g] > maxDuringPause {
+	if at := n.pausedAt[g]; isRemembered(g, at) && time.Since(at) > maxPauseDelay && time.Since(at) < requestedPause {
+		n.requestsInPause[g]++
+		if n.requestsInPause[g] > maxRequestsInPause {
 			b.recorder.addViolation("%s got %d requests through %s in the pause that it asked for",
-				b.id, n.duringPause[g], g.name)
+				b.id, n.requestsInPause[g], g.name)
 		}
 	}
 	if n.shedding {
 		if time.Since(n.pausedAt[g]) > requestedPause {
-			n.duringPause[g] = 0
+			n.requestsInPause[g] = 0
 		}
 		n.pausedAt[g] = time.Now()
 	}
 	return n.leaving, n.shedding
 }
 
-// rejectRequest rejects a request as not run, and asks for a pause.
+// rejectRequest responds that the request was not run, and asks the gateway for a pause.
 func rejectRequest(w http.ResponseWriter) {
 	w.Header().Set("Not-Executed", "1")
 	w.Header().Set("Retry-After", strconv.FormatFloat(requestedPause.Seconds(), 'f', -1, 64))
@@ -84,7 +87,7 @@
 }
 
 // recordLeavingNotice records that a caller got a response in which its server announced
-// that it leaves.
+// that it is leaving.
 func (f *fleet) recordLeavingNotice(s *sentRequest, server string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -101,8 +104,9 @@
 	}
 }
 
-// announceLeaving has a backend server announce in its responses that it leaves before its
-// entry in the store does. The server still serves for a while and then ends.
+// announceLeaving has a backend server announce in its responses that it is leaving, and writes its
+// draining state to the store only maxLeaveDelay later. The server still serves for a while and then
+// shuts down.
 func announceLeaving(f *fleet, random *rand.Rand, _ time.Duration) {
 	b := f.takeBackend(random)
 	if b == nil {
@@ -121,10 +125,11 @@
 	b.leavingAt.Store(time.Now().UnixNano())
 	time.Sleep(maxLeaveDelay + time.Second)
 	f.store.removeServer(b.id)
-	b.crash()
+	b.shutDown()
 }
 
-// shedLoad has a backend server reject all requests for a while and ask for a pause each time.
+// shedLoad has a backend server reject all requests for duration and ask for a pause each time. It
+// then waits for as long again, in which the server serves.
 func shedLoad(f *fleet, random *rand.Rand, duration time.Duration) {
 	n := f.randomBackend(random).notices.Load()
 	for _, shedding := range []bool{true, false} {
--- a/cmd/slipwickd/soak/proxy_test.go
+++ b/cmd/slipwickd/soak/proxy_test.go
@@ -10,18 +10,18 @@
 	"time"
 )
 
-// pathMode is how a proxy treats connections and their data.
+// pathMode is how a proxy treats the connections to its backend server, and their data.
 type pathMode int32
 
 const (
 	pathForwards pathMode = iota
 	// pathDelays delays the data of each read by readDelay.
 	pathDelays
-	// pathStalls forwards no data and pathStallsResponses none from the server; connections
-	// stay open.
+	// pathStalls forwards no data in either direction, pathStallsResponses none from the server.
+	// Connections stay open.
 	pathStalls
 	pathStallsResponses
-	// pathResets resets open and new connections.
+	// pathResets resets open connections, and new ones as soon as they are accepted.
 	pathResets
 )
 
@@ -73,7 +73,7 @@
 }
 
 // close stops listening, so that new connections are refused, and resets the open ones, as
-// if the server had ended.
+// if the process of the server had exited.
 func (p *proxy) close() {
 	p.mu.Lock()
 	_ = p.listener.Close()
@@ -152,7 +152,8 @@
 	_ = from.Close()
 }
 
-// isStalled reports whether data must wait. The delay of pathDelays is spent here.
+// isStalled reports whether data that was read must wait. In the mode pathDelays, it first sleeps
+// for readDelay.
 func (p *proxy) isStalled(isResponse bool) bool {
 	switch pathMode(p.mode.Load()) {
 	case pathDelays:
--- a/cmd/slipwickd/soak/recorder_test.go
+++ b/cmd/slipwickd/soak/recorder_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// maxLeaveDelay is how long a backend server may still get new requests after the
-// store accepted that it leaves. maxConfigDelay is the time after which a version that
-// the store accepted must be in force. Both are checked only if the gateway and the
-// store have been undisturbed for longer than settleTime.
+// maxLeaveDelay is how long a backend server may still get requests after the store accepted its
+// draining state. maxConfigDelay is the time after which a configuration version that the store
+// accepted must be in force. Both are checked only if the gateway has been undisturbed, and the
+// store healthy, for longer than settleTime.
 const (
 	maxLeaveDelay  = 2500 * time.Millisecond
 	maxConfigDelay = 2500 * time.Millisecond
@@ -22,10 +22,14 @@
 
 // The routes, each for one kind of request.
 const (
+	// routeSingle is for requests that may run only once, routeRepeatable for those that gateways
+	// may run again after a failure.
 	routeSingle     = "single"
 	routeRepeatable = "repeatable"
-	routeStream     = "stream"
-	routeResumable  = "resumable"
+	// routeStream is for requests for event streams that may run only once. Streams of
+	// routeResumable may be resumed at another backend server, with Last-Event-Id.
+	routeStream    = "stream"
+	routeResumable = "resumable"
 )
 
 // sentRequest is a request that a caller sent, and its outcome.
@@ -35,9 +39,9 @@
 	sentAt, endedAt time.Time
 	// crashesServers is set if the request crashes each backend server that runs it.
 	crashesServers bool
-	// status is 0 if there was no response.
+	// status is the status of the response, or 0 if there was none.
 	status int
-	// runs counts how often backend servers ran the request.
+	// runs is how often backend servers started to run the request.
 	runs atomic.Int32
 }
 
@@ -45,11 +49,13 @@
 type recorder struct {
 	store *store
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// requests are all requests that callers sent, by ID.
 	requests   map[string]*sentRequest
 	violations []string
-	served     map[string]int
-	crashLog   crashLog
+	// served is the number of requests that were served, by route.
+	served   map[string]int
+	crashLog crashLog
 }
 
 func newRecorder() *recorder {
@@ -78,7 +84,8 @@
 	return r.requests[id]
 }
 
-// recordRun records that a backend server runs a request, and checks that it may.
+// recordRun records that a backend server runs a request. It checks that the request may run as
+// often as it did, and that the server has not been leaving for too long.
 func (r *recorder) recordRun(id string, b *backend) {
 	s := r.findRequest(id)
 	if s == nil {
@@ -150,7 +157,7 @@
 }
 
 // checkRefusals finds requests that ran although their callers got a refusal, which
-// guarantees that a request did not run.
+// guarantees that a request did not run. It only checks routes whose requests may run once.
 func (r *recorder) checkRefusals() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -174,10 +181,12 @@
 	return maps.Clone(r.served), statuses
 }
 
+// The bodies of requests and responses contain the ID of the request, so that a mix-up shows.
+
 func requestBody(id string) string  { return "body of " + id }
 func responseBody(id string) string { return strings.Repeat("answer to "+id+"\n", 20) }
 
-// eventCount returns the number of events in the stream of a request.
+// eventCount returns the number of events in the stream of a request, which depends on its ID.
 func eventCount(id string) int {
 	const maxEvents = 20
 	h := fnv.New32a()
@@ -185,6 +194,7 @@
 	return 1 + int(h.Sum32()%maxEvents)
 }
 
+// eventsText returns the first n events in the stream of a request.
 func eventsText(id string, n int) string {
 	var text strings.Builder
 	for i := range n {
--- a/cmd/slipwickd/soak/restore_test.go
+++ b/cmd/slipwickd/soak/restore_test.go
@@ -7,13 +7,13 @@
 
 const (
 	// renewInterval is how often servers and the operator check that their entries are still
-	// stored. The store removes entries that nobody has renewed for entryLifetime.
+	// stored, and renew them. The store removes entries that nobody has renewed for entryLifetime.
 	renewInterval = 1200 * time.Millisecond
 	entryLifetime = 3 * renewInterval
 )
 
-// restore restores the store from a backup of the given age. Later writes are lost, and
-// their revisions are assigned again.
+// restore restores the store from a backup of the given age. Writes after the backup are lost, and
+// their revisions will be assigned again to other writes.
 func (s *store) restore(age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -33,7 +33,8 @@
 	s.wakeWatchesLocked()
 }
 
-// rewriteMissing writes the entries that the backup lacks, as the operator and the servers would.
+// rewriteMissing writes the entries again that the backup lacks or has in an older state, as the
+// operator and the servers would at their next check.
 func (s *store) rewriteMissing() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +47,9 @@
 	}
 }
 
-// removeExpired removes entries that the backup lists though they had been removed, so that nobody renews them.
+// removeExpired removes entries that are in the store again since the restore although their owners
+// had removed them. Nobody renews such entries, so that the store would remove them after
+// entryLifetime.
 func (s *store) removeExpired() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -57,8 +60,9 @@
 	}
 }
 
-// restoreStore restores the store from a backup after a short outage. Sometimes the store has
-// accepted a configuration version or the draining state of a server just before.
+// restoreStore restores the store from a backup after a short outage. In two of three cases, the
+// store accepted a configuration version or the draining state of a server just before the outage,
+// which the backup lacks.
 func restoreStore(f *fleet, random *rand.Rand, duration time.Duration) {
 	switch random.IntN(3) {
 	case 0:
--- a/cmd/slipwickd/soak/soak_test.go
+++ b/cmd/slipwickd/soak/soak_test.go
@@ -16,22 +16,26 @@
 	durationFlag = flag.Duration("soak-for", 20*time.Second, "how long faults are injected in a run with -soak-seed")
 )
 
-// regressionSeeds are seeds that once found a violation, with its cause.
+// regressionSeeds are seeds whose runs once found a violation, with its cause. CI runs them all.
 var regressionSeeds = []struct {
 	seed  uint64
 	cause string
 }{
-	{361, "a copy listed an earlier incarnation, to which the notice of the later one did not apply"},
+	// The notice said that the server was leaving. TestEarlierIncarnationInBackupGetsNothing in
+	// package directory tests the same case.
+	{361, "after a restore, gateways listed an earlier incarnation, to which the notice of the later one did not apply"},
 }
 
 const (
 	callerCount = 24
-	shortRun    = 8 * time.Second
-	// recoveryTime is how long no faults are injected at the end of a run.
-	// minRecoveredShare is the share of the requests after it that must be served.
+	// shortRunDuration is how long faults are injected in each run of CI.
+	shortRunDuration = 8 * time.Second
+	// recoveryTime is the time from the end of the faults to the check of recovery.
+	// minRecoveredShare is the share of the requests of that check that must be served.
 	recoveryTime      = 5 * time.Second
 	minRecoveredShare = 0.9
-	// minServedPerRoute is the number of served requests per route below which a run proves too little.
+	// minServedPerRoute is the number of served requests per route below which a run tests too
+	// little and fails.
 	minServedPerRoute = 50
 )
 
@@ -40,19 +44,20 @@
 		runSoak(t, *seedFlag, *durationFlag)
 		return
 	}
-	t.Run("seed 1", func(t *testing.T) { runSoak(t, 1, shortRun) })
-	for _, failed := range regressionSeeds {
-		t.Run(fmt.Sprintf("seed %d", failed.seed), func(t *testing.T) { runSoak(t, failed.seed, shortRun) })
+	t.Run("seed 1", func(t *testing.T) { runSoak(t, 1, shortRunDuration) })
+	for _, regression := range regressionSeeds {
+		t.Run(fmt.Sprintf("seed %d", regression.seed), func(t *testing.T) { runSoak(t, regression.seed, shortRunDuration) })
 	}
 }
 
-// runSoak runs the fleet with the faults of a seed and checks what callers and backend servers observed.
+// runSoak runs the fleet with faults chosen from the seed, for the given duration, and checks what
+// callers and backend servers observed.
 func runSoak(t *testing.T, seed uint64, duration time.Duration) {
 	f := newFleet(t)
 	done := make(chan struct{})
 	var tasks sync.WaitGroup
 	tasks.Go(func() { f.pollGateways(done) })
-	for started := time.Now(); ; time.Sleep(readyInterval) {
+	for started := time.Now(); ; time.Sleep(pollInterval) {
 		if f.randomReadyGateway(rand.New(rand.NewPCG(seed, 0))) != nil {
 			break
 		}
@@ -107,30 +112,32 @@
 	}
 }
 
-// fault is a kind of fault. inject returns when the fault is over.
+// fault is a kind of fault. inject injects such a fault and returns when it is over. Some kinds do
+// not use the duration.
 type fault struct {
 	name   string
 	inject func(f *fleet, random *rand.Rand, duration time.Duration)
 }
 
+// faults are the kinds of faults to choose from. Those listed twice are chosen twice as often.
 var faults = []fault{
 	{"kill a gateway", killGateway},
 	{"pause a gateway", pauseGateway},
-	{"stop a gateway", stopGateway},
-	{"stop a gateway", stopGateway},
-	{"send SIGHUP to a gateway", sendHangUp},
+	{"terminate a gateway", terminateGateway},
+	{"terminate a gateway", terminateGateway},
+	{"send SIGHUP to a gateway", sendSIGHUP},
 	{"kill all gateways", killAllGateways},
 	{"degrade the store", degradeStore},
 	{"restore the store from a backup", restoreStore},
 	{"restore the store from a backup", restoreStore},
-	{"degrade the path to a backend server", degradePath},
-	{"degrade the path to a backend server", degradePath},
-	{"fail a backend server", failBackend},
-	{"fail a backend server", failBackend},
+	{"degrade the connections to a backend server", degradePath},
+	{"degrade the connections to a backend server", degradePath},
+	{"fail requests at a backend server", failRequests},
+	{"fail requests at a backend server", failRequests},
 	{"crash a backend server", crashBackend},
 	{"drain a backend server", drainBackend},
 	{"drain a backend server", drainBackend},
-	{"announce leaving before the entry does", announceLeaving},
+	{"announce leaving in responses before the store lists it", announceLeaving},
 	{"shed load and ask for a pause", shedLoad},
 	{"shed load and ask for a pause", shedLoad},
 	{"write new configuration versions", writeVersions},
@@ -138,18 +145,18 @@
 	{"write invalid entries", writeInvalidEntries},
 }
 
-// injectFaults starts faults for the given duration, several of them at once, and waits
-// until all are over. It then brings the store and all gateways back.
+// injectFaults starts random faults, which may overlap, for the given duration and waits until
+// all are over. It then makes the store serve and all gateways run again.
 func (f *fleet) injectFaults(random *rand.Rand, duration time.Duration) {
 	var running sync.WaitGroup
 	began := time.Now()
 	for time.Since(began) < duration {
 		time.Sleep(time.Duration(50+random.IntN(400)) * time.Millisecond)
-		drawn := faults[random.IntN(len(faults))]
+		chosen := faults[random.IntN(len(faults))]
 		faultRandom := rand.New(rand.NewPCG(random.Uint64(), 2))
 		faultTime := time.Duration(300+random.IntN(2500)) * time.Millisecond
-		f.t.Logf("%6.2f s: %s for %v", time.Since(began).Seconds(), drawn.name, faultTime)
-		running.Go(func() { drawn.inject(f, faultRandom, faultTime) })
+		f.t.Logf("%6.2f s: %s for %v", time.Since(began).Seconds(), chosen.name, faultTime)
+		running.Go(func() { chosen.inject(f, faultRandom, faultTime) })
 	}
 	running.Wait()
 	f.store.setMode(storeServes)
@@ -170,6 +177,7 @@
 	g.start(f.t)
 }
 
+// pauseGateway suspends the process of a gateway with SIGSTOP.
 func pauseGateway(f *fleet, random *rand.Rand, duration time.Duration) {
 	g := f.randomGateway(random)
 	g.signal(syscall.SIGSTOP, true)
@@ -177,13 +185,14 @@
 	g.signal(syscall.SIGCONT, false)
 }
 
-func stopGateway(f *fleet, random *rand.Rand, _ time.Duration) {
+// terminateGateway sends SIGTERM to a gateway and starts it again once it has exited.
+func terminateGateway(f *fleet, random *rand.Rand, _ time.Duration) {
 	g := f.randomGateway(random)
 	g.terminate(f.recorder)
 	g.start(f.t)
 }
 
-func sendHangUp(f *fleet, random *rand.Rand, _ time.Duration) {
+func sendSIGHUP(f *fleet, random *rand.Rand, _ time.Duration) {
 	f.randomGateway(random).signal(syscall.SIGHUP, false)
 }
 
@@ -213,26 +222,28 @@
 	b.proxy.setMode(pathForwards)
 }
 
-func failBackend(f *fleet, random *rand.Rand, duration time.Duration) {
+func failRequests(f *fleet, random *rand.Rand, duration time.Duration) {
 	b := f.randomBackend(random)
 	b.failurePercent.Store(int32(20 + random.IntN(80)))
 	time.Sleep(duration)
 	b.failurePercent.Store(0)
 }
 
-// crashBackend crashes a backend server without notice. Its entry is removed later, as if it expired.
+// crashBackend shuts a backend server down without a leaving notice. Its entry is removed from the
+// store after duration, as if it had expired, and another server replaces it.
 func crashBackend(f *fleet, random *rand.Rand, duration time.Duration) {
 	b := f.takeBackend(random)
 	if b == nil {
 		return
 	}
-	b.crash()
+	b.shutDown()
 	time.Sleep(duration)
 	f.store.removeServer(b.id)
 	f.addBackend(b.pool)
 }
 
-// drainBackend marks a backend server as draining in the store. It still serves for a while and then ends.
+// drainBackend marks a backend server as draining in the store and adds another one. The server still
+// serves for longer than gateways may send it requests, and then shuts down.
 func drainBackend(f *fleet, random *rand.Rand, _ time.Duration) {
 	b := f.takeBackend(random)
 	if b == nil {
@@ -243,10 +254,10 @@
 	b.leavingAt.Store(time.Now().UnixNano())
 	time.Sleep(maxLeaveDelay + time.Second)
 	f.store.removeServer(b.id)
-	b.crash()
+	b.shutDown()
 }
 
-// writeVersions writes several configuration versions in quick succession, as an operator would.
+// writeVersions writes one to four configuration versions in quick succession, as an operator might.
 func writeVersions(f *fleet, random *rand.Rand, _ time.Duration) {
 	for range 1 + random.IntN(4) {
 		f.configure()
--- a/cmd/slipwickd/soak/store_test.go
+++ b/cmd/slipwickd/soak/store_test.go
@@ -17,12 +17,16 @@
 type storeMode string
 
 const (
-	storeServes       storeMode = "serves"
-	storeRefuses      storeMode = "refuses"
-	storeUnresponsive storeMode = "silent"
-	storeSlow         storeMode = "slow"
-	// storeHistoryLost responds to each watch that the history is gone.
-	storeHistoryLost storeMode = "forgets"
+	storeServes storeMode = "serves"
+	// storeRefuses responds to each request with 503.
+	storeRefuses storeMode = "refuses"
+	// storeUnresponsive responds to no request.
+	storeUnresponsive storeMode = "unresponsive"
+	// storeSlow delays each response.
+	storeSlow storeMode = "slow"
+	// storeHistoryLost responds to each new watch with 410: the store no longer has the history of
+	// changes.
+	storeHistoryLost storeMode = "history lost"
 )
 
 // object is an object in the JSON format of the platform.
@@ -34,10 +38,13 @@
 	Specification any `json:"specification"`
 }
 
+// storeEvent is a change of an object in the JSON format of the platform. A tombstone says that the
+// object was removed.
 type storeEvent struct {
 	Tombstone bool   `json:"tombstone"`
 	Object    object `json:"object"`
 
+	// kind is the kind of the object: servers or config. at is the time of the write.
 	kind string
 	at   time.Time
 }
@@ -49,14 +56,18 @@
 	mu           sync.Mutex
 	mode         storeMode
 	healthySince time.Time
-	// timeline starts at 1 and grows by one each time the store is restored from a backup.
+	// timeline starts at 1 and grows by one each time the store is restored from a backup. The
+	// header Store-Era tells it to gateways. revision is that of the latest write.
 	timeline, revision int
-	objects            map[string]map[string]object
-	events             []storeEvent
+	// objects are the current objects, by kind and name.
+	objects map[string]map[string]object
+	// events are all changes, in the order of their revisions.
+	events []storeEvent
 	// lastWrites has the last write of the operator and the servers to each object, removals
 	// included, by kind and name.
 	lastWrites map[string]storeEvent
-	changed    chan struct{}
+	// changed is closed, and replaced, when the state or the mode of the store changes.
+	changed chan struct{}
 }
 
 func newStore(t *testing.T, host string) *store {
@@ -82,7 +93,7 @@
 	return s
 }
 
-// setMode changes how the store responds. Pending watches wake up and apply the new mode.
+// setMode changes how the store responds. Pending watches wake up and check the new mode.
 func (s *store) setMode(mode storeMode) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +102,8 @@
 	s.wakeWatchesLocked()
 }
 
-// healthyFor returns how long the store has served without a change of mode.
+// healthyFor returns the time since the store was last set to storeServes or restored, or 0 in
+// another mode.
 func (s *store) healthyFor() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -146,7 +158,8 @@
 	}
 }
 
-// ServeHTTP lists the objects of a kind or, with the query parameter watch, waits for changes.
+// ServeHTTP lists the objects of a kind or, with the query parameter watch, waits for changes after
+// the revision in it.
 func (s *store) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	kind := strings.TrimPrefix(r.URL.Path, "/-/objects/")
 	query := r.URL.Query()
@@ -183,6 +196,9 @@
 	s.watch(w, r, kind, after, time.Duration(wait)*time.Millisecond)
 }
 
+// watch responds with the changes of a kind after a revision, or with none if the wait is over. It
+// responds with 410 if the store has not reached that revision, as after a restore, and aborts the
+// connection if the mode becomes storeRefuses or storeUnresponsive.
 func (s *store) watch(w http.ResponseWriter, r *http.Request, kind string, after int, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
