--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -32,6 +32,37 @@
 	return b
 }
 
+// newBalancerIn returns a balancer in the first data centre, with the pool of entriesIn.
+func newBalancerIn(engines int, dataCentres ...string) *Balancer {
+	b := New(dataCentres[0])
+	b.SetBackends(entriesIn(engines, dataCentres...))
+	return b
+}
+
+// entriesIn returns entries of engines that are in the given data centres by turns. Each data
+// centre is in a region of its own.
+func entriesIn(engines int, dataCentres ...string) []Entry {
+	var list []Entry
+	for i := range engines {
+		name := dataCentres[i%len(dataCentres)]
+		list = append(list, Entry{
+			Backend: slipwick.Backend{
+				ID:         fmt.Sprint("e", i),
+				Address:    fmt.Sprintf("10.0.0.%d:80", i),
+				DataCentre: name,
+				Region:     "region of " + name,
+				Slots:      12,
+			},
+			Pool: "p",
+		})
+	}
+	return list
+}
+
+var plainRequest = &Request{
+	Pool: "p",
+}
+
 func acquire(t *testing.T, b *Balancer, request *Request) *Lease {
 	t.Helper()
 	lease, err := b.Acquire(request)
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -280,21 +280,6 @@
 	})
 }
 
-// BenchmarkSetRouters removes and adds one router, in the largest fleet that the router is designed
-// for: 330 routers and 930 servers.
-func BenchmarkSetRouters(b *testing.B) {
-	var ids []string
-	for i := range 330 {
-		ids = append(ids, fmt.Sprint("r", i))
-	}
-	balancer := New("d")
-	balancer.SetBackends(entriesIn(930, "d", "e", "f", "g"))
-	balancer.SetRouters("r0", ids)
-	for i := 0; b.Loop(); i++ {
-		balancer.SetRouters("r0", ids[:len(ids)-i%2])
-	}
-}
-
 // TestNewServerCountsAsColdByDefault lists a new server long after the router's start, in an
 // entry that does not say whether it is cold.
 func TestNewServerCountsAsColdByDefault(t *testing.T) {
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -13,10 +13,6 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-var plainRequest = &Request{
-	Pool: "p",
-}
-
 // unavailableCount returns the number of backend servers that are ejected or unresponsive.
 func unavailableCount(b *Balancer) int {
 	b.mu.Lock()
--- a/balance/evacuation_test.go
+++ b/balance/evacuation_test.go
@@ -11,33 +11,6 @@
 	"github.com/slipwick/slipwick"
 )
 
-// newBalancerIn returns a balancer in the first data centre, with the pool of entriesIn.
-func newBalancerIn(engines int, dataCentres ...string) *Balancer {
-	b := New(dataCentres[0])
-	b.SetBackends(entriesIn(engines, dataCentres...))
-	return b
-}
-
-// entriesIn returns entries of engines that are in the given data centres by turns. Each data
-// centre is in a region of its own.
-func entriesIn(engines int, dataCentres ...string) []Entry {
-	var list []Entry
-	for i := range engines {
-		name := dataCentres[i%len(dataCentres)]
-		list = append(list, Entry{
-			Backend: slipwick.Backend{
-				ID:         fmt.Sprint("e", i),
-				Address:    fmt.Sprintf("10.0.0.%d:80", i),
-				DataCentre: name,
-				Region:     "region of " + name,
-				Slots:      12,
-			},
-			Pool: "p",
-		})
-	}
-	return list
-}
-
 // TestEvacuatedDataCentreGetsNothingNew sends requests with new prompts, with cached prompts and
 // without prompts during an evacuation, and with new prompts after its end.
 func TestEvacuatedDataCentreGetsNothingNew(t *testing.T) {
@@ -137,32 +110,6 @@
 	}
 }
 
-func TestStillAccepts(t *testing.T) {
-	b := newBalancerIn(1, "d")
-	lease := acquire(t, b, plainRequest)
-	if !b.StillAccepts(lease) {
-		t.Error("got false for a usable server, want true")
-	}
-	b.SetEvacuated([]string{"d"})
-	if b.StillAccepts(lease) {
-		t.Error("got true for a server in an evacuated data centre, want false")
-	}
-	b.SetEvacuated(nil)
-	b.SetColdLimits(map[string]ColdLimit{
-		"p": testLimit,
-	})
-	list := entriesIn(1, "d")
-	list[0].ColdUntil = time.Now().Add(time.Hour)
-	b.SetBackends(list)
-	if b.StillAccepts(lease) {
-		t.Error("got true for a server that became cold after the choice, want false")
-	}
-	b.SetBackends(nil)
-	if b.StillAccepts(lease) {
-		t.Error("got true for a server that is no longer listed, want false")
-	}
-}
-
 // TestLoadOfEvacuatedDataCentresSpreads evacuates a quarter or half of the pool at peak load: 19
 // routers, 28 engines of 12 slots, 7 requests a second for each engine, as in a deployment with four
 // data centres. Nothing may go to the evacuated engines, and the load bound, which is based on the
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -4,6 +4,7 @@
 	"time"
 
 	"github.com/slipwick/slipwick"
+	"github.com/slipwick/slipwick/clock"
 )
 
 // Lease counts a request at a backend server until it is released, which the caller has to do.
@@ -43,3 +44,22 @@
 	Running int
 	Waiting int
 }
+
+// IsStaying reports whether the lease's backend server is listed and not leaving, so that an
+// end of its process would be unplanned.
+func (b *Balancer) IsStaying(lease *Lease) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s := lease.server
+	return b.servers[s.ID] == s && !s.isLeaving()
+}
+
+// StillAccepts reports whether the lease's backend server may still get the request, when it
+// was not sent at once. It may not if meanwhile it is leaving, evacuated, asked for a pause or
+// became cold.
+func (b *Balancer) StillAccepts(lease *Lease) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s, now := lease.server, clock.Now()
+	return b.servers[s.ID] == s && s.acceptsNew() && !s.notices.isPaused(now) && (lease.isCold || !b.isColdLocked(s, now))
+}
--- a/balance/server.go
+++ b/balance/server.go
@@ -144,3 +144,8 @@
 	s.ejectedUntil, s.ejectedForErrors = now.Add(ejection), false
 	return true
 }
+
+// acceptsNew reports whether any router may send new requests to the server.
+func (s *server) acceptsNew() bool {
+	return !s.isLeaving() && !s.evacuated
+}
