--- a/admission/grants.go
+++ b/admission/grants.go
@@ -255,3 +255,13 @@
 	}
 	c.grantQueued(o)
 }
+
+// grantQueuedInPool grants slots to queued requests at all of this router's backend servers of the
+// pool.
+func (c *Coordinator) grantQueuedInPool(pool string) {
+	for _, o := range c.owned {
+		if o.pool == pool {
+			c.grantQueued(o)
+		}
+	}
+}
--- a/admission/health.go
+++ b/admission/health.go
@@ -84,3 +84,15 @@
 	}
 	return max(1, int(float64(bound)*max(minRampShare, progress)))
 }
+
+// String returns the name of the health state as shown to operators.
+func (h Health) String() string {
+	switch h {
+	case HealthEjected:
+		return "ejected"
+	case HealthLeaving:
+		return "leaving"
+	default:
+		return "good"
+	}
+}
--- a/admission/report.go
+++ b/admission/report.go
@@ -1,6 +1,7 @@
 package admission
 
 import (
+	"math"
 	"time"
 
 	"github.com/slipwick/slipwick/peer/peerpb"
@@ -47,3 +48,69 @@
 	}
 	c.grantQueuedInPool(message.GetPool())
 }
+
+// isSignificant reports whether a load differs enough from the one reported before to be reported.
+// The threshold is lower for a decrease: an estimate that is too high lets owners exceed the limit,
+// while one that is too low only makes requests wait or try elsewhere.
+func (c *Coordinator) isSignificant(current, previous int, pressed bool) bool {
+	threshold := c.Policy.RiseChange
+	switch {
+	case pressed:
+		threshold = c.Policy.PressedChange
+	case current < previous:
+		threshold = c.Policy.FallChange
+	}
+	return math.Abs(float64(current-previous)) >= max(1, threshold*float64(previous))
+}
+
+// minReportInterval returns the minimum interval between two reports of a pool.
+func (c *Coordinator) minReportInterval(pressed bool) time.Duration {
+	if pressed {
+		return c.Policy.PressedReportInterval
+	}
+	return c.Policy.MinReportInterval
+}
+
+// scheduleReport schedules a report of the pool's load if it changed significantly and none is
+// scheduled. The report is sent as soon as the minimum interval allows.
+func (c *Coordinator) scheduleReport(pool string) {
+	load, now := c.poolLoad(pool), time.Now()
+	pressed := c.isPressed(pool, load, now)
+	if c.isHub(pool) {
+		if load.broadcastTimer == nil && c.shouldBroadcast(pool, load, pressed) {
+			due := load.broadcastAt.Add(c.minReportInterval(pressed))
+			load.broadcastTimer = time.AfterFunc(due.Sub(now), func() {
+				c.withLock(func() { c.broadcastLoad(pool, load, false) })
+			})
+		}
+		return
+	}
+	if load.reportTimer == nil && c.isSignificant(c.ownLoad(pool), load.reported, pressed) {
+		due := load.reportedAt.Add(c.minReportInterval(pressed))
+		load.reportTimer = time.AfterFunc(due.Sub(now), func() { c.withLock(func() { c.sendReport(pool, load) }) })
+	}
+}
+
+// shouldBroadcast reports whether the load changed significantly for the hub's group or for the
+// other hubs.
+func (c *Coordinator) shouldBroadcast(pool string, load *poolLoad, pressed bool) bool {
+	t := c.topology[pool]
+	if len(t.members) > 0 && c.isSignificant(c.knownTotal(pool), load.broadcastTotal, pressed) {
+		return true
+	}
+	return len(t.hubs) > 1 && c.isSignificant(c.groupLoad(pool, load), load.forwardedLoad, pressed)
+}
+
+// refreshReport repeats the report or broadcast of an unchanged load before it expires.
+func (c *Coordinator) refreshReport(pool string, now time.Time) {
+	load := c.poolLoad(pool)
+	if c.isHub(pool) {
+		if now.Sub(load.fullBroadcastAt) >= c.Policy.RefreshInterval {
+			c.broadcastLoad(pool, load, true)
+		}
+		return
+	}
+	if now.Sub(load.reportedAt) >= c.Policy.RefreshInterval {
+		c.sendReport(pool, load)
+	}
+}
--- a/admission/status.go
+++ b/admission/status.go
@@ -17,18 +17,6 @@
 	Health string `json:"health"`
 }
 
-// String returns the name of the health state as shown to operators.
-func (h Health) String() string {
-	switch h {
-	case HealthEjected:
-		return "ejected"
-	case HealthLeaving:
-		return "leaving"
-	default:
-		return "good"
-	}
-}
-
 // Status returns the status of the backend servers that this router owns, sorted by ID.
 func (c *Coordinator) Status() []Status {
 	c.mu.Lock()
