--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -150,7 +150,7 @@
 	}
 	lease.server.inFlight++
 	b.active[lease.server] = true
-	lease.server.recordSend(decay)
+	lease.server.countSend(decay)
 	lease.server.prefillTokens += lease.pendingPrefill
 	if lease.hasPrompt && lease.pendingPrefill >= b.timingsLocked(request.Pool).prefill.TokensWithin(longPrefillTime) {
 		b.OnLongPrefill()
@@ -215,11 +215,11 @@
 }
 
 // usableLocked returns the backend servers that may get the request. If no other is left, it
-// returns the cold ones with capacity left in their limit, and failing these the ejected ones,
-// but never those that are leaving or asked for a pause. The slice is valid until the next
-// call.
+// returns the cold ones with capacity left in their limit, and failing these the ejected and
+// unresponsive ones, but never those that are leaving, evacuated or asked for a pause. The slice is
+// valid until the next call.
 func (b *Balancer) usableLocked(pool []*server, request *Request, now time.Time) []*server {
-	usable, cold, ejected := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.ejected[:0]
+	usable, cold, unavailable := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.unavailable[:0]
 	evacuatedOrPaused := b.scratch.evacuatedOrPaused[:0]
 	for _, s := range pool {
 		switch {
@@ -230,15 +230,15 @@
 			evacuatedOrPaused = append(evacuatedOrPaused, s)
 		case b.isColdLocked(s, now) && !b.maySendToColdLocked(s, now):
 		case b.isUnavailableLocked(s, now):
-			ejected = append(ejected, s)
+			unavailable = append(unavailable, s)
 		case b.isColdLocked(s, now) && !b.Switches.ColdAsOthers:
 			cold = append(cold, s)
 		default:
 			usable = append(usable, s)
 		}
 	}
-	b.scratch.usable, b.scratch.cold, b.scratch.ejected, b.scratch.evacuatedOrPaused =
-		usable, cold, ejected, evacuatedOrPaused
+	b.scratch.usable, b.scratch.cold, b.scratch.unavailable, b.scratch.evacuatedOrPaused =
+		usable, cold, unavailable, evacuatedOrPaused
 	switch {
 	case len(usable) > 0:
 		return usable
@@ -248,7 +248,7 @@
 	case request.HealthyOnly:
 		return nil
 	}
-	return ejected
+	return unavailable
 }
 
 // leastLoadedLocked returns one of the least loaded servers, with a preference for the router's
@@ -289,8 +289,8 @@
 func (b *Balancer) Release(lease *Lease, evidence slipwick.Evidence) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if evidence == slipwick.EvidenceGood && lease.longestPause > 0 {
-		b.timingsLocked(lease.server.Pool).pauses.Add(float64(lease.longestPause))
+	if evidence == slipwick.EvidenceGood && lease.longestGap > 0 {
+		b.timingsLocked(lease.server.Pool).streamGaps.Add(float64(lease.longestGap))
 	}
 	lease.server.inFlight--
 	lease.server.prefillTokens -= lease.pendingPrefill
@@ -310,6 +310,6 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
-	lease.longestPause = max(lease.longestPause, now.Sub(lease.lastActivityAt))
+	lease.longestGap = max(lease.longestGap, now.Sub(lease.lastActivityAt))
 	lease.lastActivityAt, lease.server.lastActivityAt = now, now
 }
--- a/balance/balancer_test.go
+++ b/balance/balancer_test.go
@@ -87,9 +87,9 @@
 // test entries. All routers rank alike.
 func topRanked(key uint64, n int) string {
 	best, score := "", uint64(0)
-	for _, l := range testEntries(n) {
-		if s := placement.Score(key, placement.IDHash(l.ID)); best == "" || s > score {
-			best, score = l.ID, s
+	for _, entry := range testEntries(n) {
+		if s := placement.Score(key, placement.IDHash(entry.ID)); best == "" || s > score {
+			best, score = entry.ID, s
 		}
 	}
 	return best
@@ -126,6 +126,7 @@
 		}
 	}
 	for id, got := range counts {
+		// The load bound for the final mean of 10 requests is 1.6*10 + 2.
 		if limit := int(1.6*10) + 2 + 1; got > limit {
 			t.Errorf("%s: got %d of 60 requests at 6 engines, want at most %d", id, got, limit)
 		}
@@ -138,9 +139,9 @@
 func TestSpillPrefersEnginesThatHaveThePrompt(t *testing.T) {
 	b := newTestBalancer(6)
 	var holder Entry
-	for _, l := range testEntries(6) {
-		if l.ID != topRanked(7, 6) {
-			holder = l
+	for _, entry := range testEntries(6) {
+		if entry.ID != topRanked(7, 6) {
+			holder = entry
 		}
 	}
 	b.ReceiveCachedParts([]CachedPart{
@@ -234,9 +235,9 @@
 		counts[lease.Backend.ID]++
 		b.Release(lease, slipwick.EvidenceGood)
 	}
-	for _, l := range testEntries(4) {
-		if got := counts[l.ID]; got < 10 {
-			t.Errorf("%s: got %d of 200 requests, want at least 10", l.ID, got)
+	for _, entry := range testEntries(4) {
+		if got := counts[entry.ID]; got < 10 {
+			t.Errorf("%s: got %d of 200 requests, want at least 10", entry.ID, got)
 		}
 	}
 }
--- a/balance/canary.go
+++ b/balance/canary.go
@@ -176,7 +176,7 @@
 }
 
 // maxVersionHold bounds how long a version is held back that no known rollout names. While the
-// store is away nobody can tell whether one does, but then no server can register either.
+// store is unavailable nobody can tell whether one does, but then no server can register either.
 const maxVersionHold = 2 * time.Second
 
 // recordVersionLocked records a version that appears in a pool. Servers of a rollout's version
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -12,8 +12,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// testLimit is the limit of a pool whose engines can serve 13 requests a second while they are
-// cold. It allows half as many again, and 5 more.
+// testLimit is an example of a pool's limit: the engines can serve 13 requests a second while they
+// are cold, and the limit allows half as many again, and 5 more.
 var testLimit = ColdLimit{
 	MaxPerSecond: 1.5*13 + 5,
 }
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -26,11 +26,12 @@
 	// healthyRate is the error rate below which earlier ejections are forgotten.
 	healthyRate = 0.05
 	// errorEjection is the duration of the first ejection for errors. It may be longer than
-	// minEjection because ejections by chance are rare, and other servers can take the load
-	// meanwhile.
+	// minEjection because chanceDeviations makes ejections by chance rare, and other servers can
+	// take the load meanwhile.
 	errorEjection = time.Second
 	// ejectableOneIn limits ejections to one in ejectableOneIn servers of a pool, rounded up:
-	// the others have to carry the load. Servers that asked for a pause count as ejected.
+	// the others have to carry the load. Servers that are unresponsive or asked for a pause count
+	// as ejected.
 	ejectableOneIn = 3
 	// maxUnsentSuccesses bounds the successes that are sent together with the next failure.
 	// More would only say that the server was healthy long before.
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -204,7 +204,7 @@
 		seeds    = 5
 		outcomes = 10000
 	)
-	for _, share := range []float64{0.05, 0.15, 0.3} {
+	for _, failureRate := range []float64{0.05, 0.15, 0.3} {
 		ejections := 0
 		for seed := range uint64(seeds) {
 			synctest.Test(t, func(t *testing.T) {
@@ -215,7 +215,7 @@
 				for range outcomes {
 					lease := acquire(t, b, plainRequest)
 					evidence := slipwick.EvidenceGood
-					if random.Float64() < share {
+					if random.Float64() < failureRate {
 						evidence = slipwick.EvidenceError
 					}
 					b.Release(lease, evidence)
@@ -224,7 +224,8 @@
 			})
 		}
 		if got, limit := ejections, seeds*outcomes/500; got > limit {
-			t.Errorf("failure rate %v: got %d ejections in %d outcomes, want at most %d", share, got, seeds*outcomes, limit)
+			t.Errorf("failure rate %v: got %d ejections in %d outcomes, want at most %d",
+				failureRate, got, seeds*outcomes, limit)
 		}
 	}
 }
@@ -232,7 +233,7 @@
 // TestServerThatFailsMoreIsStillEjected has one of seven servers fail most requests, as in a partial
 // (grey) failure, while the others fail some.
 func TestServerThatFailsMoreIsStillEjected(t *testing.T) {
-	for _, share := range []float64{0.04, 0.14} {
+	for _, othersRate := range []float64{0.04, 0.14} {
 		synctest.Test(t, func(t *testing.T) {
 			b := newTestBalancer(7)
 			ejections := make(map[string]int)
@@ -240,7 +241,7 @@
 			random := rand.New(rand.NewPCG(3, 4))
 			for range 1400 {
 				lease := acquire(t, b, plainRequest)
-				failureRate := share
+				failureRate := othersRate
 				if lease.Backend.ID == "p-3" {
 					failureRate = 0.6
 				}
@@ -252,7 +253,8 @@
 				time.Sleep(5 * time.Millisecond)
 			}
 			if ejections["p-3"] < 2 {
-				t.Errorf("others fail at %v: got the failing server ejected %d times, want at least 2", share, ejections["p-3"])
+				t.Errorf("others fail at %v: got the failing server ejected %d times, want at least 2",
+					othersRate, ejections["p-3"])
 			}
 		})
 	}
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -24,10 +24,10 @@
 	hasPrompt       bool
 	tokensToPrefill int
 	sentAt          time.Time
-	// lastActivityAt is when the response began or last continued, longestPause the longest
-	// time in between.
+	// lastActivityAt is when the response began or last continued, longestGap the longest
+	// time between two such moments.
 	lastActivityAt time.Time
-	longestPause   time.Duration
+	longestGap     time.Duration
 	// part and prefill identify the prefill that this request started.
 	part    uint64
 	prefill *prefill
--- a/balance/notice.go
+++ b/balance/notice.go
@@ -13,14 +13,14 @@
 	// many seconds. A successor gets no requests for this long.
 	leavingExpiry = 30 * time.Second
 	// noticeRetention is how long notices are kept after the server's entry is gone. An entry
-	// that expired while the store was away reappears some seconds after the store does.
+	// that expired while the store was unavailable reappears some seconds after the store does.
 	noticeRetention = 10 * time.Minute
 )
 
 // notices is what one incarnation of a backend server announced about itself in its responses.
 // A server announces that it is leaving, or asks for a pause, before any list can say so, and
-// also while the list's store is away. Its announcement takes effect at once, whatever the list
-// says. It cannot be withdrawn: an incarnation that is leaving ends, and the next one has
+// also while the list's store is unavailable. Its announcement takes effect at once, whatever the
+// list says. It cannot be withdrawn: an incarnation that is leaving ends, and the next one has
 // notices of its own.
 type notices struct {
 	// leavingAt is when a response last announced that the server is leaving, zero if none did.
--- a/balance/prefill_test.go
+++ b/balance/prefill_test.go
@@ -122,9 +122,9 @@
 	b.MarkCachesKnown()
 	const head, part = 7, 8
 	var holder Entry
-	for _, l := range testEntries(6) {
-		if l.ID != topRanked(part, 6) {
-			holder = l
+	for _, entry := range testEntries(6) {
+		if entry.ID != topRanked(part, 6) {
+			holder = entry
 		}
 	}
 	b.RecordCachedParts(holder.ID, []uint64{head})
--- a/balance/request.go
+++ b/balance/request.go
@@ -15,7 +15,7 @@
 	// Regions are the regions whose backend servers may get the request or anything of its
 	// prompt. Nil allows all, an empty list none.
 	Regions []string
-	// HealthyOnly excludes ejected backend servers even if no others are left.
+	// HealthyOnly excludes ejected and unresponsive backend servers even if no others are left.
 	HealthyOnly bool
 }
 
--- a/balance/scratch.go
+++ b/balance/scratch.go
@@ -4,8 +4,9 @@
 // allocates memory in proportion to the pool.
 type scratch struct {
 	// usable has the servers that a request may go to, cold the cold servers that may get it as
-	// well, ejected the ejected servers, and below those whose load is below the load bound.
-	usable, cold, ejected, below []*server
+	// well, unavailable those that are ejected or unresponsive, and below those whose load is below
+	// the load bound.
+	usable, cold, unavailable, below []*server
 	// evacuatedOrPaused has the evacuated servers and those that asked for a pause.
 	evacuatedOrPaused []*server
 	// newVersion has the servers of a pool that have the version of its canary, oldVersion the
--- a/balance/sends.go
+++ b/balance/sends.go
@@ -29,8 +29,8 @@
 	return 1
 }
 
-// recordSend counts a request of this router, which decays from now on.
-func (s *server) recordSend(decay float64) {
+// countSend counts a request of this router, which decays from now on.
+func (s *server) countSend(decay float64) {
 	s.sends += 1 / decay
 }
 
--- a/balance/server.go
+++ b/balance/server.go
@@ -7,8 +7,9 @@
 )
 
 const (
-	// loadReportTTL is how long a load report is used. At the request rates that the router is
-	// designed for, it gets one from each engine about once a second.
+	// loadReportTTL is how long a load report is used. A router gets one with a response, so how
+	// often it gets those of an engine depends on the deployment; after this time newer ones are
+	// expected to have come.
 	loadReportTTL = 1500 * time.Millisecond
 	// minEjection is the shortest and maxEjection the longest duration of an ejection.
 	minEjection = 500 * time.Millisecond
@@ -16,7 +17,7 @@
 )
 
 // RelistWindow is how long after a router's first list a newly listed backend server may have
-// been running before the router: entries that expired while the store was away reappear within
+// been running before the router: entries that expired while the store was unavailable reappear within
 // about 2 s of its return.
 const RelistWindow = 4 * time.Second
 
--- a/balance/timings.go
+++ b/balance/timings.go
@@ -11,10 +11,11 @@
 const (
 	// minSlowdownSamples is how many response times of a pool are needed before they are used.
 	minSlowdownSamples = 32
-	// pausesWindow is how many streams are remembered by their longest pause, minPauseSamples
-	// how many are needed before these are used.
-	pausesWindow    = 256
-	minPauseSamples = 32
+	// streamGapsWindow is the number of streams whose longest gap between two pieces of the
+	// response is remembered, minStreamGapSamples how many of these are needed before they are
+	// used.
+	streamGapsWindow    = 256
+	minStreamGapSamples = 32
 	// lateQuantile is the quantile of the response times above which a response counts as late,
 	// medianQuantile that of a usual response.
 	lateQuantile   = 0.99
@@ -24,7 +25,7 @@
 	// may send nothing before new requests go elsewhere.
 	timeoutFactor = 2
 	silenceFactor = 4
-	// minFirstByteTimeout allows for some round trips and a pause of a busy server. minSilence
+	// minFirstByteTimeout allows for some round trips and a short stall of a busy server. minSilence
 	// and maxSilence bound how long a backend server may send nothing: engines send something with
 	// every decoding step, and callers give up within some seconds.
 	minFirstByteTimeout = 100 * time.Millisecond
@@ -54,8 +55,8 @@
 	prefill    *pace.PrefillEstimator
 	// slowdown has the times until responses began, relative to those of an unloaded engine.
 	slowdown *pace.SlowdownEstimator
-	// pauses has the longest pause of each stream that completed, in nanoseconds.
-	pauses *pace.Window
+	// streamGaps has the longest gap of each stream that completed, in nanoseconds.
+	streamGaps *pace.Window
 }
 
 // timingsLocked returns the timings of a pool, and creates them if needed.
@@ -70,8 +71,8 @@
 
 func newPoolTimings() *poolTimings {
 	p := &poolTimings{
-		prefill: pace.NewPrefillEstimator(),
-		pauses:  pace.NewWindow(pausesWindow),
+		prefill:    pace.NewPrefillEstimator(),
+		streamGaps: pace.NewWindow(streamGapsWindow),
 	}
 	p.slowdown = &pace.SlowdownEstimator{
 		UnloadedTime: p.unloadedTime,
@@ -150,15 +151,15 @@
 }
 
 // StreamIdleTimeout returns how long to wait for more of a stream that has begun, by the pool's
-// recent pauses, or 0 while too few were measured.
+// recent streams and their longest gaps, or 0 while too few were measured.
 func (b *Balancer) StreamIdleTimeout(lease *Lease) time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	pauses := b.timingsLocked(lease.server.Pool).pauses
-	if pauses.Len() < minPauseSamples {
+	gaps := b.timingsLocked(lease.server.Pool).streamGaps
+	if gaps.Len() < minStreamGapSamples {
 		return 0
 	}
-	return time.Duration(timeoutFactor * pauses.Quantile(lateQuantile))
+	return time.Duration(timeoutFactor * gaps.Quantile(lateQuantile))
 }
 
 // MaxPrefillTime returns the longest time until the response begins if an engine of the pool
--- a/balance/timings_test.go
+++ b/balance/timings_test.go
@@ -158,15 +158,15 @@
 }
 
 // TestStreamIdleTimeoutFollowsThePool checks the timeout of a pool whose streams begin to have
-// long pauses, and then short ones again.
+// long gaps, and then short ones again.
 func TestStreamIdleTimeoutFollowsThePool(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(3)
-		stream := func(pause time.Duration) {
+		stream := func(longestGap time.Duration) {
 			lease := acquire(t, b, prompt(7))
 			b.RecordResponseStart(lease)
 			for i := range 4 {
-				time.Sleep(time.Duration(i+1) * pause / 4)
+				time.Sleep(time.Duration(i+1) * longestGap / 4)
 				b.RecordProgress(lease)
 			}
 			b.Release(lease, slipwick.EvidenceGood)
@@ -175,12 +175,12 @@
 		if got := b.StreamIdleTimeout(lease); got != 0 {
 			t.Errorf("got %v at the start, want 0", got)
 		}
-		for _, pause := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond, 40 * time.Millisecond} {
-			for range 2 * pausesWindow {
-				stream(pause)
+		for _, gap := range []time.Duration{40 * time.Millisecond, 900 * time.Millisecond, 40 * time.Millisecond} {
+			for range 2 * streamGapsWindow {
+				stream(gap)
 			}
-			if got, want := b.StreamIdleTimeout(lease), timeoutFactor*pause; got != want {
-				t.Errorf("pauses of %v: got %v, want %v", pause, got, want)
+			if got, want := b.StreamIdleTimeout(lease), timeoutFactor*gap; got != want {
+				t.Errorf("gaps of %v: got %v, want %v", gap, got, want)
 			}
 		}
 	})
