--- a/admission/ejection.go
+++ b/admission/ejection.go
@@ -78,17 +78,18 @@
 	})
 }
 
-// loadReportLag is the time for which a leaving announcement in a response takes precedence over
-// load reports: those are read every second and may be older than the response.
-const loadReportLag = 3 * time.Second
+// backendReportLag is the time for which a leaving announcement in a response takes precedence over
+// the backend server's own load reports: routers read those every second, and they may be older than
+// the response.
+const backendReportLag = 3 * time.Second
 
-// ClearLeaving is called when a load report of a backend server says that it is not, or no longer,
+// ClearLeaving is called when a backend server's own load report says that it is not, or no longer,
 // leaving. An owned one is restored, unless it announced in a response shortly before that it
 // leaves.
 func (c *Coordinator) ClearLeaving(backend string) {
 	c.withLock(func() {
 		o := c.owned[placement.IDHash(backend)]
-		if o == nil || o.health.state != HealthLeaving || time.Since(o.lastLeavingAt) < loadReportLag {
+		if o == nil || o.health.state != HealthLeaving || time.Since(o.lastLeavingAt) < backendReportLag {
 			return
 		}
 		o.health.restore(c.Policy.RampUpTime, time.Now())
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -60,7 +60,8 @@
 }
 
 // redirectTarget returns the backend server that served the chat when this one, its first choice,
-// was full: the chat's prefix may be cached there.
+// was full: the chat's prefix may be cached there. ok is false if there is none, or if the request
+// is not the attempt at the first choice.
 func (c *Coordinator) redirectTarget(o *ownedBackend, request *peerpb.SlotRequest) (engine uint64, ok bool) {
 	if request.GetTry() != peerpb.Try_TRY_HOME {
 		return 0, false
@@ -112,9 +113,9 @@
 	if !ok || location.Pool.Weight() == 0 {
 		return false
 	}
-	part := float64(o.backend.EffectiveWeight()) / location.Pool.Weight()
-	most := math.Ceil(float64(share.MaxInFlight) * location.Pool.MaxLoadFactor * part)
-	return o.byWorkspace[workspace] >= int(most)
+	fraction := float64(o.backend.EffectiveWeight()) / location.Pool.Weight()
+	maxInFlight := math.Ceil(float64(share.MaxInFlight) * location.Pool.MaxLoadFactor * fraction)
+	return o.byWorkspace[workspace] >= int(maxInFlight)
 }
 
 // grant grants a slot and answers the request.
@@ -164,7 +165,7 @@
 
 // decline answers a request that is not queued, or no longer: it tells the router to try elsewhere
 // or, on the last attempt, refuses the request.
-func (c *Coordinator) decline(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, expected time.Duration) {
+func (c *Coordinator) decline(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, retryAfter time.Duration) {
 	if request.GetTry() != peerpb.Try_TRY_LAST {
 		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
 		return
@@ -173,7 +174,7 @@
 	envelope.Answers = append(envelope.Answers, &peerpb.SlotAnswer{
 		Id:             key.id,
 		Decision:       peerpb.Decision_DECISION_REFUSED,
-		RetryAfterMs:   uint32(min(expected, maxRetryAfter).Milliseconds()),
+		RetryAfterMs:   uint32(min(retryAfter, maxRetryAfter).Milliseconds()),
 		WorkspaceLimit: c.atWorkspaceLimit(o, request.GetWorkspace()),
 	})
 }
--- a/admission/handover.go
+++ b/admission/handover.go
@@ -42,7 +42,8 @@
 }
 
 // onHandover takes over the leases of a backend server from its previous owner. That one no longer
-// grants slots, so the takeover window ends.
+// grants slots, so the takeover window ends. A handover that arrives before this router is the owner
+// is kept until then, for LeaseTime at most.
 func (c *Coordinator) onHandover(message *peerpb.Handover) {
 	o := c.owned[message.GetEngine()]
 	if o == nil {
--- a/admission/health.go
+++ b/admission/health.go
@@ -74,15 +74,15 @@
 }
 
 // rampedLimit returns the limit, reduced during the ramp-up after a restoration.
-func (h *health) rampedLimit(bound int, now time.Time) int {
+func (h *health) rampedLimit(slotLimit int, now time.Time) int {
 	if h.restoredAt.IsZero() || h.rampUp == 0 {
-		return bound
+		return slotLimit
 	}
 	progress := float64(now.Sub(h.restoredAt)) / float64(h.rampUp)
 	if progress >= 1 {
-		return bound
+		return slotLimit
 	}
-	return max(1, int(float64(bound)*max(minRampShare, progress)))
+	return max(1, int(float64(slotLimit)*max(minRampShare, progress)))
 }
 
 // String returns the name of the health state as shown to operators.
--- a/admission/limit.go
+++ b/admission/limit.go
@@ -17,6 +17,6 @@
 func limit(pool *placement.Pool, backend slipwick.Backend, total, margin float64) int {
 	share := float64(backend.EffectiveWeight()) / pool.Weight()
 	even := (total + 1) * share
-	bound := max(math.Ceil(even), math.Round(pool.MaxLoadFactor*(1-margin)*even))
-	return min(int(bound), backend.EffectiveSlots())
+	rounded := max(math.Ceil(even), math.Round(pool.MaxLoadFactor*(1-margin)*even))
+	return min(int(rounded), backend.EffectiveSlots())
 }
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -42,8 +42,8 @@
 			at := rapid.IntRange(0, count-1).Draw(t, "engine")
 			for i := range count {
 				next := (at + i) % count
-				bound := limit(pool, pool.Backends[next], float64(total), 0)
-				if loads[next] < bound {
+				slotLimit := limit(pool, pool.Backends[next], float64(total), 0)
+				if loads[next] < slotLimit {
 					loads[next]++
 					break
 				}
--- a/admission/ownedbackend.go
+++ b/admission/ownedbackend.go
@@ -91,15 +91,15 @@
 
 // headroom returns the number of further slots that may be granted now, given the limit. It may be
 // negative.
-func (o *ownedBackend) headroom(bound int, now time.Time) int {
-	bound = o.health.rampedLimit(bound, now)
-	room := bound - len(o.leases)
+func (o *ownedBackend) headroom(slotLimit int, now time.Time) int {
+	slotLimit = o.health.rampedLimit(slotLimit, now)
+	free := slotLimit - len(o.leases)
 	if now.Before(o.windowEnd) {
 		// The previous owner may still grant the other half of the headroom. learned counts the leases
 		// from handovers and renewals.
 		learned := len(o.leases) - o.windowGranted
-		half := int(math.Ceil(float64(bound-learned) / 2))
-		room = min(room, half-o.windowGranted)
+		half := int(math.Ceil(float64(slotLimit-learned) / 2))
+		free = min(free, half-o.windowGranted)
 	}
-	return room
+	return free
 }
