--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -18,7 +18,7 @@
 	// survive makes the engines lose the connection only, and stay alive.
 	survive bool
 	// onAcquire, unless nil, is called with the number of slots requested so far.
-	onAcquire func(asked int)
+	onAcquire func(requested int)
 }
 
 func (e *crashingEngines) Acquire(ctx context.Context, request slipwick.AcquireRequest) (slipwick.Grant, error) {
@@ -111,8 +111,8 @@
 			}
 		},
 		"quarantined before its next attempt": func(e *crashingEngines, d *Dispatcher) {
-			e.onAcquire = func(asked int) {
-				if asked == 2 {
+			e.onAcquire = func(requested int) {
+				if requested == 2 {
 					d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
 				}
 			}
