--- a/balance/cacheindex.go
+++ b/balance/cacheindex.go
@@ -64,10 +64,11 @@
 	return slices.Contains(known, s.hash)
 }
 
-// findHolder returns the usable engine with the longest cached prefix beyond that of the chosen
-// one, or nil. known is false if no usable engine is known to have any of the parts cached.
+// findHolder returns the engine with the longest cached prefix beyond that of the chosen one, or nil.
+// It considers only engines that can be fetched from, for which fetchSource returns the server. known
+// is false if neither the chosen engine nor any of these is known to have any of the parts cached.
 func (c *cacheIndex) findHolder(
-	parts []uint64, chosen *server, usable func(engine uint64) *server,
+	parts []uint64, chosen *server, fetchSource func(engine uint64) *server,
 ) (s *server, known bool) {
 	for _, part := range slices.Backward(parts) {
 		holders, _ := c.holdersByPart.Get(part)
@@ -75,7 +76,7 @@
 			return nil, true
 		}
 		for _, holder := range holders {
-			if s := usable(holder); s != nil {
+			if s := fetchSource(holder); s != nil {
 				return s, true
 			}
 		}
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -44,8 +44,8 @@
 	lease := newLease(chosen)
 	lease.hasPrompt = true
 	lease.pendingPrefill = request.UniqueTokens
-	has := b.cacheIndex.holds(prompt, chosen)
-	if !has {
+	isCached := b.cacheIndex.holds(prompt, chosen)
+	if !isCached {
 		lease.pendingPrefill = request.tokens()
 	}
 	lease.tokensToPrefill = lease.pendingPrefill
@@ -53,7 +53,7 @@
 	if holder != nil {
 		lease.FetchFrom = holder.Address
 	}
-	if has || holder != nil && b.cacheIndex.holds(prompt, holder) {
+	if isCached || holder != nil && b.cacheIndex.holds(prompt, holder) {
 		b.awaitPrefillLocked(request, prompt, lease, now)
 	} else {
 		b.startPrefillLocked(prompt, lease, now)
@@ -172,21 +172,21 @@
 func (b *Balancer) fetchSourceLocked(
 	request *Request, parts []uint64, pool []*server, chosen *server, now time.Time,
 ) *server {
-	usable := func(engine uint64) *server {
+	fetchSource := func(engine uint64) *server {
 		if s := b.serversByHash[engine]; s != nil && request.allows(s) && b.canFetchFromLocked(s, now) {
 			return s
 		}
 		return nil
 	}
 	prompt := parts[len(parts)-1]
-	if holder, known := b.cacheIndex.findHolder(parts[len(parts)-1:], chosen, usable); known {
+	if holder, known := b.cacheIndex.findHolder(parts[len(parts)-1:], chosen, fetchSource); known {
 		return holder
 	}
 	if likely := b.likelyHolderLocked(request, prompt, pool, chosen, now); likely != chosen &&
 		likely != nil && !likely.cacheKnown {
 		return likely
 	}
-	holder, _ := b.cacheIndex.findHolder(parts[:len(parts)-1], chosen, usable)
+	holder, _ := b.cacheIndex.findHolder(parts[:len(parts)-1], chosen, fetchSource)
 	return holder
 }
 
