--- a/retry/budget.go
+++ b/retry/budget.go
@@ -162,15 +162,15 @@
 	current int
 }
 
-func (c *slidingSum) add(n int) {
-	c.counts[c.current] += n
-	c.sum += n
+func (s *slidingSum) add(n int) {
+	s.counts[s.current] += n
+	s.sum += n
 }
 
-func (c *slidingSum) advance() {
-	c.current = (c.current + 1) % windowSlots
-	c.sum -= c.counts[c.current]
-	c.counts[c.current] = 0
+func (s *slidingSum) advance() {
+	s.current = (s.current + 1) % windowSlots
+	s.sum -= s.counts[s.current]
+	s.counts[s.current] = 0
 }
 
 // slidingMax is a maximum over the last windowSlots slots.
@@ -179,11 +179,11 @@
 	current int
 }
 
-func (p *slidingMax) advance() {
-	p.current = (p.current + 1) % windowSlots
-	p.maxima[p.current] = 0
+func (m *slidingMax) advance() {
+	m.current = (m.current + 1) % windowSlots
+	m.maxima[m.current] = 0
 }
 
-func (p *slidingMax) record(n int) { p.maxima[p.current] = max(p.maxima[p.current], n) }
+func (m *slidingMax) record(n int) { m.maxima[m.current] = max(m.maxima[m.current], n) }
 
-func (p *slidingMax) highest() int { return slices.Max(p.maxima[:]) }
+func (m *slidingMax) highest() int { return slices.Max(m.maxima[:]) }
--- a/retry/budget_test.go
+++ b/retry/budget_test.go
@@ -62,6 +62,7 @@
 					count++
 				}
 			}
+			// 0.2 of the 100 requests in a window, and 40 / 4.
 			if limit := 30; count > limit {
 				t.Fatalf("got %d retries within the window from %v, want at most %d", count, from, limit)
 			}
