--- a/quarantine/attempt.go
+++ b/quarantine/attempt.go
@@ -6,15 +6,17 @@
 // once.
 type Attempt struct {
 	tracker *Tracker
-	crash   Crash
-	stop    func()
+	// crash names the request and the server; End records it if the server crashed.
+	crash Crash
+	// stop aborts the attempt; see Tracker.Begin.
+	stop func()
 }
 
-// Outcome is the outcome of an attempt for the backend server.
+// Outcome says how an attempt ended, as evidence on whether the request crashes backend servers.
 type Outcome int
 
 const (
-	// OutcomeUnknown gives no evidence for or against the request.
+	// OutcomeUnknown is no evidence for or against the request.
 	OutcomeUnknown Outcome = iota
 	// OutcomeCompleted means that the server returned the complete response.
 	OutcomeCompleted
--- a/quarantine/record.go
+++ b/quarantine/record.go
@@ -18,10 +18,10 @@
 	maxBackoff     = 24 * time.Hour
 	// maxCrashesPerRequest bounds the crashes kept of one request; more of them add no information.
 	maxCrashesPerRequest = 16
-	// recentCompletionPeriod is the time after a completion during which a request is not
-	// suspected. A popular request runs at several servers when these fail together, as in a rack
-	// failure, and may not have completed anywhere in between. A request that crashes servers never
-	// completes.
+	// recentCompletionPeriod is the time after a completion during which crashes are not counted
+	// against a request. A popular request runs at several servers when these fail together, as in a
+	// rack failure, and may not have completed anywhere in between. A request that crashes servers
+	// never completes.
 	recentCompletionPeriod = 10 * time.Second
 )
 
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -21,13 +21,14 @@
 	crashingRequestInterval = 100 * time.Millisecond
 	// timeToCrash is how long the crashing request runs until its engine crashes, restartTime how
 	// long the engine is then away, crashDetectionDelay how late a router sees a crash, and
-	// firstEventDelay how long a request runs until the first event of its response. A request whose
-	// response began more than suspicionPeriod before the crash is not suspected, as in the gateway.
+	// firstEventDelay how long a request runs until the first event of its response. A crash later
+	// than crashWindow after that event is not counted against the request, as in the gateway, whose
+	// constant has the same name.
 	timeToCrash         = 80 * time.Millisecond
 	restartTime         = 3 * time.Second
 	crashDetectionDelay = 30 * time.Millisecond
 	firstEventDelay     = 60 * time.Millisecond
-	suspicionPeriod     = 500 * time.Millisecond
+	crashWindow         = 500 * time.Millisecond
 	meanRunTime         = 800 * time.Millisecond
 	// maxAttempts is how often a router attempts a request before it fails, maxCallerTries how often
 	// a caller sends it.
@@ -49,8 +50,7 @@
 	crashes    int
 	completed  int
 	executions int
-	// suspectAll also reports crashes under requests whose response began more than suspicionPeriod
-	// before the crash.
+	// suspectAll also counts crashes later than crashWindow after the first event of the response.
 	suspectAll bool
 }
 
@@ -133,7 +133,7 @@
 	for _, e := range executions {
 		delete(s.running, e)
 		outcome := OutcomeCrashed
-		if e.key != crashingKey && s.now-e.began > firstEventDelay+suspicionPeriod && !s.suspectAll {
+		if e.key != crashingKey && s.now-e.began > firstEventDelay+crashWindow && !s.suspectAll {
 			outcome = OutcomeUnknown
 		}
 		s.schedule(crashDetectionDelay, func() { e.attempt.End(outcome) })
@@ -149,7 +149,7 @@
 }
 
 // run sends the crashing request and the others until all have ended. It returns how many of the
-// others were quarantined, how many have two crashes, and how many there were.
+// others were quarantined, how many have two crashes or more without that, and how many there were.
 func (s *simulation) run() (quarantined, twice, others int) {
 	for engine := range s.engines {
 		s.started++
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -45,7 +45,7 @@
 
 	mu      sync.Mutex
 	records *lru.LRU[Key, *record]
-	// completedAt is when each request last completed at this router.
+	// completedAt is when each request last completed that this router sent.
 	completedAt *lru.LRU[Key, time.Time]
 	running     map[Key][]*Attempt
 	pending     []Crash
@@ -193,7 +193,7 @@
 	}
 }
 
-// completedRecentlyLocked reports whether the request completed at this router within
+// completedRecentlyLocked reports whether the request, sent by this router, has completed within
 // recentCompletionPeriod.
 func (t *Tracker) completedRecentlyLocked(key Key) bool {
 	at, isKnown := t.completedAt.Get(key)
