--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -116,8 +116,9 @@
 	}
 }
 
-// decode returns the update in a datagram, without entries whose lists are too short or whose index
-// is out of range.
+// decode returns the update in a datagram. Invalid entries are those that one of their lists is too
+// short for, or whose index is out of range. Invalid counts and leaving servers are left out; the
+// cached parts and the outcomes end before the first invalid entry.
 func decode(message *exchangepb.Told) balance.Update {
 	var update balance.Update
 	servers := message.GetServers()
--- a/exchange/hubs.go
+++ b/exchange/hubs.go
@@ -16,6 +16,7 @@
 // the group of each hub. A router sends its updates to a hub in its own data centre, because traffic
 // between data centres is expensive, and what a hub sends to its group is most of the traffic.
 type hubs struct {
+	// routers are the live routers, hubs and others.
 	routers []slipwick.Router
 	// chosen are the hubs; if it is empty, every router sends to every other.
 	chosen []slipwick.Router
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -15,7 +15,8 @@
 
 const (
 	// initialQueries is the number of other routers queried before any engine is asked: in a fleet
-	// of which half has just restarted, the chance that all the routers queried have is one in 16.
+	// of which half has just restarted, all four routers queried are among that half in one of 16
+	// cases.
 	// One in remoteQueryInterval queries goes to a router of any data centre, the others to one of
 	// the same data centre, because traffic between data centres is expensive.
 	initialQueries      = 4
@@ -24,8 +25,8 @@
 	queryTimeout = 200 * time.Millisecond
 	listTimeout  = 300 * time.Millisecond
 	// roundInterval is the pause between two rounds, about as long as an engine takes to list its
-	// cache. While nothing is learnt, the pause grows up to maxRoundIntervals of them, and counts
-	// as that many rounds.
+	// cache. While nothing is learnt, the pause doubles, up to maxRoundIntervals times as long, and
+	// counts as that many rounds.
 	roundInterval     = 25 * time.Millisecond
 	maxRoundIntervals = 4
 	// peerWaitRounds is the number of rounds for which a router that knows no others waits for
@@ -42,7 +43,7 @@
 	// cache for all of them.
 	roundsPerTurn = 16
 	maxTurns      = 3
-	// maxRounds bounds a whole recovery.
+	// maxRounds bounds the rounds of one call of learnMissing.
 	maxRounds = roundsPerTurn * maxTurns
 	// lateEnginePollInterval is how often a router looks for engines that appear late in the list
 	// of backend servers, and lateEngineMargin how long after balance.RelistWindow it still does.
@@ -135,7 +136,7 @@
 			return
 		}
 		if r.isFleetKnown(round) {
-			r.listEngines(ctx, missing, round/roundsPerTurn)
+			r.listCaches(ctx, missing, round/roundsPerTurn)
 		}
 		intervals = min(2*intervals, maxRoundIntervals)
 		if len(missing) < previous {
@@ -227,9 +228,9 @@
 	return local
 }
 
-// listEngines asks some of the engines for which this router's turn has come to list their caches,
+// listCaches asks some of the engines for which this router's turn has come to list their caches,
 // in parallel, and waits for their answers.
-func (r *Recovery) listEngines(ctx context.Context, engines []slipwick.Backend, turn int) {
+func (r *Recovery) listCaches(ctx context.Context, engines []slipwick.Backend, turn int) {
 	if r.ListCache == nil {
 		return
 	}
--- a/exchange/snapshot.go
+++ b/exchange/snapshot.go
@@ -89,8 +89,8 @@
 }
 
 // encodeQuery marks the known engines of a query as covered, or the wanted ones as not covered.
-// Older routers read only the known ones, and answer a query for wanted engines with all
-// that they know.
+// Routers of an older version read only the known ones, and answer a query for wanted engines with
+// all that they know.
 func encodeQuery(q *balance.CacheQuery) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
 	for _, engine := range q.Known {
@@ -141,7 +141,8 @@
 	return message
 }
 
-// decodeSnapshot leaves out entries whose lists are too short or whose index is out of range.
+// decodeSnapshot leaves out engines without an entry in the list of servers. The cached parts end
+// before the first one that has no engine, or whose index is out of range.
 func decodeSnapshot(message *exchangepb.Knowledge) *balance.CacheSnapshot {
 	snapshot := &balance.CacheSnapshot{}
 	servers := message.GetServers()
--- a/exchange/syncer.go
+++ b/exchange/syncer.go
@@ -66,7 +66,7 @@
 	mu sync.Mutex
 	// received are the counts received last, by router or hub.
 	received map[string]*counts
-	// own are the counts that this router sent last.
+	// own are the counts of this router's own requests at its last update.
 	own *counts
 	// groupEvents and hubEvents are the cached parts, outcomes and leaving servers that a hub has
 	// to relay: those from its own group and those from the other hubs. A router in the group of a
