--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -157,26 +157,6 @@
 	})
 }
 
-func TestSnapshotIsDecodedAsEncoded(t *testing.T) {
-	want := &balance.CacheSnapshot{
-		Engines: []uint64{7, 9},
-		CachedParts: []balance.CachedPart{
-			{Part: 1, Server: 9},
-			{Part: 1, Server: 8},
-			{Part: 2, Server: 7},
-		},
-	}
-	got := decodeSnapshot(encodeSnapshot(want))
-	if fmt.Sprint(got) != fmt.Sprint(want) {
-		t.Errorf("got %+v, want %+v", got, want)
-	}
-	invalid := encodeSnapshot(want)
-	invalid.Keepers[1], invalid.Servers = 17, invalid.Servers[:1]
-	if got := decodeSnapshot(invalid); len(got.CachedParts) != 0 || len(got.Engines) != 1 {
-		t.Errorf("invalid: got %+v, want only the valid entries", got)
-	}
-}
-
 // TestFewQueriesForUnresponsiveEngines has one engine of many never list its cache. Routers may
 // query each other while they learn something, and must do so seldom after that.
 //
@@ -225,3 +205,28 @@
 		})
 	}
 }
+
+// TestQueriesNameMissingEngines restarts a fleet with pools of several sizes, in which some engines
+// never answer. Once the caches of all others are known, a query must name these few engines and not
+// all whose caches are known.
+func TestQueriesNameMissingEngines(t *testing.T) {
+	const unresponsive = 3
+	for _, engines := range []int{50, 100, 200} {
+		synctest.Test(t, func(t *testing.T) {
+			f := newRecoveringFleet()
+			f.engines, f.parts = engines, 2
+			for i := range unresponsive {
+				f.unresponsive[fmt.Sprint("engine-", i)] = true
+			}
+			const routers = 20
+			f.startAll(t, routers, 0)
+			// While there is something to learn, a query names at most half of the engines. That takes
+			// about 10 rounds, since the number of known caches doubles with each. Later queries name
+			// the unresponsive engines.
+			most := routers * (10*engines/2 + (maxRounds+initialQueries)*unresponsive)
+			if f.enginesNamed > most {
+				t.Errorf("%d engines: got %d named in queries, want at most %d", engines, f.enginesNamed, most)
+			}
+		})
+	}
+}
--- a/exchange/syncer_test.go
+++ b/exchange/syncer_test.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"fmt"
-	"net/http/httptest"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -201,64 +200,6 @@
 	}
 }
 
-func TestHubsAreFewAndGroupsAreEven(t *testing.T) {
-	for _, size := range []int{17, 62, 80, 330} {
-		var routers []slipwick.Router
-		for i := range size {
-			routers = append(routers, slipwick.Router{
-				ID: fmt.Sprint(i),
-			})
-		}
-		h := chooseHubs(routers)
-		members := 0
-		for _, hub := range h.chosen {
-			group := len(h.groupOf(hub.ID))
-			members += group
-			if group > 4*len(h.chosen) {
-				t.Errorf("%d routers: a hub has %d of them, want at most 4 times the %d hubs", size, group, len(h.chosen))
-			}
-		}
-		if members+len(h.chosen) != size {
-			t.Errorf("%d routers: %d hubs and %d in their groups, want all", size, len(h.chosen), members)
-		}
-	}
-}
-
-func TestRestartedRouterLearnsKnownCaches(t *testing.T) {
-	syncers, network := newSyncers(2)
-	for key := range uint64(500) {
-		lease := acquire(t, syncers[0].Balancer, key)
-		syncers[0].Balancer.Release(lease, slipwick.EvidenceGood)
-	}
-	server := httptest.NewServer(&CacheSnapshotServer{
-		Balancer: syncers[0].Balancer,
-	})
-	defer server.Close()
-	learn := func() {
-		snapshot, err := FetchCacheSnapshot(
-			t.Context(), server.Client(), server.Listener.Addr().String(), &balance.CacheQuery{},
-		)
-		if err != nil {
-			t.Fatal(err)
-		}
-		syncers[1].Balancer.MergeCacheSnapshot(snapshot)
-	}
-	learn()
-	if got := len(syncers[1].Balancer.EnginesWithUnknownCaches("p")); got != 20 {
-		t.Errorf("the other router does not know all caches: got %d of 20 engines missing, want all", got)
-	}
-	syncers[0].Balancer.MarkCachesKnown()
-	learn()
-	got, missing := syncers[1].Balancer.CachedPartCount(), len(syncers[1].Balancer.EnginesWithUnknownCaches("p"))
-	if got != 500 || missing > 0 {
-		t.Errorf("got %d parts and %d engines missing, want 500 and none", got, missing)
-	}
-	syncers[0].sendUpdate(false)
-	if network.maxPacket > 1400 {
-		t.Errorf("got a datagram of %d bytes, want all within one packet", network.maxPacket)
-	}
-}
-
 func TestInvalidDatagramsAreDropped(t *testing.T) {
 	syncers, _ := newSyncers(2)
 	for _, packet := range []string{"", "garbage", "\x2a\x08\x01\x02\x03\x04\x05\x06\x07\x08\x32\x01\x09"} {
--- a/exchange/turnorder_test.go
+++ b/exchange/turnorder_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"slices"
 	"testing"
-	"testing/synctest"
 
 	"github.com/slipwick/slipwick"
 )
@@ -79,31 +78,6 @@
 	}
 }
 
-// TestQueriesNameMissingEngines restarts a fleet with pools of several sizes, in which some engines
-// never answer. Once the caches of all others are known, a query must name these few engines and not
-// all whose caches are known.
-func TestQueriesNameMissingEngines(t *testing.T) {
-	const unresponsive = 3
-	for _, engines := range []int{50, 100, 200} {
-		synctest.Test(t, func(t *testing.T) {
-			f := newRecoveringFleet()
-			f.engines, f.parts = engines, 2
-			for i := range unresponsive {
-				f.unresponsive[fmt.Sprint("engine-", i)] = true
-			}
-			const routers = 20
-			f.startAll(t, routers, 0)
-			// While there is something to learn, a query names at most half of the engines. That takes
-			// about 10 rounds, since the number of known caches doubles with each. Later queries name
-			// the unresponsive engines.
-			most := routers * (10*engines/2 + (maxRounds+initialQueries)*unresponsive)
-			if f.enginesNamed > most {
-				t.Errorf("%d engines: got %d named in queries, want at most %d", engines, f.enginesNamed, most)
-			}
-		})
-	}
-}
-
 // BenchmarkTurns measures the computation of the turns of all engines, ten for each router.
 func BenchmarkTurns(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
