--- a/cmd/internal/gatewayd/observer.go
+++ b/cmd/internal/gatewayd/observer.go
@@ -47,8 +47,8 @@
 		Int("status", refusal.Status).Str("reason", refusal.Reason).Send()
 }
 
-// Attempted records an attempt that did not yield the complete response.
-func (o *observer) Attempted(attempt *gateway.FailedAttempt) {
+// AttemptFailed records an attempt that did not yield the complete response.
+func (o *observer) AttemptFailed(attempt *gateway.FailedAttempt) {
 	o.metrics.attempts.WithLabelValues(attempt.Result).Inc()
 	events.AttemptFailed.On(&o.log).Str("request", attempt.RequestID).Stringer("key", attempt.Key).
 		Str("route", attempt.Route).Str("backend", attempt.Backend).Str("address", attempt.Address).
--- a/cmd/internal/gatewayd/process_test.go
+++ b/cmd/internal/gatewayd/process_test.go
@@ -122,7 +122,7 @@
 		t.Fatalf("got %d %v, want 200", status, err)
 	}
 	// The metric of failed attempts is served only after the first one.
-	r.observer.Attempted(&gateway.FailedAttempt{})
+	r.observer.AttemptFailed(&gateway.FailedAttempt{})
 	page, err := os.ReadFile("../../../docs/METRICS-GATEWAY.md")
 	if err != nil {
 		t.Fatal(err)
--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -86,7 +86,7 @@
 	o.refusals = append(o.refusals, *refusal)
 }
 
-func (o *recordingObserver) Attempted(attempt *FailedAttempt) {
+func (o *recordingObserver) AttemptFailed(attempt *FailedAttempt) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.attempts = append(o.attempts, *attempt)
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -14,8 +14,8 @@
 	// Refused is called for each request that was refused at admission, before a backend server was
 	// chosen for it.
 	Refused(request *http.Request, refusal *Refusal)
-	// Attempted is called for each send that did not deliver the response.
-	Attempted(attempt *FailedAttempt)
+	// AttemptFailed is called for each send that did not deliver the response.
+	AttemptFailed(attempt *FailedAttempt)
 	// Ended is called once for each other request.
 	Ended(summary *RequestSummary)
 }
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -246,7 +246,7 @@
 	if sendResult != resultDelivered {
 		attempt.Result, attempt.Duration = sendResult.String(), clock.Since(started)
 		attempt.Events = c.progress.events - events
-		c.gateway.Observer.Attempted(attempt)
+		c.gateway.Observer.AttemptFailed(attempt)
 	}
 	return sendResult
 }
--- a/gateway/timeouts_test.go
+++ b/gateway/timeouts_test.go
@@ -162,7 +162,7 @@
 	disconnect context.CancelFunc
 }
 
-func (o *disconnectingObserver) Attempted(*FailedAttempt) {
+func (o *disconnectingObserver) AttemptFailed(*FailedAttempt) {
 	o.disconnect()
 	// Give the server time to notice that the caller's connection is closed.
 	time.Sleep(200 * time.Millisecond)
