--- a/gateway/streamprogress_test.go
+++ b/gateway/streamprogress_test.go
@@ -57,3 +57,31 @@
 		buffered = buffered[size:]
 	}
 }
+
+func TestStreamProgressFiltersKnownEvents(t *testing.T) {
+	p := streamProgress{
+		lastID: "4",
+	}
+	if got, want := string(p.filterNew([]byte(event("3")+event("4")+event("5")))), event("5"); got != want {
+		t.Errorf("got %q, want %q", got, want)
+	}
+	if p.lastID != "5" || p.events != 1 {
+		t.Errorf("got last ID %s and %d events, want 5 and 1", p.lastID, p.events)
+	}
+}
+
+func TestCompleteLength(t *testing.T) {
+	for text, whole := range map[string]string{
+		"":                              "",
+		"id: 1\ndata: a\n":              "",
+		"id: 1\ndata: a\n\n":            "id: 1\ndata: a\n\n",
+		"id: 1\ndata: a\n\nid: 2":       "id: 1\ndata: a\n\n",
+		"id: 1\r\ndata: a\r\n\r\nid:":   "id: 1\r\ndata: a\r\n\r\n",
+		"id: 1\ndata: a\n\ndata: b\n\n": "id: 1\ndata: a\n\ndata: b\n\n",
+	} {
+		want := len(whole)
+		if got := completeLength([]byte(text)); got != want {
+			t.Errorf("%q: got %d, want %d", text, got, want)
+		}
+	}
+}
