--- a/upstream/client.go
+++ b/upstream/client.go
@@ -22,7 +22,7 @@
 	// and stays below the 1 s after which a lost SYN is resent.
 	defaultDialTimeout = 400 * time.Millisecond
 	// dialFactor times the recorded dial time of a backend server is the timeout of the next dial,
-	// and at least minDialTimeout. A dial that takes longer meets an unreachable box or a lost
+	// which is at least minDialTimeout. A dial that takes longer meets an unreachable box or a lost
 	// packet, and the request can still be served in time by another backend server. The minimum is
 	// many times the delay of a router that is short of CPU.
 	dialFactor     = 8
@@ -53,7 +53,7 @@
 	StrayResponses    atomic.Int64
 
 	mu sync.Mutex
-	// idle holds the idle connections of each backend server by its key, longest idle first.
+	// idle holds the idle connections of each backend server by its key (see Do), longest idle first.
 	idle map[string][]*connection
 	// dialTimes holds, by key, the longest recent dial time of each backend server; it decays by
 	// half with each dial.
