--- a/gateway/call.go
+++ b/gateway/call.go
@@ -26,7 +26,8 @@
 	workspace *routing.Workspace
 	id        string
 	body      []byte
-	// key identifies the content of the request; it is the same under another request ID.
+	// key identifies the content of the request; a retry of the caller has the same key and another
+	// request ID.
 	key     quarantine.Key
 	arrived time.Time
 	// deadline is the earlier one of the caller's deadline and the route's timeout.
@@ -111,8 +112,8 @@
 const nonRepeatableMaxIdleTime = 2 * time.Second
 
 // Priorities range from 0, the most urgent, to lowestPriority. The workspace's priority takes
-// precedence over the route's: for each workspace priority there are routePriorities values, by
-// which the priorities of routes rank the requests.
+// precedence over the route's: each workspace priority has routePriorities values of its own, among
+// which the route's priority chooses.
 const (
 	lowestPriority  = 9
 	routePriorities = 3
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -31,10 +31,11 @@
 	Budget *retry.Budget
 	// Quarantine refuses requests that have crashed several backend servers; nil disables it.
 	Quarantine *quarantine.Tracker
-	// Ready is closed once the router has a configuration, the list of backend servers and the list
-	// of evacuated data centres. CachesKnown is closed once the router has learnt which engines
-	// have which prompts cached. Requests that arrive earlier wait for a limited time. A nil
-	// channel disables the wait.
+	// Ready is closed once the router has a configuration and the list of backend servers, and
+	// knows the evacuated data centres and the rollouts or has waited for these for long enough.
+	// CachesKnown is closed once the router has learnt which engines have which prompts cached, or
+	// has given up on the rest. Requests that arrive earlier wait for a limited time. A nil channel
+	// disables the wait.
 	Ready, CachesKnown <-chan struct{}
 	// Observer is told how each request ended.
 	Observer Observer
@@ -181,11 +182,11 @@
 }
 
 func headerBytes(r *http.Request) int64 {
-	const separators = 4
+	const separatorBytes = 4 // ": " and the end of the line, CRLF
 	size := len(r.Method) + len(r.RequestURI) + len(r.Host)
 	for name, values := range r.Header {
 		for _, value := range values {
-			size += len(name) + len(value) + separators
+			size += len(name) + len(value) + separatorBytes
 		}
 	}
 	return int64(size)
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -14,7 +14,7 @@
 	Stamp string
 	// Workspace tells the backend server to which workspace the request belongs.
 	Workspace string
-	// Instance names the one backend server that may run the request; all others reject it.
+	// Instance is the ID of the one backend server that may run the request; all others reject it.
 	Instance string
 	// Load holds the numbers of requests running and waiting at the backend server, separated by a
 	// comma.
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -29,8 +29,8 @@
 	Route   string
 	Backend string
 	Address string
-	// Result is how the send ended: not-run, unsent, failed, broken, cut or left. The constants of
-	// type result describe each.
+	// Result is how the send ended: not-run, unsent, failed, broken, cut or left, which means that
+	// the caller has disconnected. The constants of type result describe each.
 	Result string
 	// Status is the status of the backend server's response, or 0 without a response.
 	Status int
@@ -50,7 +50,8 @@
 	Pool      string
 	// Version is the version of the routing table that was used.
 	Version uint64
-	// Result is delivered, failed, refused, cut or left.
+	// Result is delivered, failed, refused, cut, or left, which means that the caller has
+	// disconnected.
 	Result string
 	// Reason is why the request was refused or not sent again. It is empty if the last send ended
 	// the request: the response was delivered or cut, or the caller disconnected.
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -10,7 +10,8 @@
 	"github.com/slipwick/slipwick/quarantine"
 )
 
-// crash is a handler that runs the request and ends the backend server.
+// crash is a handler that runs the request and closes the listener and all connections of the
+// backend server, as a crash does.
 func crash(b *backend, w http.ResponseWriter, _ *http.Request) {
 	b.runs.Add(1)
 	w.Header().Set("Slipwick-Stamp", b.id)
--- a/gateway/response.go
+++ b/gateway/response.go
@@ -19,7 +19,7 @@
 var errInvalidResponse = errors.New("invalid response: stamp missing, request ID different, or content encoded")
 
 // noticeOf returns what the backend server announces about itself in the response. A 421 comes from
-// a backend server other than the intended one, so that it announces nothing about that one.
+// a backend server other than the intended one, and so announces nothing about the intended one.
 func (c *call) noticeOf(response *upstream.Response) slipwick.Notice {
 	if response.Status == http.StatusMisdirectedRequest {
 		return slipwick.Notice{}
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -270,7 +270,8 @@
 	}
 	c.possibleRuns++
 	if c.ctx.Err() == context.DeadlineExceeded || upstream.IsResponseTimeout(err) {
-		// If the response was overdue, onTimeout has already reported that to the balancer.
+		// If the response was overdue, timeoutHandler.onTimeout has already reported that to the
+		// balancer.
 		return resultBroken, slipwick.EvidenceNone
 	}
 	return resultBroken, slipwick.EvidenceError
--- a/gateway/startupwait.go
+++ b/gateway/startupwait.go
@@ -17,8 +17,8 @@
 	// router is ready. The rest is left for a retry at another router, in case this one does not
 	// become ready.
 	startupWaitShare = 0.5
-	// maxStartupWait caps that wait, so that a router without any connection, which cannot become
-	// ready, does not hold requests that set no time limit.
+	// maxStartupWait caps that wait, so that a router without any connection to the store or to
+	// other routers, which cannot become ready, does not hold requests that set no time limit.
 	maxStartupWait = 5 * time.Second
 	// startupPollInterval is how often a waiting request checks whether it can go on.
 	startupPollInterval = 20 * time.Millisecond
@@ -88,8 +88,8 @@
 
 // maxCachedPromptWait returns how long after its arrival the request may wait for an engine that
 // has its prompt cached: not so long that the response misses the latency objective in any case
-// and, unless the switch WaitForHomes is set, no longer than an engine takes to prefill the prompt
-// again, which would be faster.
+// and, unless the switch wait-for-homes (balance.Switches.WaitForCacheHolder) is set, no longer than
+// an engine takes to prefill the prompt again, which would then be faster.
 func (c *call) maxCachedPromptWait() time.Duration {
 	balancer, limit := c.gateway.Balancer, startupWait
 	if !balancer.Switches.WaitForCacheHolder {
--- a/gateway/streamprogress.go
+++ b/gateway/streamprogress.go
@@ -31,7 +31,7 @@
 }
 
 // filterNew returns those of the complete events that the caller does not have yet, and records
-// them as forwarded. Event IDs have to rise within a stream.
+// them as forwarded. The IDs of events have to increase within a stream.
 func (p *streamProgress) filterNew(events []byte) []byte {
 	last, _ := strconv.ParseInt(p.lastID, 10, 64)
 	known := p.lastID != ""
