--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -20,7 +20,7 @@
 	simulatedTime           = 16 * time.Second
 	crashingRequestInterval = 100 * time.Millisecond
 	// timeToCrash is how long the crashing request runs until its engine crashes, restartTime how
-	// long the engine is then away, crashDetectionDelay how late a router sees a crash, and
+	// long the engine then takes to restart, crashDetectionDelay how late a router sees a crash, and
 	// firstEventDelay how long a request runs until the first event of its response. A crash later
 	// than crashWindow after that event is not counted against the request, as in the gateway, whose
 	// constant has the same name.
