--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -105,9 +105,9 @@
 }
 
 // LearnLateEngines learns the caches of engines that appear late in the list of backend servers,
-// because their entries had expired while the store was away. Call it after Run. It blocks for as
-// long as such engines may appear, or until ctx ends; engines that appear later than that have just
-// started, so that their caches are empty.
+// because their entries had expired while the store was unavailable. Call it after Run. It blocks
+// for as long as such engines may appear, or until ctx ends; engines that appear later than that have
+// just started, so that their caches are empty.
 func (r *Recovery) LearnLateEngines(ctx context.Context) {
 	for end := clock.Now().Add(balance.RelistWindow + lateEngineMargin); clock.Now().Before(end); {
 		if !sleep(ctx, lateEnginePollInterval) {
