--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -61,7 +61,7 @@
 			break
 		}
 	}
-	c.finishUnanswered(reason, retryAfter)
+	c.finishUndelivered(reason, retryAfter)
 }
 
 // retryDelay returns after what time the caller may retry a request for which no backend server was
@@ -148,8 +148,10 @@
 	return defaultMinRetryTime
 }
 
-// finishUnanswered sends the final response to a request that no backend server has answered.
-func (c *call) finishUnanswered(reason string, retryAfter time.Duration) {
+// finishUndelivered ends a request of which no send delivered a complete response. It writes the
+// latest failure response of a backend server, or else a refusal, if the caller is still connected
+// and has received no part of a response.
+func (c *call) finishUndelivered(reason string, retryAfter time.Duration) {
 	switch {
 	case c.request.Context().Err() != nil:
 		c.finish(resultDisconnected, reason, 0)
