--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -45,7 +45,7 @@
 
 	mu      sync.Mutex
 	records *lru.LRU[Key, *record]
-	// completedAt is when each request last completed that this router sent.
+	// completedAt is when each request that this router sent last completed.
 	completedAt *lru.LRU[Key, time.Time]
 	running     map[Key][]*Attempt
 	pending     []Crash
