--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -41,7 +41,7 @@
 	return &Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Reason:     "not-ready",
-		Message:    "this router has no configuration yet; the request was not run, send it again",
+		Message:    "this router is starting and is not ready yet; the request was not run, send it again",
 		RetryAfter: retryElsewhere,
 	}
 }
