--- a/cmd/internal/gatewayd/coldlimits_test.go
+++ b/cmd/internal/gatewayd/coldlimits_test.go
@@ -37,7 +37,7 @@
 	table := routing.NewTable(1, routing.Limits{}, []routing.Pool{
 		{
 			Name: "p",
-			Cold: &routing.Cold{
+			Cold: &routing.ColdCapacity{
 				RequestsPerSecond: 13,
 				Duration:          3 * time.Second,
 			},
--- a/routing/pool.go
+++ b/routing/pool.go
@@ -11,12 +11,12 @@
 	// Engine is set for pools of model engines.
 	Engine *Engine
 	// Cold is set for pools whose backend servers can be cold.
-	Cold *Cold
+	Cold *ColdCapacity
 }
 
-// Cold says how much load the backend servers of a pool can take while they are cold, that is, can
-// serve only few requests for some time, after a start or later.
-type Cold struct {
+// ColdCapacity says how much load the backend servers of a pool can take while they are cold, that
+// is, can serve only few requests for some time, after a start or later.
+type ColdCapacity struct {
 	// RequestsPerSecond is how many requests in a second a cold backend server can serve. The limit
 	// on what all routers together send to it is derived from this.
 	RequestsPerSecond float64
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -67,7 +67,7 @@
 	Backends []slipwick.Backend `json:"backends" validate:"dive"`
 }
 
-// Cold is the file's form of routing.Cold.
+// Cold is the file's form of routing.ColdCapacity.
 type Cold struct {
 	RequestsPerSecond float64           `json:"per_second" validate:"gt=0"`
 	Duration          jsonfile.Duration `json:"time" validate:"min=0"`
@@ -135,7 +135,7 @@
 			}
 		}
 		if cold := f.Pools[i].Cold; cold != nil {
-			pool.Cold = &routing.Cold{
+			pool.Cold = &routing.ColdCapacity{
 				RequestsPerSecond: cold.RequestsPerSecond,
 				Duration:          time.Duration(cold.Duration),
 			}
