--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -63,12 +63,12 @@
 	CanFetchPrompts bool `json:"fetches"`
 	// Cold is left out if the backend servers can serve as much right after a start
 	// as later.
-	Cold     *Cold              `json:"cold"`
+	Cold     *ColdCapacity      `json:"cold"`
 	Backends []slipwick.Backend `json:"backends" validate:"dive"`
 }
 
-// Cold is the file's form of routing.ColdCapacity.
-type Cold struct {
+// ColdCapacity is the file's form of routing.ColdCapacity.
+type ColdCapacity struct {
 	RequestsPerSecond float64           `json:"per_second" validate:"gt=0"`
 	Duration          jsonfile.Duration `json:"time" validate:"min=0"`
 }
