--- a/tablefile/feed.go
+++ b/tablefile/feed.go
@@ -4,7 +4,6 @@
 	"context"
 	"encoding/json"
 	"os"
-	"strconv"
 	"sync"
 	"time"
 
@@ -173,8 +172,3 @@
 		Cause:   cause,
 	}
 }
-
-// pointer returns the JSON pointer of an element of a list in the file.
-func pointer(field string, index int) string {
-	return "/" + field + "/" + strconv.Itoa(index)
-}
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -1,6 +1,7 @@
 package tablefile
 
 import (
+	"strconv"
 	"time"
 
 	"github.com/slipwick/slipwick"
@@ -197,3 +198,8 @@
 	}
 	return list
 }
+
+// pointer returns the JSON pointer of an element of a list in the file.
+func pointer(field string, index int) string {
+	return "/" + field + "/" + strconv.Itoa(index)
+}
