--- a/backend.go
+++ b/backend.go
@@ -9,7 +9,8 @@
 	// Address is the host:port of its HTTP interface.
 	Address    string `json:"address" validate:"required,hostname_port"`
 	DataCentre string `json:"data_centre" validate:"required"`
-	Region     string `json:"region"`
+	// Region is the region of the data centre. Routes and workspaces may allow only some regions.
+	Region string `json:"region"`
 	// Weight is its capacity relative to the other servers of the pool; 0 means 1.
 	Weight uint32 `json:"weight" validate:"max=1000"`
 	// Slots is the maximum number of requests in flight; 0 means DefaultSlots.
--- a/doc.go
+++ b/doc.go
@@ -11,4 +11,9 @@
 // A workspace is one customer of the fleet. A chat is a conversation in a
 // workspace; engines cache the prompts of its turns, so a chat should stay at one
 // engine.
+//
+// There are two kinds of router, which run on different platforms: the chat router,
+// which forwards chats and requests to services, and the gateway, which forwards HTTP
+// requests by host and path. Package objectapi is the client for the platform of the
+// chat router, package platform that for the platform of the gateway.
 package slipwick
--- a/kind.go
+++ b/kind.go
@@ -11,16 +11,16 @@
 	KindBodyTooLarge Kind = "body_too_large"
 	// KindUnauthorized is a missing or invalid API key.
 	KindUnauthorized Kind = "unauthorized"
-	// KindUnknownModel is a model for which the workspace has no rule.
+	// KindUnknownModel is a model for which no rule of the configuration matches the workspace.
 	KindUnknownModel Kind = "unknown_model"
-	// KindUnknownService is a service for which the workspace has no rule.
+	// KindUnknownService is a service for which no rule of the configuration matches the workspace.
 	KindUnknownService Kind = "unknown_service"
 	// KindNotReady is a router without configuration, or one that drains.
 	KindNotReady Kind = "not_ready"
 	// KindOverloaded is a request that got no slot: the queue was full, or the wait exceeded the
 	// deadline or would have.
 	KindOverloaded Kind = "overloaded"
-	// KindWorkspaceLimit is a workspace that has reached its own limit.
+	// KindWorkspaceLimit is a workspace that has reached its own limit of requests in flight.
 	KindWorkspaceLimit Kind = "workspace_limit"
 	// KindNoBackend is a pool that has no usable backend server.
 	KindNoBackend Kind = "no_backend"
