--- a/rollout/comparison.go
+++ b/rollout/comparison.go
@@ -16,8 +16,9 @@
 	// alarmThreshold is the log-likelihood ratio from which on a version counts as bad. A version
 	// as good as the old one reaches it by chance about once in e^alarmThreshold responses.
 	alarmThreshold = 13.8
-	// The alternative that the new version is tested for: its rate of bad responses is higher than
-	// the baseline by at least minRateIncrease, and at least minRateFactor times as high.
+	// The alternative hypothesis of the test, that the new version is worse, is that its rate of bad
+	// responses is higher than the baseline, the old version's rate, by at least minRateIncrease and
+	// at least minRateFactor times as high.
 	minRateIncrease = 0.1
 	minRateFactor   = 3
 	// The old version is taken to have had priorBad bad responses among priorResponses before any
--- a/rollout/rollout_test.go
+++ b/rollout/rollout_test.go
@@ -118,6 +118,7 @@
 // TestBadVersionsAreRolledBackWithinTheExposure guards against bad versions that are completed or get
 // more requests than allowed. They are bad from the start, later, or only once they get all requests.
 func TestBadVersionsAreRolledBackWithinTheExposure(t *testing.T) {
+	// slack is how many requests more than the allowed share the bad version may get.
 	const seeds, slack = 500, 50
 	from := func(start, rate float64) func(float64) float64 {
 		return func(fraction float64) float64 {
