--- a/routing/route.go
+++ b/routing/route.go
@@ -11,8 +11,8 @@
 	Kind   Kind
 	// Timeout is the longest that the router spends on a request.
 	Timeout time.Duration
-	// ResponseObjective is the longest time to the response, or its first event, that counts as
-	// good.
+	// ResponseObjective is the longest time to the response, for a stream to its first event, that
+	// counts as good.
 	ResponseObjective time.Duration
 	// PauseObjective is the longest pause between events of a stream that counts as good; 0 if none
 	// is configured.
