--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -23,7 +23,7 @@
 	Evacuated []string `json:"evacuated" validate:"dive,required"`
 }
 
-// Limits bound what callers may send; a field that is left out sets no bound.
+// Limits is the file's form of routing.Limits; a field that is left out sets no bound.
 type Limits struct {
 	HeaderBytes int64             `json:"header_bytes" validate:"min=0"`
 	BodyBytes   int64             `json:"body_bytes" validate:"min=0"`
@@ -48,13 +48,13 @@
 	Targets           []Target          `json:"targets" validate:"required,dive"`
 }
 
-// Target is a pool's share of a route's requests. A weight that is left out counts as 1.
+// Target is the file's form of routing.Target. A weight that is left out counts as 1.
 type Target struct {
 	Pool   string `json:"pool" validate:"required"`
 	Weight int    `json:"weight" validate:"min=0"`
 }
 
-// Pool is a set of interchangeable backend servers.
+// Pool is the file's form of routing.Pool, with the backend servers of the pool.
 type Pool struct {
 	Name           string `json:"name" validate:"required"`
 	MaxConnections int    `json:"max_connections" validate:"min=0"`
