--- a/keyfiles/loader.go
+++ b/keyfiles/loader.go
@@ -28,7 +28,9 @@
 type Loader struct {
 	files Files
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// checkedAt is when the files were last checked for changes, changedAt the latest modification
+	// time among them when they were last read.
 	checkedAt   time.Time
 	changedAt   time.Time
 	certificate *tls.Certificate
--- a/keyfiles/loader_test.go
+++ b/keyfiles/loader_test.go
@@ -52,10 +52,10 @@
 }
 
 func TestOnlyCertificatesOfTheFleetAreAccepted(t *testing.T) {
-	fleet, stranger := authority(t), authority(t)
+	fleet, otherAuthority := authority(t), authority(t)
 	a := load(t, issue(t, fleet, t.TempDir(), 2))
 	b := load(t, issue(t, fleet, t.TempDir(), 3))
-	other := load(t, issue(t, stranger, t.TempDir(), 4))
+	other := load(t, issue(t, otherAuthority, t.TempDir(), 4))
 	for _, tc := range []struct {
 		name           string
 		server, client *tls.Config
