--- a/internal/fixedseed/fixedseed.go
+++ b/internal/fixedseed/fixedseed.go
@@ -15,8 +15,8 @@
 
 // Main runs a package's tests with a fixed seed for rapid and the given number of checks of each
 // property. A failed check writes no file with the failing case, so that a failing run leaves no files
-// in the source tree. Call Main from TestMain; it exits the process. The flags -rapid.seed, -rapid.checks and -rapid.nofailfile take precedence if they are
-// set on the command line.
+// in the source tree. Call Main from TestMain; it exits the process. The flags -rapid.seed,
+// -rapid.checks and -rapid.nofailfile take precedence if they are set on the command line.
 func Main(m runner, checks int) {
 	flag.Parse()
 	isSet := make(map[string]bool)
