--- a/fleet/platformwatcher.go
+++ b/fleet/platformwatcher.go
@@ -10,8 +10,8 @@
 const watchersPerDataCentre = 2
 
 // IsPlatformWatcher reports whether the router is among its data centre's watchers of the platform,
-// which wait there for new versions of the configuration; the other routers get them from their peers.
-// A router that is not in the list itself is one if the list has fewer than watchersPerDataCentre
+// which get new versions of the configuration from it; the other routers get them from their peers. A
+// router that is not in the list itself is a watcher if the list has fewer than watchersPerDataCentre
 // routers of its data centre.
 func IsPlatformWatcher(self slipwick.Router, routers []slipwick.Router) bool {
 	var sameDataCentre []slipwick.Router
