--- a/fleet/platformwatcher.go
+++ b/fleet/platformwatcher.go
@@ -9,8 +9,9 @@
 // in case the first is cut off.
 const watchersPerDataCentre = 2
 
-// IsPlatformWatcher reports whether the router is among its data centre's watchers of the platform.
-// A router that is not in the list itself is one if the list has fewer than watchersPerDataCentre
+// IsPlatformWatcher reports whether the router is among its data centre's watchers of the platform,
+// which get new versions of the configuration from it; the other routers get them from their peers. A
+// router that is not in the list itself is a watcher if the list has fewer than watchersPerDataCentre
 // routers of its data centre.
 func IsPlatformWatcher(self slipwick.Router, routers []slipwick.Router) bool {
 	var sameDataCentre []slipwick.Router
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -1,6 +1,7 @@
 package tablefile
 
 import (
+	"strconv"
 	"time"
 
 	"github.com/slipwick/slipwick"
@@ -22,7 +23,7 @@
 	Evacuated []string `json:"evacuated" validate:"dive,required"`
 }
 
-// Limits bound what callers may send; a field that is left out sets no bound.
+// Limits is the file's form of routing.Limits; a field that is left out sets no bound.
 type Limits struct {
 	HeaderBytes int64             `json:"header_bytes" validate:"min=0"`
 	BodyBytes   int64             `json:"body_bytes" validate:"min=0"`
@@ -47,13 +48,13 @@
 	Targets           []Target          `json:"targets" validate:"required,dive"`
 }
 
-// Target is a pool's share of a route's requests. A weight that is left out counts as 1.
+// Target is the file's form of routing.Target. A weight that is left out counts as 1.
 type Target struct {
 	Pool   string `json:"pool" validate:"required"`
 	Weight int    `json:"weight" validate:"min=0"`
 }
 
-// Pool is a set of interchangeable backend servers.
+// Pool is the file's form of routing.Pool, with the backend servers of the pool.
 type Pool struct {
 	Name           string `json:"name" validate:"required"`
 	MaxConnections int    `json:"max_connections" validate:"min=0"`
@@ -63,12 +64,12 @@
 	CanFetchPrompts bool `json:"fetches"`
 	// Cold is left out if the backend servers can serve as much right after a start
 	// as later.
-	Cold     *Cold              `json:"cold"`
+	Cold     *ColdCapacity      `json:"cold"`
 	Backends []slipwick.Backend `json:"backends" validate:"dive"`
 }
 
-// Cold is the file's form of routing.Cold.
-type Cold struct {
+// ColdCapacity is the file's form of routing.ColdCapacity.
+type ColdCapacity struct {
 	RequestsPerSecond float64           `json:"per_second" validate:"gt=0"`
 	Duration          jsonfile.Duration `json:"time" validate:"min=0"`
 }
@@ -135,7 +136,7 @@
 			}
 		}
 		if cold := f.Pools[i].Cold; cold != nil {
-			pool.Cold = &routing.Cold{
+			pool.Cold = &routing.ColdCapacity{
 				RequestsPerSecond: cold.RequestsPerSecond,
 				Duration:          time.Duration(cold.Duration),
 			}
@@ -197,3 +198,8 @@
 	}
 	return list
 }
+
+// pointer returns the JSON pointer of an element of a list in the file.
+func pointer(field string, index int) string {
+	return "/" + field + "/" + strconv.Itoa(index)
+}
