--- a/cmd/internal/daemon/chathandler.go
+++ b/cmd/internal/daemon/chathandler.go
@@ -36,7 +36,8 @@
 		}
 	}
 	call := cr.dispatchCall(placement.ChatKey(cr.workspace.Name, request.Chat))
-	call.Key = quarantine.KeyOf(cr.workspace.Name, http.MethodPost, c.Request().URL.Path+"#"+request.Chat, request.Body)
+	call.QuarantineKey = quarantine.KeyOf(
+		cr.workspace.Name, http.MethodPost, c.Request().URL.Path+"#"+request.Chat, request.Body)
 	err = f.dispatcher.Chat(c.Request().Context(), call, request, writer.handleEvent)
 	claim.recordOutcome(err)
 	f.recordEnd(cr, err)
--- a/cmd/internal/daemon/servicehandler.go
+++ b/cmd/internal/daemon/servicehandler.go
@@ -39,7 +39,7 @@
 		identity = cr.id
 	}
 	call := cr.dispatchCall(placement.ChatKey(cr.workspace.Name, identity))
-	call.Key = quarantine.KeyOf(cr.workspace.Name, request.Method, call.Pools[0]+request.Path, request.Body)
+	call.QuarantineKey = quarantine.KeyOf(cr.workspace.Name, request.Method, call.Pools[0]+request.Path, request.Body)
 	response, err := f.dispatcher.CallService(ctx, call, request)
 	claim.recordOutcome(err)
 	if err != nil {
--- a/dispatch/call.go
+++ b/dispatch/call.go
@@ -13,6 +13,6 @@
 	Request slipwick.AcquireRequest
 	// Repeatable tells whether the request may be sent again after an attempt that may have run.
 	Repeatable bool
-	// Key identifies the content of the request for the quarantine, independent of the request's ID.
-	Key quarantine.Key
+	// QuarantineKey identifies the content of the request for the quarantine, independent of the request's ID.
+	QuarantineKey quarantine.Key
 }
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -100,7 +100,7 @@
 	budget := d.budgets.ForPool(call.Pools[0])
 	budget.CountRequest()
 	request := call.Request
-	isTrial, err := d.checkQuarantine(call.Key)
+	isTrial, err := d.checkQuarantine(call.QuarantineKey)
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 		if err == nil {
 			return nil
 		}
-		if !retryable || attempts == maxAttempts || d.isQuarantined(call.Key) || !budget.Take() {
+		if !retryable || attempts == maxAttempts || d.isQuarantined(call.QuarantineKey) || !budget.Take() {
 			return finalError(ambiguousErr, err)
 		}
 		request.Exclude = append(request.Exclude, backend)
@@ -130,7 +130,7 @@
 	if err != nil {
 		return "", false, err
 	}
-	recorded, err := d.recordAttempt(call.Key, grant, isTrial)
+	recorded, err := d.recordAttempt(call.QuarantineKey, grant, isTrial)
 	if err != nil {
 		return "", false, err
 	}
--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -56,9 +56,9 @@
 func sendChat(t *testing.T, d *Dispatcher, id string) error {
 	t.Helper()
 	return d.Chat(t.Context(), Call{
-		Pools:      []string{"p"},
-		Key:        7,
-		Repeatable: true,
+		Pools:         []string{"p"},
+		QuarantineKey: 7,
+		Repeatable:    true,
 	}, slipwick.ChatRequest{
 		ID: id,
 	}, func(slipwick.StreamEvent) error { return nil })
