--- a/emulation/router.go
+++ b/emulation/router.go
@@ -21,7 +21,7 @@
 	Self        slipwick.Router
 	Coordinator *admission.Coordinator
 	Node        *membership.Node
-	Viewer      *fleet.ViewBuilder
+	ViewBuilder *fleet.ViewBuilder
 
 	// cancel stops the coordinator and the node.
 	cancel context.CancelFunc
@@ -50,7 +50,7 @@
 		from:    r,
 	}, policy)
 	r.Coordinator.Share = shares(snapshot)
-	r.Viewer = &fleet.ViewBuilder{
+	r.ViewBuilder = &fleet.ViewBuilder{
 		Self:   self,
 		OnView: r.SetView,
 	}
@@ -71,7 +71,7 @@
 		go r.Node.SetBackend(backend, fleet.MemberState(health))
 	}
 	r.Node.MergeListing(boxes)
-	r.Viewer.SetConfiguration(snapshot)
+	r.ViewBuilder.SetConfiguration(snapshot)
 	ctx, cancel := context.WithCancel(context.Background())
 	r.cancel = cancel
 	go r.Coordinator.Run(ctx)
@@ -92,7 +92,7 @@
 }
 
 func (r *Router) onChange(change membership.Change) {
-	r.Viewer.SetFleet(change.EligibleRouters, fleet.BackendStates(change.Backends))
+	r.ViewBuilder.SetFleet(change.EligibleRouters, fleet.BackendStates(change.Backends))
 	for _, id := range change.Died {
 		r.Coordinator.HandleRouterFailure(id)
 	}
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -151,11 +151,11 @@
 	var admission slipwick.Admission = r.Coordinator
 	if w.Setup.Baseline != nil {
 		baseline := w.Setup.Baseline(w.Meter)
-		r.Viewer.OnView = func(view *placement.View) {
+		r.ViewBuilder.OnView = func(view *placement.View) {
 			baseline.SetView(view)
 			r.SetView(view)
 		}
-		r.Viewer.SetConfiguration(snapshot)
+		r.ViewBuilder.SetConfiguration(snapshot)
 		admission = baseline
 	}
 	w.mu.Lock()
@@ -237,7 +237,7 @@
 	w.Meter.setUsable(id, false)
 	w.mu.Unlock()
 	for _, r := range routers {
-		r.Viewer.SetConfiguration(&next)
+		r.ViewBuilder.SetConfiguration(&next)
 	}
 }
 
