--- a/emulation/measure_test.go
+++ b/emulation/measure_test.go
@@ -8,19 +8,19 @@
 )
 
 var (
-	measure = flag.Bool("measure", false, "run and print all measurements")
-	policy  = flag.String("policy", "", "run only the policy with this name")
-	only    = flag.String("case", "", "run only the case with this name")
+	measure       = flag.Bool("measure", false, "run and print all measurements")
+	onlyAdmission = flag.String("policy", "", "run only the admission with this name: owner, hash, local or two-choices")
+	onlyCase      = flag.String("case", "", "run only the case with this name")
 )
 
-// TestMeasure prints the measurements of admission by owners and of each baseline
-// in each case, as Go benchmark output. It is a test because synctest is not
-// available in benchmarks.
+// TestMeasure prints the measurements of admission by owners, which has the name
+// owner, and of each baseline in each case, as Go benchmark output. It is a test
+// because synctest is not available in benchmarks.
 func TestMeasure(t *testing.T) {
 	if !*measure {
 		t.Skip("run with make measure")
 	}
-	policies := []struct {
+	variants := []struct {
 		name     string
 		baseline Baseline
 	}{
@@ -41,11 +41,11 @@
 		},
 	}
 	for _, c := range Cases() {
-		if *only != "" && *only != c.Name {
+		if *onlyCase != "" && *onlyCase != c.Name {
 			continue
 		}
-		for _, p := range policies {
-			if *policy != "" && *policy != p.name {
+		for _, p := range variants {
+			if *onlyAdmission != "" && *onlyAdmission != p.name {
 				continue
 			}
 			synctest.Test(t, func(*testing.T) {
--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -17,10 +17,13 @@
 	totalInFlight int
 	usable        map[string]bool
 
-	requests, refused       int
-	failedAttempts          int
-	grants                  map[string]int
-	returning, reused       int
+	requests, refused int
+	failedAttempts    int
+	grants            map[string]int
+	returning, reused int
+	// The excess is by how many requests a grant put an engine above the load limit.
+	// The skew is the ratio of an engine's load to the mean: at a grant that of the
+	// engine with the grant, in samples that of the busiest engine.
 	maxExcess, maxGrantSkew float64
 	maxSampledSkew          float64
 	// sampledSkews are in percent, slotWaits in milliseconds.
@@ -38,9 +41,8 @@
 	histogramDigits = 3
 	maxWaitMillis   = 120_000
 	maxSkewPercent  = 100_000
-	// minMeanLoad is the mean load from which on the skew is recorded, which is the
-	// ratio of the busiest engine's load to the mean. Below it the skew shows only
-	// the rounding to whole requests.
+	// minMeanLoad is the mean load from which on the skew is recorded. Below it the
+	// skew shows only the rounding to whole requests.
 	minMeanLoad = 4
 )
 
@@ -81,8 +83,8 @@
 	}
 }
 
-// recordGrant records a grant, how long the request waited for it, and how far it
-// put the engine above the mean load.
+// recordGrant records a grant and how long the request waited for it. For a usable
+// engine it also records the excess above the load limit and the skew at the grant.
 func (m *Meter) recordGrant(engine string, waited time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -23,7 +23,7 @@
 	faults       Faults
 	traffic      map[string]*Traffic
 	slotRequests int
-	// onSend, if set, is called with each envelope and its bytes.
+	// onSend, if set, is called with each envelope and its size in bytes.
 	onSend func(*peerpb.Envelope, int)
 }
 
--- a/emulation/report.go
+++ b/emulation/report.go
@@ -82,7 +82,8 @@
 	return float64(part) / float64(whole)
 }
 
-// Benchmark returns the report as a line of Go benchmark output.
+// Benchmark returns the report as a line of Go benchmark output. WaitP99 has the
+// unit hold-p99-ms there.
 func (r Report) Benchmark(name string) string {
 	return fmt.Sprintf("%-40s 1 %.3f reuse-ratio %.3f skew-max %.2f excess-requests %.3f skew-sampled-max "+
 		"%.2f skew-p50 %.3f calls/request %.0f control-B/s %.0f control-max-B/s %d hold-p99-ms "+
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -102,9 +102,10 @@
 		schedules++
 		requests += report.Requests
 		worst = max(worst, report.Excess)
-		// While an engine has two owners, the second one may grant slots on top of
-		// the first one's, up to the load limit for a mean load of half the chats
-		// over all engines; see docs/design/admission.md.
+		// While an engine has two owners, the second one grants slots on top of the
+		// first one's: in Policy.TakeoverWindow at most half of the headroom, which
+		// is at most the load limit with a request of each chat in flight. See
+		// docs/design/admission.md.
 		if limit := 1 + float64(setup.Chats)*setup.LoadFactor/2/float64(setup.Engines); report.Excess > limit {
 			r.Fatalf("got %.2f requests above the limit, want at most %.2f: %+v", report.Excess, limit, disturbances)
 		}
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -110,8 +110,8 @@
 	return w
 }
 
-// latency returns the one-way latency within a data centre, between data centres
-// of one region, or between regions.
+// latency returns the assumed one-way latency within a data centre, between data
+// centres of one region, or between regions.
 func latency(from, to *Router) time.Duration {
 	switch {
 	case from.Self.DataCentre == to.Self.DataCentre:
