--- a/standin/service.go
+++ b/standin/service.go
@@ -7,8 +7,8 @@
 )
 
 // Service is a stand-in for a backend server of a pool of kind service, which is
-// not an inference engine. It responds to each request with the
-// request's body and records how often each request ran.
+// not an inference engine. It responds to each request with the request's body and
+// records how often each request ran.
 type Service struct {
 	// DropAfterBody aborts the connection after the request's body has been read.
 	// The request counts as run.
