--- /dev/null
+++ b/cmd/internal/gatewayd/backends.go
@@ -0,0 +1,59 @@
+package gatewayd
+
+import (
+	"math"
+	"time"
+
+	"github.com/slipwick/slipwick"
+	"github.com/slipwick/slipwick/balance"
+	"github.com/slipwick/slipwick/clock"
+
+	"github.com/slipwick/slipwick/cmd/internal/events"
+)
+
+// onBackendsChanged applies changes of the list of backend servers. It closes connections to
+// servers that were removed and leaves those to listed servers as they are.
+func (p *Process) onBackendsChanged(changes *balance.Changes) {
+	p.balancer.ChangeBackends(changes)
+	leaving, cold, now := 0, 0, clock.Now()
+	for i := range changes.Entries {
+		if changes.Entries[i].Leaving {
+			leaving++
+		}
+		if changes.Entries[i].ColdUntil.After(now) {
+			cold++
+		}
+	}
+	events.BackendsChanged.On(&p.Log).Int("listed", p.balancer.ServerCount()).Int("changed", len(changes.Entries)).
+		Int("leaving", leaving).Int("cold", cold).Int("gone", len(changes.Removed)).Send()
+	p.client.Retain(p.balancer.IsListed)
+	p.backendsListed.Store(true)
+}
+
+// limitIdleConnections limits the idle connections to each backend server: every router gets an
+// equal share of the connections that a server accepts, and half of its share may be idle.
+func (p *Process) limitIdleConnections(routers int) {
+	table := p.gateway.Table()
+	if table == nil {
+		return
+	}
+	smallest := math.MaxInt
+	for _, pool := range table.Pools {
+		if pool.MaxConnections > 0 {
+			smallest = min(smallest, pool.MaxConnections)
+		}
+	}
+	p.client.SetMaxIdleConns(smallest / (2 * max(routers, 1)))
+}
+
+// onEjected logs that a backend server was ejected for the given time.
+func (p *Process) onEjected(backend slipwick.Backend, wait time.Duration) {
+	events.BackendEjected.On(&p.Log).Str("backend", backend.ID).Str("address", backend.Address).
+		Dur("wait_ms", wait).Send()
+}
+
+// onNotice logs that a backend server announced that it is leaving, or asked for a pause.
+func (p *Process) onNotice(backend slipwick.Backend, notice slipwick.Notice) {
+	events.BackendNotice.On(&p.Log).Str("backend", backend.ID).Str("address", backend.Address).
+		Bool("leaving", notice.Leaving).Dur("rest_ms", notice.Pause).Send()
+}
