--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -21,7 +21,7 @@
 	failedAttempts    int
 	grants            map[string]int
 	returning, reused int
-	// The excess is by how many requests a grant put an engine above the load limit.
+	// maxExcess is the most requests by which a grant put an engine above its limit.
 	// The skew is the ratio of an engine's load to the mean: at a grant that of the
 	// engine with the grant, in samples that of the busiest engine.
 	maxExcess, maxGrantSkew float64
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -147,7 +147,7 @@
 }
 
 // loadsOnly reports whether an envelope carries load reports and totals only. It
-// does not check for claims, the configuration, marks and notices.
+// does not check for claims, the configuration, notices and crashes (marks).
 func loadsOnly(e *peerpb.Envelope) bool {
 	others := len(e.GetRequests()) + len(e.GetAnswers()) + len(e.GetReleases()) + len(e.GetRenewals()) +
 		len(e.GetHandovers()) + len(e.GetPlaced())
