--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -68,7 +68,7 @@
 		Transport: r.mesh,
 		OnError:   r.logPlatformError,
 	}
-	r.viewer = &fleet.ViewBuilder{
+	r.viewBuilder = &fleet.ViewBuilder{
 		Self:   self,
 		OnView: r.coordinator.SetView,
 	}
--- a/cmd/internal/daemon/fixture_test.go
+++ b/cmd/internal/daemon/fixture_test.go
@@ -19,6 +19,12 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
+const (
+	chatPath     = "/v1/chat/completions"
+	bufferedChat = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
+	streamedChat = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`
+)
+
 // testAPIKey is the API key of the workspace w.
 const testAPIKey = "secret"
 
@@ -156,6 +162,17 @@
 	}
 }
 
+// startAnother starts one more router with the settings and the ID. f.router stays the same.
+func (f *fixture) startAnother(t *testing.T, settings Settings, id string) *Router {
+	t.Helper()
+	settings.ID = id
+	previous := f.router
+	f.startWith(t, &settings)
+	started := f.router
+	f.router = previous
+	return started
+}
+
 // post sends a request to the router and returns the response and its body; header holds names and
 // values alternately.
 func (f *fixture) post(t *testing.T, path, body string, header ...string) (*http.Response, string) {
@@ -180,3 +197,14 @@
 	}
 	return response, string(content)
 }
+
+func waitUntil(t *testing.T, description string, condition func() bool) {
+	t.Helper()
+	deadline := time.Now().Add(20 * time.Second)
+	for !condition() {
+		if time.Now().After(deadline) {
+			t.Fatalf("not within 20 s: %s", description)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -74,7 +74,7 @@
 
 // onMembershipChange applies a change of the fleet or of the state of backend servers.
 func (r *Router) onMembershipChange(change membership.Change) {
-	r.viewer.SetFleet(change.EligibleRouters, fleet.BackendStates(change.Backends))
+	r.viewBuilder.SetFleet(change.EligibleRouters, fleet.BackendStates(change.Backends))
 	r.members.Store(&change.EligibleRouters)
 	if r.joined.Load() {
 		r.claims.SetRouters(change.EligibleRouters)
--- a/cmd/internal/daemon/listeners.go
+++ b/cmd/internal/daemon/listeners.go
@@ -6,6 +6,13 @@
 	"github.com/pkg/errors"
 )
 
+// listeners holds the open sockets of a router.
+type listeners struct {
+	callers, operators, peers net.Listener
+
+	membershipUDP *net.UDPConn
+}
+
 // open listens on the addresses of the settings. On an error some listeners may be open.
 func (l *listeners) open(listen *Listen) error {
 	var err error
--- a/cmd/internal/daemon/quarantine_test.go
+++ b/cmd/internal/daemon/quarantine_test.go
@@ -7,7 +7,6 @@
 	"slices"
 	"strings"
 	"testing"
-	"time"
 
 	"github.com/slipwick/slipwick"
 	"github.com/slipwick/slipwick/quarantine"
@@ -78,14 +77,3 @@
 		t.Error("got false for an engine that does not listen, want true")
 	}
 }
-
-func waitUntil(t *testing.T, description string, condition func() bool) {
-	t.Helper()
-	deadline := time.Now().Add(20 * time.Second)
-	for !condition() {
-		if time.Now().After(deadline) {
-			t.Fatalf("not within 20 s: %s", description)
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
-}
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -2,7 +2,6 @@
 
 import (
 	"context"
-	"net"
 	"net/http"
 	"sync"
 	"sync/atomic"
@@ -36,8 +35,8 @@
 	platform *objectapi.Client
 	// follower keeps the configuration in force up to date.
 	follower *configuration.Follower
-	// viewer combines the configuration and the live routers into the view that coordinator uses.
-	viewer *fleet.ViewBuilder
+	// viewBuilder combines the configuration and the live routers into the view that coordinator uses.
+	viewBuilder *fleet.ViewBuilder
 	// coordinator gets slots of backend servers for requests and grants those of the owned ones.
 	coordinator *admission.Coordinator
 	// node tracks the live routers by gossip over membershipUDP.
@@ -169,7 +168,7 @@
 // applySnapshot puts a version of the configuration in force.
 func (r *Router) applySnapshot(snapshot *configuration.Snapshot) {
 	r.frontend.routes.Store(newRoutes(snapshot))
-	r.viewer.SetConfiguration(snapshot)
+	r.viewBuilder.SetConfiguration(snapshot)
 	r.node.SetVersion(uint64(snapshot.Version))
 	r.frontend.metrics.ConfigurationVersion.Set(float64(snapshot.Version))
 	events.ConfigurationInForce.On(&r.Log).Uint64("version", uint64(snapshot.Version)).Send()
@@ -194,10 +193,3 @@
 func (r *Router) PeersAddress() string {
 	return r.listeners.peers.Addr().String()
 }
-
-// listeners holds the open sockets of a router.
-type listeners struct {
-	callers, operators, peers net.Listener
-
-	membershipUDP *net.UDPConn
-}
--- a/cmd/internal/daemon/router_test.go
+++ b/cmd/internal/daemon/router_test.go
@@ -15,12 +15,6 @@
 	"github.com/slipwick/slipwick/standin"
 )
 
-const (
-	chatPath     = "/v1/chat/completions"
-	bufferedChat = `{"model":"m","messages":[{"role":"user","content":"hello"}]}`
-	streamedChat = `{"model":"m","stream":true,"messages":[{"role":"user","content":"hello"}]}`
-)
-
 func TestBufferedResponse(t *testing.T) {
 	f := newFixture(t, 2)
 	response, body := f.post(t, chatPath, bufferedChat)
--- a/cmd/internal/daemon/tls_test.go
+++ b/cmd/internal/daemon/tls_test.go
@@ -83,14 +83,3 @@
 		t.Error("got a stream without a certificate, want it refused")
 	}
 }
-
-// startAnother starts one more router with the settings and the ID. f.router stays the same.
-func (f *fixture) startAnother(t *testing.T, settings Settings, id string) *Router {
-	t.Helper()
-	settings.ID = id
-	previous := f.router
-	f.startWith(t, &settings)
-	started := f.router
-	f.router = previous
-	return started
-}
