--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -28,8 +28,8 @@
 		Number:  103,
 		Name:    "drain-finished",
 		Level:   zerolog.InfoLevel,
-		Meaning: "The router has stopped; the field cut is the number of requests that it interrupted.",
-		Remedy:  "If cut is above 0, raise limits.drain.",
+		Meaning: "The router has stopped; in_time is false if it interrupted requests, whose number a gateway gives as cut.",
+		Remedy:  "If in_time is false, raise limits.drain of a router, or the grace period of a gateway.",
 	}
 	CachesKnown = Event{
 		Number:  105,
@@ -71,7 +71,7 @@
 		Name:    "request-broken",
 		Level:   zerolog.WarnLevel,
 		Meaning: "A request ended with the outcome failed or unknown.",
-		Remedy:  "Check the backend server in the field backend.",
+		Remedy:  "Read the fields kind and cause, which say what failed.",
 	}
 	RequestRefused = Event{
 		Number:  203,
@@ -81,11 +81,14 @@
 		Remedy:  "Compare the request's host, path and key with the configuration in force.",
 	}
 	AttemptFailed = Event{
-		Number:  204,
-		Name:    "attempt-failed",
-		Level:   zerolog.InfoLevel,
-		Meaning: "A backend server sent no complete response: not-run, unsent, failed, broken, cut or left (by the caller).",
-		Remedy:  "Follow the request by its ID; check the backend server if many attempts at it fail.",
+		Number: 204,
+		Name:   "attempt-failed",
+		Level:  zerolog.InfoLevel,
+		Meaning: "An attempt yielded no complete, successful response. The field result is not-run (the backend server " +
+			"did not run the request), unsent (no connection to it could be opened), failed (its complete response " +
+			"reported a failure), broken (the exchange broke off; the request may have run), cut (the response broke " +
+			"off after a part was forwarded, and cannot be continued) or left (the caller disconnected).",
+		Remedy: "Follow the request by its ID; check the backend server if many attempts at it fail.",
 	}
 	RequestUnserved = Event{
 		Number:  205,
@@ -134,7 +137,8 @@
 		Name:   "store-fell-back",
 		Level:  zerolog.WarnLevel,
 		Meaning: "The store was restored from a backup: later writes that it had acknowledged are lost until they are " +
-			"written again. Since steady_ms ago, timeline and revision are those of the restored store.",
+			"written again. timeline and revision are the position of the restored store; steady_ms is how long it has " +
+			"had no outage and no restore, as far as known, or 0.",
 		Remedy: "Find out who restored the store; changes at this router follow in events 301, 405 and 406.",
 	}
 	EvacuationsChanged = Event{
