--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -73,8 +73,8 @@
 	ReadyInterval jsonfile.Duration `json:"ready_every" validate:"min=0"`
 }
 
-// Defaults of FileSettings: a fifth of the requests may be retried within ten seconds, and
-// the grace period is the one that common service managers use.
+// Defaults of FileSettings: a fifth of the requests within ten seconds may be retried, plus 50.
+// The grace period is the usual time between a service manager's request to stop and its kill.
 const (
 	defaultRatio  = 0.2
 	defaultExtra  = 50
