--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -81,14 +81,11 @@
 		Remedy:  "Compare the request's host, path and key with the configuration in force.",
 	}
 	AttemptFailed = Event{
-		Number: 204,
-		Name:   "attempt-failed",
-		Level:  zerolog.InfoLevel,
-		Meaning: "An attempt yielded no complete, successful response. The field result is not-run (the backend server " +
-			"did not run the request), unsent (no connection to it could be opened), failed (its complete response " +
-			"reported a failure), broken (the exchange broke off; the request may have run), cut (the response broke " +
-			"off after a part was forwarded, and cannot be continued) or left (the caller disconnected).",
-		Remedy: "Follow the request by its ID; check the backend server if many attempts at it fail.",
+		Number:  204,
+		Name:    "attempt-failed",
+		Level:   zerolog.InfoLevel,
+		Meaning: "Attempt failed: not-run, unsent, failed, broken (may have run), cut (partly forwarded), left (by caller).",
+		Remedy:  "Follow the request by its ID; check the backend server if many attempts at it fail.",
 	}
 	RequestUnserved = Event{
 		Number:  205,
@@ -136,9 +133,8 @@
 		Number: 304,
 		Name:   "store-fell-back",
 		Level:  zerolog.WarnLevel,
-		Meaning: "The store was restored from a backup: later writes that it had acknowledged are lost until they are " +
-			"written again. timeline and revision are the position of the restored store; steady_ms is how long it has " +
-			"had no outage and no restore, as far as known, or 0.",
+		Meaning: "The store was restored from a backup: acknowledged later writes are lost until they are written again. " +
+			"timeline and revision are the restored store's; steady_ms is the time without outage and restore, 0 if unknown.",
 		Remedy: "Find out who restored the store; changes at this router follow in events 301, 405 and 406.",
 	}
 	EvacuationsChanged = Event{
