--- a/directory/backends.go
+++ b/directory/backends.go
@@ -12,15 +12,16 @@
 )
 
 const (
-	// The store counts as down at a failed call if its latest answer is older than outageShare
-	// of a heartbeat. Entries expire after a few missed heartbeats, and the store may have been
+	// The store counts as down at a failed call if its latest answer is older than
+	// outageHeartbeats heartbeat intervals. Entries expire after a few missed heartbeats, and the store may have been
 	// unreachable for the servers for longer than for this router.
-	outageShare = 1.25
+	outageHeartbeats = 1.25
 	// DefaultHeartbeat is the heartbeat interval if the settings have none.
 	DefaultHeartbeat = 1200 * time.Millisecond
 	// reregisterTime is how long servers have to write their entries again after an outage of
-	// the store; they do so within about 2 s. It is bounded by reregisterShare of
-	// Backends.LeaveTime.
+	// the store, which they do within about 2 s. It is bounded by reregisterShare of
+	// Backends.LeaveTime, so that a server that is gone gets nothing new after LeaveTime, also
+	// after an outage, and is itself that share of 2 s, the default LeaveTime.
 	reregisterTime  = 1900 * time.Millisecond
 	reregisterShare = 0.95
 )
@@ -43,8 +44,8 @@
 	expired map[string]balance.Entry
 	// ids has the IDs of the published backend servers, by the name of their entry.
 	ids map[string]string
-	// answeredAt is when the latest answer arrived, confirmedAt when the store was in its
-	// state.
+	// answeredAt is when the latest answer arrived, confirmedAt when the store was in the state
+	// of that answer.
 	answeredAt, confirmedAt time.Time
 	// failed is true if the latest call failed, inOutage if the store had not answered for some
 	// time.
@@ -88,7 +89,7 @@
 }
 
 // scheduleTrustLocked makes entries that are suspect, and still listed by then, trusted
-// expiryHeartbeats after the store is known to have answered, which was age ago. The store has
+// expiryHeartbeats heartbeat intervals after the store is known to have answered, which was age ago. The store has
 // removed entries that nobody renews by that time, no matter when this router learnt of it.
 func (b *Backends) scheduleTrustLocked(age time.Duration) {
 	if b.trustTimer != nil {
@@ -151,7 +152,7 @@
 
 // outageAfter returns for how long the store may not answer before it counts as down.
 func (b *Backends) outageAfter() time.Duration {
-	return time.Duration(outageShare * float64(b.heartbeat()))
+	return time.Duration(outageHeartbeats * float64(b.heartbeat()))
 }
 
 func (b *Backends) heartbeat() time.Duration {
--- a/directory/departures.go
+++ b/directory/departures.go
@@ -17,8 +17,8 @@
 	sweepInterval = time.Second
 	// expiryHeartbeats is the number of heartbeats after a restore by which the store has
 	// removed entries that nobody renews, and routers know it: three for the expiry, three more
-	// if an interruption of the store just before had restarted the expiry time, and the time of
-	// an interruption too short to notice.
+	// if an interruption of the store just before had restarted the expiry time, and
+	// outageHeartbeats for an interruption too short to notice. The sum, 7.25, is rounded up.
 	expiryHeartbeats = 8
 )
 
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -131,10 +131,10 @@
 	})
 }
 
-// TestRouterStopsActingOnceReconnected isolates a router of the lowest level from the other
+// TestRouterEndsTakeoverOnceReconnected isolates a router of the lowest level from the other
 // routers for a while. It follows the store itself in the meantime, and other routers again
 // afterwards.
-func TestRouterStopsActingOnceReconnected(t *testing.T) {
+func TestRouterEndsTakeoverOnceReconnected(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newSimFleet(295)
 		stop := f.start(t)
--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -39,7 +39,7 @@
 }
 
 // TestLargeListIsFoundThoughStoreFailsForWatchers has the store refuse the routers that should
-// list at a start, or not answer them. Others act in their place.
+// list at a start, or not answer them. Others take over from them.
 func TestLargeListIsFoundThoughStoreFailsForWatchers(t *testing.T) {
 	for name, fail := range map[string]func(*simRouter){
 		"refused":   func(r *simRouter) { r.storeRefuses = true },
@@ -141,7 +141,7 @@
 			if got := f.countLagging("0"); got > 0 {
 				t.Errorf("%d routers: got %d without a copy 1.5 s after the restart, want none", size, got)
 			}
-			// Routers that act in place of the watchers list from the store once more at most.
+			// Routers that take over from the watchers list from the store once more at most.
 			if got := f.calls.Load(); got > 3*(pages+10) {
 				t.Errorf("%d routers: got %d calls at the restart, want at most %d", size, got, 3*(pages+10))
 			}
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	// modelBackends and modelTables are the names of the feeds of backend servers and of
+	// modelBackends and modelConfigs are the names of the feeds of backend servers and of
 	// configurations.
 	modelBackends = "backends"
-	modelTables   = "tables"
+	modelConfigs  = "tables"
 	// modelPropagationTime is the time after which a leaving server gets no new requests, and in
 	// which a new configuration has to be in force.
 	modelPropagationTime = 2 * time.Second
@@ -159,7 +159,7 @@
 	}
 	backends.OnError = func(error) { r.backends.RecordFailure() }
 	backends.OnChange = r.backends.Apply
-	configs := newModelFollower(r, modelTables, func(_ string, value []byte) (string, error) { return string(value), nil })
+	configs := newModelFollower(r, modelConfigs, func(_ string, value []byte) (string, error) { return string(value), nil })
 	configs.OnChange = r.applyConfig
 	configs.IsOutdated = func(known, received string) bool { return received < known }
 	r.followers = append(r.followers, backends.Run, configs.Run)
--- a/directory/modelhistory_test.go
+++ b/directory/modelhistory_test.go
@@ -137,7 +137,7 @@
 func (h *history) configureLocked() {
 	h.version++
 	h.versionAt = time.Now()
-	h.fleet.store.put(modelTables, "main", modelVersion(h.version))
+	h.fleet.store.put(modelConfigs, "main", modelVersion(h.version))
 }
 
 // modelVersion returns a version as text, so that texts are in the order of their versions.
@@ -169,7 +169,7 @@
 		}
 	}
 	if step%int(modelHeartbeat/writeInterval) == 0 {
-		h.fleet.store.put(modelTables, "main", modelVersion(h.version))
+		h.fleet.store.put(modelConfigs, "main", modelVersion(h.version))
 	}
 }
 
--- a/directory/reassigned_test.go
+++ b/directory/reassigned_test.go
@@ -59,7 +59,7 @@
 				version := 0
 				newVersion := func() {
 					version++
-					f.store.put(modelTables, "main", fmt.Sprint(version))
+					f.store.put(modelConfigs, "main", fmt.Sprint(version))
 				}
 				newVersion()
 				for _, id := range []string{"a", "b", "c"} {
--- a/directory/relayclient.go
+++ b/directory/relayclient.go
@@ -144,7 +144,7 @@
 		return slipwick.FeedBatch{}, errors.Errorf("implausible copy: age of %d ms, %d hops", age, hops)
 	}
 	// Older routers send neither this header nor timelines.
-	stableFor, err := strconv.ParseInt(response.Header.Get(steadyHeader), 10, 64)
+	stableFor, err := strconv.ParseInt(response.Header.Get(stableForHeader), 10, 64)
 	if err != nil || stableFor < 0 || stableFor > maxCopyAge.Milliseconds() {
 		stableFor = 0
 	}
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -30,9 +30,9 @@
 // hopsHeader has the number of routers between the store and the copy.
 const hopsHeader = "Slipwick-Hops"
 
-// steadyHeader has the batch's StableFor: for how many milliseconds the store has been known to
+// stableForHeader has the batch's StableFor: for how many milliseconds the store has been known to
 // answer without an outage or a restore from a backup.
-const steadyHeader = "Slipwick-Steady-Ms"
+const stableForHeader = "Slipwick-Steady-Ms"
 
 // RelayServer is an HTTP handler that serves copies of feeds to other routers. Most of them ask
 // for the same changes at the same moment, so each answer is encoded and compressed once. Set
@@ -47,8 +47,8 @@
 }
 
 // answerKey identifies an encoded answer by its content. The position does not suffice: a
-// restored store assigns revisions again, and a list of several pages may hold more than its
-// revision says.
+// restored store assigns revisions again, and a list of several pages may hold changes after its
+// revision.
 type answerKey struct {
 	encoding    string
 	isSnapshot  bool
@@ -197,7 +197,7 @@
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	w.Header().Set(hopsHeader, strconv.Itoa(batch.Hops))
 	w.Header().Set(ageHeader, strconv.FormatInt(batch.Age.Milliseconds(), 10))
-	w.Header().Set(steadyHeader, strconv.FormatInt(batch.StableFor.Milliseconds(), 10))
+	w.Header().Set(stableForHeader, strconv.FormatInt(batch.StableFor.Milliseconds(), 10))
 	// An error means that the other router is gone and needs no answer.
 	_, _ = w.Write(body)
 }
--- a/directory/relayserver_test.go
+++ b/directory/relayserver_test.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// TestOlderRoutersAreUnderstood removes what older routers do not send, which run beside newer
-// ones during an upgrade: the wait in requests for lists, and the hops in responses.
+// TestOlderRoutersAreUnderstood lists without what older routers do not send: the wait in requests
+// for lists, and the hops in responses. They run beside newer ones during an upgrade.
 func TestOlderRoutersAreUnderstood(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(batch(3, true, "a1"))
--- a/directory/restored_test.go
+++ b/directory/restored_test.go
@@ -123,7 +123,7 @@
 // store removes an entry after three missed renewals, restarts that time if it is interrupted, and
 // an interruption is noticed if it is longer than a certain share of a heartbeat.
 func TestServerBackBeforeRestoreIsUsedAgain(t *testing.T) {
-	const within = 2*modelExpiry + time.Duration(outageShare*float64(modelHeartbeat)) + modelPropagationTime
+	const within = 2*modelExpiry + time.Duration(outageHeartbeats*float64(modelHeartbeat)) + modelPropagationTime
 	synctest.Test(t, func(t *testing.T) {
 		f := newRestoredFleet(t, func(s *modelStore) { s.removeServer("c") })
 		time.Sleep(within)
@@ -158,7 +158,7 @@
 							if isRestored {
 								// The leave is assigned the revision of this lost write, so a
 								// watch after that revision does not return the leave.
-								f.store.put(modelTables, "main", "1")
+								f.store.put(modelConfigs, "main", "1")
 								time.Sleep(modelPropagationTime / 2)
 							}
 							f.interruptStore(outage, isRestored)
@@ -204,13 +204,13 @@
 	const newest = "3"
 	synctest.Test(t, func(t *testing.T) {
 		f := newModelFleet(8)
-		f.store.put(modelTables, "main", "1")
+		f.store.put(modelConfigs, "main", "1")
 		f.start(t)
 		time.Sleep(3 * time.Second)
 		backupTime := time.Now()
 		for _, version := range []string{"2", newest} {
 			time.Sleep(time.Second)
-			f.store.put(modelTables, "main", version)
+			f.store.put(modelConfigs, "main", version)
 		}
 		time.Sleep(modelPropagationTime)
 		f.store.setDown(true)
@@ -223,7 +223,7 @@
 			if got := r.version(); got != newest {
 				t.Errorf("%s: got version %s in force, want %s", r.self.ID, got, newest)
 			}
-			batch, err := r.relayServer.Mirrors[modelTables].List(t.Context())
+			batch, err := r.relayServer.Mirrors[modelConfigs].List(t.Context())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -231,7 +231,7 @@
 				t.Errorf("%s: got version %s in the copy for other routers, want %s", r.self.ID, got, newest)
 			}
 		}
-		f.store.put(modelTables, "main", "4")
+		f.store.put(modelConfigs, "main", "4")
 		time.Sleep(modelPropagationTime)
 		for _, r := range f.routers {
 			if got, want := r.version(), "4"; got != want {
--- a/directory/sharedfeed.go
+++ b/directory/sharedfeed.go
@@ -28,8 +28,8 @@
 
 // SharedFeed is a feed that a few routers of the fleet, the watchers, read from the store. All
 // others read it from the copies of other routers, so that the load on the store does not grow
-// with the fleet. A router whose peers fail asks other ones. It reads from the store in place of
-// the watchers if all peers lack a current copy and its turn has come
+// with the fleet. A router whose peers fail asks other ones. It takes over from the watchers, that
+// is, reads from the store in their place, if all peers lack a current copy and its turn has come
 // (fleet.RelayPosition.TakeoverTurn), or if no peer answers. Set the exported fields before use.
 type SharedFeed struct {
 	FeedName string
@@ -55,11 +55,11 @@
 	// had nothing new was last returned.
 	position slipwick.Position
 	reusedAt time.Time
-	// acting is true while this router reads from the store in place of the watchers. checkedAt
-	// is when it last checked whether the watchers have a current copy again, takeoverTriedAt
-	// when it last tried the store in their place.
-	acting                     bool
-	checkedAt, takeoverTriedAt time.Time
+	// hasTakenOver is true while this router reads from the store in place of the watchers.
+	// watchersCheckedAt is when it last checked whether the watchers have a current copy again,
+	// takeoverTriedAt when it last tried to take over.
+	hasTakenOver                       bool
+	watchersCheckedAt, takeoverTriedAt time.Time
 	// avoidStoreUntil is until when a watcher that cannot reach the store follows routers that
 	// can. storeBackoff is the latest such pause when no other router was known to reach the
 	// store either.
@@ -88,7 +88,7 @@
 	relayPosition := s.Peers.RelayPosition()
 	if s.usesStore(ctx, &relayPosition) {
 		answer := s.listStore(ctx, &relayPosition, true, func(f *peerAnswer) bool { return f.any })
-		s.stopActing(answer.err)
+		s.endTakeover(answer.err)
 		return s.record(answer.batch, answer.err)
 	}
 	found := s.listPeers(ctx, s.candidates(&relayPosition), peerTimeout)
@@ -174,9 +174,11 @@
 	return batch, nil
 }
 
-// sinceRestoreLocked returns how long ago the store was restored from a backup at most, if it was:
-// the restore is not earlier than the latest confirmation of the known timeline or the latest
-// failed call to the store. It returns 0, for unknown, if both are longer than Timing.MaxAge ago.
+// sinceRestoreLocked returns the longest time that can have passed since the store was restored
+// from a backup, if it was. A store is restored only after an outage, and so neither before it was
+// last known to be in the known timeline nor before the latest call to it that failed. It returns
+// 0, for unknown, if both are longer than Timing.MaxAge ago: a router that made no call for that
+// long cannot tell.
 func (s *SharedFeed) sinceRestoreLocked() time.Duration {
 	last := s.confirmedAt
 	if s.storeFailedAt.After(last) {
@@ -202,7 +204,7 @@
 	if err == nil || ctx.Err() != nil || slipwick.IsKind(err, slipwick.KindHistoryLost) {
 		return s.record(batch, err)
 	}
-	s.stopActing(err)
+	s.endTakeover(err)
 	found := s.listPeers(ctx, s.candidates(&relayPosition), s.Timing.orDefault().RelayMargin)
 	s.avoidStore(s.isFresher(&found))
 	if !s.isUsable(&found) {
@@ -257,8 +259,8 @@
 }
 
 // retryAllPeersLocked clears the back-off of all failed peers, once for each value of
-// confirmedAt. No peer knows more than this router then, and those without a current copy a
-// moment ago may be the first to have one.
+// confirmedAt. It is called when a copy of another router had nothing new: the peers that lacked a
+// current copy a moment ago may then be the first to have a newer one.
 func (s *SharedFeed) retryAllPeersLocked() {
 	if s.retriedAllFor.Equal(s.confirmedAt) {
 		return
@@ -285,8 +287,8 @@
 // isUsable reports whether to continue with the current copy of a router that this one does not
 // follow. Copies are confirmed with every round of watches; one that is older comes from a router
 // that is itself waiting for an unresponsive one. For a while after the store has stopped
-// answering, the copies of other routers are current but have nothing new; to return one of these
-// is still useful, but at most once per minBackoff.
+// answering, the copies of other routers are current but have nothing new. Such a copy confirms
+// that the local one is still in the store's state, and is used at most once per minBackoff.
 func (s *SharedFeed) isUsable(f *peerAnswer) bool {
 	if !f.isCurrent {
 		return false
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -14,14 +14,14 @@
 	// startTurnDelay, and those of each further turn startTurnStep later.
 	startTurnDelay = 500 * time.Millisecond
 	startTurnStep  = 250 * time.Millisecond
-	// checkFactor times Timing.MaxAge is how long a router acts in place of the watchers, or a
-	// watcher avoids the store, before it checks whether it still has to.
+	// checkFactor times Timing.MaxAge is how long a router that took over from the watchers reads
+	// from the store, or a watcher avoids it, before it checks whether it still has to.
 	checkFactor = 1.5
 )
 
-// mayTakeOver reports whether this router may ask the store after no other router gave it a
-// current copy. If none answered at all, it is cut off from the others and need not wait. If
-// some answered, they have no current copy either, perhaps because the store is down for all,
+// mayTakeOver reports whether this router may take over from the watchers after no other router
+// gave it a current copy. If none answered at all, it is cut off from the others and need not wait.
+// If some answered, they have no current copy either, perhaps because the store is down for all,
 // and routers ask it in turns.
 func (s *SharedFeed) mayTakeOver(relayPosition *fleet.RelayPosition, answered bool) bool {
 	s.mu.Lock()
@@ -56,45 +56,45 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.acting, s.checkedAt = true, clock.Now()
+	s.hasTakenOver, s.watchersCheckedAt = true, clock.Now()
 	return answer.batch, nil
 }
 
-// usesStore reports whether this router calls the store itself. A router that acts in place of
+// usesStore reports whether this router calls the store itself. A router that has taken over from
 // the watchers checks from time to time whether these have a current copy again.
 func (s *SharedFeed) usesStore(ctx context.Context, relayPosition *fleet.RelayPosition) bool {
 	s.mu.Lock()
 	now := clock.Now()
-	watches, acting := relayPosition.IsWatcher && now.After(s.avoidStoreUntil), s.acting
-	isDue := now.Sub(s.checkedAt) > time.Duration(checkFactor*float64(s.Timing.orDefault().MaxAge))
-	if acting && isDue {
-		s.checkedAt = now
+	watches, hasTakenOver := relayPosition.IsWatcher && now.After(s.avoidStoreUntil), s.hasTakenOver
+	isDue := now.Sub(s.watchersCheckedAt) > time.Duration(checkFactor*float64(s.Timing.orDefault().MaxAge))
+	if hasTakenOver && isDue {
+		s.watchersCheckedAt = now
 	}
 	s.mu.Unlock()
-	if watches || !acting || !isDue {
-		return watches || acting
+	if watches || !hasTakenOver || !isDue {
+		return watches || hasTakenOver
 	}
 	found := s.listPeers(ctx, relayPosition.Relays, peerTimeout)
-	// The routers whose turn is first keep acting until a watcher follows the store again; the
+	// The routers whose takeover turn is 0 continue until a watcher follows the store again; the
 	// others may follow these.
 	if !found.isCurrent || relayPosition.TakeoverTurn == 0 && found.batch.Hops > 1 {
 		return true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.acting = false
+	s.hasTakenOver = false
 	return false
 }
 
-// stopActing ends acting in place of the watchers if a call to the store failed. The router
-// then waits for its turn again.
-func (s *SharedFeed) stopActing(failure error) {
+// endTakeover ends the takeover from the watchers if a call to the store failed. The router then
+// waits for its turn again.
+func (s *SharedFeed) endTakeover(failure error) {
 	if failure == nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.acting = false
+	s.hasTakenOver = false
 }
 
 // avoidStore makes a watcher that the store does not answer follow other routers, for checkFactor
@@ -103,7 +103,7 @@
 func (s *SharedFeed) avoidStore(othersReachIt bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.acting = false
+	s.hasTakenOver = false
 	if othersReachIt {
 		s.avoidStoreUntil = clock.Now().Add(time.Duration(checkFactor * float64(s.Timing.orDefault().MaxAge)))
 		return
--- a/directory/timing.go
+++ b/directory/timing.go
@@ -28,8 +28,10 @@
 	ListTimeout time.Duration
 }
 
-// The fields of a Timing as shares of the propagation time. A watch that ends in an outage, or the
-// age of a current copy, fits into it together with a list from the store over a slow link.
+// The fields of a Timing as shares of the propagation time; detectionShare is the part of MaxAge in
+// which it is detected that the store does not answer. A watch that ends in an outage, or the age of
+// a current copy, fits into the propagation time together with a list from the store over a slow
+// link.
 const (
 	watchShare       = 0.4
 	marginShare      = 0.15
