--- a/directory/backends.go
+++ b/directory/backends.go
@@ -89,8 +89,9 @@
 }
 
 // scheduleTrustLocked makes entries that are suspect, and still listed by then, trusted
-// expiryHeartbeats heartbeat intervals after the store is known to have answered, which was age ago. The store has
-// removed entries that nobody renews by that time, no matter when this router learnt of it.
+// expiryHeartbeats heartbeat intervals after the store is known to have answered, which was age
+// ago. The store has removed entries that nobody renews by that time, no matter when this router
+// learnt of it.
 func (b *Backends) scheduleTrustLocked(age time.Duration) {
 	if b.trustTimer != nil {
 		b.trustTimer.Stop()
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -82,6 +82,25 @@
 	})
 }
 
+// TestBackendsDropExpiredWithinShortBounds has entries expire in a fleet with a short heartbeat
+// and LeaveTime. Those of servers that do not write theirs again are dropped in time.
+func TestBackendsDropExpiredWithinShortBounds(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		var list listRecorder
+		b := NewBackends(list.apply)
+		b.Heartbeat, b.LeaveTime = 600*time.Millisecond, time.Second
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
+		time.Sleep(900 * time.Millisecond)
+		b.RecordFailure()
+		b.RecordAnswer(0, 0)
+		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
+		list.expect(t, "when the store answers after more than a heartbeat", "a", "b")
+		time.Sleep(960 * time.Millisecond)
+		list.expect(t, "before LeaveTime is over", "a")
+	})
+}
+
 func TestBackendsIgnoreShortFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -102,6 +102,16 @@
 	return f.query(ctx, func() (slipwick.FeedBatch, error) { return f.Mirror.Watch(ctx, after, wait) })
 }
 
+// keepConfirmed keeps copies current until ctx ends, as routers that follow the store do.
+func keepConfirmed(ctx context.Context, copies ...*fakeFeed) {
+	for ctx.Err() == nil {
+		for _, c := range copies {
+			c.Apply(withTimeline(c.position.Timeline, batch(c.position.Revision, false)))
+		}
+		sleep(ctx, 100*time.Millisecond)
+	}
+}
+
 // fakePeers provides other routers whose copies are fakes.
 type fakePeers struct {
 	// isWatcher makes the router follow the store. relayIDs are the routers that it follows
--- a/directory/sharedfeed_test.go
+++ b/directory/sharedfeed_test.go
@@ -176,13 +176,3 @@
 		})
 	}
 }
-
-// keepConfirmed keeps copies current until ctx ends, as routers that follow the store do.
-func keepConfirmed(ctx context.Context, copies ...*fakeFeed) {
-	for ctx.Err() == nil {
-		for _, c := range copies {
-			c.Apply(withTimeline(c.position.Timeline, batch(c.position.Revision, false)))
-		}
-		sleep(ctx, 100*time.Millisecond)
-	}
-}
