--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -50,7 +50,7 @@
 	return n.fleetKnown
 }
 
-// FinishCatchUp ends the catch-up: there is no other router to wait for.
+// FinishCatchUp ends the catch-up. Call it if there is no other router to wait for.
 func (n *Node) FinishCatchUp() {
 	n.locked(n.finishCatchUp)
 }
--- a/membership/member.go
+++ b/membership/member.go
@@ -18,9 +18,9 @@
 	suspectedAt time.Time
 	// diedAt is when this router learned of the box's death.
 	diedAt time.Time
-	// lastProbedDeadAt is when the box was last contacted while dead, to find out whether it is
+	// contactedDeadAt is when the box was last contacted while dead, to find out whether it is
 	// reachable again.
-	lastProbedDeadAt time.Time
+	contactedDeadAt time.Time
 	// penalty is the penalty for flapping as of penaltyAt. It grows by one with each death and decays
 	// exponentially.
 	penalty   float64
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -33,7 +33,7 @@
 			n.digest ^= m.digestPart
 			delete(n.members, id)
 		case m.dead():
-			n.probeDead(m, now)
+			n.contactDead(m, now)
 		case !m.suspectedAt.IsZero() && now.Sub(m.suspectedAt) >= n.Policy.SuspicionTimeout:
 			n.markDead(m)
 		}
@@ -43,14 +43,15 @@
 	}
 }
 
-// deadProbeInterval is how often a dead router is contacted, in case it was only partitioned.
-const deadProbeInterval = 10 * time.Second
+// deadContactInterval is how often a dead router is contacted, in case it was only partitioned.
+const deadContactInterval = 10 * time.Second
 
-func (n *Node) probeDead(m *member, now time.Time) {
-	if now.Sub(m.lastProbedDeadAt) < deadProbeInterval {
+// contactDead contacts a dead router, at most once per deadContactInterval.
+func (n *Node) contactDead(m *member, now time.Time) {
+	if now.Sub(m.contactedDeadAt) < deadContactInterval {
 		return
 	}
-	m.lastProbedDeadAt = now
+	m.contactedDeadAt = now
 	// The packet carries the receiver's state as dead, so that the receiver refutes it.
 	packet := n.packet(memberpb.Kind_KIND_NEWS, 0)
 	packet.News = append(packet.News, m.update)
