--- a/membership/catchup_test.go
+++ b/membership/catchup_test.go
@@ -5,12 +5,14 @@
 	"fmt"
 	"maps"
 	"math/rand/v2"
+	"slices"
 	"sync"
 	"testing"
 	"testing/synctest"
 	"time"
 
 	"github.com/slipwick/slipwick"
+	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
 // testNetwork connects nodes by address, with a delay.
@@ -96,7 +98,8 @@
 					t.Errorf("%d routers: %s has not detected yet that it knows all", size, n.Self.ID)
 				}
 			}
-			// A link of 20 Mbit/s carries 1.5 MB in 0.6 s; the seeds must not need all of it.
+			// The slowest links of boxes in the largest fleets, 20 Mbit/s, carry 1.5 MB in 0.6 s. The
+			// seeds must leave a part of that for other traffic.
 			tn.mu.Lock()
 			sent, largest := maps.Clone(tn.sent), tn.largest
 			tn.mu.Unlock()
@@ -135,3 +138,26 @@
 		time.Sleep(time.Second)
 	})
 }
+
+// TestStartingRouterReportsFleetOnce applies updates for fleets of several sizes one router at a
+// time: OnChange is called once when the fleet is known, and for each change from then on.
+func TestStartingRouterReportsFleetOnce(t *testing.T) {
+	for _, size := range []int{50, 100, 200} {
+		n := newTestNode()
+		n.CatchUp = true
+		var reported []int
+		n.OnChange = func(change Change) { reported = append(reported, len(change.EligibleRouters)) }
+		for i := range size {
+			n.applyUpdate(&memberpb.News{
+				Id: fmt.Sprint("r", i),
+			})
+		}
+		n.FinishCatchUp()
+		n.applyUpdate(&memberpb.News{
+			Id: "late",
+		})
+		if want := []int{size + 1, size + 2}; !slices.Equal(reported, want) {
+			t.Errorf("got changes with %v routers, want %v", reported, want)
+		}
+	}
+}
