--- a/claims/claim.go
+++ b/claims/claim.go
@@ -11,7 +11,8 @@
 
 // Claim is a key that this router has claimed for one request.
 type Claim struct {
-	key      Key
+	key Key
+	// claimant is a random number that identifies this attempt to claim the key.
 	claimant uint64
 }
 
--- a/claims/history_test.go
+++ b/claims/history_test.go
@@ -29,17 +29,17 @@
 type history struct {
 	mu         sync.Mutex
 	operations []porcupine.Operation
-	// ran counts the runs by attempt, runs by key.
-	ran     map[int]int
-	runs    map[string]int
-	started time.Time
+	// runsByAttempt and runsByKey count the runs.
+	runsByAttempt map[int]int
+	runsByKey     map[string]int
+	started       time.Time
 }
 
 func (h *history) run(a attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.ran[a.id]++
-	h.runs[a.key]++
+	h.runsByAttempt[a.id]++
+	h.runsByKey[a.key]++
 }
 
 func (h *history) add(a attempt, began time.Time, got result) {
@@ -70,14 +70,14 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var found []string
-	for key, runs := range h.runs {
+	for key, runs := range h.runsByKey {
 		if runs > 1 {
 			found = append(found, fmt.Sprintf("key %s ran %d times", key, runs))
 		}
 	}
 	for _, operation := range h.operations {
 		a, got := operation.Input.(attempt), operation.Output.(result)
-		if got.outcome == slipwick.OutcomeNotRun && h.ran[a.id] > 0 {
+		if got.outcome == slipwick.OutcomeNotRun && h.runsByAttempt[a.id] > 0 {
 			found = append(found, fmt.Sprintf("attempt %d got not-run although it ran", a.id))
 		}
 	}
--- a/claims/key.go
+++ b/claims/key.go
@@ -48,7 +48,8 @@
 		}
 	}
 	key := Key{
-		// Another router may still accept the key, because clocks differ by up to twice the skew.
+		// Another router may accept the key for longer: the clocks of two routers differ by up to
+		// twice MaxClockSkew, since each may differ by that much from the caller's.
 		expires: made.Add(p.KeyLifetime + 2*p.MaxClockSkew),
 	}
 	digest := sha256.New()
--- a/claims/policy.go
+++ b/claims/policy.go
@@ -15,7 +15,7 @@
 	MaxSegments int
 	// KeyLifetime is how long a key is valid, from the time in it.
 	KeyLifetime time.Duration
-	// MaxClockSkew is how far the clocks of callers and routers may differ.
+	// MaxClockSkew is how far a caller's clock and a router's may differ.
 	MaxClockSkew time.Duration
 	// AnswerTimeout is how long to wait for a holder before it is asked again.
 	AnswerTimeout time.Duration
--- a/claims/schedule_test.go
+++ b/claims/schedule_test.go
@@ -57,9 +57,9 @@
 	synctest.Test(t, func(*testing.T) {
 		f := newFleet(s.seed, s.routers, testPolicy())
 		h := &history{
-			ran:     make(map[int]int),
-			runs:    make(map[string]int),
-			started: time.Now(),
+			runsByAttempt: make(map[int]int),
+			runsByKey:     make(map[string]int),
+			started:       time.Now(),
 		}
 		f.store.set(func(store *fakeStore) {
 			store.loseAnswer, store.late = s.lostAnswers, s.lateWrite
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -46,7 +46,6 @@
 // deadContactInterval is how often a dead router is contacted, in case it was only partitioned.
 const deadContactInterval = 10 * time.Second
 
-// contactDead contacts a dead router, at most once per deadContactInterval.
 func (n *Node) contactDead(m *member, now time.Time) {
 	if now.Sub(m.contactedDeadAt) < deadContactInterval {
 		return
