--- a/claims/history_test.go
+++ b/claims/history_test.go
@@ -2,13 +2,11 @@
 
 import (
 	"fmt"
-	"strings"
 	"sync"
 	"testing"
 	"time"
 
 	"github.com/anishathalye/porcupine"
-	"pgregory.net/rapid"
 
 	"github.com/slipwick/slipwick"
 )
@@ -135,28 +133,6 @@
 	}
 }
 
-// TestRandomSchedules checks that no random schedule makes a key run twice or gives a caller a
-// wrong outcome.
-func TestRandomSchedules(t *testing.T) {
-	schedules := 0
-	outcomes := make(map[slipwick.Outcome]int)
-	rapid.Check(t, func(r *rapid.T) {
-		violations, counts := drawSchedule(r).run(t)
-		schedules++
-		for outcome, count := range counts {
-			outcomes[outcome] += count
-		}
-		if len(violations) > 0 {
-			r.Fatal(strings.Join(violations, "\n"))
-		}
-	})
-	t.Logf("%d schedules, operations by outcome: %v, no violation", schedules, outcomes)
-	if schedules >= 1000 && outcomes[slipwick.OutcomeCompleted] < schedules {
-		t.Errorf("got %d completed operations in %d schedules, want at least one per schedule for meaningful checks",
-			outcomes[slipwick.OutcomeCompleted], schedules)
-	}
-}
-
 // TestCheckerFindsInjectedFaults checks that history.violations detects each fault that claims have
 // to prevent.
 func TestCheckerFindsInjectedFaults(t *testing.T) {
--- a/claims/schedule_test.go
+++ b/claims/schedule_test.go
@@ -3,6 +3,7 @@
 import (
 	"context"
 	"math/rand/v2"
+	"strings"
 	"sync"
 	"testing"
 	"testing/synctest"
@@ -225,3 +226,25 @@
 		return slipwick.OutcomeCompleted
 	}
 }
+
+// TestRandomSchedules checks that no random schedule makes a key run twice or gives a caller a
+// wrong outcome.
+func TestRandomSchedules(t *testing.T) {
+	schedules := 0
+	outcomes := make(map[slipwick.Outcome]int)
+	rapid.Check(t, func(r *rapid.T) {
+		violations, counts := drawSchedule(r).run(t)
+		schedules++
+		for outcome, count := range counts {
+			outcomes[outcome] += count
+		}
+		if len(violations) > 0 {
+			r.Fatal(strings.Join(violations, "\n"))
+		}
+	})
+	t.Logf("%d schedules, operations by outcome: %v, no violation", schedules, outcomes)
+	if schedules >= 1000 && outcomes[slipwick.OutcomeCompleted] < schedules {
+		t.Errorf("got %d completed operations in %d schedules, want at least one per schedule for meaningful checks",
+			outcomes[slipwick.OutcomeCompleted], schedules)
+	}
+}
