--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -159,7 +159,8 @@
 	}
 	backends.OnError = func(error) { r.backends.RecordFailure() }
 	backends.OnChange = r.backends.Apply
-	configs := newModelFollower(r, modelConfigs, func(_ string, value []byte) (string, error) { return string(value), nil })
+	configs := newModelFollower(r, modelConfigs,
+		func(_ string, value []byte) (string, error) { return string(value), nil })
 	configs.OnChange = r.applyConfig
 	configs.IsOutdated = func(known, received string) bool { return received < known }
 	r.followers = append(r.followers, backends.Run, configs.Run)
