--- a/cmd/internal/gatewayd/peers.go
+++ b/cmd/internal/gatewayd/peers.go
@@ -55,8 +55,8 @@
 	return others
 }
 
-// Relay returns a client of another router's copy of a feed.
-func (p *peers) Relay(id, feed string) slipwick.Feed {
+// PeerFeed returns a client of another router's copy of a feed.
+func (p *peers) PeerFeed(id, feed string) slipwick.Feed {
 	return &directory.RelayClient{
 		Address:  p.node.Address(id),
 		FeedName: feed,
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -139,7 +139,7 @@
 
 func (p *fakePeers) Others() []string { return p.relayIDs }
 
-func (p *fakePeers) Relay(id, _ string) slipwick.Feed { return p.relays[id] }
+func (p *fakePeers) PeerFeed(id, _ string) slipwick.Feed { return p.relays[id] }
 
 // testTiming has the wait times of followers without other settings.
 var testTiming = TimingWithin(DefaultPropagationTime)
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -243,7 +243,7 @@
 	r.cut = cut
 }
 
-// FleetKnown, RelayPosition, Others and Relay implement Peers.
+// FleetKnown, RelayPosition, Others and PeerFeed implement Peers.
 func (r *modelRouter) FleetKnown() <-chan struct{} { return r.fleetKnown }
 
 func (r *modelRouter) RelayPosition() fleet.RelayPosition {
@@ -268,7 +268,7 @@
 	return ids
 }
 
-func (r *modelRouter) Relay(id, feed string) slipwick.Feed {
+func (r *modelRouter) PeerFeed(id, feed string) slipwick.Feed {
 	relay := &RelayClient{
 		Address:  id,
 		FeedName: feed,
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -197,7 +197,7 @@
 			onBegin()
 		}
 	})
-	batch, err := call(hooked, s.Peers.Relay(id, s.FeedName))
+	batch, err := call(hooked, s.Peers.PeerFeed(id, s.FeedName))
 	f := peerAnswer{
 		began: began.Load(),
 	}
--- a/directory/peers.go
+++ b/directory/peers.go
@@ -15,6 +15,6 @@
 	RelayPosition() fleet.RelayPosition
 	// Others returns the IDs of all other live routers.
 	Others() []string
-	// Relay returns the copy of the named feed at the router with the ID.
-	Relay(id, feed string) slipwick.Feed
+	// PeerFeed returns the copy of the named feed at the router with the ID.
+	PeerFeed(id, feed string) slipwick.Feed
 }
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -232,7 +232,7 @@
 	return ids
 }
 
-func (r *simRouter) Relay(id, _ string) slipwick.Feed {
+func (r *simRouter) PeerFeed(id, _ string) slipwick.Feed {
 	return &simPeerFeed{
 		from: r,
 		to:   r.fleet.byID[id],
