--- a/directory/backends.go
+++ b/directory/backends.go
@@ -13,15 +13,15 @@
 
 const (
 	// The store counts as down at a failed call if its latest answer is older than
-	// outageHeartbeats heartbeat intervals. Entries expire after a few missed heartbeats, and the store may have been
-	// unreachable for the servers for longer than for this router.
+	// outageHeartbeats heartbeat intervals. Entries expire after a few missed heartbeats, and the
+	// store may have been unreachable for the servers for longer than for this router.
 	outageHeartbeats = 1.25
 	// DefaultHeartbeat is the heartbeat interval if the settings have none.
 	DefaultHeartbeat = 1200 * time.Millisecond
 	// reregisterTime is how long servers have to write their entries again after an outage of
 	// the store, which they do within about 2 s. It is bounded by reregisterShare of
 	// Backends.LeaveTime, so that a server that is gone gets nothing new after LeaveTime, also
-	// after an outage, and is itself that share of 2 s, the default LeaveTime.
+	// after an outage, and is itself that share of 2 s, the LeaveTime if the settings have none.
 	reregisterTime  = 1900 * time.Millisecond
 	reregisterShare = 0.95
 )
--- a/directory/backuprestore_test.go
+++ b/directory/backuprestore_test.go
@@ -121,7 +121,7 @@
 // store restored from a backup made before both. The routers saw the listed entry disappear, yet
 // its server is alive. It is in use as soon as the entry cannot be that of a stopped server: the
 // store removes an entry after three missed renewals, restarts that time if it is interrupted, and
-// an interruption is noticed if it is longer than a certain share of a heartbeat.
+// an interruption is noticed if it is longer than outageHeartbeats heartbeat intervals.
 func TestServerBackBeforeRestoreIsUsedAgain(t *testing.T) {
 	const within = 2*modelExpiry + time.Duration(outageHeartbeats*float64(modelHeartbeat)) + modelPropagationTime
 	synctest.Test(t, func(t *testing.T) {
