--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -149,7 +149,8 @@
 }
 
 // run sends the crashing request and the others until all have ended. It returns how many of the
-// others were quarantined, how many have two crashes or more without that, and how many there were.
+// others were quarantined, how many have two crashes or more without being quarantined, and how many
+// there were.
 func (s *simulation) run() (quarantined, twice, others int) {
 	for engine := range s.engines {
 		s.started++
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -16,8 +16,8 @@
 	// maxRecords bounds the requests that are remembered, at about 300 bytes each. A server that
 	// crashes adds a few dozen, and requests that are retried are kept as the most recently used.
 	maxRecords = 4096
-	// maxPending bounds the crashes that wait to be sent to the other routers; RecentCrashes
-	// returns any beyond that.
+	// maxPending bounds the crashes that wait to be sent to the other routers. Crashes beyond that
+	// are sent only if RecentCrashes returns them.
 	maxPending = 512
 	// recentPeriod is how long RecentCrashes returns the crashes of a record after a change.
 	recentPeriod = 10 * time.Second
@@ -132,7 +132,8 @@
 
 // Begin records that the request is sent to a backend server. It returns false if the request is
 // quarantined and this is no trial. If the request becomes quarantined before the attempt ends,
-// stop is called, so that the attempt can be aborted before the server begins to run the request.
+// stop is called, so that the attempt can be aborted before the server begins to run the request. It
+// is called with the tracker locked, and so must not call back into it.
 func (t *Tracker) Begin(key Key, backend *slipwick.Backend, isTrial bool, stop func()) (*Attempt, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
