--- a/retry/budget.go
+++ b/retry/budget.go
@@ -137,7 +137,8 @@
 // window counts one pool's requests and retries.
 type window struct {
 	requests, retries slidingSum
-	slot              int64
+	// slot is the current slot, counted from Budget.began.
+	slot int64
 	// rounding is a random number in [0, 1) that is added to the router's share before it is
 	// rounded down.
 	rounding float64
