--- a/upstream/client_test.go
+++ b/upstream/client_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"net/http"
-	"strconv"
 	"strings"
 	"sync"
 	"testing"
@@ -15,10 +14,6 @@
 	"github.com/slipwick/slipwick"
 )
 
-func itoa(n int) string {
-	return strconv.Itoa(n)
-}
-
 func request(id string) *Request {
 	return &Request{
 		Method:   http.MethodPost,
--- a/upstream/fakeserver_test.go
+++ b/upstream/fakeserver_test.go
@@ -4,6 +4,7 @@
 	"bufio"
 	"net"
 	"net/http"
+	"strconv"
 	"testing"
 )
 
@@ -68,3 +69,7 @@
 func responseText(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + itoa(len(body)) + "\r\n\r\n" + body
 }
+
+func itoa(n int) string {
+	return strconv.Itoa(n)
+}
