--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -1,6 +1,7 @@
 package gateway
 
 import (
+	"fmt"
 	"io"
 	"net/http"
 	"net/http/httptest"
@@ -43,6 +44,15 @@
 	return b
 }
 
+func newBackends(t *testing.T, n int, handle func(*backend, http.ResponseWriter, *http.Request)) []*backend {
+	t.Helper()
+	var backends []*backend
+	for i := range n {
+		backends = append(backends, newBackend(t, fmt.Sprint("b", i), handle))
+	}
+	return backends
+}
+
 // respondWith returns a handler that runs the request and responds.
 func respondWith(status int, body string) func(*backend, http.ResponseWriter, *http.Request) {
 	return func(b *backend, w http.ResponseWriter, _ *http.Request) {
@@ -72,6 +82,19 @@
 	}
 }
 
+// withHeaders returns a handler that sets response headers, given as names and values in turn, and
+// then calls handle.
+func withHeaders(
+	handle func(*backend, http.ResponseWriter, *http.Request), header ...string,
+) func(*backend, http.ResponseWriter, *http.Request) {
+	return func(b *backend, w http.ResponseWriter, r *http.Request) {
+		for i := 0; i+1 < len(header); i += 2 {
+			w.Header().Set(header[i], header[i+1])
+		}
+		handle(b, w, r)
+	}
+}
+
 // recordingObserver records all calls.
 type recordingObserver struct {
 	mu        sync.Mutex
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -24,15 +24,6 @@
 	return f.gateway.Quarantine
 }
 
-func newBackends(t *testing.T, n int, handle func(*backend, http.ResponseWriter, *http.Request)) []*backend {
-	t.Helper()
-	var backends []*backend
-	for i := range n {
-		backends = append(backends, newBackend(t, fmt.Sprint("b", i), handle))
-	}
-	return backends
-}
-
 func totalRuns(backends []*backend) int64 {
 	runs := int64(0)
 	for _, b := range backends {
