--- a/gateway/fixture_test.go
+++ b/gateway/fixture_test.go
@@ -260,7 +260,7 @@
 	return f
 }
 
-// request returns a caller's request with a valid key.
+// request returns a caller's request with a valid API key.
 func (f *fixture) request(t *testing.T, path, body string) *http.Request {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, f.server.URL+path, strings.NewReader(body))
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -141,8 +141,8 @@
 		return nil, refuseNoRoute(table.Version)
 	}
 	var workspace *routing.Workspace
-	if key, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); ok {
-		workspace = table.Workspace(key)
+	if apiKey, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer "); ok {
+		workspace = table.Workspace(apiKey)
 	}
 	if workspace == nil && !route.AllowAnonymous && table.WorkspaceCount > 0 {
 		return nil, refuseNoKey(table.Version)
--- a/gateway/notice_test.go
+++ b/gateway/notice_test.go
@@ -31,7 +31,7 @@
 				f.post(t, path)
 			}
 			if path == "/affine/x" && arrivals == 0 {
-				continue // The prompt is cached at the other one.
+				continue // A route with affinity may send nothing to the leaving server.
 			}
 			if arrivals != 1 {
 				t.Errorf("%s, %s: got %d requests at the leaving backend server, want 1", name, path, arrivals)
--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -58,7 +58,8 @@
 	Reason string
 	// Status is the status of the response to a failed or refused request, and 0 otherwise.
 	Status int
-	// Sends is how often the request was sent, Events how many events of a stream were forwarded.
+	// Sends is how often the gateway sent the request or tried to, Events how many events of a
+	// stream were forwarded.
 	Sends    int
 	Events   int
 	Duration time.Duration
--- a/gateway/serve.go
+++ b/gateway/serve.go
@@ -39,8 +39,8 @@
 			break
 		}
 		if c.awaitPrefill(lease); lease.Wait > 0 && !c.gateway.Balancer.StillAccepts(lease) {
-			// During the wait, the backend server left the pool, asked for a pause or became cold,
-			// or its data centre was evacuated.
+			// During the wait, the backend server was removed from the pool, announced that it is
+			// leaving, asked for a pause or became cold, or its data centre was evacuated.
 			c.gateway.Balancer.Abandon(lease)
 			continue
 		}
--- a/gateway/startupwait.go
+++ b/gateway/startupwait.go
@@ -17,8 +17,9 @@
 	// router is ready. The rest is left for a retry at another router, in case this one does not
 	// become ready.
 	startupWaitShare = 0.5
-	// maxStartupWait caps that wait, so that a router without any connection to the store or to
-	// other routers, which cannot become ready, does not hold requests that set no time limit.
+	// maxStartupWait caps that wait, so that a router that can read the configuration and the list
+	// of backend servers neither from the store nor from other routers, and so cannot become ready,
+	// does not hold requests that set no time limit.
 	maxStartupWait = 5 * time.Second
 	// startupPollInterval is how often a waiting request checks whether it can go on.
 	startupPollInterval = 20 * time.Millisecond
