--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -21,9 +21,10 @@
 	// Those relay them, so that 330 routers know them after three hops, even if one packet in ten
 	// is lost. A small fleet is reached in one hop.
 	gossipFanOut = 10
-	// resendInterval is how often the crashes of quarantined requests are sent again, to
+	// resendInterval is how often the crashes that Tracker.RecentCrashes returns are sent again, to
 	// resendFanOut routers chosen at random: a router that has started, or that was partitioned,
-	// learns of them within seconds. Nothing is sent while no request is quarantined.
+	// learns of quarantined requests within seconds. Nothing is sent while no request is quarantined
+	// and none has several recent crashes.
 	resendInterval = time.Second
 	resendFanOut   = 3
 	// maxResent bounds the crashes that are sent again at a time.
--- a/exchange/gossip_test.go
+++ b/exchange/gossip_test.go
@@ -37,8 +37,9 @@
 	from string
 }
 
-// Send delivers a datagram after a delay, or loses it. The loss is drawn by link and number, so
-// that it does not depend on the order in which routers run.
+// Send delivers a datagram after a delay, or loses it. Which datagrams are lost is drawn from the
+// link and the number of the datagram on it, so that it does not depend on the order in which
+// routers run.
 func (t gossipTransport) Send(address string, packet []byte) {
 	f := t.gossipFleet
 	f.mu.Lock()
@@ -115,11 +116,11 @@
 
 // crashUnder crashes a server while it runs a request for a router.
 func (f *gossipFleet) crashUnder(key quarantine.Key, router int, server string) {
-	run, ok := f.trackers[fmt.Sprint("router-", router)].Begin(key, &slipwick.Backend{
+	attempt, ok := f.trackers[fmt.Sprint("router-", router)].Begin(key, &slipwick.Backend{
 		ID: server,
 	}, false, func() {})
 	if ok {
-		run.End(quarantine.OutcomeCrashed)
+		attempt.End(quarantine.OutcomeCrashed)
 	}
 }
 
--- a/exchange/syncer.go
+++ b/exchange/syncer.go
@@ -19,9 +19,10 @@
 	// updateInterval is the interval between updates: shorter than requests run, but long enough
 	// that updates cost a router little.
 	updateInterval = 200 * time.Millisecond
-	// urgentDelay is the delay before an urgent update, and before new crashes are sent. relayDelay
-	// is the delay before a hub relays urgent parts. Together with the time to send the parts, the
-	// delays are shorter than the shortest prefill that is reported as urgent.
+	// urgentDelay is the delay before an urgent update, which reports the parts of a long prompt that
+	// an engine has just begun to prefill, and before new crashes are sent. relayDelay is the delay
+	// before a hub relays urgent parts. Together with the time to send the parts, the delays are
+	// shorter than the shortest prefill that is reported as urgent.
 	urgentDelay = 10 * time.Millisecond
 	relayDelay  = 15 * time.Millisecond
 	// sequenceBits is the number of low bits of a sequence number that count the datagrams within a
@@ -240,7 +241,8 @@
 	}
 }
 
-// Receive handles a datagram of another router. It drops one that can't be decoded.
+// Receive handles a datagram of another router. The datagram names its sender, so that the address
+// that it came from is not used. Receive drops a datagram that can't be decoded.
 func (s *Syncer) Receive(_ string, packet []byte) {
 	message := &exchangepb.Told{}
 	if proto.Unmarshal(packet, message) != nil || message.GetFrom() == s.Self {
@@ -266,7 +268,7 @@
 }
 
 // queueForRelay queues the events of an update for relay, unless the fleet is known to be too small
-// for hubs. If this router is no hub, its next update clears the queue.
+// for hubs. If this router is in the group of a hub, its next update clears the queue.
 func (s *Syncer) queueForRelay(scope exchangepb.Scope, urgent bool, events balance.Update) {
 	size := s.fleetSize.Load()
 	if countEvents(&events) == 0 || size > 0 && size <= maxMeshSize {
