--- a/gateway/buffered.go
+++ b/gateway/buffered.go
@@ -4,7 +4,6 @@
 	"bytes"
 	"io"
 	"net/http"
-	"slices"
 	"strconv"
 
 	"github.com/pkg/errors"
@@ -45,19 +44,6 @@
 	}, tooLarge, err
 }
 
-// copyHeader copies a response header except for the hop-by-hop headers.
-func copyHeader(to, from http.Header) {
-	for name, values := range from {
-		if !slices.Contains(hopByHop, name) {
-			to[name] = values
-		}
-	}
-	if from.Get("Content-Type") == "" {
-		// A nil value keeps net/http from guessing the content type.
-		to["Content-Type"] = nil
-	}
-}
-
 // write writes the response to the caller. An error means that the caller has disconnected.
 func (r *bufferedResponse) write(w http.ResponseWriter) error {
 	copyHeader(w.Header(), r.header)
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -14,8 +14,6 @@
 	"github.com/slipwick/slipwick/quarantine"
 )
 
-const reasonQuarantined = "quarantined"
-
 // crashWindow is how long after the first event of a stream a crash of the backend server still
 // counts as caused by the request: a request that crashes a server does so when it begins to run.
 // Most requests in progress at an engine have run for longer, so that no check whether their server
--- a/gateway/headers.go
+++ b/gateway/headers.go
@@ -1,5 +1,10 @@
 package gateway
 
+import (
+	"net/http"
+	"slices"
+)
+
 // Headers holds the names of the headers that routers read and set. Header values that are
 // durations are in milliseconds.
 type Headers struct {
@@ -66,3 +71,16 @@
 	"Transfer-Encoding",
 	"Upgrade",
 }
+
+// copyHeader copies a response header except for the hop-by-hop headers.
+func copyHeader(to, from http.Header) {
+	for name, values := range from {
+		if !slices.Contains(hopByHop, name) {
+			to[name] = values
+		}
+	}
+	if from.Get("Content-Type") == "" {
+		// A nil value keeps net/http from guessing the content type.
+		to["Content-Type"] = nil
+	}
+}
--- a/gateway/refusal.go
+++ b/gateway/refusal.go
@@ -18,6 +18,9 @@
 	RetryAfter time.Duration
 }
 
+// reasonQuarantined is the reason for which a quarantined request is refused or not sent again.
+const reasonQuarantined = "quarantined"
+
 // Values of Refusal.RetryAfter.
 const (
 	// retryElsewhere is for requests that another router can serve now.
