--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -40,7 +40,7 @@
 	Transport Transport
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
-	// Address returns the address at which a router receives datagrams.
+	// Address returns the address that Transport takes for a router.
 	Address func(slipwick.Router) string
 	// Shuffle puts the routers in random order; NewCrashGossiper sets it to rand.Shuffle.
 	Shuffle func(n int, swap func(i, j int))
@@ -125,7 +125,8 @@
 	return message
 }
 
-// DecodeCrashes returns the crashes in a datagram. It returns nil if the datagram can't be decoded.
+// DecodeCrashes returns the crashes that a CrashGossiper sent in a packet, for routers that have no
+// Syncer to receive it. It returns nil if the packet can't be decoded.
 func DecodeCrashes(packet []byte) []quarantine.Crash {
 	message := &exchangepb.Told{}
 	if proto.Unmarshal(packet, message) != nil {
