--- a/quarantine/key.go
+++ b/quarantine/key.go
@@ -23,7 +23,7 @@
 	return Key(hash.Sum64())
 }
 
-// String returns the key in hexadecimal, as logs and metrics show it.
+// String returns the key in hexadecimal, as logs show it.
 func (k Key) String() string {
 	const base = 16
 	return strconv.FormatUint(uint64(k), base)
