--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -21,9 +21,10 @@
 	// Those relay them, so that 330 routers know them after three hops, even if one packet in ten
 	// is lost. A small fleet is reached in one hop.
 	gossipFanOut = 10
-	// resendInterval is how often the crashes of quarantined requests are sent again, to
+	// resendInterval is how often the crashes that Tracker.RecentCrashes returns are sent again, to
 	// resendFanOut routers chosen at random: a router that has started, or that was partitioned,
-	// learns of them within seconds. Nothing is sent while no request is quarantined.
+	// learns of quarantined requests within seconds. Nothing is sent while no request is quarantined
+	// and none has several recent crashes.
 	resendInterval = time.Second
 	resendFanOut   = 3
 	// maxResent bounds the crashes that are sent again at a time.
@@ -39,7 +40,7 @@
 	Transport Transport
 	// Routers returns the live routers, with or without this one.
 	Routers func() []slipwick.Router
-	// Address returns the address at which a router receives datagrams.
+	// Address returns the address that Transport takes for a router.
 	Address func(slipwick.Router) string
 	// Shuffle puts the routers in random order; NewCrashGossiper sets it to rand.Shuffle.
 	Shuffle func(n int, swap func(i, j int))
@@ -124,7 +125,8 @@
 	return message
 }
 
-// DecodeCrashes returns the crashes in a datagram. It returns nil if the datagram can't be decoded.
+// DecodeCrashes returns the crashes that a CrashGossiper sent in a packet, for routers that have no
+// Syncer to receive it. It returns nil if the packet can't be decoded.
 func DecodeCrashes(packet []byte) []quarantine.Crash {
 	message := &exchangepb.Told{}
 	if proto.Unmarshal(packet, message) != nil {
