--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -75,9 +75,9 @@
 	// cached when the router started.
 	firstListAt  time.Time
 	startedEmpty bool
-	// canaries has the canary of each pool. versions has when each version first appeared in a
-	// pool, zero if it was there when the router started. All rollouts that the store had at
-	// rolloutsAsOf are known.
+	// canaries has the canary of each pool. versions has, by pool and version, when the version
+	// first appeared, zero if its servers may have been running before the router. All rollouts
+	// that the store had at rolloutsAsOf are known.
 	canaries     map[string]*canaryState
 	versions     map[string]map[string]time.Time
 	rolloutsAsOf time.Time
@@ -216,8 +216,8 @@
 
 // usableLocked returns the backend servers that may get the request. If no other is left, it
 // returns the cold ones with capacity left in their limit, and failing these the ejected and
-// unresponsive ones, but never those that are leaving, evacuated or asked for a pause. The slice is
-// valid until the next call.
+// unresponsive ones unless the request is HealthyOnly, but never those that are leaving, evacuated
+// or asked for a pause. The slice is valid until the next call.
 func (b *Balancer) usableLocked(pool []*server, request *Request, now time.Time) []*server {
 	usable, cold, unavailable := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.unavailable[:0]
 	evacuatedOrPaused := b.scratch.evacuatedOrPaused[:0]
--- a/balance/canary.go
+++ b/balance/canary.go
@@ -29,11 +29,11 @@
 	Good, Bad int
 }
 
-// canaryState is a Canary with its counts.
+// canaryState is the Canary of a pool with the outcomes counted for each of its two sides: the
+// servers of its version, and all others.
 type canaryState struct {
 	Canary
-	// oldCounts and newCounts are the counts of the two sides of the canary: newCounts is for
-	// servers of its version, oldCounts for all others.
+	// newCounts is for servers of the canary's version, oldCounts for all others.
 	oldCounts, newCounts versionCounts
 }
 
@@ -214,8 +214,8 @@
 	return held
 }
 
-// MarkRolloutsKnown notes that all rollouts are known that the store had at the time. Versions that
-// appeared earlier and are named in none are used like any other.
+// MarkRolloutsKnown notes that all rollouts are known that the store had at the time asOf. Versions
+// that appeared before asOf and are named in none of them are used like any other.
 func (b *Balancer) MarkRolloutsKnown(asOf time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/balance/cold_test.go
+++ b/balance/cold_test.go
@@ -159,8 +159,9 @@
 	}
 }
 
-// run has all routers send requests for a while: about 50 a second each, several times the usual
-// rate of one request per engine in 150 ms.
+// run has all routers send requests for a while, each of them about 50 a second to 3 engines. One
+// router alone thus sends more than twice the usual rate of all routers together, which is one
+// request per engine in 150 ms.
 func (f *coldFleet) run(random *rand.Rand, during time.Duration) {
 	const step = 10 * time.Millisecond
 	for end := time.Now().Add(during); time.Now().Before(end); time.Sleep(step) {
--- a/balance/incarnation_test.go
+++ b/balance/incarnation_test.go
@@ -156,7 +156,7 @@
 }
 
 // TestEntryWithoutStartTimeIsTheSameIncarnation has entries without start times, as servers write
-// them that use an earlier version of the platform's contract, and an entry that lacks its start time
+// them that use an earlier version of the platform's protocol, and an entry that lacks its start time
 // once.
 func TestEntryWithoutStartTimeIsTheSameIncarnation(t *testing.T) {
 	for _, starts := range [][]int64{{0, 0}, {1_000, 0}, {1_000, 0, 1_000}, {1_000, 1_000}} {
--- a/balance/notice_test.go
+++ b/balance/notice_test.go
@@ -16,7 +16,7 @@
 	b.RecordNotice(leaseAt(t, b, id), notice)
 }
 
-// leaseAt returns a lease at a backend server that does not count as in flight.
+// leaseAt returns a lease at a backend server without counting it among those in flight there.
 func leaseAt(t *testing.T, b *Balancer, id string) *Lease {
 	t.Helper()
 	s := b.servers[id]
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -153,7 +153,7 @@
 	return c.score > other.score
 }
 
-// recordCachedPartsLocked records where parts are cached, also for the next update.
+// recordCachedPartsLocked records that a server will have the parts cached, also for the next update.
 func (b *Balancer) recordCachedPartsLocked(parts []uint64, s *server) {
 	for _, part := range parts {
 		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingCachedParts) < maxPendingItems {
@@ -166,9 +166,9 @@
 }
 
 // fetchSourceLocked returns the engine from which the chosen one should fetch the prompt or its
-// first parts, or nil. In this order it is one that is known to have the whole prompt cached,
-// the best ranked engine of those listed before the chosen one if its cache is not known, or
-// one that is known to have the first parts cached.
+// first parts, or nil. The first choice is an engine that is known to have the whole prompt cached.
+// The second is the likely holder, unless that is the chosen engine or its cache is known. The third
+// is an engine that is known to have the first parts cached.
 func (b *Balancer) fetchSourceLocked(
 	request *Request, parts []uint64, pool []*server, chosen *server, now time.Time,
 ) *server {
@@ -191,7 +191,8 @@
 }
 
 // likelyHolderLocked returns the best ranked engine for a prompt among the chosen one and those
-// listed before it.
+// that were not listed after it, or nil. The chosen one counts only if it has been listed for
+// cacheWarmupTime.
 func (b *Balancer) likelyHolderLocked(
 	request *Request, prompt uint64, pool []*server, chosen *server, now time.Time,
 ) *server {
--- a/balance/regions_test.go
+++ b/balance/regions_test.go
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestRequestThatNoRegionAllowsIsRefused has a request without allowed regions, as when its route
+// TestRequestWithoutAllowedRegionsIsRefused has a request without allowed regions, as when its route
 // and its workspace have none in common.
-func TestRequestThatNoRegionAllowsIsRefused(t *testing.T) {
+func TestRequestWithoutAllowedRegionsIsRefused(t *testing.T) {
 	b := newBalancerIn(3, "d", "e", "f")
 	request := prompt(1)
 	request.Regions = []string{}
--- a/balance/server.go
+++ b/balance/server.go
@@ -31,8 +31,8 @@
 	// one, also if it arrives late. The hash also determines the server's rank. If the ID did,
 	// a restarted server would get the same prompts again although its cache is lost.
 	hash uint64
-	// listedAt is when the server was first listed, zero if it was there when the router
-	// started.
+	// listedAt is when the server was first listed, zero if it may have been running before the
+	// router.
 	listedAt time.Time
 	// cacheKnown says that the router knows what the server has cached: the cache was empty when
 	// the server was listed, or the server or another router has reported its contents since.
@@ -58,7 +58,7 @@
 	sends float64
 
 	// remoteInFlight counts the requests of the other routers by their updates,
-	// remotePrefillTokens the tokens that the server has yet to prefill for these.
+	// remotePrefillTokens the tokens that the server has yet to prefill for these routers.
 	remoteInFlight, remotePrefillTokens int
 
 	// evacuated says that the server's data centre is evacuated.
@@ -99,8 +99,8 @@
 	return entry.StartTime == 0 || entry.StartTime == s.StartTime
 }
 
-// inFlightElsewhere returns how many requests the other routers have there by the latest load
-// report. ok is false without a recent one.
+// inFlightElsewhere returns how many requests of other routers are in flight at the server by its
+// latest load report. ok is false without a recent one.
 func (s *server) inFlightElsewhere(now time.Time) (count int, ok bool) {
 	if s.reportedAt.IsZero() || now.Sub(s.reportedAt) > loadReportTTL {
 		return 0, false
@@ -139,6 +139,7 @@
 		return false
 	}
 	ejection := min(first<<s.consecutiveEjections, maxEjection)
+	// The limit keeps the shift above from overflowing.
 	if s.consecutiveEjections < 8 {
 		s.consecutiveEjections++
 	}
--- a/balance/state.go
+++ b/balance/state.go
@@ -13,15 +13,15 @@
 	Pool       string `json:"pool"`
 	Address    string `json:"address"`
 	DataCentre string `json:"data_centre"`
-	// Evacuated says that the server's data centre is evacuated, ColdMS for how many
-	// milliseconds it still gets few requests because it is cold.
+	// Evacuated says that the server's data centre is evacuated, ColdMS for how many more
+	// milliseconds the server counts as cold.
 	Evacuated bool  `json:"evacuated"`
 	ColdMS    int64 `json:"cold_ms"`
 
-	// Leaving says that the server gets no new requests because it is ending.
+	// Leaving says that the server's entry in the list marks it as leaving.
 	Leaving bool `json:"leaving"`
-	// SaysLeaving says that the server announced in a response that it is leaving, PausedMS for
-	// how many milliseconds it still wants no requests from this router.
+	// SaysLeaving says that the server announced in a response that it is leaving, PausedMS how
+	// many milliseconds remain of the pause that it asked this router for.
 	SaysLeaving bool  `json:"says_leaving"`
 	PausedMS    int64 `json:"rest_ms"`
 
--- a/balance/update.go
+++ b/balance/update.go
@@ -200,7 +200,7 @@
 }
 
 // SetPeers sets the IDs of the senders whose updates this router receives, and how many other
-// routers they represent. The counts stand for the fleet's only once all of these have sent
+// routers they represent. The counts are those of the whole fleet only once all senders have sent
 // theirs.
 func (b *Balancer) SetPeers(ids []string, others int) {
 	b.mu.Lock()
@@ -221,7 +221,7 @@
 }
 
 // hasAllUpdatesLocked reports whether all peers have sent counts recently, so that the servers'
-// sums stand for the fleet.
+// sums cover the whole fleet.
 func (b *Balancer) hasAllUpdatesLocked(now time.Time) bool {
 	for _, id := range b.peers {
 		c, known := b.countsByRouter[id]
--- a/balance/waterfill.go
+++ b/balance/waterfill.go
@@ -6,8 +6,8 @@
 )
 
 // unreportedRequestsLocked estimates how many requests of all routers are in flight at the
-// servers that no update has reported yet. It assumes that each router sends about as many as
-// this one.
+// servers without having been reported in an update yet. It assumes that each router sends about as
+// many as this one.
 func (b *Balancer) unreportedRequestsLocked(servers []*server, decay float64) float64 {
 	if len(servers) == 0 {
 		return 0
@@ -24,10 +24,10 @@
 // itself.
 const minUnreported = 1
 
-// chooseByWaterFilling chooses a server by its cost at random, such that the requests not yet
-// reported between routers fill the cheapest servers up to a common level. If all routers chose
-// the cheapest server, it would get every request until the next update. It returns an index.
-// draw is a random number in [0, 1).
+// chooseByWaterFilling chooses a server by its cost at random, such that the requests that routers
+// have not reported to each other yet fill the cheapest servers up to a common level. If all routers
+// chose the cheapest server, it would get every request until the next update. It returns an index
+// of costs. draw is a random number in [0, 1).
 func chooseByWaterFilling(costs []float64, unreported, draw float64) int {
 	level := fillLevel(costs, max(unreported, minUnreported))
 	sum := 0.0
