--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -263,16 +263,6 @@
 	return usable[chooseByWaterFilling(costs, b.unreportedRequestsLocked(usable, decay), b.Random())]
 }
 
-// RecordLoad takes the load that a backend server reported in a response.
-func (b *Balancer) RecordLoad(lease *Lease, load Load) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := lease.server
-	s.reported = load.Running + load.Waiting
-	s.reportedOwn = s.inFlight
-	s.reportedAt = clock.Now()
-}
-
 // RecordResponseStart notes that a backend server has begun to respond and thus has finished
 // the prefill.
 func (b *Balancer) RecordResponseStart(lease *Lease) {
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -291,3 +291,49 @@
 		}
 	}
 }
+
+func TestUnreachableBackendIsEjectedForAWhile(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		b := newTestBalancer(3)
+		id := topRanked(7, 3)
+		var ejected []string
+		b.OnEjected = func(backend slipwick.Backend, wait time.Duration) {
+			ejected = append(ejected, backend.ID+" "+wait.String())
+		}
+		b.Release(acquire(t, b, prompt(7)), slipwick.EvidenceUnreachable)
+		if want := id + " " + minEjection.String(); len(ejected) != 1 || ejected[0] != want {
+			t.Errorf("got ejections %v, want %s", ejected, want)
+		}
+		lease := acquire(t, b, prompt(7))
+		if lease.Backend.ID == id {
+			t.Errorf("got %s right after it was unreachable", id)
+		}
+		b.Release(lease, slipwick.EvidenceGood)
+		time.Sleep(minEjection)
+		if got := acquire(t, b, prompt(7)).Backend.ID; got != id {
+			t.Errorf("after %v: got %s, want %s again", minEjection, got, id)
+		}
+	})
+}
+
+func TestFailingBackendIsEjected(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		b := newTestBalancer(2)
+		request := &Request{
+			Pool: "p",
+		}
+		for range 20 {
+			lease := acquire(t, b, request)
+			evidence := slipwick.EvidenceGood
+			if lease.Backend.ID == "p-0" {
+				evidence = slipwick.EvidenceError
+			}
+			b.Release(lease, evidence)
+		}
+		for range 5 {
+			if got := acquire(t, b, request).Backend.ID; got != "p-1" {
+				t.Errorf("got %s, want p-1", got)
+			}
+		}
+	})
+}
--- a/balance/lease.go
+++ b/balance/lease.go
@@ -39,12 +39,6 @@
 	pendingPrefill int
 }
 
-// Load is the number of requests that a backend server reports.
-type Load struct {
-	Running int
-	Waiting int
-}
-
 // IsStaying reports whether the lease's backend server is listed and not leaving, so that an
 // end of its process would be unplanned.
 func (b *Balancer) IsStaying(lease *Lease) bool {
--- a/balance/loads.go
+++ b/balance/loads.go
@@ -1,6 +1,10 @@
 package balance
 
-import "time"
+import (
+	"time"
+
+	"github.com/slipwick/slipwick/clock"
+)
 
 // Defaults of the bound on an engine's load, which is factor * mean + slack.
 const (
@@ -110,3 +114,19 @@
 	all := b.poolMeanLocked(usable, mean, now)
 	return max(b.loadBound(all), mean+1)
 }
+
+// Load is the number of requests that a backend server reports.
+type Load struct {
+	Running int
+	Waiting int
+}
+
+// RecordLoad takes the load that a backend server reported in a response.
+func (b *Balancer) RecordLoad(lease *Lease, load Load) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	s := lease.server
+	s.reported = load.Running + load.Waiting
+	s.reportedOwn = s.inFlight
+	s.reportedAt = clock.Now()
+}
--- a/balance/loads_test.go
+++ b/balance/loads_test.go
@@ -1,6 +1,12 @@
 package balance
 
-import "testing"
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/slipwick/slipwick/placement"
+)
 
 // TestLoadBoundIsBelowTheConfiguredBound checks that the bound that a router uses leaves room below
 // the configured one for requests that other routers send meanwhile.
@@ -34,3 +40,38 @@
 		}
 	}
 }
+
+func TestPeerCountsTakePrecedenceOverLoadReports(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		b := newTestBalancer(2)
+		lease := acquire(t, b, prompt(7))
+		b.RecordLoad(lease, Load{
+			Running: 50,
+		})
+		b.SetPeers([]string{"r2"}, 1)
+		b.ReceiveCounts("r2", 5, []InFlight{
+			{
+				Server: placement.IDHash(lease.Backend.ID),
+				Count:  1,
+			},
+		})
+		b.ReceiveCounts("r2", 4, nil)
+		load := func() float64 {
+			b.mu.Lock()
+			defer b.mu.Unlock()
+			loads := b.loadsLocked([]*server{lease.server}, time.Now())
+			return loads[0]
+		}
+		if got := load(); got != 2 {
+			t.Errorf("with the counts of all peers: got load %v, want 2", got)
+		}
+		time.Sleep(remoteCountsTTL + time.Millisecond)
+		if got := load(); got != 50 {
+			t.Errorf("with old counts: got load %v, want the reported 50", got)
+		}
+		time.Sleep(loadReportTTL)
+		if got := load(); got != 1 {
+			t.Errorf("with an old report as well: got load %v, want the router's own 1", got)
+		}
+	})
+}
--- a/balance/prefill_test.go
+++ b/balance/prefill_test.go
@@ -114,35 +114,3 @@
 		}
 	})
 }
-
-// TestFirstPartsAreFetchedForNewPrompts requests a prompt of which an engine has only the first
-// part cached.
-func TestFirstPartsAreFetchedForNewPrompts(t *testing.T) {
-	b := newTestBalancer(6)
-	b.MarkCachesKnown()
-	const head, part = 7, 8
-	var holder Entry
-	for _, entry := range testEntries(6) {
-		if entry.ID != topRanked(part, 6) {
-			holder = entry
-		}
-	}
-	b.RecordCachedParts(holder.ID, []uint64{head})
-	request := &Request{
-		Pool: "p",
-		Prompt: []Part{
-			{
-				Key:    head,
-				Tokens: 300,
-			},
-			{
-				Key:    part,
-				Tokens: 1000,
-			},
-		},
-	}
-	lease := acquire(t, b, request)
-	if lease.Backend.ID != holder.ID && lease.FetchFrom != holder.Address {
-		t.Errorf("got %s fetching from %q, want a fetch from %s", lease.Backend.ID, lease.FetchFrom, holder.Address)
-	}
-}
