--- a/admission/coordinator.go
+++ b/admission/coordinator.go
@@ -17,9 +17,9 @@
 
 // Coordinator is one router's part of the fleet's admission control. It asks the owners of backend
 // servers for slots, and grants, queues and refuses requests for slots of the backend servers that
-// it owns itself. In requests and messages, engine is the hash of a backend server's ID. Set the
-// exported fields before the first call of SetView and Run; the methods are safe for concurrent
-// use.
+// it owns itself. In this package, as in the messages, engine is the hash of the ID of any backend
+// server, whether or not it runs inference. Set the exported fields before the first call of SetView
+// and Run; the methods are safe for concurrent use.
 type Coordinator struct {
 	// Self is the ID of this router.
 	Self string
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -120,7 +120,7 @@
 
 // grant grants a slot and answers the request.
 func (c *Coordinator) grant(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, now time.Time) {
-	o.add(key, request.GetWorkspace(), now.Add(c.Policy.LeaseTime), now.Before(o.windowEnd))
+	o.addLease(key, request.GetWorkspace(), now.Add(c.Policy.LeaseTime), now.Before(o.windowEnd))
 	c.sendAnswer(key, peerpb.Decision_DECISION_GRANTED, o.engine)
 	c.scheduleReport(o.pool)
 }
@@ -237,7 +237,7 @@
 	if index := o.queue.indexOf(key); index >= 0 {
 		o.queue.remove(index, false)
 	}
-	if !o.remove(key) {
+	if !o.removeLease(key) {
 		return
 	}
 	o.releases.record(time.Now())
@@ -250,7 +250,7 @@
 func (c *Coordinator) expireLeases(o *ownedBackend, now time.Time) {
 	for key, l := range o.leases {
 		if now.After(l.expires) {
-			o.remove(key)
+			o.removeLease(key)
 			c.scheduleReport(o.pool)
 		}
 	}
--- a/admission/grants_test.go
+++ b/admission/grants_test.go
@@ -28,9 +28,9 @@
 
 func grantAndRemove(o *ownedBackend, key leaseKey, now time.Time) {
 	if o.headroom(50, now) > 0 {
-		o.add(key, "w", now.Add(time.Second), false)
+		o.addLease(key, "w", now.Add(time.Second), false)
 	}
-	o.remove(key)
+	o.removeLease(key)
 }
 
 func grantFixture() (*ownedBackend, leaseKey) {
@@ -40,7 +40,7 @@
 		Index: 0,
 	})
 	for i := range 40 {
-		o.add(leaseKey{
+		o.addLease(leaseKey{
 			router: "other",
 			id:     uint64(i),
 		}, "w", time.Now().Add(time.Hour), false)
--- a/admission/handover.go
+++ b/admission/handover.go
@@ -56,7 +56,7 @@
 	o.windowEnd = time.Time{}
 	expires := time.Now().Add(c.Policy.LeaseTime)
 	for _, s := range message.GetSlots() {
-		o.add(leaseKey{
+		o.addLease(leaseKey{
 			router: s.GetRouter(),
 			id:     s.GetId(),
 		}, s.GetWorkspace(), expires, false)
--- a/admission/limit_test.go
+++ b/admission/limit_test.go
@@ -10,7 +10,8 @@
 	"github.com/slipwick/slipwick/placement"
 )
 
-// newPool returns a pool of usable backend servers with the given weights.
+// newPool returns a pool of usable backend servers with the given weights and load factor, and with
+// so many slots that these never limit the load.
 func newPool(count int, factor float64, weight func(int) uint32) *placement.Pool {
 	pool := placement.Pool{
 		Name:          "p",
--- a/admission/ownedbackend.go
+++ b/admission/ownedbackend.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// add adds a lease, or extends it if it exists.
-func (o *ownedBackend) add(key leaseKey, workspace string, expires time.Time, inWindow bool) {
+// addLease adds a lease, or extends it if it exists.
+func (o *ownedBackend) addLease(key leaseKey, workspace string, expires time.Time, inWindow bool) {
 	if known, ok := o.leases[key]; ok {
 		known.expires = expires
 		o.leases[key] = known
@@ -63,8 +63,8 @@
 	}
 }
 
-// remove deletes a lease. It returns false if there is none.
-func (o *ownedBackend) remove(key leaseKey) bool {
+// removeLease deletes a lease. It returns false if there is none.
+func (o *ownedBackend) removeLease(key leaseKey) bool {
 	known, ok := o.leases[key]
 	if !ok {
 		return false
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -58,7 +58,7 @@
 	}
 	expires := time.Now().Add(c.Policy.LeaseTime)
 	for _, s := range renewal.GetSlots() {
-		o.add(leaseKey{
+		o.addLease(leaseKey{
 			router: from,
 			id:     s.GetId(),
 		}, s.GetWorkspace(), expires, false)
--- a/admission/viewchange.go
+++ b/admission/viewchange.go
@@ -9,7 +9,7 @@
 
 // SetView replaces the view. Backend servers that this router no longer owns are handed over to
 // their new owners. The slots that this router holds are renewed at the new owners of their backend
-// servers, and open requests are sent to them again.
+// servers, and open attempts are sent to them again.
 func (c *Coordinator) SetView(view *placement.View) {
 	c.withLock(func() {
 		previous := c.view
