--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -190,19 +190,6 @@
 	a.result <- result
 }
 
-// Release returns a slot to the owner of its backend server, with the evidence of how the request
-// went. It does nothing if the slot is not held, for example because it was released before.
-func (c *Coordinator) Release(grant slipwick.Grant, evidence slipwick.Evidence) {
-	c.withLock(func() {
-		held := c.slots[grant.ID]
-		if held == nil {
-			return
-		}
-		delete(c.slots, grant.ID)
-		c.sendRelease(c.ownerOf(held.engine), held.engine, grant.ID, evidence)
-	})
-}
-
 // ownerOf returns the ID of the backend server's owner in the current view, or an empty string if
 // there is none.
 func (c *Coordinator) ownerOf(engine uint64) string {
@@ -211,13 +198,3 @@
 	}
 	return c.view.Owner(engine)
 }
-
-// sendRelease tells the owner that a slot is free again, or that a queued request no longer waits.
-func (c *Coordinator) sendRelease(owner string, engine, id uint64, evidence slipwick.Evidence) {
-	envelope := c.outbox.envelopeFor(owner)
-	envelope.Releases = append(envelope.Releases, &peerpb.SlotRelease{
-		Engine:   engine,
-		Id:       id,
-		Evidence: uint32(evidence),
-	})
-}
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -246,17 +246,6 @@
 	c.grantQueued(o)
 }
 
-// expireLeases removes the leases that were not renewed in time.
-func (c *Coordinator) expireLeases(o *ownedBackend, now time.Time) {
-	for key, l := range o.leases {
-		if now.After(l.expires) {
-			o.removeLease(key)
-			c.scheduleReport(o.pool)
-		}
-	}
-	c.grantQueued(o)
-}
-
 // grantQueuedInPool grants slots to queued requests at all of this router's backend servers of the
 // pool.
 func (c *Coordinator) grantQueuedInPool(pool string) {
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"github.com/slipwick/slipwick"
 	"github.com/slipwick/slipwick/peer/peerpb"
 )
 
@@ -50,40 +51,25 @@
 	}
 }
 
-// onRenewal adds or extends leases for the slots that a router holds.
-func (c *Coordinator) onRenewal(from string, renewal *peerpb.SlotRenewal) {
-	o := c.owned[renewal.GetEngine()]
-	if o == nil {
-		return
-	}
-	expires := time.Now().Add(c.Policy.LeaseTime)
-	for _, s := range renewal.GetSlots() {
-		o.addLease(leaseKey{
-			router: from,
-			id:     s.GetId(),
-		}, s.GetWorkspace(), expires, false)
-	}
-	c.scheduleReport(o.pool)
-}
-
-// HandleRouterFailure handles the failure of a router. It drops the router's queued requests and
-// shortens its leases to OrphanLeaseTime: the router's connections are broken, and backend servers
-// cancel requests whose response nobody reads.
-func (c *Coordinator) HandleRouterFailure(router string) {
+// Release returns a slot to the owner of its backend server, with the evidence of how the request
+// went. It does nothing if the slot is not held, for example because it was released before.
+func (c *Coordinator) Release(grant slipwick.Grant, evidence slipwick.Evidence) {
 	c.withLock(func() {
-		expires := time.Now().Add(c.Policy.OrphanLeaseTime)
-		for _, o := range c.owned {
-			for key, l := range o.leases {
-				if key.router == router && l.expires.After(expires) {
-					l.expires = expires
-					o.leases[key] = l
-				}
-			}
-			for i := o.queue.len() - 1; i >= 0; i-- {
-				if o.queue.requests[i].key.router == router {
-					o.queue.remove(i, false)
-				}
-			}
+		held := c.slots[grant.ID]
+		if held == nil {
+			return
 		}
+		delete(c.slots, grant.ID)
+		c.sendRelease(c.ownerOf(held.engine), held.engine, grant.ID, evidence)
+	})
+}
+
+// sendRelease tells the owner that a slot is free again, or that a queued request no longer waits.
+func (c *Coordinator) sendRelease(owner string, engine, id uint64, evidence slipwick.Evidence) {
+	envelope := c.outbox.envelopeFor(owner)
+	envelope.Releases = append(envelope.Releases, &peerpb.SlotRelease{
+		Engine:   engine,
+		Id:       id,
+		Evidence: uint32(evidence),
 	})
 }
