--- a/placement/owner.go
+++ b/placement/owner.go
@@ -56,17 +56,3 @@
 		return tierElsewhere
 	}
 }
-
-// BestRouter returns the index of the router with the highest rendezvous score for the key, regardless
-// of data centre and region, or -1 if there are no routers. The router's hash takes the place of the
-// key in the score and the key that of the box hash, so that the choice differs from the first one
-// of TopRouters.
-func BestRouter(key uint64, routers []slipwick.Router) int {
-	best, bestScore := -1, uint64(0)
-	for i := range routers {
-		if score := mixHashes(IDHash(routers[i].ID), key); best < 0 || score > bestScore {
-			best, bestScore = i, score
-		}
-	}
-	return best
-}
