--- a/dispatch/dispatcher_test.go
+++ b/dispatch/dispatcher_test.go
@@ -46,8 +46,10 @@
 	slipwick.Engine
 
 	startErr, streamErr *slipwick.Error
-	sent                int
-	offset              int
+	// sent counts the requests that were sent to the engine.
+	sent int
+	// offset is the offset of the next event.
+	offset int
 }
 
 func (f *fakeEngine) Stream(context.Context, slipwick.ChatRequest) (slipwick.EventStream, error) {
@@ -100,7 +102,8 @@
 		name       string
 		first      *fakeEngine
 		repeatable bool
-		sent       int
+		// secondSent is how many requests the second engine must get.
+		secondSent int
 		outcome    slipwick.Outcome
 		evidence   slipwick.Evidence
 	}{
@@ -109,18 +112,18 @@
 			first: &fakeEngine{
 				startErr: newFailure(slipwick.KindBackendUnreachable, slipwick.OutcomeNotRun),
 			},
-			sent:     1,
-			outcome:  slipwick.OutcomeCompleted,
-			evidence: slipwick.EvidenceUnreachable,
+			secondSent: 1,
+			outcome:    slipwick.OutcomeCompleted,
+			evidence:   slipwick.EvidenceUnreachable,
 		},
 		{
 			name: "connection lost, not repeatable",
 			first: &fakeEngine{
 				startErr: newFailure(slipwick.KindBackendUnreachable, slipwick.OutcomeUnknown),
 			},
-			sent:     0,
-			outcome:  slipwick.OutcomeUnknown,
-			evidence: slipwick.EvidenceUnreachable,
+			secondSent: 0,
+			outcome:    slipwick.OutcomeUnknown,
+			evidence:   slipwick.EvidenceUnreachable,
 		},
 		{
 			name: "connection lost, repeatable",
@@ -128,7 +131,7 @@
 				startErr: newFailure(slipwick.KindBackendUnreachable, slipwick.OutcomeUnknown),
 			},
 			repeatable: true,
-			sent:       1,
+			secondSent: 1,
 			outcome:    slipwick.OutcomeCompleted,
 			evidence:   slipwick.EvidenceUnreachable,
 		},
@@ -138,7 +141,7 @@
 				streamErr: newFailure(slipwick.KindStreamBroken, slipwick.OutcomeUnknown),
 			},
 			repeatable: true,
-			sent:       0,
+			secondSent: 0,
 			outcome:    slipwick.OutcomeUnknown,
 			evidence:   slipwick.EvidenceError,
 		},
@@ -148,7 +151,7 @@
 				startErr: newFailure(slipwick.KindBackendError, slipwick.OutcomeFailed),
 			},
 			repeatable: true,
-			sent:       0,
+			secondSent: 0,
 			outcome:    slipwick.OutcomeFailed,
 			evidence:   slipwick.EvidenceError,
 		},
@@ -158,9 +161,9 @@
 			engines: []string{"first", "second"},
 		}
 		got := runChat(admission, tc.first, second, tc.repeatable)
-		if got != tc.outcome || second.sent != tc.sent || tc.first.sent != 1 {
+		if got != tc.outcome || second.sent != tc.secondSent || tc.first.sent != 1 {
 			t.Errorf("%s: got outcome %q after %d and %d sends, want %q after 1 and %d",
-				tc.name, got, tc.first.sent, second.sent, tc.outcome, tc.sent)
+				tc.name, got, tc.first.sent, second.sent, tc.outcome, tc.secondSent)
 		}
 		if admission.evidence[0] != tc.evidence {
 			t.Errorf("%s: got evidence %d, want %d", tc.name, admission.evidence[0], tc.evidence)
