--- a/balance/backendlist.go
+++ b/balance/backendlist.go
@@ -136,7 +136,7 @@
 		return
 	}
 	for _, id := range b.peers {
-		for _, in := range b.countsByRouter[id].inFlight {
+		for _, in := range b.countsByPeer[id].inFlight {
 			if added[in.Server] {
 				b.addRemoteCountsLocked([]InFlight{in}, 1)
 			}
--- a/balance/backendlist_test.go
+++ b/balance/backendlist_test.go
@@ -70,7 +70,7 @@
 			if got, want := poolStates(byChanges), poolStates(byList); !slices.Equal(got, want) {
 				t.Fatalf("got %v, want %v", got, want)
 			}
-			for _, in := range byChanges.countsByRouter["peer"].inFlight {
+			for _, in := range byChanges.countsByPeer["peer"].inFlight {
 				if s := byChanges.serversByHash[in.Server]; s != nil && s.remoteInFlight != in.Count {
 					t.Fatalf("%s: got %d requests of the peer, want %d", s.ID, s.remoteInFlight, in.Count)
 				}
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -59,12 +59,13 @@
 	notices map[uint64]*notices
 	// unlistedNotices has the keys of notices whose incarnation is no longer listed.
 	unlistedNotices map[uint64]bool
-	// peers are the IDs of the senders whose updates this router receives, otherRouters is the
-	// number of routers that these represent, countsByRouter has their latest counts.
-	// pendingCachedParts and pendingLeaving are what the next update to them will contain.
+	// peers are the IDs of the senders whose updates this router receives: other routers, hubs that
+	// add up the counts of several routers, or a single ID for the sum of all other routers.
+	// otherRouters is the number of routers that these represent, countsByPeer has their latest
+	// counts. pendingCachedParts and pendingLeaving are what the next update to them will contain.
 	peers              []string
 	otherRouters       int
-	countsByRouter     map[string]remoteCounts
+	countsByPeer       map[string]remoteCounts
 	pendingCachedParts []CachedPart
 	pendingLeaving     []uint64
 	// prefills has the prompts that an engine prefills for the first time.
@@ -108,7 +109,7 @@
 		active:          make(map[*server]bool),
 		pools:           make(map[string][]*server),
 		cacheIndex:      newCacheIndex(),
-		countsByRouter:  make(map[string]remoteCounts),
+		countsByPeer:    make(map[string]remoteCounts),
 		prefills:        make(prefills),
 		notices:         make(map[uint64]*notices),
 		unlistedNotices: make(map[uint64]bool),
--- a/balance/choice_test.go
+++ b/balance/choice_test.go
@@ -55,7 +55,7 @@
 func referenceLoads(b *Balancer, usable []*server, now time.Time, decay float64) (loads []float64, mean float64) {
 	counts, complete := make(map[uint64]int), len(b.peers) > 0
 	for _, id := range b.peers {
-		c, known := b.countsByRouter[id]
+		c, known := b.countsByPeer[id]
 		complete = complete && known && now.Sub(c.receivedAt) <= remoteCountsTTL
 		for _, in := range c.inFlight {
 			counts[in.Server] += in.Count
@@ -108,7 +108,7 @@
 	for rank, s := range below {
 		cost := rank*rankLead + s.prefillTokens
 		for _, id := range b.peers {
-			for _, in := range b.countsByRouter[id].inFlight {
+			for _, in := range b.countsByPeer[id].inFlight {
 				if in.Server == s.hash {
 					cost += in.PrefillTokens
 				}
--- a/balance/server.go
+++ b/balance/server.go
@@ -57,7 +57,7 @@
 	// balancer's sendsFrom.
 	sends float64
 
-	// remoteInFlight counts the requests of the other routers by their updates,
+	// remoteInFlight counts the requests of the other routers, as the peers reported them,
 	// remotePrefillTokens the tokens that the server has yet to prefill for these routers.
 	remoteInFlight, remotePrefillTokens int
 
--- a/balance/update.go
+++ b/balance/update.go
@@ -41,14 +41,14 @@
 }
 
 const (
-	// remoteCountsTTL is how long the counts of another router are used.
+	// remoteCountsTTL is how long the counts of a peer are used.
 	remoteCountsTTL = time.Second
 	// maxPendingItems bounds the cached parts, and also the leaving servers, that wait for the next
 	// update. More are dropped.
 	maxPendingItems = 512
 )
 
-// remoteCounts has the latest counts of another router.
+// remoteCounts has the latest counts of a peer: of one router, or the sum of several.
 type remoteCounts struct {
 	receivedAt time.Time
 	sequence   uint64
@@ -102,35 +102,33 @@
 	return parts
 }
 
-// ReceiveCounts takes the counts of another router. It ignores counts that arrive after later
-// ones.
-func (b *Balancer) ReceiveCounts(router string, sequence uint64, counts []InFlight) {
+// ReceiveCounts takes the counts that a peer sent. It ignores counts that arrive after later ones.
+func (b *Balancer) ReceiveCounts(peer string, sequence uint64, counts []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if sequence <= b.countsByRouter[router].sequence {
+	if sequence <= b.countsByPeer[peer].sequence {
 		return
 	}
-	if slices.Contains(b.peers, router) {
-		b.addRemoteCountsLocked(b.countsByRouter[router].inFlight, -1)
+	if slices.Contains(b.peers, peer) {
+		b.addRemoteCountsLocked(b.countsByPeer[peer].inFlight, -1)
 		b.addRemoteCountsLocked(counts, 1)
 	}
-	b.countsByRouter[router] = remoteCounts{
+	b.countsByPeer[peer] = remoteCounts{
 		receivedAt: clock.Now(),
 		sequence:   sequence,
 		inFlight:   counts,
 	}
 }
 
-// ReceiveMoreCounts adds to the latest counts of another router, which were sent in several
-// messages.
-func (b *Balancer) ReceiveMoreCounts(router string, counts []InFlight) {
+// ReceiveMoreCounts adds to the latest counts of a peer, which were sent in several messages.
+func (b *Balancer) ReceiveMoreCounts(peer string, counts []InFlight) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.countsByRouter[router]
+	c := b.countsByPeer[peer]
 	c.receivedAt = clock.Now()
 	c.inFlight = append(c.inFlight, counts...)
-	b.countsByRouter[router] = c
-	if slices.Contains(b.peers, router) {
+	b.countsByPeer[peer] = c
+	if slices.Contains(b.peers, peer) {
 		b.addRemoteCountsLocked(counts, 1)
 	}
 }
@@ -151,7 +149,7 @@
 		s.remoteInFlight, s.remotePrefillTokens = 0, 0
 	}
 	for _, id := range b.peers {
-		b.addRemoteCountsLocked(b.countsByRouter[id].inFlight, 1)
+		b.addRemoteCountsLocked(b.countsByPeer[id].inFlight, 1)
 	}
 }
 
@@ -212,11 +210,11 @@
 	b.peers = ids
 	live := make(map[string]remoteCounts, len(ids))
 	for _, id := range ids {
-		if c, ok := b.countsByRouter[id]; ok {
+		if c, ok := b.countsByPeer[id]; ok {
 			live[id] = c
 		}
 	}
-	b.countsByRouter = live
+	b.countsByPeer = live
 	b.recountRemoteLocked()
 }
 
@@ -224,7 +222,7 @@
 // sums cover the whole fleet.
 func (b *Balancer) hasAllUpdatesLocked(now time.Time) bool {
 	for _, id := range b.peers {
-		c, known := b.countsByRouter[id]
+		c, known := b.countsByPeer[id]
 		if !known || now.Sub(c.receivedAt) > remoteCountsTTL {
 			return false
 		}
