--- a/balance/canary.go
+++ b/balance/canary.go
@@ -33,13 +33,13 @@
 // servers of its version, and all others.
 type canaryState struct {
 	Canary
-	// newCounts is for servers of the canary's version, oldCounts for all others.
-	oldCounts, newCounts versionCounts
+	// newSide is for servers of the canary's version, oldSide for all others.
+	oldSide, newSide canarySide
 }
 
-// versionCounts has the counts of one side of a canary, with those that were not sent to other
+// canarySide has the counts of one side of a canary, with those that were not sent to other
 // routers yet.
-type versionCounts struct {
+type canarySide struct {
 	VersionCounts
 	unsent VersionCounts
 	// key identifies the side in updates, as the hash of the incarnation does a server.
@@ -49,12 +49,14 @@
 // slowFactor times the usual time until a response begins is the limit above which it is slow.
 const slowFactor = 3
 
-func (c *versionCounts) add(good, bad int) {
+// add takes counts of any router.
+func (c *canarySide) add(good, bad int) {
 	c.Good += good
 	c.Bad += bad
 }
 
-func (c *versionCounts) record(isBad bool) {
+// record counts an outcome of this router, also for the next update.
+func (c *canarySide) record(isBad bool) {
 	if isBad {
 		c.add(0, 1)
 		c.unsent.Bad++
@@ -71,19 +73,19 @@
 	known := b.canaries
 	b.canaries = make(map[string]*canaryState, len(canaries))
 	for pool, c := range canaries {
-		entry := known[pool]
-		if entry == nil || entry.Version != c.Version {
-			entry = &canaryState{
-				oldCounts: versionCounts{
+		state := known[pool]
+		if state == nil || state.Version != c.Version {
+			state = &canaryState{
+				oldSide: canarySide{
 					key: placement.IDHash(pool + "\x00old\x00" + c.Version),
 				},
-				newCounts: versionCounts{
+				newSide: canarySide{
 					key: placement.IDHash(pool + "\x00new\x00" + c.Version),
 				},
 			}
 		}
-		entry.Canary = c
-		b.canaries[pool] = entry
+		state.Canary = c
+		b.canaries[pool] = state
 	}
 }
 
@@ -96,8 +98,8 @@
 		return CanaryCounts{}
 	}
 	return CanaryCounts{
-		Old: c.oldCounts.VersionCounts,
-		New: c.newCounts.VersionCounts,
+		Old: c.oldSide.VersionCounts,
+		New: c.newSide.VersionCounts,
 	}
 }
 
@@ -134,9 +136,9 @@
 	if c == nil {
 		return
 	}
-	side := &c.oldCounts
+	side := &c.oldSide
 	if lease.server.Version == c.Version {
-		side = &c.newCounts
+		side = &c.newSide
 	}
 	switch evidence {
 	case slipwick.EvidenceGood:
@@ -150,7 +152,7 @@
 // addCanaryCountsLocked adds the unsent canary counts to an update.
 func (b *Balancer) addCanaryCountsLocked(update *Update) {
 	for _, c := range b.canaries {
-		for _, side := range []*versionCounts{&c.oldCounts, &c.newCounts} {
+		for _, side := range []*canarySide{&c.oldSide, &c.newSide} {
 			if side.unsent == (VersionCounts{}) {
 				continue
 			}
@@ -167,7 +169,7 @@
 // receiveCanaryCountsLocked takes canary counts of another router.
 func (b *Balancer) receiveCanaryCountsLocked(o *Outcomes) {
 	for _, c := range b.canaries {
-		for _, side := range []*versionCounts{&c.oldCounts, &c.newCounts} {
+		for _, side := range []*canarySide{&c.oldSide, &c.newSide} {
 			if side.key == o.Server {
 				side.add(o.Good, o.Failed)
 			}
