--- a/admission/health.go
+++ b/admission/health.go
@@ -23,8 +23,8 @@
 // minRampShare is the share of its limit with which a restored backend server starts.
 const minRampShare = 0.1
 
-// health tracks the evidence on one backend server.
-type health struct {
+// healthTracker tracks the evidence on one backend server.
+type healthTracker struct {
 	state Health
 	// consecutiveFailures counts the requests and probes in a row that failed because of the backend
 	// server.
@@ -41,7 +41,7 @@
 
 // recordEvidence counts the evidence and reports whether the backend server should be ejected: it
 // should after threshold failures in a row, unless it is ejected or leaving already.
-func (h *health) recordEvidence(evidence slipwick.Evidence, threshold int, now time.Time) bool {
+func (h *healthTracker) recordEvidence(evidence slipwick.Evidence, threshold int, now time.Time) bool {
 	switch {
 	case evidence == slipwick.EvidenceGood:
 		h.consecutiveFailures = 0
@@ -56,7 +56,7 @@
 
 // eject marks the backend server as ejected and returns the duration of the ejection, which doubles
 // with each one in succession.
-func (h *health) eject(policy *Policy, now time.Time) time.Duration {
+func (h *healthTracker) eject(policy *Policy, now time.Time) time.Duration {
 	duration := policy.EjectTime
 	for range h.ejections {
 		duration = min(2*duration, policy.MaxEjectTime)
@@ -69,12 +69,12 @@
 
 // restore marks the backend server as healthy, with a limit that rises to its full value within
 // rampUp.
-func (h *health) restore(rampUp time.Duration, now time.Time) {
+func (h *healthTracker) restore(rampUp time.Duration, now time.Time) {
 	h.state, h.restoredAt, h.rampUp = HealthGood, now, rampUp
 }
 
 // rampedLimit returns the limit, reduced during the ramp-up after a restoration.
-func (h *health) rampedLimit(slotLimit int, now time.Time) int {
+func (h *healthTracker) rampedLimit(slotLimit int, now time.Time) int {
 	if h.restoredAt.IsZero() || h.rampUp == 0 {
 		return slotLimit
 	}
--- a/admission/ownedbackend.go
+++ b/admission/ownedbackend.go
@@ -26,7 +26,7 @@
 	windowGranted int
 
 	releases releaseRate
-	health   health
+	health   healthTracker
 	// pausedUntil is the end of the pause, without new requests, that the backend server asked for.
 	// lastLeavingAt is when a response last announced that it is leaving.
 	pausedUntil, lastLeavingAt time.Time
