--- a/balance/cold.go
+++ b/balance/cold.go
@@ -50,8 +50,8 @@
 }
 
 // maySendToColdLocked reports whether this router may send to a cold server now. A router whose
-// rank changed waits for a window first, because the router that was a sharer before may have
-// used its limit within that window.
+// rank changed waits for coldWindow first, because the router that was a sharer before may have
+// used its limit within that time.
 func (b *Balancer) maySendToColdLocked(s *server, now time.Time) bool {
 	limit := b.coldLimits[s.Pool]
 	sharers, sharerLimit := limit.split(len(b.ranking.live))
