--- a/admission/grants.go
+++ b/admission/grants.go
@@ -120,7 +120,7 @@
 
 // grant grants a slot and answers the request.
 func (c *Coordinator) grant(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, now time.Time) {
-	o.add(key, request.GetWorkspace(), now.Add(c.Policy.LeaseTime), now.Before(o.windowEnd))
+	o.addLease(key, request.GetWorkspace(), now.Add(c.Policy.LeaseTime), now.Before(o.windowEnd))
 	c.sendAnswer(key, peerpb.Decision_DECISION_GRANTED, o.engine)
 	c.scheduleReport(o.pool)
 }
@@ -237,7 +237,7 @@
 	if index := o.queue.indexOf(key); index >= 0 {
 		o.queue.remove(index, false)
 	}
-	if !o.remove(key) {
+	if !o.removeLease(key) {
 		return
 	}
 	o.releases.record(time.Now())
@@ -246,17 +246,6 @@
 	c.grantQueued(o)
 }
 
-// expireLeases removes the leases that were not renewed in time.
-func (c *Coordinator) expireLeases(o *ownedBackend, now time.Time) {
-	for key, l := range o.leases {
-		if now.After(l.expires) {
-			o.remove(key)
-			c.scheduleReport(o.pool)
-		}
-	}
-	c.grantQueued(o)
-}
-
 // grantQueuedInPool grants slots to queued requests at all of this router's backend servers of the
 // pool.
 func (c *Coordinator) grantQueuedInPool(pool string) {
--- a/balance/balancer.go
+++ b/balance/balancer.go
@@ -59,12 +59,13 @@
 	notices map[uint64]*notices
 	// unlistedNotices has the keys of notices whose incarnation is no longer listed.
 	unlistedNotices map[uint64]bool
-	// peers are the IDs of the senders whose updates this router receives, otherRouters is the
-	// number of routers that these represent, countsByRouter has their latest counts.
-	// pendingCachedParts and pendingLeaving are what the next update to them will contain.
+	// peers are the IDs of the senders whose updates this router receives: other routers, hubs that
+	// add up the counts of several routers, or a single ID for the sum of all other routers.
+	// otherRouters is the number of routers that these represent, countsByPeer has their latest
+	// counts. pendingCachedParts and pendingLeaving are what the next update to them will contain.
 	peers              []string
 	otherRouters       int
-	countsByRouter     map[string]remoteCounts
+	countsByPeer       map[string]remoteCounts
 	pendingCachedParts []CachedPart
 	pendingLeaving     []uint64
 	// prefills has the prompts that an engine prefills for the first time.
@@ -75,9 +76,9 @@
 	// cached when the router started.
 	firstListAt  time.Time
 	startedEmpty bool
-	// canaries has the canary of each pool. versions has when each version first appeared in a
-	// pool, zero if it was there when the router started. All rollouts that the store had at
-	// rolloutsAsOf are known.
+	// canaries has the canary of each pool. versions has, by pool and version, when the version
+	// first appeared, zero if its servers may have been running before the router. All rollouts
+	// that the store had at rolloutsAsOf are known.
 	canaries     map[string]*canaryState
 	versions     map[string]map[string]time.Time
 	rolloutsAsOf time.Time
@@ -108,7 +109,7 @@
 		active:          make(map[*server]bool),
 		pools:           make(map[string][]*server),
 		cacheIndex:      newCacheIndex(),
-		countsByRouter:  make(map[string]remoteCounts),
+		countsByPeer:    make(map[string]remoteCounts),
 		prefills:        make(prefills),
 		notices:         make(map[uint64]*notices),
 		unlistedNotices: make(map[uint64]bool),
@@ -216,8 +217,8 @@
 
 // usableLocked returns the backend servers that may get the request. If no other is left, it
 // returns the cold ones with capacity left in their limit, and failing these the ejected and
-// unresponsive ones, but never those that are leaving, evacuated or asked for a pause. The slice is
-// valid until the next call.
+// unresponsive ones unless the request is HealthyOnly, but never those that are leaving, evacuated
+// or asked for a pause. The slice is valid until the next call.
 func (b *Balancer) usableLocked(pool []*server, request *Request, now time.Time) []*server {
 	usable, cold, unavailable := b.scratch.usable[:0], b.scratch.cold[:0], b.scratch.unavailable[:0]
 	evacuatedOrPaused := b.scratch.evacuatedOrPaused[:0]
@@ -263,16 +264,6 @@
 	return usable[chooseByWaterFilling(costs, b.unreportedRequestsLocked(usable, decay), b.Random())]
 }
 
-// RecordLoad takes the load that a backend server reported in a response.
-func (b *Balancer) RecordLoad(lease *Lease, load Load) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	s := lease.server
-	s.reported = load.Running + load.Waiting
-	s.reportedOwn = s.inFlight
-	s.reportedAt = clock.Now()
-}
-
 // RecordResponseStart notes that a backend server has begun to respond and thus has finished
 // the prefill.
 func (b *Balancer) RecordResponseStart(lease *Lease) {
