--- a/standin/engine.go
+++ b/standin/engine.go
@@ -72,11 +72,15 @@
 	loads        []timedLoad
 }
 
+// timedEvent is a cache event and when it was recorded. The engine reports it from
+// ReportDelay later.
 type timedEvent struct {
 	at    time.Time
 	event slipwick.CacheEvent
 }
 
+// timedLoad is the load from a point in time on. The engine reports it from
+// ReportDelay later.
 type timedLoad struct {
 	at     time.Time
 	report slipwick.LoadReport
