--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -19,8 +19,8 @@
 // caseDuration is how long a case is measured unless its events take longer.
 const caseDuration = time.Minute
 
-// todaySetup has the size of one of the first users: about 20 requests a second
-// and 10 in flight at each of 20 engines.
+// todaySetup is a fleet of the size that one of the first users has: about 20
+// requests a second and 10 in flight at each of 20 engines.
 func todaySetup() Setup {
 	return Setup{
 		Routers:     8,
@@ -39,8 +39,8 @@
 	}
 }
 
-// largeSetup has the size expected for one model in two years: 370 requests a
-// second and 40 in flight at each of 93 engines.
+// largeSetup is a fleet of the size that is expected for one model in two years:
+// 370 requests a second and 40 in flight at each of 93 engines.
 func largeSetup() Setup {
 	setup := todaySetup()
 	setup.Routers, setup.Engines, setup.DataCentres = 330, 93, 10
--- a/emulation/chat.go
+++ b/emulation/chat.go
@@ -24,7 +24,8 @@
 }
 
 // NewChat creates the i-th chat, in the workspace. Its random numbers and its
-// key follow from i and the seed of the setup.
+// key follow from i and the seed of the setup; streams 1 and 2 of the seed are
+// those of the network and the world.
 func (w *World) NewChat(workspace string, i int) *Chat {
 	return &Chat{
 		world:     w,
--- a/emulation/measure_test.go
+++ b/emulation/measure_test.go
@@ -44,20 +44,20 @@
 		if *onlyCase != "" && *onlyCase != c.Name {
 			continue
 		}
-		for _, p := range variants {
-			if *onlyAdmission != "" && *onlyAdmission != p.name {
+		for _, variant := range variants {
+			if *onlyAdmission != "" && *onlyAdmission != variant.name {
 				continue
 			}
 			synctest.Test(t, func(*testing.T) {
 				setup := c.Setup
-				setup.Baseline = p.baseline
+				setup.Baseline = variant.baseline
 				w := NewWorld(setup)
 				w.StartChats()
 				w.WarmUp()
 				c.Run(w)
 				report := w.Report()
 				w.Close()
-				fmt.Println(report.Benchmark("BenchmarkPlacement/" + p.name + "/" + c.Name))
+				fmt.Println(report.Benchmark("BenchmarkPlacement/" + variant.name + "/" + c.Name))
 			})
 		}
 	}
--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -20,6 +20,8 @@
 	requests, refused int
 	failedAttempts    int
 	grants            map[string]int
+	// returning counts the requests of returning chats, reused those of them whose
+	// prefix was cached.
 	returning, reused int
 	// maxExcess is the most requests by which a grant put an engine above its limit.
 	// The skew is the ratio of an engine's load to the mean: at a grant that of the
--- a/emulation/network.go
+++ b/emulation/network.go
@@ -146,8 +146,9 @@
 	return 1, delay
 }
 
-// loadsOnly reports whether an envelope carries load reports and totals only. It
-// does not check for claims, the configuration, notices and crashes (marks).
+// loadsOnly reports whether an envelope carries load reports and totals only. An
+// envelope that also carries claims, the configuration, notices or crashes (marks)
+// counts as such too, because these are not checked.
 func loadsOnly(e *peerpb.Envelope) bool {
 	others := len(e.GetRequests()) + len(e.GetAnswers()) + len(e.GetReleases()) + len(e.GetRenewals()) +
 		len(e.GetHandovers()) + len(e.GetPlaced())
--- a/emulation/report.go
+++ b/emulation/report.go
@@ -31,7 +31,8 @@
 	// Refused is the share of requests that were refused.
 	Refused float64
 	// RefusedInShare is the share of refused requests among those of all workspaces
-	// but the last one, which sends the surges of the case burst.
+	// but the last one. In the case burst, these stay within their share of the load,
+	// while the last one sends the surges.
 	RefusedInShare float64
 	// Requests is the number of requests sent.
 	Requests int
--- a/emulation/schedule_test.go
+++ b/emulation/schedule_test.go
@@ -75,9 +75,9 @@
 	}
 }
 
-// TestRandomSchedules plays random sequences of disturbances. The load limit
-// must hold up to what two owners of an engine can grant, every request must
-// end, and no slot may leak.
+// TestRandomSchedules runs random schedules, which are sequences of disturbances.
+// The load limit must hold up to what two owners of an engine can grant, every
+// request must end, and no slot may leak.
 func TestRandomSchedules(t *testing.T) {
 	schedules, requests, worst := 0, 0, 0.0
 	rapid.Check(t, func(r *rapid.T) {
