--- a/cmd/internal/emulator/caller.go
+++ b/cmd/internal/emulator/caller.go
@@ -40,7 +40,8 @@
 	Content string `json:"content"`
 }
 
-type turnBody struct {
+// requestBody is the JSON body of a request for a chat completion.
+type requestBody struct {
 	Model    string        `json:"model"`
 	Stream   bool          `json:"stream"`
 	Messages []textMessage `json:"messages"`
@@ -158,7 +159,7 @@
 }
 
 func (c *caller) post(ctx context.Context, repeatable bool) (*http.Response, error) {
-	body, err := json.Marshal(turnBody{
+	body, err := json.Marshal(requestBody{
 		Model:    model,
 		Stream:   true,
 		Messages: c.messages,
@@ -177,7 +178,7 @@
 	return c.world.client.Do(request)
 }
 
-// readAnswer reads a streamed answer. complete reports that its end marker came.
+// readAnswer reads a streamed answer. complete reports whether its end marker arrived.
 func (c *caller) readAnswer(body io.Reader) (answer string, complete bool) {
 	reader := sse.NewReader(bufio.NewReader(body))
 	var completion chat.Completion
--- a/cmd/internal/emulator/scenario.go
+++ b/cmd/internal/emulator/scenario.go
@@ -75,7 +75,7 @@
 	callersCtx, cancel := context.WithTimeout(ctx, s.Duration)
 	defer cancel()
 	var goroutines sync.WaitGroup
-	goroutines.Go(func() { s.playIncidents(callersCtx, world, progress) })
+	goroutines.Go(func() { s.triggerIncidents(callersCtx, world, progress) })
 	goroutines.Go(func() { world.sampleSkew(callersCtx) })
 	stats := make([]callerStats, s.Chats)
 	for i := range s.Chats {
@@ -89,28 +89,28 @@
 	return world.result(stats, time.Since(started)), ctx.Err()
 }
 
-// playIncidents crashes an engine, starts the planned stop of another and drains a
+// triggerIncidents crashes an engine, starts the planned stop of another and drains a
 // router, at the times of the incidents. It returns early if ctx ends.
-func (s *Scenario) playIncidents(ctx context.Context, w *world, progress func(string)) {
+func (s *Scenario) triggerIncidents(ctx context.Context, w *world, progress func(string)) {
 	for _, incident := range []struct {
-		at   float64
-		text string
-		do   func()
+		at      float64
+		text    string
+		trigger func()
 	}{
 		{
-			at:   crashAt,
-			text: "engine " + w.engines[0].id + " crashed",
-			do:   w.engines[0].crash,
+			at:      crashAt,
+			text:    "engine " + w.engines[0].id + " crashed",
+			trigger: w.engines[0].crash,
 		},
 		{
-			at:   leaveAt,
-			text: "engine " + w.engines[1].id + " is leaving",
-			do:   func() { w.startLeaving(w.engines[1]) },
+			at:      leaveAt,
+			text:    "engine " + w.engines[1].id + " is leaving",
+			trigger: func() { w.startLeaving(w.engines[1]) },
 		},
 		{
-			at:   drainAt,
-			text: "router " + w.routers[0].Settings.ID + " is draining",
-			do:   w.stopRouter[0],
+			at:      drainAt,
+			text:    "router " + w.routers[0].Settings.ID + " is draining",
+			trigger: w.stopRouter[0],
 		},
 	} {
 		wait := time.Until(w.started.Add(time.Duration(incident.at * float64(s.Duration))))
@@ -120,6 +120,6 @@
 		case <-time.After(wait):
 		}
 		progress(incident.text)
-		incident.do()
+		incident.trigger()
 	}
 }
--- a/cmd/internal/emulator/world.go
+++ b/cmd/internal/emulator/world.go
@@ -34,7 +34,8 @@
 	// announceTime is how long a draining router still accepts requests.
 	announceTime = 500 * time.Millisecond
 	// listDelay is the delay of the platform's list of boxes.
-	listDelay         = time.Second
+	listDelay = time.Second
+	// reportDelay and eventDropInterval are parameters of engineProfile.
 	reportDelay       = 200 * time.Millisecond
 	eventDropInterval = 7
 )
