--- a/cmd/internal/daemon/frontend.go
+++ b/cmd/internal/daemon/frontend.go
@@ -173,7 +173,7 @@
 }
 
 // isClientError reports whether kind stands for a 4xx status. Requests that end with one do not count
-// for the service level.
+// for the error budget.
 func isClientError(kind slipwick.Kind) bool {
 	status := statuses[kind]
 	return status >= http.StatusBadRequest && status < http.StatusInternalServerError
--- a/cmd/internal/daemon/metrics.go
+++ b/cmd/internal/daemon/metrics.go
@@ -60,7 +60,7 @@
 	}
 	r.frontend.metrics.Registry.MustRegister(prometheus.NewGaugeFunc(prometheus.GaugeOpts{
 		Name: "slipwick_members",
-		Help: "Routers that this router does not count as dead.",
+		Help: "Routers that this router does not count as dead, including itself.",
 	}, func() float64 { return float64(len(r.node.Routers())) }))
 	r.frontend.metrics.Registry.MustRegister(&ownedCollector{
 		coordinator: r.coordinator,
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -24,7 +24,7 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// Router is one router process. The exported fields have to be set before Run.
+// Router is one chat router process. The exported fields have to be set before Run.
 type Router struct {
 	Settings *Settings
 	Log      zerolog.Logger
@@ -42,7 +42,8 @@
 	// node tracks the live routers by gossip over membershipUDP.
 	node *membership.Node
 	// mesh holds the streams with the other routers.
-	mesh   *peer.Mesh
+	mesh *peer.Mesh
+	// claims makes each request with an idempotency key run at most once in the fleet.
 	claims *claims.Claims
 	// configSyncer exchanges versions of the configuration with the other routers.
 	configSyncer  *configuration.Syncer
--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -11,7 +11,7 @@
 	"github.com/slipwick/slipwick/stream"
 )
 
-// Settings is the content of a router's settings file.
+// Settings is the content of a chat router's settings file.
 type Settings struct {
 	// ID is unique in the fleet.
 	ID         string   `json:"id" validate:"required,max=100"`
--- a/cmd/internal/daemon/status.go
+++ b/cmd/internal/daemon/status.go
@@ -14,7 +14,7 @@
 	ConfigurationVersion slipwick.Version `json:"configuration_version"`
 	PlatformCalls        int64            `json:"platform_calls"`
 	ControlBytes         int64            `json:"control_bytes"`
-	// Members are the IDs of the routers that it does not count as dead, itself included.
+	// Members are the IDs of the routers that it does not count as dead, including itself.
 	Members []string `json:"members"`
 	// Owned holds the backend servers whose slots it grants.
 	Owned []admission.Status `json:"owned"`
--- a/cmd/internal/daemon/tls_test.go
+++ b/cmd/internal/daemon/tls_test.go
@@ -63,11 +63,11 @@
 	if sent := first.mesh.Sent.Load(); sent == 0 {
 		t.Error("got no bytes sent between the routers, want slot requests")
 	}
-	expectRefused(t, first.PeersAddress())
+	checkStreamRefused(t, first.PeersAddress())
 }
 
-// expectRefused checks that a stream without a certificate is refused.
-func expectRefused(t *testing.T, address string) {
+// checkStreamRefused checks that a stream without a certificate is refused.
+func checkStreamRefused(t *testing.T, address string) {
 	t.Helper()
 	connection, err := grpc.NewClient("passthrough:///"+address,
 		grpc.WithTransportCredentials(insecure.NewCredentials()))
--- a/cmd/internal/gatewayd/assemble.go
+++ b/cmd/internal/gatewayd/assemble.go
@@ -38,7 +38,7 @@
 	p.assembleMembership(open)
 	p.exchangeUDP = membership.NewUDP(open.exchangeUDP)
 	p.syncer = p.newSyncer()
-	p.tracker, p.gossiper = p.newTracker()
+	p.crashTracker, p.crashGossiper = p.newCrashTracker()
 	p.gateway = p.newGateway()
 	p.recovery = p.newRecovery()
 	p.metrics.registerGauges(p)
@@ -105,6 +105,6 @@
 
 			Restarted: !s.FirstStart,
 		},
-		Quarantine: p.tracker,
+		Quarantine: p.crashTracker,
 	}
 }
--- a/cmd/internal/gatewayd/membership.go
+++ b/cmd/internal/gatewayd/membership.go
@@ -23,10 +23,10 @@
 
 const (
 	// fastJoinInterval is the interval at which a router that has just started and knows no other
-	// tries its seeds, for the first fastJoins attempts: whole fleets start at once, in any
+	// tries its seeds, for the first fastJoinAttempts attempts: whole fleets start at once, in any
 	// order. joinInterval is the interval of later attempts.
 	fastJoinInterval = 20 * time.Millisecond
-	fastJoins        = 50
+	fastJoinAttempts = 50
 	joinInterval     = time.Second
 	// Each seed is tried joinsPerSeed times, one attempt every seedJoinInterval, even if
 	// other routers are known: otherwise routers that reached different seeds could form
@@ -50,7 +50,7 @@
 		}
 		pause := joinInterval
 		switch {
-		case alone && attempts < fastJoins:
+		case alone && attempts < fastJoinAttempts:
 			pause = fastJoinInterval
 		case early:
 			pause = seedJoinInterval
--- a/cmd/internal/gatewayd/metrics.go
+++ b/cmd/internal/gatewayd/metrics.go
@@ -114,11 +114,11 @@
 		{
 			name: "slipwick_quarantined_requests",
 			help: "Requests that are refused because each crashed several backend servers.",
-			read: func() float64 { return float64(p.tracker.QuarantinedCount()) },
+			read: func() float64 { return float64(p.crashTracker.QuarantinedCount()) },
 		},
 		{
 			name: "slipwick_members",
-			help: "Routers that this router considers alive, including itself.",
+			help: "Routers that this router does not count as dead, including itself.",
 			read: func() float64 { return float64(len(p.node.Routers())) },
 		},
 	}
--- a/cmd/internal/gatewayd/notices_test.go
+++ b/cmd/internal/gatewayd/notices_test.go
@@ -16,7 +16,7 @@
 )
 
 const (
-	// inFlightMargin is for how long after a notice requests may arrive that were on their way
+	// inFlightMargin is how long after a notice requests may still arrive that were on their way
 	// to the server.
 	inFlightMargin = 500 * time.Millisecond
 	// requestedPause is the pause that servers ask for.
--- a/cmd/internal/gatewayd/process.go
+++ b/cmd/internal/gatewayd/process.go
@@ -55,19 +55,24 @@
 	Reload       <-chan struct{}
 	ReadSettings func() (*Settings, error)
 
-	gateway       *gateway.Gateway
-	balancer      *balance.Balancer
-	backends      *directory.Backends
-	client        *upstream.Client
+	// gateway handles the requests of callers. balancer chooses their backend servers from the list
+	// that backends keeps up to date, and client sends to these.
+	gateway  *gateway.Gateway
+	balancer *balance.Balancer
+	backends *directory.Backends
+	client   *upstream.Client
+	// node tracks the live routers by gossip over membershipUDP.
 	node          *membership.Node
 	membershipUDP *membership.UDP
-	syncer        *exchange.Syncer
-	recovery      *exchange.Recovery
-	// tracker quarantines requests that crash backend servers, gossiper reports the crashes to
-	// the other routers.
-	tracker  *quarantine.Tracker
-	gossiper *exchange.CrashGossiper
-	peers    *peers
+	// syncer exchanges the updates of the balancers with the other routers over exchangeUDP.
+	syncer *exchange.Syncer
+	// recovery finds out after a start which prompts engines have cached.
+	recovery *exchange.Recovery
+	// crashTracker quarantines requests that crash backend servers, crashGossiper reports the
+	// crashes to the other routers, over exchangeUDP too.
+	crashTracker  *quarantine.Tracker
+	crashGossiper *exchange.CrashGossiper
+	peers         *peers
 	// mirrors holds this router's copies of the feeds by name, for other routers.
 	mirrors     map[string]*directory.Mirror
 	exchangeUDP *membership.UDP
@@ -150,7 +155,7 @@
 	for _, task := range []func(context.Context){
 		p.followTables, p.followBackends, p.followEvacuations, p.followRollouts,
 		p.node.Run, p.setFirstRouters, p.join, p.syncer.Run,
-		p.gossiper.Run, p.recoverCacheIndex, p.watchSettings, p.watchSuspension,
+		p.crashGossiper.Run, p.recoverCacheIndex, p.watchSettings, p.watchSuspension,
 	} {
 		tasks.Go(func() { task(background) })
 	}
--- a/cmd/internal/gatewayd/quarantine.go
+++ b/cmd/internal/gatewayd/quarantine.go
@@ -7,9 +7,9 @@
 	"github.com/slipwick/slipwick/cmd/internal/events"
 )
 
-// newTracker creates the tracker of requests that crash backend servers, and the gossiper
+// newCrashTracker creates the tracker of requests that crash backend servers, and the gossiper
 // that reports the crashes to the other routers.
-func (p *Process) newTracker() (*quarantine.Tracker, *exchange.CrashGossiper) {
+func (p *Process) newCrashTracker() (*quarantine.Tracker, *exchange.CrashGossiper) {
 	tracker := quarantine.NewTracker(p.Settings.ID)
 	gossiper := exchange.NewCrashGossiper(p.Settings.ID)
 	tracker.Routers = p.node.Routers
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -85,7 +85,7 @@
 		}
 	}
 	follower.OnChange = func(changes []directory.Change[rollout.Order]) {
-		p.rollouts.change(changes)
+		p.rollouts.applyChanges(changes)
 		// Orders take effect before MarkRolloutsKnown allows versions that no order names.
 		p.balancer.MarkRolloutsKnown(asOf)
 		if isFirst {
@@ -127,8 +127,8 @@
 	return n
 }
 
-// change applies changes of the rollout orders.
-func (r *rollouts) change(changes []directory.Change[rollout.Order]) {
+// applyChanges applies changes of the rollout orders.
+func (r *rollouts) applyChanges(changes []directory.Change[rollout.Order]) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := range changes {
@@ -140,7 +140,7 @@
 		case c.Invalid:
 			// An order that can no longer be decoded keeps its last valid state.
 		case known == nil, known.Order.Version != c.Value.Version, known.Order.State.IsFinal() && !c.Value.State.IsFinal():
-			r.followed[c.Name] = r.follow(&c.Value)
+			r.followed[c.Name] = r.newFollowedRollout(&c.Value)
 		default:
 			known.Order = c.Value
 		}
@@ -148,9 +148,9 @@
 	r.applyLocked(clock.Now())
 }
 
-// follow returns the rollout of an order. A completed order starts out as past its retention,
+// newFollowedRollout returns the rollout of an order. A completed order starts out as past its retention,
 // and so restricts no versions: its old version is gone, and newer ones belong to other orders.
-func (r *rollouts) follow(order *rollout.Order) *followedRollout {
+func (r *rollouts) newFollowedRollout(order *rollout.Order) *followedRollout {
 	now, age := clock.Now(), time.Duration(0)
 	if order.State == rollout.StateCompleted {
 		age = order.Duration + rolloutRetention
--- a/cmd/internal/gatewayd/rollouts_test.go
+++ b/cmd/internal/gatewayd/rollouts_test.go
@@ -94,7 +94,7 @@
 	order := f.order
 	f.mu.Unlock()
 	for _, r := range f.routers {
-		r.change([]directory.Change[rollout.Order]{
+		r.applyChanges([]directory.Change[rollout.Order]{
 			{
 				Name:  "o",
 				Value: order,
--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -18,7 +18,7 @@
 	Draining   bool   `json:"draining"`
 	// ConfigurationVersion is the version in force; 0 before there is one.
 	ConfigurationVersion uint64 `json:"configuration"`
-	// Members are the IDs of the routers that it considers alive, including itself.
+	// Members are the IDs of the routers that it does not count as dead, including itself.
 	Members []string `json:"members"`
 	// WatchesStore says that it follows the store itself rather than another router.
 	WatchesStore bool `json:"watches_store"`
@@ -51,7 +51,7 @@
 		Evacuated:     p.evacuatedDataCentres(),
 		KnownParts:    p.balancer.CachedPartCount(),
 		MissingCaches: p.recovery.MissingCount(),
-		Quarantined:   p.tracker.QuarantinedCount(),
+		Quarantined:   p.crashTracker.QuarantinedCount(),
 		Backends:      p.balancer.States(),
 	}
 	if table := p.gateway.Table(); table != nil {
--- a/cmd/slipwickd/gateway_test.go
+++ b/cmd/slipwickd/gateway_test.go
@@ -78,7 +78,7 @@
 		// The error is ignored: the test may have waited for the process already.
 		_ = g.process.Wait()
 	})
-	g.await(t, "the gateway is ready", func() bool { return g.status("http://"+g.ready+"/readyz", "") == http.StatusOK })
+	g.waitUntil(t, "the gateway is ready", func() bool { return g.status("http://"+g.ready+"/readyz", "") == http.StatusOK })
 	return g
 }
 
@@ -91,8 +91,8 @@
 	}
 }
 
-// await polls the condition for 5 s.
-func (g *gatewayBinary) await(t *testing.T, description string, condition func() bool) {
+// waitUntil polls the condition for 5 s.
+func (g *gatewayBinary) waitUntil(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	for range 200 {
 		if condition() {
@@ -164,7 +164,7 @@
 	time.Sleep(300 * time.Millisecond)
 	g.signal(t, syscall.SIGTERM)
 	// The gateway keeps serving for a while, then refuses requests, and only then exits.
-	g.await(t, "a request is refused", func() bool { return refused.Load() > 0 })
+	g.waitUntil(t, "a request is refused", func() bool { return refused.Load() > 0 })
 	close(stop)
 	callers.Wait()
 	if err := g.process.Wait(); err != nil {
@@ -184,7 +184,7 @@
 func TestGatewayBinaryReloadsTable(t *testing.T) {
 	g := startGateway(t)
 	g.setTable(t, 2)
-	g.await(t, "version 2 is in force", func() bool {
+	g.waitUntil(t, "version 2 is in force", func() bool {
 		return g.status("http://"+g.callers+"/v2/x", "q") == http.StatusOK
 	})
 	if got := g.status("http://"+g.callers+"/v1/x", "q"); got != http.StatusNotFound {
--- a/cmd/slipwickd/main.go
+++ b/cmd/slipwickd/main.go
@@ -1,5 +1,5 @@
-// Command slipwickd is the router: it forwards requests of callers to backend servers.
-// slipwickd gateway is the HTTP gateway.
+// Command slipwickd is the chat router: it forwards requests of callers for chats and plain
+// services to backend servers. slipwickd gateway is the HTTP gateway.
 package main
 
 import (
--- a/cmd/slipwickd/serve/serve.go
+++ b/cmd/slipwickd/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve implements the command line of slipwickd: the router, and the gateway with
+// Package serve implements the command line of slipwickd: the chat router, and the gateway with
 // slipwickd gateway.
 package serve
 
@@ -19,7 +19,7 @@
 	"github.com/slipwick/slipwick/cmd/internal/daemon"
 )
 
-const help = `The slipwick router.
+const help = `The slipwick chat router: forwards chat requests and calls of services.
 
 Example:
   slipwickd --config /etc/slipwick/router.jsonc
@@ -33,7 +33,7 @@
 	Check   bool
 }
 
-// Main runs the router, or the gateway if the first argument is gateway, until SIGINT or SIGTERM. It
+// Main runs the chat router, or the gateway if the first argument is gateway, until SIGINT or SIGTERM. It
 // returns the exit code.
 func Main(streams cli.Streams, args []string) int {
 	if len(args) > 0 && args[0] == "gateway" {
