--- a/cmd/internal/gatewayd/fixture_test.go
+++ b/cmd/internal/gatewayd/fixture_test.go
@@ -178,6 +178,20 @@
 	return fmt.Sprintf("%s:%d", loopback.Host(), freePorts(t))
 }
 
+// TestFreeAddressesDiffer draws 500 addresses, several times as many as a run of this package's
+// tests uses. A process with the same address twice would fail to start.
+func TestFreeAddressesDiffer(t *testing.T) {
+	const draws = 500
+	given := make(map[string]bool)
+	for range draws {
+		address := freeAddress(t)
+		if given[address] {
+			t.Fatalf("got %s twice within %d draws", address, len(given)+1)
+		}
+		given[address] = true
+	}
+}
+
 // startReady starts a gateway and waits until it is ready.
 func startReady(t *testing.T, f *fixture, id string, seeds ...string) *testGateway {
 	t.Helper()
@@ -269,3 +283,9 @@
 	body, err := io.ReadAll(response.Body)
 	return response.StatusCode, string(body), err
 }
+
+func newClient() *http.Client {
+	return &http.Client{
+		Transport: &http.Transport{},
+	}
+}
--- a/cmd/internal/gatewayd/listeners_test.go
+++ b/cmd/internal/gatewayd/listeners_test.go
@@ -27,17 +27,3 @@
 	}
 	_ = again.Close()
 }
-
-// TestFreeAddressesDiffer draws 500 addresses, several times as many as a run of this package's
-// tests uses. A process with the same address twice would fail to start.
-func TestFreeAddressesDiffer(t *testing.T) {
-	const draws = 500
-	given := make(map[string]bool)
-	for range draws {
-		address := freeAddress(t)
-		if given[address] {
-			t.Fatalf("got %s twice within %d draws", address, len(given)+1)
-		}
-		given[address] = true
-	}
-}
--- /dev/null
+++ b/cmd/internal/gatewayd/metrics_test.go
@@ -0,0 +1,43 @@
+package gatewayd
+
+import (
+	"net/http"
+	"os"
+	"regexp"
+	"slices"
+	"testing"
+
+	"github.com/slipwick/slipwick/gateway"
+)
+
+// TestMetricsPageAgreesWithCode compares docs/METRICS-GATEWAY.md with what a
+// gateway serves.
+func TestMetricsPageAgreesWithCode(t *testing.T) {
+	r := startReady(t, newFixture(t), "r1")
+	if status, _, err := r.post(t, newClient(), "/1/x"); status != http.StatusOK {
+		t.Fatalf("got %d %v, want 200", status, err)
+	}
+	// The metric of failed attempts is served only after the first one.
+	r.observer.AttemptFailed(&gateway.FailedAttempt{})
+	page, err := os.ReadFile("../../../docs/METRICS-GATEWAY.md")
+	if err != nil {
+		t.Fatal(err)
+	}
+	var want []string
+	for _, found := range regexp.MustCompile("(?m)^\\| `(slipwick_[a-z_]+)`").FindAllStringSubmatch(string(page), -1) {
+		want = append(want, found[1])
+	}
+	families, err := r.metrics.registry.Gather()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var got []string
+	for _, family := range families {
+		got = append(got, family.GetName())
+	}
+	slices.Sort(want)
+	slices.Sort(got)
+	if !slices.Equal(got, want) {
+		t.Errorf("got metrics %v, the page lists %v", got, want)
+	}
+}
