--- a/cmd/internal/cli/factory.go
+++ b/cmd/internal/cli/factory.go
@@ -58,9 +58,9 @@
 	return f.Routers, nil
 }
 
-// ReadRouter sends a GET request for path to the operators address of a router and decodes the JSON
-// response into the given value. A router that does not respond within 5 s, or not with status 200,
-// is an error of slipwick.KindUnavailable.
+// ReadRouter sends a GET request for path to the operators address of a router, or the metrics address
+// of a gateway, and decodes the JSON response into the given value. It returns an error of
+// slipwick.KindUnavailable if the response does not arrive within 5 s or has another status than 200.
 func (f *Factory) ReadRouter(ctx context.Context, address, path string, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, routerTimeout)
 	defer cancel()
--- a/cmd/slipwickd/gateway_test.go
+++ b/cmd/slipwickd/gateway_test.go
@@ -78,7 +78,9 @@
 		// The error is ignored: the test may have waited for the process already.
 		_ = g.process.Wait()
 	})
-	g.waitUntil(t, "the gateway is ready", func() bool { return g.status("http://"+g.ready+"/readyz", "") == http.StatusOK })
+	g.waitUntil(t, "the gateway is ready", func() bool {
+		return g.status("http://"+g.ready+"/readyz", "") == http.StatusOK
+	})
 	return g
 }
 
