--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -68,7 +68,7 @@
 
 // idleTimeout returns how long the backend server may stay silent in the middle of a stream.
 func (c *call) idleTimeout(lease *balance.Lease) time.Duration {
-	timeout := pauseObjectiveFactor * c.route.PauseObjective
+	timeout := pauseObjectiveFactor * c.route.GapObjective
 	if timeout == 0 {
 		timeout = defaultIdleTimeout
 	}
--- a/routing/route.go
+++ b/routing/route.go
@@ -14,9 +14,9 @@
 	// ResponseObjective is the longest time to the response, for a stream to its first event, that
 	// counts as good.
 	ResponseObjective time.Duration
-	// PauseObjective is the longest pause between events of a stream that counts as good; 0 if none
+	// GapObjective is the longest gap between events of a stream that counts as good; 0 if none
 	// is configured.
-	PauseObjective time.Duration
+	GapObjective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
 	// MaxAttempts bounds the number of backend servers that may run one request.
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -174,7 +174,7 @@
 		Kind:              routing.Kind(r.Kind),
 		Timeout:           time.Duration(r.Timeout),
 		ResponseObjective: time.Duration(r.ResponseObjective),
-		PauseObjective:    time.Duration(r.PauseObjective),
+		GapObjective:      time.Duration(r.PauseObjective),
 		Priority:          r.Priority,
 		MaxAttempts:       max(r.MaxAttempts, 1),
 		AllowAnonymous:    r.AllowAnonymous,
