--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -38,7 +38,7 @@
 	Kind              string            `json:"kind" validate:"oneof=repeatable single stream"`
 	Timeout           jsonfile.Duration `json:"timeout" validate:"min=0"`
 	ResponseObjective jsonfile.Duration `json:"objective" validate:"min=0"`
-	PauseObjective    jsonfile.Duration `json:"pause" validate:"min=0"`
+	GapObjective      jsonfile.Duration `json:"pause" validate:"min=0"`
 	Priority          int               `json:"priority" validate:"min=0,max=9"`
 	MaxAttempts       int               `json:"max_attempts" validate:"min=0"`
 	AllowAnonymous    bool              `json:"anonymous"`
@@ -174,7 +174,7 @@
 		Kind:              routing.Kind(r.Kind),
 		Timeout:           time.Duration(r.Timeout),
 		ResponseObjective: time.Duration(r.ResponseObjective),
-		GapObjective:      time.Duration(r.PauseObjective),
+		GapObjective:      time.Duration(r.GapObjective),
 		Priority:          r.Priority,
 		MaxAttempts:       max(r.MaxAttempts, 1),
 		AllowAnonymous:    r.AllowAnonymous,
