--- a/dispatch/quarantine_test.go
+++ b/dispatch/quarantine_test.go
@@ -106,14 +106,18 @@
 		"quarantined between its attempts": func(_ *crashingEngines, d *Dispatcher) {
 			d.HasCrashed = func(context.Context, slipwick.Backend) bool {
 				// The crashes that another router reports arrive between the attempts.
-				d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
+				d.Quarantine.Merge([]quarantine.Crash{
+					{Key: 7, ServerIDHash: 1}, {Key: 7, ServerIDHash: 2}, {Key: 7, ServerIDHash: 3},
+				})
 				return false
 			}
 		},
 		"quarantined before its next attempt": func(e *crashingEngines, d *Dispatcher) {
 			e.onAcquire = func(requested int) {
 				if requested == 2 {
-					d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
+					d.Quarantine.Merge([]quarantine.Crash{
+						{Key: 7, ServerIDHash: 1}, {Key: 7, ServerIDHash: 2}, {Key: 7, ServerIDHash: 3},
+					})
 				}
 			}
 		},
@@ -150,7 +154,9 @@
 	d := e.dispatcher()
 	d.Quarantine = quarantine.NewTracker("r")
 	e.onAcquire = func(int) {
-		d.Quarantine.Merge([]quarantine.Crash{{Key: 7, Server: 1}, {Key: 7, Server: 2}, {Key: 7, Server: 3}})
+		d.Quarantine.Merge([]quarantine.Crash{
+			{Key: 7, ServerIDHash: 1}, {Key: 7, ServerIDHash: 2}, {Key: 7, ServerIDHash: 3},
+		})
 	}
 	err := sendChat(t, d, "r")
 	failure, ok := slipwick.AsError(err)
--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -29,8 +29,8 @@
 			Leaving:  []uint32{1, 9},
 		},
 		NewCrashGossiper("1").encode([]quarantine.Crash{
-			{Key: 1, Server: 2, Incarnation: -1 << 62},
-			{Key: 1, Server: 2, Incarnation: 1 << 62},
+			{Key: 1, ServerIDHash: 2, Incarnation: -1 << 62},
+			{Key: 1, ServerIDHash: 2, Incarnation: 1 << 62},
 		}),
 	} {
 		f.Add(marshal(message))
--- a/exchange/gossip.go
+++ b/exchange/gossip.go
@@ -117,7 +117,7 @@
 	}
 	for _, crash := range crashes {
 		message.EndedKeys = append(message.EndedKeys, uint64(crash.Key))
-		message.EndedServers = append(message.EndedServers, crash.Server)
+		message.EndedServers = append(message.EndedServers, crash.ServerIDHash)
 		message.EndedLives = append(message.EndedLives, crash.Incarnation)
 		message.EndedExcused = append(message.EndedExcused, crash.Excused)
 	}
@@ -140,10 +140,10 @@
 	crashes := make([]quarantine.Crash, 0, n)
 	for i := range n {
 		crashes = append(crashes, quarantine.Crash{
-			Key:         quarantine.Key(message.GetEndedKeys()[i]),
-			Server:      message.GetEndedServers()[i],
-			Incarnation: message.GetEndedLives()[i],
-			Excused:     message.GetEndedExcused()[i],
+			Key:          quarantine.Key(message.GetEndedKeys()[i]),
+			ServerIDHash: message.GetEndedServers()[i],
+			Incarnation:  message.GetEndedLives()[i],
+			Excused:      message.GetEndedExcused()[i],
 		})
 	}
 	return crashes
--- a/exchange/gossip_test.go
+++ b/exchange/gossip_test.go
@@ -203,7 +203,9 @@
 
 // TestIncompleteCrashesAreLeftOut decodes a message as it was encoded, and with one list shortened.
 func TestIncompleteCrashesAreLeftOut(t *testing.T) {
-	crashes := []quarantine.Crash{{Key: 1, Server: 2, Incarnation: 3}, {Key: 4, Server: 5, Incarnation: -6, Excused: true}}
+	crashes := []quarantine.Crash{
+		{Key: 1, ServerIDHash: 2, Incarnation: 3}, {Key: 4, ServerIDHash: 5, Incarnation: -6, Excused: true},
+	}
 	message := NewCrashGossiper("r").encode(crashes)
 	if got := decodeCrashes(message); !slices.Equal(got, crashes) {
 		t.Errorf("got %v, want %v", got, crashes)
--- a/gateway/quarantine_test.go
+++ b/gateway/quarantine_test.go
@@ -168,7 +168,9 @@
 	go func() { ended <- send(t, r) }()
 	<-began
 	key := quarantine.KeyOf("w", http.MethodPost, "/repeatable/x", []byte("question"))
-	tracker.Merge([]quarantine.Crash{{Key: key, Server: 1}, {Key: key, Server: 2}, {Key: key, Server: 3}})
+	tracker.Merge([]quarantine.Crash{
+		{Key: key, ServerIDHash: 1}, {Key: key, ServerIDHash: 2}, {Key: key, ServerIDHash: 3},
+	})
 	select {
 	case <-disconnected:
 	case <-time.After(2 * time.Second):
--- a/quarantine/bench_test.go
+++ b/quarantine/bench_test.go
@@ -11,7 +11,7 @@
 func BenchmarkRequest(b *testing.B) {
 	tracker := NewTracker("r")
 	for key := range Key(2 * maxRecords) {
-		tracker.Merge([]Crash{{Key: key, Server: 1, Incarnation: 1}})
+		tracker.Merge([]Crash{{Key: key, ServerIDHash: 1, Incarnation: 1}})
 	}
 	backend := &slipwick.Backend{
 		ID: "engine",
--- a/quarantine/crash.go
+++ b/quarantine/crash.go
@@ -5,8 +5,8 @@
 // Crash records that a backend server crashed while it ran a request.
 type Crash struct {
 	Key Key
-	// Server is the hash of the backend server's ID.
-	Server uint64
+	// ServerIDHash is the hash of the backend server's ID, which its incarnations share.
+	ServerIDHash uint64
 	// Incarnation identifies the incarnation of the server: the time at which it started, as the
 	// server reports it, or else the time at which its crash was seen, in Unix milliseconds.
 	Incarnation int64
@@ -23,5 +23,5 @@
 // isSameIncarnation reports whether both crashes are of the same incarnation of the same server.
 func (c *Crash) isSameIncarnation(other *Crash) bool {
 	apart := time.Duration(c.Incarnation-other.Incarnation) * time.Millisecond
-	return c.Server == other.Server && apart.Abs() < incarnationTolerance
+	return c.ServerIDHash == other.ServerIDHash && apart.Abs() < incarnationTolerance
 }
--- a/quarantine/tracker.go
+++ b/quarantine/tracker.go
@@ -142,9 +142,9 @@
 	attempt := &Attempt{
 		tracker: t,
 		crash: Crash{
-			Key:         key,
-			Server:      placement.IDHash(backend.ID),
-			Incarnation: backend.StartTime,
+			Key:          key,
+			ServerIDHash: placement.IDHash(backend.ID),
+			Incarnation:  backend.StartTime,
 		},
 		stop: stop,
 	}
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -54,7 +54,7 @@
 	for range 4 {
 		runAttempt(t, tracker, 7, "a", 1_000, OutcomeCrashed)
 	}
-	tracker.Merge([]Crash{{Key: 7, Server: 5, Incarnation: 2_000}, {Key: 7, Server: 5, Incarnation: 2_400}})
+	tracker.Merge([]Crash{{Key: 7, ServerIDHash: 5, Incarnation: 2_000}, {Key: 7, ServerIDHash: 5, Incarnation: 2_400}})
 	if tracker.IsQuarantined(7) {
 		t.Error("got quarantined after the crashes of two incarnations, want three")
 	}
@@ -97,7 +97,7 @@
 		t.Error("got quarantined by excused crashes")
 	}
 	other := NewTracker("s")
-	other.Merge(slices.Concat(early, []Crash{{Key: 7, Server: 9, Incarnation: 1}}))
+	other.Merge(slices.Concat(early, []Crash{{Key: 7, ServerIDHash: 9, Incarnation: 1}}))
 	if !other.IsQuarantined(7) {
 		t.Fatal("another router: got not quarantined after three crashes")
 	}
@@ -192,10 +192,10 @@
 	rapid.Check(t, func(t *rapid.T) {
 		crashes := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) Crash {
 			return Crash{
-				Key:         Key(rapid.IntRange(1, 4).Draw(t, "key")),
-				Server:      uint64(rapid.IntRange(1, 3).Draw(t, "server")),
-				Incarnation: int64(rapid.IntRange(1, 3).Draw(t, "incarnation")) * 5_000,
-				Excused:     rapid.IntRange(0, 3).Draw(t, "excused") == 0,
+				Key:          Key(rapid.IntRange(1, 4).Draw(t, "key")),
+				ServerIDHash: uint64(rapid.IntRange(1, 3).Draw(t, "server")),
+				Incarnation:  int64(rapid.IntRange(1, 3).Draw(t, "incarnation")) * 5_000,
+				Excused:      rapid.IntRange(0, 3).Draw(t, "excused") == 0,
 			}
 		}), 0, 40).Draw(t, "crashes")
 		a, b := NewTracker("a"), NewTracker("b")
