--- a/gateway/timeouts.go
+++ b/gateway/timeouts.go
@@ -18,12 +18,12 @@
 	// retryTimeShare is the share of the remaining time that is kept for a retry, if one may
 	// follow.
 	retryTimeShare = 0.5
-	// pauseObjectiveFactor times the pause that the route allows between events is how long a
+	// gapObjectiveFactor times the gap that the route allows between events is how long a
 	// stream may stay silent after it has begun; defaultIdleTimeout applies if the route sets no
-	// such pause. Callers give up after some seconds.
-	pauseObjectiveFactor = 4
-	defaultIdleTimeout   = 1200 * time.Millisecond
-	// maxIdleTimeout caps an idle timeout that is derived from the pauses of a slow pool: callers
+	// such gap. Callers give up after some seconds.
+	gapObjectiveFactor = 4
+	defaultIdleTimeout = 1200 * time.Millisecond
+	// maxIdleTimeout caps an idle timeout that is derived from the gaps of a slow pool: callers
 	// do not wait for longer.
 	maxIdleTimeout = 4 * time.Second
 	// retryPollInterval is how often a timed-out send that still waits tries to acquire the lease
@@ -39,7 +39,7 @@
 	call  *call
 	lease *balance.Lease
 	// mayRetry says that the route allows another send after this one, reported that the balancer
-	// has been told about the silence.
+	// knows of the silence.
 	mayRetry bool
 	reported bool
 }
@@ -68,7 +68,7 @@
 
 // idleTimeout returns how long the backend server may stay silent in the middle of a stream.
 func (c *call) idleTimeout(lease *balance.Lease) time.Duration {
-	timeout := pauseObjectiveFactor * c.route.GapObjective
+	timeout := gapObjectiveFactor * c.route.GapObjective
 	if timeout == 0 {
 		timeout = defaultIdleTimeout
 	}
