--- a/cmd/internal/cli/exit.go
+++ b/cmd/internal/cli/exit.go
@@ -52,7 +52,7 @@
 // ExitCode returns the exit code for an error; ExitOK for nil.
 func ExitCode(err error) int {
 	var usage *UsageError
-	var mistakes jsonfile.Mistakes
+	var mistakes jsonfile.ValidationErrors
 	switch {
 	case err == nil:
 		return ExitOK
--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -87,7 +87,7 @@
 	maxResumes           = 3
 )
 
-// ReadSettings reads and checks a settings file. The error is jsonfile.Mistakes when the
+// ReadSettings reads and checks a settings file. The error is jsonfile.ValidationErrors when the
 // file could be read but is not valid.
 func ReadSettings(path string) (*Settings, error) {
 	source, err := os.ReadFile(path)
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -85,7 +85,7 @@
 )
 
 // ReadFileSettings reads a settings file and checks the table file that it names.
-// It returns jsonfile.Mistakes if a file can be read but is not valid.
+// It returns jsonfile.ValidationErrors if a file can be read but is not valid.
 func ReadFileSettings(path string) (*Settings, Feeds, error) {
 	source, err := os.ReadFile(path)
 	if err != nil {
--- a/cmd/slipwickd/serve/serve.go
+++ b/cmd/slipwickd/serve/serve.go
@@ -80,7 +80,7 @@
 // settingsError returns the mistakes in a settings file, or a usage error if the settings cannot be
 // read.
 func settingsError(err error) error {
-	var mistakes jsonfile.Mistakes
+	var mistakes jsonfile.ValidationErrors
 	if errors.As(err, &mistakes) {
 		return mistakes
 	}
--- a/configuration/read.go
+++ b/configuration/read.go
@@ -22,7 +22,7 @@
 }
 
 // ReadPath reads a file, or all JSON files of a directory (not of its subdirectories), as
-// one state. The error is jsonfile.Mistakes if the files can be read but are invalid.
+// one state. The error is jsonfile.ValidationErrors if the files can be read but are invalid.
 func ReadPath(path string) (State, error) {
 	info, err := os.Stat(path)
 	if err != nil {
@@ -62,9 +62,9 @@
 }
 
 // Read merges the files, given as contents by name, into one state and checks it. The
-// error is jsonfile.Mistakes.
+// error is jsonfile.ValidationErrors.
 func Read(contents map[string][]byte) (State, error) {
-	var mistakes jsonfile.Mistakes
+	var mistakes jsonfile.ValidationErrors
 	var sources []source
 	var state State
 	for _, file := range sortedKeys(contents) {
@@ -91,12 +91,12 @@
 	return state, nil
 }
 
-func asMistakes(err error) jsonfile.Mistakes {
-	var mistakes jsonfile.Mistakes
+func asMistakes(err error) jsonfile.ValidationErrors {
+	var mistakes jsonfile.ValidationErrors
 	if errors.As(err, &mistakes) {
 		return mistakes
 	}
-	return jsonfile.Mistakes{
+	return jsonfile.ValidationErrors{
 		{
 			Message: fmt.Sprint(err),
 			Remedy:  "correct the file",
--- a/configuration/references.go
+++ b/configuration/references.go
@@ -13,12 +13,12 @@
 	pools      map[string]bool
 	backends   map[string]bool
 	keyHashes  map[string]bool
-	mistakes   jsonfile.Mistakes
+	mistakes   jsonfile.ValidationErrors
 }
 
 // checkReferences returns the mistakes that a referenceChecker finds, and one more if no file
 // declares a pool.
-func checkReferences(sources []source, state *State) jsonfile.Mistakes {
+func checkReferences(sources []source, state *State) jsonfile.ValidationErrors {
 	c := referenceChecker{
 		workspaces: make(map[string]bool),
 		pools:      make(map[string]bool),
--- a/jsonfile/document.go
+++ b/jsonfile/document.go
@@ -25,7 +25,7 @@
 // syntaxLine matches the line number in hujson's message for malformed input.
 var syntaxLine = regexp.MustCompile(`line (\d+)`)
 
-// Parse parses the source. The error, if any, is Mistakes.
+// Parse parses the source. The error, if any, is ValidationErrors.
 func Parse(file string, source []byte) (*Document, error) {
 	root, err := hujson.Parse(source)
 	if err == nil {
@@ -39,7 +39,7 @@
 	if found := syntaxLine.FindStringSubmatch(err.Error()); found != nil {
 		line, _ = strconv.Atoi(found[1])
 	}
-	return nil, Mistakes{
+	return nil, ValidationErrors{
 		{
 			File:    file,
 			Line:    line,
@@ -53,7 +53,7 @@
 // Decode decodes the document into target, a pointer to a struct, and returns all
 // mistakes: unknown fields, duplicate fields and wrong types, or, if there are none
 // of these, values that violate the validate tags.
-func (d *Document) Decode(target any) Mistakes {
+func (d *Document) Decode(target any) ValidationErrors {
 	mistakes := d.checkTypes(target)
 	if len(mistakes) > 0 {
 		return mistakes
@@ -61,7 +61,7 @@
 	standard := d.root.Clone()
 	standard.Standardize()
 	if err := json.Unmarshal(standard.Pack(), target); err != nil {
-		return Mistakes{d.Mistake("", err.Error(), "correct the value")}
+		return ValidationErrors{d.Mistake("", err.Error(), "correct the value")}
 	}
 	return d.checkValues(target)
 }
--- a/jsonfile/document_test.go
+++ b/jsonfile/document_test.go
@@ -82,7 +82,7 @@
 
 func TestParseGivesTheLineOfBrokenSyntax(t *testing.T) {
 	_, err := Parse("f", []byte("{\n\"size\": }"))
-	var mistakes Mistakes
+	var mistakes ValidationErrors
 	if !errors.As(err, &mistakes) || len(mistakes) != 1 || mistakes[0].Line != 2 {
 		t.Errorf("got %v, want one mistake on line 2", err)
 	}
--- a/jsonfile/mistake.go
+++ b/jsonfile/mistake.go
@@ -21,11 +21,11 @@
 	return fmt.Sprintf("%s:%d: %s: %s; %s", m.File, m.Line, m.Path, m.Message, m.Remedy)
 }
 
-// Mistakes is an error that lists all mistakes of one or more files.
-type Mistakes []Mistake
+// ValidationErrors is an error that lists all mistakes of one or more files.
+type ValidationErrors []Mistake
 
 // Error returns one line for each mistake.
-func (m Mistakes) Error() string {
+func (m ValidationErrors) Error() string {
 	lines := make([]string, 0, len(m))
 	for _, mistake := range m {
 		lines = append(lines, mistake.String())
--- a/jsonfile/typecheck.go
+++ b/jsonfile/typecheck.go
@@ -14,10 +14,10 @@
 // typeChecker compares the values of a document with the Go types that they are decoded into.
 type typeChecker struct {
 	document *Document
-	mistakes Mistakes
+	mistakes ValidationErrors
 }
 
-func (d *Document) checkTypes(target any) Mistakes {
+func (d *Document) checkTypes(target any) ValidationErrors {
 	c := typeChecker{
 		document: d,
 	}
--- a/jsonfile/values.go
+++ b/jsonfile/values.go
@@ -18,16 +18,16 @@
 	return v
 }
 
-func (d *Document) checkValues(target any) Mistakes {
+func (d *Document) checkValues(target any) ValidationErrors {
 	err := validate.Struct(target)
 	if err == nil {
 		return nil
 	}
 	var invalid validator.ValidationErrors
 	if !errors.As(err, &invalid) {
-		return Mistakes{d.Mistake("", err.Error(), "report this as a bug")}
+		return ValidationErrors{d.Mistake("", err.Error(), "report this as a bug")}
 	}
-	mistakes := make(Mistakes, 0, len(invalid))
+	mistakes := make(ValidationErrors, 0, len(invalid))
 	for _, field := range invalid {
 		mistakes = append(mistakes, d.Mistake(pointerOf(field.Namespace()), message(field), remedy(field)))
 	}
--- a/tablefile/evacuated.go
+++ b/tablefile/evacuated.go
@@ -13,7 +13,8 @@
 
 // SetEvacuated returns the source of a table file with a data centre added to the list of evacuated
 // ones or removed from it. Comments are kept; if nothing changes, the source is returned as it
-// is. Error messages call the file by the name. The error is jsonfile.Mistakes for an invalid file.
+// is. Error messages call the file by the name. The error is jsonfile.ValidationErrors for an invalid
+// file.
 // A data centre without backend servers can't be evacuated.
 func SetEvacuated(name string, source []byte, dataCentre string, evacuated bool) ([]byte, error) {
 	file, err := Parse(name, source)
--- a/tablefile/feed.go
+++ b/tablefile/feed.go
@@ -107,7 +107,7 @@
 	return name, nil
 }
 
-// DecodeTable decodes an object of Tables. The error is jsonfile.Mistakes.
+// DecodeTable decodes an object of Tables. The error is jsonfile.ValidationErrors.
 func DecodeTable(name string, value []byte) (*routing.Table, error) {
 	file, err := Parse(name, value)
 	if err != nil {
--- a/tablefile/feed_test.go
+++ b/tablefile/feed_test.go
@@ -90,7 +90,7 @@
 	bad := strings.NewReplacer(`"/x/"`, `"x"`, `"stream"`, `"dance"`, `"version": 3`, `"version": 0`)
 	write(t, path, bad.Replace(validFile))
 	_, err := Tables(path).List(t.Context())
-	var mistakes jsonfile.Mistakes
+	var mistakes jsonfile.ValidationErrors
 	if !errors.As(err, &mistakes) || len(mistakes) != 3 || !slipwick.IsKind(err, slipwick.KindInvalidConfiguration) {
 		t.Errorf("got %v, want three mistakes", err)
 	}
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -83,7 +83,7 @@
 }
 
 // Parse parses and checks a file, which error messages call by the name. The error is
-// jsonfile.Mistakes.
+// jsonfile.ValidationErrors.
 func Parse(name string, source []byte) (*File, error) {
 	document, err := jsonfile.Parse(name, source)
 	if err != nil {
@@ -101,12 +101,12 @@
 }
 
 // checkTargets finds routes to pools that the file does not declare.
-func (f *File) checkTargets(document *jsonfile.Document) jsonfile.Mistakes {
+func (f *File) checkTargets(document *jsonfile.Document) jsonfile.ValidationErrors {
 	declared := make(map[string]bool, len(f.Pools))
 	for i := range f.Pools {
 		declared[f.Pools[i].Name] = true
 	}
-	var mistakes jsonfile.Mistakes
+	var mistakes jsonfile.ValidationErrors
 	for i := range f.Routes {
 		for _, target := range f.Routes[i].Targets {
 			if !declared[target.Pool] {
