--- a/jsonfile/document.go
+++ b/jsonfile/document.go
@@ -67,12 +67,12 @@
 }
 
 // Mistake returns a mistake at the JSON pointer, with the line of the value there.
-func (d *Document) Mistake(pointer, message, remedy string) Mistake {
+func (d *Document) Mistake(pointer, message, remedy string) ValidationError {
 	path := pointer
 	if path == "" {
 		path = rootPath
 	}
-	return Mistake{
+	return ValidationError{
 		File:    d.File,
 		Line:    d.Line(pointer),
 		Path:    path,
--- a/jsonfile/mistake.go
+++ b/jsonfile/mistake.go
@@ -5,8 +5,8 @@
 	"strings"
 )
 
-// Mistake is one error in a file, with its place and what to do about it.
-type Mistake struct {
+// ValidationError is one error in a file, with its place and what to do about it.
+type ValidationError struct {
 	File string `json:"file"`
 	// Line counts from 1; it is 0 if the line is not known.
 	Line int `json:"line"`
@@ -17,12 +17,12 @@
 }
 
 // String returns the mistake on one line: FILE:LINE: PATH: MESSAGE; REMEDY.
-func (m Mistake) String() string {
+func (m ValidationError) String() string {
 	return fmt.Sprintf("%s:%d: %s: %s; %s", m.File, m.Line, m.Path, m.Message, m.Remedy)
 }
 
-// ValidationErrors is an error that lists all mistakes of one or more files.
-type ValidationErrors []Mistake
+// ValidationErrors is an error that lists all errors of one or more files.
+type ValidationErrors []ValidationError
 
 // Error returns one line for each mistake.
 func (m ValidationErrors) Error() string {
