--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -101,7 +101,7 @@
 	settings := &Settings{}
 	mistakes := document.Decode(settings)
 	if peers := settings.TLS.Peers; len(mistakes) == 0 && peers != nil && peers.Authorities == "" {
-		mistakes = append(mistakes, document.Mistake("/tls/peers/authorities", "missing or empty",
+		mistakes = append(mistakes, document.ErrorAt("/tls/peers/authorities", "missing or empty",
 			"name the PEM file of the authority that signs the fleet's certificates"))
 	}
 	if len(mistakes) > 0 {
--- a/configuration/references.go
+++ b/configuration/references.go
@@ -32,7 +32,7 @@
 		c.checkRules(part)
 	}
 	if len(state.Pools) == 0 && len(sources) > 0 {
-		c.mistakes = append(c.mistakes, sources[0].document.Mistake("", "no pools", "declare a pool in one of the files"))
+		c.mistakes = append(c.mistakes, sources[0].document.ErrorAt("", "no pools", "declare a pool in one of the files"))
 	}
 	return c.mistakes
 }
@@ -56,7 +56,7 @@
 
 func (c *referenceChecker) checkUnique(part source, seen map[string]bool, pointer, name string) {
 	if seen[name] {
-		c.mistakes = append(c.mistakes, part.document.Mistake(pointer, name+" is declared twice",
+		c.mistakes = append(c.mistakes, part.document.ErrorAt(pointer, name+" is declared twice",
 			"use each name once in all files together"))
 	}
 	seen[name] = true
@@ -77,7 +77,7 @@
 
 func (c *referenceChecker) checkDeclared(part source, declared map[string]bool, pointer, name string) {
 	if !declared[name] {
-		c.mistakes = append(c.mistakes, part.document.Mistake(pointer, name+" is not declared",
+		c.mistakes = append(c.mistakes, part.document.ErrorAt(pointer, name+" is not declared",
 			"declare it in one of the files, or correct the name"))
 	}
 }
--- a/jsonfile/document.go
+++ b/jsonfile/document.go
@@ -61,13 +61,13 @@
 	standard := d.root.Clone()
 	standard.Standardize()
 	if err := json.Unmarshal(standard.Pack(), target); err != nil {
-		return ValidationErrors{d.Mistake("", err.Error(), "correct the value")}
+		return ValidationErrors{d.ErrorAt("", err.Error(), "correct the value")}
 	}
 	return d.checkValues(target)
 }
 
-// Mistake returns a mistake at the JSON pointer, with the line of the value there.
-func (d *Document) Mistake(pointer, message, remedy string) ValidationError {
+// ErrorAt returns a validation error at the JSON pointer, with the line of the value there.
+func (d *Document) ErrorAt(pointer, message, remedy string) ValidationError {
 	path := pointer
 	if path == "" {
 		path = rootPath
--- a/jsonfile/typecheck.go
+++ b/jsonfile/typecheck.go
@@ -26,7 +26,7 @@
 }
 
 func (c *typeChecker) add(pointer, message, remedy string) {
-	c.mistakes = append(c.mistakes, c.document.Mistake(pointer, message, remedy))
+	c.mistakes = append(c.mistakes, c.document.ErrorAt(pointer, message, remedy))
 }
 
 func (c *typeChecker) checkValue(pointer string, value *hujson.Value, goType reflect.Type) {
--- a/jsonfile/values.go
+++ b/jsonfile/values.go
@@ -25,11 +25,11 @@
 	}
 	var invalid validator.ValidationErrors
 	if !errors.As(err, &invalid) {
-		return ValidationErrors{d.Mistake("", err.Error(), "report this as a bug")}
+		return ValidationErrors{d.ErrorAt("", err.Error(), "report this as a bug")}
 	}
 	mistakes := make(ValidationErrors, 0, len(invalid))
 	for _, field := range invalid {
-		mistakes = append(mistakes, d.Mistake(pointerOf(field.Namespace()), message(field), remedy(field)))
+		mistakes = append(mistakes, d.ErrorAt(pointerOf(field.Namespace()), message(field), remedy(field)))
 	}
 	return mistakes
 }
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -110,7 +110,7 @@
 	for i := range f.Routes {
 		for _, target := range f.Routes[i].Targets {
 			if !declared[target.Pool] {
-				mistakes = append(mistakes, document.Mistake(pointer("routes", i), "no pool "+target.Pool,
+				mistakes = append(mistakes, document.ErrorAt(pointer("routes", i), "no pool "+target.Pool,
 					"name one of the file's pools"))
 			}
 		}
