--- a/jsonfile/doc.go
+++ b/jsonfile/doc.go
@@ -1,3 +1,3 @@
 // Package jsonfile decodes JSON with comments into structs and reports all
-// mistakes at once, each with its file, line, path and remedy.
+// errors at once, each with its file, line, path and remedy.
 package jsonfile
--- a/jsonfile/document.go
+++ b/jsonfile/document.go
@@ -10,12 +10,12 @@
 	"github.com/tailscale/hujson"
 )
 
-// rootPath stands for the whole document in mistakes, as its JSON pointer is empty.
+// rootPath stands for the whole document in errors, as its JSON pointer is empty.
 const rootPath = "/"
 
 // Document is a parsed file.
 type Document struct {
-	// File is the name of the document in mistakes.
+	// File is the name of the document in errors.
 	File string
 
 	source []byte
@@ -51,12 +51,12 @@
 }
 
 // Decode decodes the document into target, a pointer to a struct, and returns all
-// mistakes: unknown fields, duplicate fields and wrong types, or, if there are none
+// errors: unknown fields, duplicate fields and wrong types, or, if there are none
 // of these, values that violate the validate tags.
 func (d *Document) Decode(target any) ValidationErrors {
-	mistakes := d.checkTypes(target)
-	if len(mistakes) > 0 {
-		return mistakes
+	errs := d.checkTypes(target)
+	if len(errs) > 0 {
+		return errs
 	}
 	standard := d.root.Clone()
 	standard.Standardize()
--- a/jsonfile/document_test.go
+++ b/jsonfile/document_test.go
@@ -28,15 +28,15 @@
 		t.Fatal(err)
 	}
 	var got file
-	if mistakes := document.Decode(&got); len(mistakes) > 0 {
-		t.Fatal(mistakes)
+	if errs := document.Decode(&got); len(errs) > 0 {
+		t.Fatal(errs)
 	}
 	if got.Size != 3 || got.Entries[0].Wait.Or(0) != 2*time.Second {
 		t.Errorf("got %+v, want size 3 and a wait of 2s", got)
 	}
 }
 
-func TestDecodeListsEveryMistake(t *testing.T) {
+func TestDecodeListsEveryError(t *testing.T) {
 	for _, tc := range []struct {
 		name   string
 		source string
@@ -82,8 +82,8 @@
 
 func TestParseGivesTheLineOfBrokenSyntax(t *testing.T) {
 	_, err := Parse("f", []byte("{\n\"size\": }"))
-	var mistakes ValidationErrors
-	if !errors.As(err, &mistakes) || len(mistakes) != 1 || mistakes[0].Line != 2 {
-		t.Errorf("got %v, want one mistake on line 2", err)
+	var errs ValidationErrors
+	if !errors.As(err, &errs) || len(errs) != 1 || errs[0].Line != 2 {
+		t.Errorf("got %v, want one error on line 2", err)
 	}
 }
--- a/jsonfile/typecheck.go
+++ b/jsonfile/typecheck.go
@@ -14,7 +14,7 @@
 // typeChecker compares the values of a document with the Go types that they are decoded into.
 type typeChecker struct {
 	document *Document
-	mistakes ValidationErrors
+	errs     ValidationErrors
 }
 
 func (d *Document) checkTypes(target any) ValidationErrors {
@@ -22,11 +22,11 @@
 		document: d,
 	}
 	c.checkValue("", &d.root, reflect.TypeOf(target).Elem())
-	return c.mistakes
+	return c.errs
 }
 
 func (c *typeChecker) add(pointer, message, remedy string) {
-	c.mistakes = append(c.mistakes, c.document.ErrorAt(pointer, message, remedy))
+	c.errs = append(c.errs, c.document.ErrorAt(pointer, message, remedy))
 }
 
 func (c *typeChecker) checkValue(pointer string, value *hujson.Value, goType reflect.Type) {
--- a/jsonfile/mistake.go
+++ b/jsonfile/validationerror.go
@@ -16,19 +16,19 @@
 	Remedy  string `json:"remedy"`
 }
 
-// String returns the mistake on one line: FILE:LINE: PATH: MESSAGE; REMEDY.
-func (m ValidationError) String() string {
-	return fmt.Sprintf("%s:%d: %s: %s; %s", m.File, m.Line, m.Path, m.Message, m.Remedy)
+// String returns the error on one line: FILE:LINE: PATH: MESSAGE; REMEDY.
+func (e ValidationError) String() string {
+	return fmt.Sprintf("%s:%d: %s: %s; %s", e.File, e.Line, e.Path, e.Message, e.Remedy)
 }
 
 // ValidationErrors is an error that lists all errors of one or more files.
 type ValidationErrors []ValidationError
 
-// Error returns one line for each mistake.
-func (m ValidationErrors) Error() string {
-	lines := make([]string, 0, len(m))
-	for _, mistake := range m {
-		lines = append(lines, mistake.String())
+// Error returns one line for each error.
+func (e ValidationErrors) Error() string {
+	lines := make([]string, 0, len(e))
+	for _, validationError := range e {
+		lines = append(lines, validationError.String())
 	}
 	return strings.Join(lines, "\n")
 }
--- a/jsonfile/values.go
+++ b/jsonfile/values.go
@@ -27,11 +27,11 @@
 	if !errors.As(err, &invalid) {
 		return ValidationErrors{d.ErrorAt("", err.Error(), "report this as a bug")}
 	}
-	mistakes := make(ValidationErrors, 0, len(invalid))
+	errs := make(ValidationErrors, 0, len(invalid))
 	for _, field := range invalid {
-		mistakes = append(mistakes, d.ErrorAt(pointerOf(field.Namespace()), message(field), remedy(field)))
+		errs = append(errs, d.ErrorAt(pointerOf(field.Namespace()), message(field), remedy(field)))
 	}
-	return mistakes
+	return errs
 }
 
 // elementIndex matches the index of a list or map in a namespace of the validator.
