--- a/configuration/read.go
+++ b/configuration/read.go
@@ -64,37 +64,37 @@
 // Read merges the files, given as contents by name, into one state and checks it. The
 // error is jsonfile.ValidationErrors.
 func Read(contents map[string][]byte) (State, error) {
-	var mistakes jsonfile.ValidationErrors
+	var errs jsonfile.ValidationErrors
 	var sources []source
 	var state State
 	for _, file := range sortedKeys(contents) {
 		document, err := jsonfile.Parse(file, contents[file])
 		if err != nil {
-			mistakes = append(mistakes, asMistakes(err)...)
+			errs = append(errs, asValidationErrors(err)...)
 			continue
 		}
 		part := source{
 			document: document,
 		}
-		mistakes = append(mistakes, document.Decode(&part.state)...)
+		errs = append(errs, document.Decode(&part.state)...)
 		sources = append(sources, part)
 		state.Workspaces = append(state.Workspaces, part.state.Workspaces...)
 		state.Pools = append(state.Pools, part.state.Pools...)
 		state.Rules = append(state.Rules, part.state.Rules...)
 	}
-	if len(mistakes) == 0 {
-		mistakes = checkReferences(sources, &state)
+	if len(errs) == 0 {
+		errs = checkReferences(sources, &state)
 	}
-	if len(mistakes) > 0 {
-		return State{}, mistakes
+	if len(errs) > 0 {
+		return State{}, errs
 	}
 	return state, nil
 }
 
-func asMistakes(err error) jsonfile.ValidationErrors {
-	var mistakes jsonfile.ValidationErrors
-	if errors.As(err, &mistakes) {
-		return mistakes
+func asValidationErrors(err error) jsonfile.ValidationErrors {
+	var errs jsonfile.ValidationErrors
+	if errors.As(err, &errs) {
+		return errs
 	}
 	return jsonfile.ValidationErrors{
 		{
--- a/configuration/read_test.go
+++ b/configuration/read_test.go
@@ -29,7 +29,7 @@
 	}
 }
 
-func TestReadListsMistakesOfAllFiles(t *testing.T) {
+func TestReadListsErrorsOfAllFiles(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		files map[string]string
@@ -67,7 +67,7 @@
 		}
 		_, err := Read(contents)
 		if err == nil {
-			t.Errorf("%s: got no error, want mistakes", tc.name)
+			t.Errorf("%s: got no error, want validation errors", tc.name)
 			continue
 		}
 		for _, want := range tc.want {
--- a/configuration/references.go
+++ b/configuration/references.go
@@ -6,17 +6,17 @@
 	"github.com/slipwick/slipwick/jsonfile"
 )
 
-// referenceChecker finds the mistakes that can be found only with all files: names that are
+// referenceChecker finds the errors that can be found only with all files: names that are
 // declared twice and names that are not declared.
 type referenceChecker struct {
 	workspaces map[string]bool
 	pools      map[string]bool
 	backends   map[string]bool
 	keyHashes  map[string]bool
-	mistakes   jsonfile.ValidationErrors
+	errs       jsonfile.ValidationErrors
 }
 
-// checkReferences returns the mistakes that a referenceChecker finds, and one more if no file
+// checkReferences returns the errors that a referenceChecker finds, and one more if no file
 // declares a pool.
 func checkReferences(sources []source, state *State) jsonfile.ValidationErrors {
 	c := referenceChecker{
@@ -32,9 +32,9 @@
 		c.checkRules(part)
 	}
 	if len(state.Pools) == 0 && len(sources) > 0 {
-		c.mistakes = append(c.mistakes, sources[0].document.ErrorAt("", "no pools", "declare a pool in one of the files"))
+		c.errs = append(c.errs, sources[0].document.ErrorAt("", "no pools", "declare a pool in one of the files"))
 	}
-	return c.mistakes
+	return c.errs
 }
 
 func (c *referenceChecker) checkDeclarations(part source) {
@@ -56,7 +56,7 @@
 
 func (c *referenceChecker) checkUnique(part source, seen map[string]bool, pointer, name string) {
 	if seen[name] {
-		c.mistakes = append(c.mistakes, part.document.ErrorAt(pointer, name+" is declared twice",
+		c.errs = append(c.errs, part.document.ErrorAt(pointer, name+" is declared twice",
 			"use each name once in all files together"))
 	}
 	seen[name] = true
@@ -77,7 +77,7 @@
 
 func (c *referenceChecker) checkDeclared(part source, declared map[string]bool, pointer, name string) {
 	if !declared[name] {
-		c.mistakes = append(c.mistakes, part.document.ErrorAt(pointer, name+" is not declared",
+		c.errs = append(c.errs, part.document.ErrorAt(pointer, name+" is not declared",
 			"declare it in one of the files, or correct the name"))
 	}
 }
