--- a/tablefile/feed_test.go
+++ b/tablefile/feed_test.go
@@ -85,14 +85,14 @@
 	}
 }
 
-func TestAllMistakesOfAnInvalidFileAreListed(t *testing.T) {
+func TestAllErrorsOfAnInvalidFileAreListed(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "table.jsonc")
 	bad := strings.NewReplacer(`"/x/"`, `"x"`, `"stream"`, `"dance"`, `"version": 3`, `"version": 0`)
 	write(t, path, bad.Replace(validFile))
 	_, err := Tables(path).List(t.Context())
-	var mistakes jsonfile.ValidationErrors
-	if !errors.As(err, &mistakes) || len(mistakes) != 3 || !slipwick.IsKind(err, slipwick.KindInvalidConfiguration) {
-		t.Errorf("got %v, want three mistakes", err)
+	var errs jsonfile.ValidationErrors
+	if !errors.As(err, &errs) || len(errs) != 3 || !slipwick.IsKind(err, slipwick.KindInvalidConfiguration) {
+		t.Errorf("got %v, want three errors", err)
 	}
 	write(t, path, strings.Replace(validFile, `{"pool": "p"}`, `{"pool": "q"}`, 1))
 	if _, err := Tables(path).List(t.Context()); err == nil || !strings.Contains(err.Error(), "no pool q") {
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -90,12 +90,12 @@
 		return nil, err
 	}
 	file := &File{}
-	mistakes := document.Decode(file)
-	if len(mistakes) == 0 {
-		mistakes = file.checkTargets(document)
+	errs := document.Decode(file)
+	if len(errs) == 0 {
+		errs = file.checkTargets(document)
 	}
-	if len(mistakes) > 0 {
-		return nil, mistakes
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return file, nil
 }
@@ -106,16 +106,16 @@
 	for i := range f.Pools {
 		declared[f.Pools[i].Name] = true
 	}
-	var mistakes jsonfile.ValidationErrors
+	var errs jsonfile.ValidationErrors
 	for i := range f.Routes {
 		for _, target := range f.Routes[i].Targets {
 			if !declared[target.Pool] {
-				mistakes = append(mistakes, document.ErrorAt(pointer("routes", i), "no pool "+target.Pool,
+				errs = append(errs, document.ErrorAt(pointer("routes", i), "no pool "+target.Pool,
 					"name one of the file's pools"))
 			}
 		}
 	}
-	return mistakes
+	return errs
 }
 
 // Table returns the file's routing table.
