--- a/cmd/internal/emulator/doc.go
+++ b/cmd/internal/demofleet/doc.go
@@ -1,4 +1,4 @@
-// Package emulator runs the scenario of slipwick demo: production routers in one
+// Package demofleet runs the scenario of slipwick demo: production routers in one
 // process, over loopback TCP, against stand-ins for the platform and the engines.
 // Its callers send the requests of their chats in bursts.
-package emulator
+package demofleet
--- a/cmd/internal/emulator/result.go
+++ b/cmd/internal/demofleet/result.go
@@ -1,4 +1,4 @@
-package emulator
+package demofleet
 
 import (
 	"fmt"
--- a/cmd/slipwick/demo/demo.go
+++ b/cmd/slipwick/demo/demo.go
@@ -9,7 +9,7 @@
 	"github.com/alecthomas/kingpin/v2"
 
 	"github.com/slipwick/slipwick/cmd/internal/cli"
-	"github.com/slipwick/slipwick/cmd/internal/emulator"
+	"github.com/slipwick/slipwick/cmd/internal/demofleet"
 )
 
 const help = `Run routers with emulated engines and an emulated platform in this process.
@@ -24,7 +24,7 @@
 type Options struct {
 	Factory  *cli.Factory
 	JSON     bool
-	Scenario emulator.Scenario
+	Scenario demofleet.Scenario
 }
 
 const (
