--- a/balance/canary.go
+++ b/balance/canary.go
@@ -154,7 +154,7 @@
 			if side.unsent == (VersionCounts{}) {
 				continue
 			}
-			update.Outcomes = append(update.Outcomes, Outcomes{
+			update.Outcomes = append(update.Outcomes, OutcomeCounts{
 				Server: side.key,
 				Good:   side.unsent.Good,
 				Failed: side.unsent.Bad,
@@ -165,7 +165,7 @@
 }
 
 // receiveCanaryCountsLocked takes canary counts of another router.
-func (b *Balancer) receiveCanaryCountsLocked(o *Outcomes) {
+func (b *Balancer) receiveCanaryCountsLocked(o *OutcomeCounts) {
 	for _, c := range b.canaries {
 		for _, side := range []*versionCounts{&c.oldCounts, &c.newCounts} {
 			if side.key == o.Server {
--- a/balance/ejection.go
+++ b/balance/ejection.go
@@ -184,7 +184,7 @@
 }
 
 // ReceiveOutcomes takes the outcomes of requests of other routers.
-func (b *Balancer) ReceiveOutcomes(outcomes []Outcomes) {
+func (b *Balancer) ReceiveOutcomes(outcomes []OutcomeCounts) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := clock.Now()
--- a/balance/ejection_test.go
+++ b/balance/ejection_test.go
@@ -65,16 +65,16 @@
 func TestOutcomesOfOtherRoutersCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		b := newTestBalancer(4)
-		failing := Outcomes{
+		failing := OutcomeCounts{
 			Server: placement.IDHash("p-2"),
 			Good:   2,
 			Failed: 2,
 		}
-		b.ReceiveOutcomes([]Outcomes{failing})
+		b.ReceiveOutcomes([]OutcomeCounts{failing})
 		if got := unavailableCount(b); got != 0 {
 			t.Errorf("after two failures of four: got %d ejected, want none", got)
 		}
-		b.ReceiveOutcomes([]Outcomes{failing, failing})
+		b.ReceiveOutcomes([]OutcomeCounts{failing, failing})
 		for range 20 {
 			lease := acquire(t, b, plainRequest)
 			if lease.Backend.ID == "p-2" {
@@ -83,7 +83,7 @@
 			b.Release(lease, slipwick.EvidenceNone)
 		}
 		time.Sleep(errorEjection)
-		b.ReceiveOutcomes([]Outcomes{failing, failing})
+		b.ReceiveOutcomes([]OutcomeCounts{failing, failing})
 		time.Sleep(errorEjection)
 		if got := unavailableCount(b); got != 1 {
 			t.Errorf("after more failures: got %d ejected after %v, want it ejected for longer", got, errorEjection)
@@ -116,7 +116,7 @@
 	first := acquire(t, b, prompt(7))
 	b.RecordResponseStart(first)
 	b.Release(first, slipwick.EvidenceGood)
-	b.ReceiveOutcomes([]Outcomes{
+	b.ReceiveOutcomes([]OutcomeCounts{
 		{
 			Server: placement.IDHash(first.Backend.ID),
 			Failed: 5,
@@ -152,14 +152,14 @@
 		b := newTestBalancer(size)
 		for range 500 {
 			i := random.IntN(size)
-			o := Outcomes{
+			o := OutcomeCounts{
 				Server: placement.IDHash(fmt.Sprintf("p-%d", i)),
 				Good:   1,
 			}
 			if random.Float64() < failureRate {
 				o.Good, o.Failed = 0, 1
 			}
-			b.ReceiveOutcomes([]Outcomes{o})
+			b.ReceiveOutcomes([]OutcomeCounts{o})
 			if got, limit := unavailableCount(b), (size+ejectableOneIn-1)/ejectableOneIn; got > limit {
 				r.Fatalf("got %d of %d ejected, want at most %d", got, size, limit)
 			}
@@ -182,14 +182,14 @@
 	}
 	for n := 0; found == 0 && n < 20; n++ {
 		for i := range 18 {
-			o := Outcomes{
+			o := OutcomeCounts{
 				Server: placement.IDHash(fmt.Sprintf("p-%d", i)),
 				Good:   1,
 			}
 			if i == 3 && random.Float64() < 0.45 {
 				o.Good, o.Failed = 0, 1
 			}
-			b.ReceiveOutcomes([]Outcomes{o})
+			b.ReceiveOutcomes([]OutcomeCounts{o})
 		}
 	}
 	if found == 0 {
--- a/balance/update.go
+++ b/balance/update.go
@@ -13,13 +13,13 @@
 type Update struct {
 	InFlight    []InFlight
 	CachedParts []CachedPart
-	Outcomes    []Outcomes
+	Outcomes    []OutcomeCounts
 	Leaving     []uint64
 }
 
-// Outcomes counts the requests that ended since the last update, at a server or, in a canary,
+// OutcomeCounts has the numbers of requests that ended since the last update, at a server or, in a canary,
 // at all servers of one side.
-type Outcomes struct {
+type OutcomeCounts struct {
 	// Server is the hash of the server's incarnation, or the key of the side of a canary.
 	Server uint64
 	Good   int
@@ -73,7 +73,7 @@
 			continue
 		}
 		if good, failed := s.errors.takeUnsent(); failed > 0 {
-			update.Outcomes = append(update.Outcomes, Outcomes{
+			update.Outcomes = append(update.Outcomes, OutcomeCounts{
 				Server: s.hash,
 				Good:   good,
 				Failed: failed,
--- a/balance/update_test.go
+++ b/balance/update_test.go
@@ -71,7 +71,7 @@
 	update := Update{}
 	for _, s := range b.servers {
 		if s.errors.failed > 0 {
-			update.Outcomes = append(update.Outcomes, Outcomes{
+			update.Outcomes = append(update.Outcomes, OutcomeCounts{
 				Server: s.hash,
 				Good:   s.errors.good,
 				Failed: s.errors.failed,
@@ -90,6 +90,6 @@
 
 func formatUpdate(update Update) []string {
 	slices.SortFunc(update.InFlight, func(x, y InFlight) int { return cmp.Compare(x.Server, y.Server) })
-	slices.SortFunc(update.Outcomes, func(x, y Outcomes) int { return cmp.Compare(x.Server, y.Server) })
+	slices.SortFunc(update.Outcomes, func(x, y OutcomeCounts) int { return cmp.Compare(x.Server, y.Server) })
 	return []string{fmt.Sprint(update.InFlight), fmt.Sprint(update.Outcomes)}
 }
--- a/exchange/codec.go
+++ b/exchange/codec.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func (e *encoder) addOutcomes(list []balance.Outcomes) {
+func (e *encoder) addOutcomes(list []balance.OutcomeCounts) {
 	for _, o := range list {
 		e.message.Ended = append(e.message.Ended, e.indexOf(o.Server))
 		e.message.Good = append(e.message.Good, uint32(o.Good))
@@ -144,7 +144,7 @@
 		if int(index) >= len(servers) || i >= len(message.GetGood()) || i >= len(message.GetFailed()) {
 			break
 		}
-		update.Outcomes = append(update.Outcomes, balance.Outcomes{
+		update.Outcomes = append(update.Outcomes, balance.OutcomeCounts{
 			Server: servers[index],
 			Good:   int(min(message.GetGood()[i], maxOutcomeCount)),
 			Failed: int(min(message.GetFailed()[i], maxOutcomeCount)),
--- a/exchange/codec_test.go
+++ b/exchange/codec_test.go
@@ -18,7 +18,7 @@
 			Part:   ^i,
 			Server: i << 40,
 		})
-		update.Outcomes = append(update.Outcomes, balance.Outcomes{
+		update.Outcomes = append(update.Outcomes, balance.OutcomeCounts{
 			Server: i << 41,
 			Good:   maxOutcomeCount,
 			Failed: maxOutcomeCount,
