--- a/dispatch/quarantine.go
+++ b/dispatch/quarantine.go
@@ -61,7 +61,7 @@
 		return
 	}
 	failure, isTyped := slipwick.AsError(err)
-	outcome := quarantine.OutcomeUnknown
+	outcome := quarantine.OutcomeInconclusive
 	switch {
 	case err == nil:
 		outcome = quarantine.OutcomeCompleted
--- a/gateway/crashwatch.go
+++ b/gateway/crashwatch.go
@@ -85,7 +85,7 @@
 	if w.attempt == nil {
 		return
 	}
-	crashOutcome := quarantine.OutcomeUnknown
+	crashOutcome := quarantine.OutcomeInconclusive
 	switch {
 	case sendResult == resultDelivered || sendResult == resultFailed:
 		crashOutcome = quarantine.OutcomeCompleted
--- a/quarantine/attempt.go
+++ b/quarantine/attempt.go
@@ -16,8 +16,8 @@
 type Outcome int
 
 const (
-	// OutcomeUnknown is no evidence for or against the request.
-	OutcomeUnknown Outcome = iota
+	// OutcomeInconclusive is no evidence for or against the request.
+	OutcomeInconclusive Outcome = iota
 	// OutcomeCompleted means that the server returned the complete response.
 	OutcomeCompleted
 	// OutcomeCrashed means that the server broke off the response and no longer accepts
--- a/quarantine/simulation_test.go
+++ b/quarantine/simulation_test.go
@@ -134,7 +134,7 @@
 		delete(s.running, e)
 		outcome := OutcomeCrashed
 		if e.key != crashingKey && s.now-e.began > firstEventDelay+crashWindow && !s.suspectAll {
-			outcome = OutcomeUnknown
+			outcome = OutcomeInconclusive
 		}
 		s.schedule(crashDetectionDelay, func() { e.attempt.End(outcome) })
 		retry := *e
--- a/quarantine/tracker_test.go
+++ b/quarantine/tracker_test.go
@@ -124,7 +124,7 @@
 	if stopped != 1 {
 		t.Errorf("got %d stops, want one", stopped)
 	}
-	attempt.End(OutcomeUnknown)
+	attempt.End(OutcomeInconclusive)
 	if len(tracker.running) != 0 {
 		t.Errorf("got %d requests running, want none", len(tracker.running))
 	}
