--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -156,7 +156,7 @@
 // platformFeeds returns the sources of routes, backend servers, evacuations, rollouts and caches on
 // the platform.
 func platformFeeds(s *platform.Settings) gatewayd.Feeds {
-	store := &platform.Store{
+	store := &platform.StoreClient{
 		Address: s.Platform.Address,
 		HTTP:    httpclient.New(),
 	}
