--- a/cmd/internal/gatewayd/evacuations.go
+++ b/cmd/internal/gatewayd/evacuations.go
@@ -28,7 +28,7 @@
 	follower.Decode = p.Feeds.DecodeEvacuation
 	follower.OnInvalid = p.invalidEntries.recorder(feedEvacuations)
 	monitor := p.newFeedMonitor(feedEvacuations)
-	follower.OnError, follower.OnAnswer = monitor.failed, monitor.succeeded
+	follower.OnError, follower.OnResponse = monitor.failed, monitor.succeeded
 	evacuated := directory.NewEvacuations(p.Settings.Bounds.EvacuationTime, p.setEvacuated)
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
 		evacuated.StoreRestored(batch.StableFor)
--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -43,7 +43,7 @@
 	follower.Decode = p.Feeds.DecodeTable
 	follower.OnInvalid = p.invalidEntries.recorder(feedTables)
 	monitor := p.newFeedMonitor(feedTables)
-	follower.OnError, follower.OnAnswer = monitor.failed, monitor.succeeded
+	follower.OnError, follower.OnResponse = monitor.failed, monitor.succeeded
 	follower.OnStoreRestored = monitor.storeRestored
 	follower.IsOutdated = func(known, received *routing.Table) bool { return received.Version < known.Version }
 	follower.OnChange = func(changes []directory.Change[*routing.Table]) {
@@ -70,7 +70,7 @@
 	follower.OnInvalid = p.invalidEntries.recorder(feedBackends)
 	follower.OnChange = p.backends.Apply
 	monitor := p.newFeedMonitor(feedBackends)
-	follower.OnAnswer = func(batch *slipwick.FeedBatch) {
+	follower.OnResponse = func(batch *slipwick.FeedBatch) {
 		p.backends.RecordAnswer(batch.Age, batch.StableFor)
 		monitor.succeeded(batch)
 	}
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -77,7 +77,7 @@
 	monitor := p.newFeedMonitor(feedRollouts)
 	follower.OnError, follower.OnStoreRestored = monitor.failed, monitor.storeRestored
 	isFirst, asOf := true, time.Time{}
-	follower.OnAnswer = func(batch *slipwick.FeedBatch) {
+	follower.OnResponse = func(batch *slipwick.FeedBatch) {
 		monitor.succeeded(batch)
 		asOf = clock.Now().Add(-batch.Age)
 		if len(batch.Entries) == 0 {
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -56,12 +56,12 @@
 	// or was removed.
 	OnInvalid func(name string, reason error)
 	// OnStoreRestored is called with the first answer of a store that was restored from a backup,
-	// before OnAnswer and OnChange. Writes that the store had acknowledged may be missing until
+	// before OnResponse and OnChange. Writes that the store had acknowledged may be missing until
 	// their writers repeat them.
 	OnStoreRestored func(known slipwick.Position, batch *slipwick.FeedBatch)
-	// OnAnswer is called with each answer that is current, whether it came from the store or
+	// OnResponse is called with each answer that is current, whether it came from the store or
 	// through another router, before its changes are delivered.
-	OnAnswer func(*slipwick.FeedBatch)
+	OnResponse func(*slipwick.FeedBatch)
 
 	// position is the store's position of the latest answer. answeredAt is when the latest
 	// current answer arrived. canWatch is true if the latest answer was current, so that the
@@ -89,7 +89,7 @@
 		OnInvalid: func(string, error) {},
 
 		OnStoreRestored: func(slipwick.Position, *slipwick.FeedBatch) {},
-		OnAnswer:        func(*slipwick.FeedBatch) {},
+		OnResponse:      func(*slipwick.FeedBatch) {},
 
 		latest:  make(map[string]T),
 		decoded: make(map[string]decodeResult[T]),
@@ -147,7 +147,7 @@
 	isCurrent := batch.Age <= f.Timing.MaxAge
 	if isCurrent {
 		f.answeredAt = clock.Now()
-		f.OnAnswer(batch)
+		f.OnResponse(batch)
 	}
 	f.dropOutdated(batch)
 	changes := f.decodeChanges(f.Mirror.Apply(batch))
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -140,7 +140,7 @@
 		var answers atomic.Int64
 		follower := NewFollower[string](shared, NewMirror())
 		follower.Decode = func(_ string, value []byte) (string, error) { return string(value), nil }
-		follower.OnAnswer = func(*slipwick.FeedBatch) { answers.Add(1) }
+		follower.OnResponse = func(*slipwick.FeedBatch) { answers.Add(1) }
 		ctx, cancel := context.WithCancel(t.Context())
 		go follower.Run(ctx)
 		synctest.Wait()
