--- a/cmd/internal/gatewayd/follow.go
+++ b/cmd/internal/gatewayd/follow.go
@@ -71,7 +71,7 @@
 	follower.OnChange = p.backends.Apply
 	monitor := p.newFeedMonitor(feedBackends)
 	follower.OnResponse = func(batch *slipwick.FeedBatch) {
-		p.backends.RecordAnswer(batch.Age, batch.StableFor)
+		p.backends.RecordResponse(batch.Age, batch.StableFor)
 		monitor.succeeded(batch)
 	}
 	follower.OnStoreRestored = func(known slipwick.Position, batch *slipwick.FeedBatch) {
--- a/directory/backends.go
+++ b/directory/backends.go
@@ -119,11 +119,11 @@
 	return b.failed || clock.Since(b.answeredAt) > b.outageAfter()
 }
 
-// RecordAnswer records an answer of the store and ends an outage. Age is how long ago the store was
+// RecordResponse records an answer of the store and ends an outage. Age is how long ago the store was
 // in the state of the answer, stableFor for how long it has been known to answer. If the store
 // answered other routers since before this router's outage, the outage was this router's alone
 // and leaves no grace period.
-func (b *Backends) RecordAnswer(age, stableFor time.Duration) {
+func (b *Backends) RecordResponse(age, stableFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.isUnresponsiveLocked() && len(b.departures.suspect) > 0 {
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "after the removal", "a")
@@ -68,11 +68,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false), backendChange("c", false)})
 		time.Sleep(5 * time.Second)
 		b.RecordFailure()
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true), backendChange("c", true)})
 		list.expect(t, "when the store answers again", "a", "b", "c")
 		time.Sleep(time.Second)
@@ -86,11 +86,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(time.Second)
 		b.RecordFailure()
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "after the removal", "a")
 	})
@@ -110,12 +110,12 @@
 			var list listRecorder
 			b := NewBackends(list.apply)
 			b.LeaveTime = leave
-			b.RecordAnswer(0, 0)
+			b.RecordResponse(0, 0)
 			b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 			gapStart := time.Now()
 			time.Sleep(gap)
 			b.RecordFailure()
-			b.RecordAnswer(0, 0)
+			b.RecordResponse(0, 0)
 			b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 			time.Sleep(time.Until(gapStart.Add(leave)))
 			synctest.Wait()
@@ -134,11 +134,11 @@
 		b := NewBackends(list.apply)
 		b.LeaveTime = leave
 		confirmed := time.Now().Add(-age)
-		b.RecordAnswer(age, 0)
+		b.RecordResponse(age, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(gap)
 		b.RecordFailure()
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		time.Sleep(time.Until(confirmed.Add(leave)))
 		synctest.Wait()
@@ -155,11 +155,11 @@
 		var list listRecorder
 		b := NewBackends(list.apply)
 		b.LeaveTime = 2 * time.Second
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(4 * time.Second)
 		b.RecordFailure()
-		b.RecordAnswer(100*time.Millisecond, time.Minute)
+		b.RecordResponse(100*time.Millisecond, time.Minute)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		synctest.Wait()
 		list.expect(t, "after the gap", "a")
--- a/directory/invalidentry_test.go
+++ b/directory/invalidentry_test.go
@@ -61,7 +61,7 @@
 		}, nil
 	}
 	follower.OnChange = backends.Apply
-	follower.OnResponse = func(batch *slipwick.FeedBatch) { backends.RecordAnswer(batch.Age, batch.StableFor) }
+	follower.OnResponse = func(batch *slipwick.FeedBatch) { backends.RecordResponse(batch.Age, batch.StableFor) }
 	follower.OnError = func(error) {
 		w.errors++
 		backends.RecordFailure()
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -153,7 +153,7 @@
 // createFollowers creates the followers of both feeds.
 func (r *modelRouter) createFollowers() {
 	backends := newModelFollower(r, modelBackends, decodeModelServer)
-	backends.OnResponse = func(batch *slipwick.FeedBatch) { r.backends.RecordAnswer(batch.Age, batch.StableFor) }
+	backends.OnResponse = func(batch *slipwick.FeedBatch) { r.backends.RecordResponse(batch.Age, batch.StableFor) }
 	backends.OnStoreRestored = func(_ slipwick.Position, batch *slipwick.FeedBatch) {
 		r.backends.StoreRestored(batch.Age, batch.StableFor)
 	}
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -41,11 +41,11 @@
 		var list listRecorder
 		b := NewBackends(list.apply)
 		b.Heartbeat, b.LeaveTime = 600*time.Millisecond, time.Second
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(900 * time.Millisecond)
 		b.RecordFailure()
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "when the store answers after more than a heartbeat", "a", "b")
 		time.Sleep(960 * time.Millisecond)
