--- a/directory/backends.go
+++ b/directory/backends.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// The store counts as down at a failed call if its latest answer is older than outageShare
+	// The store counts as down at a failed call if its latest response is older than outageShare
 	// of a heartbeat. Entries expire after a few missed heartbeats, and the store may have been
 	// unreachable for the servers for longer than for this router.
 	outageShare = 1.25
@@ -28,7 +28,7 @@
 // Backends maintains the list of backend servers from the changes of their entries. Set the
 // exported fields before the first call. It is safe for concurrent use.
 type Backends struct {
-	// OnChange receives the changes of the list, which are empty if an answer had none. Calls
+	// OnChange receives the changes of the list, which are empty if a response had none. Calls
 	// do not overlap, and must not call back into the list.
 	OnChange func(*balance.Changes)
 	// Heartbeat is the interval at which servers renew their entries. LeaveTime is the time after
@@ -43,10 +43,10 @@
 	expired map[string]balance.Entry
 	// ids has the IDs of the published backend servers, by the name of their entry.
 	ids map[string]string
-	// answeredAt is when the latest answer arrived, confirmedAt when the store was in its
+	// respondedAt is when the latest response arrived, confirmedAt when the store was in its
 	// state.
-	answeredAt, confirmedAt time.Time
-	// failed is true if the latest call failed, inOutage if the store had not answered for some
+	respondedAt, confirmedAt time.Time
+	// failed is true if the latest call failed, inOutage if the store had not responded for some
 	// time.
 	failed, inOutage bool
 	// graceUntil is until when entries that disappear count as expired, and stay in use;
@@ -78,7 +78,7 @@
 // it, and are treated as if they had expired; entries that it has may belong to servers that
 // have left since. StableFor is how long ago the fleet noticed the restore. This router had no
 // outage of its own, so servers get the full time to write their entries again. Age is how long
-// ago the store was in the state of the answer.
+// ago the store was in the state of the response.
 func (b *Backends) StoreRestored(age, stableFor time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -88,7 +88,7 @@
 }
 
 // scheduleTrustLocked makes entries that are suspect, and still listed by then, trusted
-// expiryHeartbeats after the store is known to have answered, which was age ago. The store has
+// expiryHeartbeats after the store is known to have responded, which was age ago. The store has
 // removed entries that nobody renews by that time, no matter when this router learnt of it.
 func (b *Backends) scheduleTrustLocked(age time.Duration) {
 	if b.trustTimer != nil {
@@ -98,7 +98,7 @@
 }
 
 // trustListed trusts all suspect entries that the store still lists. If the store has not
-// answered lately it starts the wait again.
+// responded lately it starts the wait again.
 func (b *Backends) trustListed() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -113,15 +113,15 @@
 	}
 }
 
-// isUnresponsiveLocked reports whether the store has not answered lately. A store that was down
+// isUnresponsiveLocked reports whether the store has not responded lately. A store that was down
 // may restart the expiry time of entries that nobody renews.
 func (b *Backends) isUnresponsiveLocked() bool {
-	return b.failed || clock.Since(b.answeredAt) > b.outageAfter()
+	return b.failed || clock.Since(b.respondedAt) > b.outageAfter()
 }
 
-// RecordResponse records an answer of the store and ends an outage. Age is how long ago the store was
-// in the state of the answer, stableFor for how long it has been known to answer. If the store
-// answered other routers since before this router's outage, the outage was this router's alone
+// RecordResponse records a response of the store and ends an outage. Age is how long ago the store was
+// in the state of the response, stableFor for how long it has been known to respond. If the store
+// responded to other routers since before this router's outage, the outage was this router's alone
 // and leaves no grace period.
 func (b *Backends) RecordResponse(age, stableFor time.Duration) {
 	b.mu.Lock()
@@ -129,15 +129,15 @@
 	if b.isUnresponsiveLocked() && len(b.departures.suspect) > 0 {
 		b.scheduleTrustLocked(age)
 	}
-	previous, confirmed := b.answeredAt, b.confirmedAt
-	b.answeredAt = clock.Now()
-	b.confirmedAt = b.answeredAt.Add(-age)
+	previous, confirmed := b.respondedAt, b.confirmedAt
+	b.respondedAt = clock.Now()
+	b.confirmedAt = b.respondedAt.Add(-age)
 	b.failed = false
 	// After a restore the grace period is already running.
 	wasInOutage := b.inOutage && !b.restored
 	b.inOutage = false
 	if wasInOutage {
-		b.startGraceLocked(b.answeredAt, b.gracePeriod(b.answeredAt.Sub(previous), b.answeredAt.Sub(confirmed))-stableFor)
+		b.startGraceLocked(b.respondedAt, b.gracePeriod(b.respondedAt.Sub(previous), b.respondedAt.Sub(confirmed))-stableFor)
 	}
 }
 
@@ -146,10 +146,10 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.failed = true
-	b.inOutage = b.inOutage || clock.Since(b.answeredAt) > b.outageAfter()
+	b.inOutage = b.inOutage || clock.Since(b.respondedAt) > b.outageAfter()
 }
 
-// outageAfter returns for how long the store may not answer before it counts as down.
+// outageAfter returns for how long the store may not respond before it counts as down.
 func (b *Backends) outageAfter() time.Duration {
 	return time.Duration(outageShare * float64(b.heartbeat()))
 }
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -74,11 +74,11 @@
 		b.RecordFailure()
 		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true), backendChange("c", true)})
-		list.expect(t, "when the store answers again", "a", "b", "c")
+		list.expect(t, "when the store responds again", "a", "b", "c")
 		time.Sleep(time.Second)
 		b.Apply([]Change[balance.Entry]{backendChange("b", false)})
 		time.Sleep(time.Second)
-		list.expect(t, "two seconds after the store answers again", "a", "b")
+		list.expect(t, "two seconds after the store responds again", "a", "b")
 	})
 }
 
@@ -97,7 +97,7 @@
 }
 
 // TestEntriesRemovedInShortGapAreDroppedInTime has a router receive nothing for less than
-// Backends.LeaveTime while the store answers other routers. An entry may have been removed as early as
+// Backends.LeaveTime while the store responds to other routers. An entry may have been removed as early as
 // the start of the gap.
 //
 // It guards against the following failure: one router of eighty sent a request to a removed server
@@ -147,7 +147,7 @@
 }
 
 // TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce has a router receive nothing for longer
-// than the threshold of an outage, and then learn from another router that the store has answered
+// than the threshold of an outage, and then learn from another router that the store has responded
 // in the meantime. No entry expired because of an outage, so a removed entry means that its server
 // has left.
 func TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce(t *testing.T) {
--- a/directory/doc.go
+++ b/directory/doc.go
@@ -1,6 +1,6 @@
 // Package directory keeps each router's copies of what the store holds: the configuration, the
 // backend servers and the evacuated data centres. Copies stay in use while the store does not
-// answer, and entries that expired during an outage get time to be written again.
+// respond, and entries that expired during an outage get time to be written again.
 //
 // Each kind of object is a feed. A Follower reads a SharedFeed, decodes the changes, and applies
 // them to a Mirror, which a RelayServer serves to the RelayClients of other routers. A few routers
--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -18,7 +18,7 @@
 	hangs bool
 	calls int
 	lists int
-	// delay is how long each answer takes.
+	// delay is how long each response takes.
 	delay time.Duration
 	// age is added to the age of each batch.
 	age time.Duration
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -45,10 +45,10 @@
 				w.set(func(r *simRouter) { r.unresponsive = true })
 			}
 		},
-		"a watcher gets no answer from the store": func(f *simFleet) {
+		"a watcher gets no response from the store": func(f *simFleet) {
 			f.watchers()[0].set(func(r *simRouter) { r.storeHangs = true })
 		},
-		"all watchers get no answer from the store": func(f *simFleet) {
+		"all watchers get no response from the store": func(f *simFleet) {
 			for _, w := range f.watchers() {
 				w.set(func(r *simRouter) { r.storeHangs = true })
 			}
--- a/directory/follower.go
+++ b/directory/follower.go
@@ -17,7 +17,7 @@
 	// consecutive failure.
 	minBackoff = 100 * time.Millisecond
 	maxBackoff = 500 * time.Millisecond
-	// maxUrgentBackoff is the upper bound instead of maxBackoff while the latest answer, or the
+	// maxUrgentBackoff is the upper bound instead of maxBackoff while the latest response, or the
 	// start, is less than Timing.ListTimeout ago: a router that starts serves no requests without a
 	// copy, and one whose feed has only just failed can still learn of changes in time.
 	maxUrgentBackoff = 200 * time.Millisecond
@@ -45,7 +45,7 @@
 	// an object never replaces the known one, neither here nor in the copy that other routers
 	// get, even if the store lists it. Nil if the states of an object have no order.
 	IsOutdated func(known, received T) bool
-	// OnChange receives the changes of each answer. It is also called without changes if the
+	// OnChange receives the changes of each response. It is also called without changes if the
 	// first list, or the first one after a restore of the store, has none. Calls do not
 	// overlap.
 	OnChange func([]Change[T])
@@ -55,20 +55,20 @@
 	// failure of the store. With a nil reason it reports that the object can be decoded again
 	// or was removed.
 	OnInvalid func(name string, reason error)
-	// OnStoreRestored is called with the first answer of a store that was restored from a backup,
+	// OnStoreRestored is called with the first response of a store that was restored from a backup,
 	// before OnResponse and OnChange. Writes that the store had acknowledged may be missing until
 	// their writers repeat them.
 	OnStoreRestored func(known slipwick.Position, batch *slipwick.FeedBatch)
-	// OnResponse is called with each answer that is current, whether it came from the store or
+	// OnResponse is called with each response that is current, whether it came from the store or
 	// through another router, before its changes are delivered.
 	OnResponse func(*slipwick.FeedBatch)
 
-	// position is the store's position of the latest answer. answeredAt is when the latest
-	// current answer arrived. canWatch is true if the latest answer was current, so that the
-	// next call may be a watch. watchSucceeded is true at the start and if the latest answer
+	// position is the store's position of the latest response. respondedAt is when the latest
+	// current response arrived. canWatch is true if the latest response was current, so that the
+	// next call may be a watch. watchSucceeded is true at the start and if the latest response
 	// came from a watch; a lost history clears it. backoff is the pause after the next failure.
 	position                 slipwick.Position
-	answeredAt               time.Time
+	respondedAt              time.Time
 	canWatch, watchSucceeded bool
 	backoff                  time.Duration
 	// latest has the decoded objects by name, if IsOutdated orders them. decoded has the objects
@@ -106,7 +106,7 @@
 func (f *Follower[T]) Run(ctx context.Context) {
 	defer close(f.done)
 	f.Timing = f.Timing.orDefault()
-	f.watchSucceeded, f.backoff, f.answeredAt = true, minBackoff, clock.Now()
+	f.watchSucceeded, f.backoff, f.respondedAt = true, minBackoff, clock.Now()
 	for {
 		batch, err := f.callFeed(ctx)
 		if ctx.Err() != nil {
@@ -123,7 +123,7 @@
 	}
 }
 
-// handleFailure continues after a failed call or an answer that was rejected. The next call is
+// handleFailure continues after a failed call or a response that was rejected. The next call is
 // a list: its size is bounded, while the changes since the position may be too many to receive
 // in time. After a lost history the list follows at once. If the history is lost again before a
 // watch succeeded, the back-off applies, so that the store is not called in a tight loop.
@@ -138,7 +138,7 @@
 	f.waitBackoff(ctx)
 }
 
-// handleBatch applies an answer and reports its changes.
+// handleBatch applies a response and reports its changes.
 func (f *Follower[T]) handleBatch(ctx context.Context, batch *slipwick.FeedBatch) {
 	isRestored := batch.Timeline > f.position.Timeline && f.position.Timeline != 0
 	if isRestored {
@@ -146,7 +146,7 @@
 	}
 	isCurrent := batch.Age <= f.Timing.MaxAge
 	if isCurrent {
-		f.answeredAt = clock.Now()
+		f.respondedAt = clock.Now()
 		f.OnResponse(batch)
 	}
 	f.dropOutdated(batch)
@@ -160,8 +160,8 @@
 	f.position, f.canWatch = batch.Position(), isCurrent
 	switch {
 	case !isCurrent:
-		// A stale copy of another router means that the store does not answer; it must not be
-		// called more often because of that. Once the store is back, a list answers at once.
+		// A stale copy of another router means that the store does not respond; it must not be
+		// called more often because of that. Once the store is back, a list succeeds at once.
 		f.waitBackoff(ctx)
 	case len(changes) > 0:
 		sleep(ctx, f.Timing.BatchDelay)
@@ -169,18 +169,18 @@
 }
 
 // waitBackoff waits for about the back-off and doubles it up to its bound, which depends on
-// when the latest answer arrived.
+// when the latest response arrived.
 func (f *Follower[T]) waitBackoff(ctx context.Context) {
 	sleepJittered(ctx, f.backoff)
 	limit := maxBackoff
-	if clock.Since(f.answeredAt) < f.Timing.ListTimeout {
+	if clock.Since(f.respondedAt) < f.Timing.ListTimeout {
 		limit = maxUrgentBackoff
 	}
 	f.backoff = min(2*f.backoff, limit)
 }
 
 // callFeed watches the feed, or lists it if no watch may follow. If the box was suspended
-// during the call, that time is added to the answer's age, since the sender could not know of
+// during the call, that time is added to the response's age, since the sender could not know of
 // it.
 func (f *Follower[T]) callFeed(ctx context.Context) (batch slipwick.FeedBatch, err error) {
 	clock.DetectSuspension()
@@ -264,7 +264,7 @@
 	return changes
 }
 
-// checkSuccessor returns an error if an answer must not be applied on top of the known
+// checkSuccessor returns an error if a response must not be applied on top of the known
 // position: if it is older, or has the changes of another timeline, whose revisions count from
 // another state. Applying it would result in a state that the store never had.
 func checkSuccessor(batch *slipwick.FeedBatch, known slipwick.Position) error {
@@ -286,7 +286,7 @@
 	}
 }
 
-// olderError returns the error of an answer that is older than the known position, such as the
+// olderError returns the error of a response that is older than the known position, such as the
 // stale copy of another router.
 func olderError(batch *slipwick.FeedBatch, known slipwick.Position) error {
 	return errors.Errorf("the received timeline %d, revision %d (%d hops) is older than the known"+
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -119,10 +119,10 @@
 	})
 }
 
-// TestStaleCopiesDoNotCountAsStoreAnswers has a watcher whose store is down while another router
+// TestStaleCopiesDoNotCountAsStoreResponses has a watcher whose store is down while another router
 // still returns its stale copy. The calls to the store have to become rare, and the store has to
 // count as down, so that entries which expire during the outage are kept after it.
-func TestStaleCopiesDoNotCountAsStoreAnswers(t *testing.T) {
+func TestStaleCopiesDoNotCountAsStoreResponses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
 		other := newFakeFeed(batch(1, true, "a1"))
@@ -137,10 +137,10 @@
 				relayIDs: []string{"other"},
 			},
 		}
-		var answers atomic.Int64
+		var responses atomic.Int64
 		follower := NewFollower[string](shared, NewMirror())
 		follower.Decode = func(_ string, value []byte) (string, error) { return string(value), nil }
-		follower.OnResponse = func(*slipwick.FeedBatch) { answers.Add(1) }
+		follower.OnResponse = func(*slipwick.FeedBatch) { responses.Add(1) }
 		ctx, cancel := context.WithCancel(t.Context())
 		go follower.Run(ctx)
 		synctest.Wait()
@@ -148,21 +148,21 @@
 		other.addAge(testTiming.MaxAge + time.Second)
 		time.Sleep(2 * testTiming.WatchWait)
 		before := store.callCount()
-		answers.Store(0)
+		responses.Store(0)
 		const outage = 10 * time.Second
 		time.Sleep(outage)
 		if got, limit := store.callCount()-before, int(outage/(maxBackoff/2)); got > limit {
 			t.Errorf("got %d calls in %v, want at most %d", got, outage, limit)
 		}
-		if got := answers.Load(); got > 0 {
-			t.Errorf("got %d answers of the store while it is down, want none", got)
+		if got := responses.Load(); got > 0 {
+			t.Errorf("got %d responses of the store while it is down, want none", got)
 		}
 		store.Apply(batch(2, true, "a2"))
 		store.setError(nil)
 		time.Sleep(2 * maxBackoff)
 		synctest.Wait()
-		if answers.Load() == 0 {
-			t.Error("got no answer after the outage, want some")
+		if responses.Load() == 0 {
+			t.Error("got no response after the outage, want some")
 		}
 		cancel()
 		<-follower.Done()
@@ -170,7 +170,7 @@
 }
 
 // TestStartingRouterRetriesUnansweredList starts a router without peers while the store does not
-// answer. The store never answers requests sent during the outage, so the router has to ask again
+// respond. The store never responds to requests sent during the outage, so the router has to ask again
 // soon after it.
 func TestStartingRouterRetriesUnansweredList(t *testing.T) {
 	for _, outage := range []time.Duration{100 * time.Millisecond, 700 * time.Millisecond, 3 * time.Second} {
--- a/directory/largelist_test.go
+++ b/directory/largelist_test.go
@@ -39,11 +39,11 @@
 }
 
 // TestLargeListIsFoundThoughStoreFailsForWatchers has the store refuse the routers that should
-// list at a start, or not answer them. Others act in their place.
+// list at a start, or not respond to them. Others act in their place.
 func TestLargeListIsFoundThoughStoreFailsForWatchers(t *testing.T) {
 	for name, fail := range map[string]func(*simRouter){
-		"refused":   func(r *simRouter) { r.storeRefuses = true },
-		"no answer": func(r *simRouter) { r.storeHangs = true },
+		"refused":     func(r *simRouter) { r.storeRefuses = true },
+		"no response": func(r *simRouter) { r.storeHangs = true },
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := newSimFleet(125)
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -33,7 +33,7 @@
 	confirmedAt time.Time
 	unconfirmed bool
 	// stableSince is the time since which the store has been known, to this router or one on
-	// the way, to answer without an outage or a restore from a backup.
+	// the way, to respond without an outage or a restore from a backup.
 	stableSince time.Time
 	// hops is the number of routers between the store and this copy.
 	hops int
--- a/directory/mirror_test.go
+++ b/directory/mirror_test.go
@@ -240,7 +240,7 @@
 	}
 }
 
-// TestMirrorReportsRevertedChange has an object change and change back within one answer. A router
+// TestMirrorReportsRevertedChange has an object change and change back within one response. A router
 // that has the state in between gets the second change.
 func TestMirrorReportsRevertedChange(t *testing.T) {
 	first, second := NewMirror(), NewMirror()
--- a/directory/model_test.go
+++ b/directory/model_test.go
@@ -126,7 +126,7 @@
 }
 
 // TestGuaranteesHoldInRandomHistories runs random histories of servers and an operator that write
-// to a store, while it does all that its documentation allows: it is down, does not answer, is
+// to a store, while it does all that its documentation allows: it is down, does not respond, is
 // slow, loses its history, refuses some routers, and is restored from backups, also several times
 // in a row. The guarantees are: whenever the store has been available for modelPropagationTime, no
 // new request goes to a server later than that time after the store acknowledged that the server
@@ -156,7 +156,7 @@
 
 // TestEntryStaysSuspectThroughInterruption has a server leave unannounced and the store restored
 // from a backup that lists it. Just before the store removes the entry that nobody renews, the store
-// stops answering once more, too briefly to be noticed, and may restart the expiry time.
+// stops responding once more, too briefly to be noticed, and may restart the expiry time.
 //
 // One of 3,088 random histories of the model found the failure that it guards against: all routers
 // sent to the server once more in the moment between the end of the suspicion and the removal of
--- a/directory/modelhistory_test.go
+++ b/directory/modelhistory_test.go
@@ -65,13 +65,13 @@
 }
 
 // registerLocked has a server write its state: now, or with a renewal if the store does not
-// answer.
+// respond.
 func (h *history) registerLocked(s *modelServer, state string) {
 	s.running, s.state = true, state
 	h.renewLocked(s)
 }
 
-// renewLocked has a server write its entry, unless the store does not answer.
+// renewLocked has a server write its entry, unless the store does not respond.
 func (h *history) renewLocked(s *modelServer) {
 	if h.fleet.store.isUnresponsive() {
 		return
--- a/directory/modelstore_test.go
+++ b/directory/modelstore_test.go
@@ -19,7 +19,7 @@
 	// writes has all writes that the current timeline contains, oldest first.
 	writes []modelWrite
 	// down makes calls fail, hangs makes them block until their context ends. losesHistory makes
-	// each watch fail with a lost history, delay makes answers take longer. changed is closed at
+	// each watch fail with a lost history, delay makes responses take longer. changed is closed at
 	// the next change of anything.
 	down, hangs, losesHistory bool
 	delay                     time.Duration
@@ -83,7 +83,7 @@
 	return true
 }
 
-// isUnresponsive reports whether the store is down or does not answer.
+// isUnresponsive reports whether the store is down or does not respond.
 func (s *modelStore) isUnresponsive() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +164,7 @@
 
 var _ slipwick.Feed = (*modelFeed)(nil)
 
-// responseTime is how long the model takes for an answer.
+// responseTime is how long the model takes for a response.
 const responseTime = 4 * time.Millisecond
 
 func (f *modelFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
--- a/directory/peerquery.go
+++ b/directory/peerquery.go
@@ -14,12 +14,12 @@
 	"github.com/slipwick/slipwick/fleet"
 )
 
-// peerAnswer is the answer of one or several other routers.
-type peerAnswer struct {
+// peerResponse is the response of one or several other routers.
+type peerResponse struct {
 	batch slipwick.FeedBatch
-	// any is true if there is a copy at all, isCurrent if it is a current one, answered if a
-	// router answered at all.
-	any, isCurrent, answered bool
+	// any is true if there is a copy at all, isCurrent if it is a current one, responded if a
+	// router responded at all.
+	any, isCurrent, responded bool
 	// loadingFor is how long a first list counts as under way at a router that receives one or
 	// sends its copy to others.
 	loadingFor time.Duration
@@ -94,10 +94,10 @@
 // listPeers lists from the routers in order, each limited by the timeout, until one returns a
 // current copy; otherwise it returns a stale one if there is any. While a response is being
 // received no further router is asked, because a large list takes the capacity of the link.
-func (s *SharedFeed) listPeers(ctx context.Context, ids []string, timeout time.Duration) peerAnswer {
+func (s *SharedFeed) listPeers(ctx context.Context, ids []string, timeout time.Duration) peerResponse {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	answers, begins := make(chan peerAnswer, len(ids)), make(chan struct{}, len(ids))
+	responses, begins := make(chan peerResponse, len(ids)), make(chan struct{}, len(ids))
 	asked := 0
 	askNext := func() {
 		if asked == len(ids) {
@@ -107,7 +107,7 @@
 		asked++
 		go func() {
 			f := s.queryPeer(ctx, id, timeout, func() { begins <- struct{}{} }, s.fetchFromPeer)
-			answers <- f
+			responses <- f
 		}()
 	}
 	hedge := time.NewTicker(time.Duration(hedgeShare * float64(timeout)))
@@ -115,12 +115,12 @@
 	deadline := time.NewTimer(time.Duration(listPeersFactor * float64(timeout)))
 	defer deadline.Stop()
 	askNext()
-	var best peerAnswer
+	var best peerResponse
 	receiving, isLate := 0, false
-	for answered := 0; answered < asked; {
+	for responded := 0; responded < asked; {
 		select {
-		case f := <-answers:
-			answered++
+		case f := <-responses:
+			responded++
 			if f.began {
 				receiving--
 			}
@@ -166,13 +166,13 @@
 	return batch, err
 }
 
-// merge combines two answers without a current copy. Of two stale copies it keeps the later
+// merge combines two responses without a current copy. Of two stale copies it keeps the later
 // one.
-func (f *peerAnswer) merge(other *peerAnswer) peerAnswer {
-	joined := peerAnswer{
+func (f *peerResponse) merge(other *peerResponse) peerResponse {
+	joined := peerResponse{
 		batch:      f.batch,
 		any:        f.any || other.any,
-		answered:   f.answered || other.answered,
+		responded:  f.responded || other.responded,
 		loadingFor: max(f.loadingFor, other.loadingFor),
 	}
 	if other.any && (!f.any || f.batch.Position().Before(other.batch.Position())) {
@@ -185,7 +185,7 @@
 // called when it does; the rest of the response may take as long as a list.
 func (s *SharedFeed) queryPeer(ctx context.Context, id string, limit time.Duration, onBegin func(),
 	call func(context.Context, slipwick.Feed) (slipwick.FeedBatch, error),
-) peerAnswer {
+) peerResponse {
 	limited, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timer := time.AfterFunc(limit, cancel)
@@ -198,16 +198,16 @@
 		}
 	})
 	batch, err := call(hooked, s.Peers.Relay(id, s.FeedName))
-	f := peerAnswer{
+	f := peerResponse{
 		began: began.Load(),
 	}
 	if err == nil && s.isSuperseded(&batch) {
 		// The router has not learnt of the current timeline yet.
-		f.answered = true
+		f.responded = true
 		return f
 	}
 	if err == nil && batch.Age <= s.Timing.orDefault().MaxAge {
-		f.batch, f.any, f.isCurrent, f.answered = batch, true, true, true
+		f.batch, f.any, f.isCurrent, f.responded = batch, true, true, true
 		return f
 	}
 	lacksCopy := slipwick.IsKind(err, slipwick.KindNotCurrent)
@@ -222,7 +222,7 @@
 		s.markFailed(id)
 	}
 	f.batch, f.any = batch, err == nil
-	f.answered = err == nil || isLoading || lacksCopy
+	f.responded = err == nil || isLoading || lacksCopy
 	return f
 }
 
--- a/directory/reassigned_test.go
+++ b/directory/reassigned_test.go
@@ -15,10 +15,10 @@
 //
 // After a short outage the store was restored from a backup some seconds old and assigned the
 // revisions since then again, while routers compared revisions only. That had three effects.
-// Routers rejected all its answers as older than what they knew, until its revisions had caught up.
+// Routers rejected all its responses as older than what they knew, until its revisions had caught up.
 // Routers took the entries removed in the meantime for expired in the outage and kept them. A
 // router that learnt from another one got the encoded response of the old state, which had the same
-// revision as the new one. The logs confirmed it: all eight routers rejected answers up to the same
+// revision as the new one. The logs confirmed it: all eight routers rejected responses up to the same
 // moment and dropped the servers 1.90 s later, and the two routers that had not asked the store
 // took a list in which the server was not leaving.
 func TestServerLeavingAfterRestoreGetsNothing(t *testing.T) {
--- a/directory/relayserver.go
+++ b/directory/relayserver.go
@@ -31,25 +31,25 @@
 const hopsHeader = "Slipwick-Hops"
 
 // steadyHeader has the batch's StableFor: for how many milliseconds the store has been known to
-// answer without an outage or a restore from a backup.
+// respond without an outage or a restore from a backup.
 const steadyHeader = "Slipwick-Steady-Ms"
 
 // RelayServer is an HTTP handler that serves copies of feeds to other routers. Most of them ask
-// for the same changes at the same moment, so each answer is encoded and compressed once. Set
+// for the same changes at the same moment, so each response is encoded and compressed once. Set
 // Mirrors, by the names of the feeds, before use.
 type RelayServer struct {
 	Mirrors map[string]*Mirror
 
 	mu      sync.Mutex
-	encoded map[answerKey][]byte
-	// sending is the number of large answers being sent.
+	encoded map[responseKey][]byte
+	// sending is the number of large responses being sent.
 	sending int
 }
 
-// answerKey identifies an encoded answer by its content. The position does not suffice: a
+// responseKey identifies an encoded response by its content. The position does not suffice: a
 // restored store assigns revisions again, and a list of several pages may hold more than its
 // revision says.
-type answerKey struct {
+type responseKey struct {
 	encoding    string
 	isSnapshot  bool
 	isCompacted bool
@@ -57,24 +57,24 @@
 	entries     uint64
 }
 
-// maxEncodedAnswers is how many encoded answers are cached: those of the feeds, as lists and as
+// maxEncodedResponses is how many encoded responses are cached: those of the feeds, as lists and as
 // changes since a few revisions. Each is several times smaller than the copy.
-const maxEncodedAnswers = 16
+const maxEncodedResponses = 16
 
-// Of answers of at least largeAnswerBytes, at most maxLargeSends are sent at the same time: on
+// Of responses of at least largeResponseBytes, at most maxLargeSends are sent at the same time: on
 // a slow link, more in parallel would all be late. A router that is refused finds others that
 // have received theirs, so the number of routers with a copy grows by a factor with each list,
 // and the time for all with the logarithm of the fleet.
 const (
-	largeAnswerBytes = 64 << 10
-	maxLargeSends    = 2
+	largeResponseBytes = 64 << 10
+	maxLargeSends      = 2
 	// A list of at least largeListObjects counts as large before it is encoded, so that a refusal
 	// costs little: when a fleet starts, hundreds of routers ask one router for a list at the
 	// same moment and are refused.
 	largeListObjects = 1024
 )
 
-// acquireSend reports whether a large answer may be sent now. If so, call releaseSend after it.
+// acquireSend reports whether a large response may be sent now. If so, call releaseSend after it.
 func (s *RelayServer) acquireSend() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,7 +91,7 @@
 	s.sending--
 }
 
-// ServeHTTP answers a list, or a watch if the query has "after". Both wait as long as the query
+// ServeHTTP responds to a list, or a watch if the query has "after". Both wait as long as the query
 // says, within limits.
 func (s *RelayServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	feed := r.URL.Path[min(len(RelayPath), len(r.URL.Path)):]
@@ -126,7 +126,7 @@
 	case err != nil:
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
 	default:
-		s.writeAnswer(w, encodingFor(r), &batch, isReserved)
+		s.writeResponse(w, encodingFor(r), &batch, isReserved)
 	}
 }
 
@@ -171,10 +171,12 @@
 	return mirror.AwaitList(ctx, q.wait)
 }
 
-// writeAnswer writes a batch as the response. isReserved is true if the caller has already
+// writeResponse writes a batch as the response. isReserved is true if the caller has already
 // called acquireSend.
-func (s *RelayServer) writeAnswer(w http.ResponseWriter, encoding string, batch *slipwick.FeedBatch, isReserved bool) {
-	body, err := s.encodeCached(answerKey{
+func (s *RelayServer) writeResponse(
+	w http.ResponseWriter, encoding string, batch *slipwick.FeedBatch, isReserved bool,
+) {
+	body, err := s.encodeCached(responseKey{
 		encoding:    encoding,
 		isSnapshot:  batch.IsSnapshot,
 		isCompacted: batch.IsCompacted,
@@ -185,7 +187,7 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	if len(body) >= largeAnswerBytes && !isReserved {
+	if len(body) >= largeResponseBytes && !isReserved {
 		if !s.acquireSend() {
 			refuseLoading(w, loadingError(storeRetryInterval))
 			return
@@ -198,7 +200,7 @@
 	w.Header().Set(hopsHeader, strconv.Itoa(batch.Hops))
 	w.Header().Set(ageHeader, strconv.FormatInt(batch.Age.Milliseconds(), 10))
 	w.Header().Set(steadyHeader, strconv.FormatInt(batch.StableFor.Milliseconds(), 10))
-	// An error means that the other router is gone and needs no answer.
+	// An error means that the other router is gone and needs no response.
 	_, _ = w.Write(body)
 }
 
@@ -230,8 +232,8 @@
 	return sum
 }
 
-// encodeCached returns the compressed body of an answer, from the cache if it is there.
-func (s *RelayServer) encodeCached(key answerKey, batch *slipwick.FeedBatch) ([]byte, error) {
+// encodeCached returns the compressed body of a response, from the cache if it is there.
+func (s *RelayServer) encodeCached(key responseKey, batch *slipwick.FeedBatch) ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if body, ok := s.encoded[key]; ok {
@@ -248,8 +250,8 @@
 	if err := compressor.Close(); err != nil {
 		return nil, err
 	}
-	if len(s.encoded) >= maxEncodedAnswers || s.encoded == nil {
-		s.encoded = make(map[answerKey][]byte, maxEncodedAnswers)
+	if len(s.encoded) >= maxEncodedResponses || s.encoded == nil {
+		s.encoded = make(map[responseKey][]byte, maxEncodedResponses)
 	}
 	s.encoded[key] = body.Bytes()
 	return body.Bytes(), nil
--- a/directory/sharedfeed.go
+++ b/directory/sharedfeed.go
@@ -30,7 +30,7 @@
 // others read it from the copies of other routers, so that the load on the store does not grow
 // with the fleet. A router whose peers fail asks other ones. It reads from the store in place of
 // the watchers if all peers lack a current copy and its turn has come
-// (fleet.RelayPosition.TakeoverTurn), or if no peer answers. Set the exported fields before use.
+// (fleet.RelayPosition.TakeoverTurn), or if no peer responds. Set the exported fields before use.
 type SharedFeed struct {
 	FeedName string
 	Store    slipwick.Feed
@@ -87,15 +87,15 @@
 	s.markStarted()
 	relayPosition := s.Peers.RelayPosition()
 	if s.usesStore(ctx, &relayPosition) {
-		answer := s.listStore(ctx, &relayPosition, true, func(f *peerAnswer) bool { return f.any })
-		s.stopActing(answer.err)
-		return s.record(answer.batch, answer.err)
+		result := s.listStore(ctx, &relayPosition, true, func(f *peerResponse) bool { return f.any })
+		s.stopActing(result.err)
+		return s.record(result.batch, result.err)
 	}
 	found := s.listPeers(ctx, s.candidates(&relayPosition), peerTimeout)
 	switch {
 	case s.isUsable(&found):
 		return s.record(found.batch, nil)
-	case found.loadingFor <= 0 && s.mayTakeOver(&relayPosition, found.answered):
+	case found.loadingFor <= 0 && s.mayTakeOver(&relayPosition, found.responded):
 		batch, err := s.takeOver(ctx, &relayPosition)
 		if err == nil || !found.any {
 			return s.record(batch, err)
@@ -127,26 +127,26 @@
 // awaitPeers blocks, at the first list, until this router has discovered the others. Which
 // routers it follows depends on them; with only a few known it would often conclude that it has
 // to ask the store itself. In the meantime it asks the known ones for a current copy.
-func (s *SharedFeed) awaitPeers(ctx context.Context) peerAnswer {
+func (s *SharedFeed) awaitPeers(ctx context.Context) peerResponse {
 	s.mu.Lock()
 	isFirst := s.startedAt.IsZero()
 	s.mu.Unlock()
 	if !isFirst {
-		return peerAnswer{}
+		return peerResponse{}
 	}
 	ticker := time.NewTicker(discoveryInterval)
 	defer ticker.Stop()
 	for waited := time.Duration(0); ; waited += discoveryInterval {
 		select {
 		case <-s.Peers.FleetKnown():
-			return peerAnswer{}
+			return peerResponse{}
 		case <-ctx.Done():
-			return peerAnswer{}
+			return peerResponse{}
 		case <-ticker.C:
 		}
 		others := s.withRandomPeers(nil)
 		if len(others) == 0 && waited >= aloneWait {
-			return peerAnswer{}
+			return peerResponse{}
 		}
 		if found := s.listPeers(ctx, others, peerTimeout); found.isCurrent {
 			return found
@@ -154,7 +154,7 @@
 	}
 }
 
-// record updates confirmedAt and position from an answer.
+// record updates confirmedAt and position from a response.
 func (s *SharedFeed) record(batch slipwick.FeedBatch, err error) (slipwick.FeedBatch, error) {
 	if err != nil {
 		return slipwick.FeedBatch{}, err
@@ -220,7 +220,7 @@
 ) (slipwick.FeedBatch, error) {
 	timing := s.Timing.orDefault()
 	candidates := s.candidates(relayPosition)
-	answered, isLoading := false, false
+	responded, isLoading := false, false
 	if len(candidates) > 0 {
 		wait := s.boundRelayWait(relayPosition, timing.RelayWait)
 		watched := s.queryPeer(ctx, candidates[0], wait+timing.RelayMargin, func() {},
@@ -236,10 +236,10 @@
 		if s.isUsable(&others) {
 			return s.record(others.batch, nil)
 		}
-		answered = watched.answered || others.answered
+		responded = watched.responded || others.responded
 		isLoading = watched.loadingFor > 0 || others.loadingFor > 0
 	}
-	if ctx.Err() == nil && !isLoading && s.mayTakeOver(relayPosition, answered) {
+	if ctx.Err() == nil && !isLoading && s.mayTakeOver(relayPosition, responded) {
 		return s.record(s.takeOver(ctx, relayPosition))
 	}
 	s.stopAvoidingStore()
@@ -268,9 +268,9 @@
 }
 
 // isFresher reports whether a current copy was confirmed later than the local one, which proves
-// that the store answers other routers. A copy from before the store stopped answering here
+// that the store responds to other routers. A copy from before the store stopped responding here
 // proves nothing; if it counted, all routers would wait for each other.
-func (s *SharedFeed) isFresher(f *peerAnswer) bool {
+func (s *SharedFeed) isFresher(f *peerResponse) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return f.isCurrent && clock.Now().Add(-f.batch.Age).After(s.confirmedAt.Add(s.freshMargin()))
@@ -285,9 +285,9 @@
 // isUsable reports whether to continue with the current copy of a router that this one does not
 // follow. Copies are confirmed with every round of watches; one that is older comes from a router
 // that is itself waiting for an unresponsive one. For a while after the store has stopped
-// answering, the copies of other routers are current but have nothing new; to return one of these
+// responding, the copies of other routers are current but have nothing new; to return one of these
 // is still useful, but at most once per minBackoff.
-func (s *SharedFeed) isUsable(f *peerAnswer) bool {
+func (s *SharedFeed) isUsable(f *peerResponse) bool {
 	if !f.isCurrent {
 		return false
 	}
--- a/directory/sharedfeed_test.go
+++ b/directory/sharedfeed_test.go
@@ -65,7 +65,7 @@
 				got, err := shared.Watch(t.Context(), at(1), testTiming.WatchWait)
 				switch {
 				case slipwick.IsKind(err, slipwick.KindNotCurrent):
-					// The routers answer without a current copy, so they ask the store in turns.
+					// The routers respond without a current copy, so they ask the store in turns.
 					time.Sleep(minBackoff)
 				case err != nil:
 					t.Fatalf("%s: %v", name, err)
@@ -101,7 +101,7 @@
 }
 
 // TestSharedFeedStartsFromRoutersWhileStoreIsUnresponsive lists at a router that restarts while the store
-// does not answer.
+// does not respond.
 func TestSharedFeedStartsFromRoutersWhileStoreIsUnresponsive(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		shared, store, _ := newSharedFeed()
@@ -149,7 +149,7 @@
 	})
 }
 
-// TestSharedFeedAsksAnotherRouterBeforeStore has one followed router stop answering while the next
+// TestSharedFeedAsksAnotherRouterBeforeStore has one followed router stop responding while the next
 // one has a current copy.
 func TestSharedFeedAsksAnotherRouterBeforeStore(t *testing.T) {
 	for _, first := range []string{"r1", "r2"} {
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -51,8 +51,8 @@
 	fleetKnown chan struct{}
 
 	mu sync.Mutex
-	// unresponsive means that the router gets no answer from anyone and gives none, isolated the
-	// same towards the other routers only. storeHangs means that the store does not answer it,
+	// unresponsive means that the router gets no response from anyone and gives none, isolated the
+	// same towards the other routers only. storeHangs means that the store does not respond to it,
 	// storeRefuses that the store returns errors to it.
 	unresponsive, isolated, storeHangs, storeRefuses bool
 	// calls counts its calls to the store, sending the lists that it is sending.
@@ -185,7 +185,7 @@
 }
 
 // countLagging returns the number of routers that do not know the value, without those that are
-// unresponsive or that the store does not answer.
+// unresponsive or that the store does not respond.
 func (f *simFleet) countLagging(value string) int {
 	n := 0
 	for _, r := range f.routers {
--- a/directory/storelist.go
+++ b/directory/storelist.go
@@ -14,7 +14,7 @@
 	// as well. It is some tens of times the store's usual response time.
 	storeHedgeDelay = 300 * time.Millisecond
 	// storeRetryInterval is the interval at which the store is sent another list request while
-	// it does not answer. A store that had stopped answering never answers the requests from
+	// it does not respond. A store that had stopped responding never responds to the requests from
 	// that time. A slow store is given time, and one that delivers page after page is not asked
 	// again.
 	storeRetryInterval = 500 * time.Millisecond
@@ -36,16 +36,16 @@
 type storeList struct {
 	shared        *SharedFeed
 	relayPosition *fleet.RelayPosition
-	// retriesStore is true if the store is asked again while it does not answer, since a store
-	// that had stopped answering never answers earlier requests. Other routers are asked in
-	// either case, because the store may answer them by now.
+	// retriesStore is true if the store is asked again while it does not respond, since a store
+	// that had stopped responding never responds to earlier requests. Other routers are asked in
+	// either case, because the store may respond to them by now.
 	retriesStore bool
 	// suffices reports whether a copy of another router is acceptable.
-	suffices func(*peerAnswer) bool
+	suffices func(*peerResponse) bool
 
-	storeResults chan listResult
-	peerAnswers  chan peerAnswer
-	progress     chan struct{}
+	storeResults  chan listResult
+	peerResponses chan peerResponse
+	progress      chan struct{}
 	// pending is the number of calls to the store under way. askingPeers is true while other
 	// routers are asked.
 	pending     int
@@ -53,9 +53,9 @@
 }
 
 // listStore lists from the store, and from other routers if the store fails or is slow. It
-// returns the first usable answer.
+// returns the first usable response.
 func (s *SharedFeed) listStore(
-	ctx context.Context, relayPosition *fleet.RelayPosition, retriesStore bool, suffices func(*peerAnswer) bool,
+	ctx context.Context, relayPosition *fleet.RelayPosition, retriesStore bool, suffices func(*peerResponse) bool,
 ) listResult {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -65,7 +65,7 @@
 		retriesStore:  retriesStore,
 		suffices:      suffices,
 		storeResults:  make(chan listResult, s.Timing.orDefault().ListTimeout/storeRetryInterval+1),
-		peerAnswers:   make(chan peerAnswer, 1),
+		peerResponses: make(chan peerResponse, 1),
 		progress:      make(chan struct{}, 1),
 	}
 	return list.run(ctx)
@@ -91,15 +91,15 @@
 			l.askPeers(ctx)
 		case <-hedge.C:
 			l.askPeers(ctx)
-		case answer := <-l.storeResults:
-			l.shared.recordStoreResult(answer.err)
-			if answer.err == nil {
-				return answer
+		case result := <-l.storeResults:
+			l.shared.recordStoreResult(result.err)
+			if result.err == nil {
+				return result
 			}
 			l.pending--
-			failure = answer
+			failure = result
 			l.askPeers(ctx)
-		case found := <-l.peerAnswers:
+		case found := <-l.peerResponses:
 			l.askingPeers = false
 			if l.suffices(&found) {
 				return listResult{
@@ -131,7 +131,7 @@
 		return
 	}
 	l.askingPeers = true
-	go func() { l.peerAnswers <- l.shared.listPeers(ctx, l.shared.candidates(l.relayPosition), peerTimeout) }()
+	go func() { l.peerResponses <- l.shared.listPeers(ctx, l.shared.candidates(l.relayPosition), peerTimeout) }()
 }
 
 // tracePages signals progress for each page of a list after the first. The request for the next
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -20,10 +20,10 @@
 )
 
 // mayTakeOver reports whether this router may ask the store after no other router gave it a
-// current copy. If none answered at all, it is cut off from the others and need not wait. If
-// some answered, they have no current copy either, perhaps because the store is down for all,
+// current copy. If none responded at all, it is cut off from the others and need not wait. If
+// some responded, they have no current copy either, perhaps because the store is down for all,
 // and routers ask it in turns.
-func (s *SharedFeed) mayTakeOver(relayPosition *fleet.RelayPosition, answered bool) bool {
+func (s *SharedFeed) mayTakeOver(relayPosition *fleet.RelayPosition, responded bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	timing := s.Timing.orDefault()
@@ -32,7 +32,7 @@
 		since, first, step = s.startedAt, startTurnDelay, startTurnStep
 	}
 	now := clock.Now()
-	if !answered {
+	if !responded {
 		return !s.confirmedAt.IsZero() || now.Sub(since) >= first
 	}
 	if relayPosition.TakeoverTurn < 0 || now.Sub(s.takeoverTriedAt) < timing.MaxAge {
@@ -50,14 +50,14 @@
 	s.mu.Unlock()
 	ctx, cancel := context.WithTimeout(ctx, timing.ListTimeout)
 	defer cancel()
-	answer := s.listStore(ctx, relayPosition, false, s.isUsable)
-	if answer.err != nil || !answer.fromStore {
-		return answer.batch, answer.err
+	result := s.listStore(ctx, relayPosition, false, s.isUsable)
+	if result.err != nil || !result.fromStore {
+		return result.batch, result.err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.acting, s.checkedAt = true, clock.Now()
-	return answer.batch, nil
+	return result.batch, nil
 }
 
 // usesStore reports whether this router calls the store itself. A router that acts in place of
@@ -97,7 +97,7 @@
 	s.acting = false
 }
 
-// avoidStore makes a watcher that the store does not answer follow other routers, for checkFactor
+// avoidStore makes a watcher that the store does not respond to follow other routers, for checkFactor
 // times Timing.MaxAge if these reach the store. Otherwise the store may be back for all at any
 // moment, so it is asked again after storeBackoff, a shorter pause that doubles each time.
 func (s *SharedFeed) avoidStore(othersReachIt bool) {
@@ -113,7 +113,7 @@
 }
 
 // avoidIfOthersReachIt makes a watcher avoid the store for checkFactor times Timing.MaxAge once it
-// learns that the store has answered other routers since it failed here.
+// learns that the store has responded to other routers since it failed here.
 func (s *SharedFeed) avoidIfOthersReachIt(relayPosition *fleet.RelayPosition, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
 	othersReachIt := relayPosition.IsWatcher && !s.storeFailedAt.IsZero() &&
@@ -135,7 +135,7 @@
 	return wait
 }
 
-// recordStoreResult resets storeBackoff when the store answers, and records a failure when it does
+// recordStoreResult resets storeBackoff when the store responds, and records a failure when it does
 // not. A lost history is no failure of the store.
 func (s *SharedFeed) recordStoreResult(failure error) {
 	s.mu.Lock()
--- a/directory/timeline_test.go
+++ b/directory/timeline_test.go
@@ -16,19 +16,19 @@
 	return b
 }
 
-// scriptedFeed answers each call with the next batch, and blocks when there is none left.
+// scriptedFeed responds to each call with the next batch, and blocks when there is none left.
 type scriptedFeed struct {
-	answers []*slipwick.FeedBatch
-	watches []slipwick.Position
+	responses []*slipwick.FeedBatch
+	watches   []slipwick.Position
 }
 
 func (f *scriptedFeed) next(ctx context.Context) (slipwick.FeedBatch, error) {
-	if len(f.answers) == 0 {
+	if len(f.responses) == 0 {
 		<-ctx.Done()
 		return slipwick.FeedBatch{}, ctx.Err()
 	}
-	b := f.answers[0]
-	f.answers = f.answers[1:]
+	b := f.responses[0]
+	f.responses = f.responses[1:]
 	return *b, nil
 }
 
@@ -41,15 +41,15 @@
 	return f.next(ctx)
 }
 
-// TestFollowerOrdersTimelines passes the answers of stores that were restored from backups to a
+// TestFollowerOrdersTimelines passes the responses of stores that were restored from backups to a
 // follower, one call after the other.
 func TestFollowerOrdersTimelines(t *testing.T) {
 	for name, tc := range map[string]struct {
-		answers []*slipwick.FeedBatch
-		want    []string
+		responses []*slipwick.FeedBatch
+		want      []string
 	}{
 		"a watch from a revision that was assigned again": {
-			answers: []*slipwick.FeedBatch{
+			responses: []*slipwick.FeedBatch{
 				withTimeline(1, batch(7, true, "a1", "b1")),
 				// Revision 7 removed b in this timeline; the watch returns only later changes.
 				withTimeline(2, batch(8, false, "c1")),
@@ -58,14 +58,14 @@
 			want: []string{"a1", "c1"},
 		},
 		"a lower revision of a later timeline": {
-			answers: []*slipwick.FeedBatch{
+			responses: []*slipwick.FeedBatch{
 				withTimeline(1, batch(7, true, "a1", "b1")),
 				withTimeline(2, batch(4, true, "a1")),
 			},
 			want: []string{"a1"},
 		},
 		"a skipped timeline that arrives late": {
-			answers: []*slipwick.FeedBatch{
+			responses: []*slipwick.FeedBatch{
 				withTimeline(1, batch(7, true, "a1")),
 				withTimeline(3, batch(4, true, "a3")),
 				withTimeline(2, batch(9, true, "a2")),
@@ -74,14 +74,14 @@
 			want: []string{"a4"},
 		},
 		"changes of an earlier timeline that arrive after the restore": {
-			answers: []*slipwick.FeedBatch{
+			responses: []*slipwick.FeedBatch{
 				withTimeline(2, batch(4, true, "a2")),
 				withTimeline(1, batch(9, false, "a1")),
 			},
 			want: []string{"a2"},
 		},
 		"a store without timelines": {
-			answers: []*slipwick.FeedBatch{
+			responses: []*slipwick.FeedBatch{
 				batch(7, true, "a1"),
 				batch(6, true, "a0"),
 				batch(8, false, "b1"),
@@ -89,7 +89,7 @@
 			want: []string{"a1", "b1"},
 		},
 		"an older router without timelines, behind and ahead": {
-			answers: []*slipwick.FeedBatch{
+			responses: []*slipwick.FeedBatch{
 				withTimeline(2, batch(7, true, "a1")),
 				batch(6, true, "a0"),
 				batch(8, true, "a2"),
@@ -100,7 +100,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				state, stop := follow(t, &scriptedFeed{
-					answers: tc.answers,
+					responses: tc.responses,
 				})
 				defer stop()
 				time.Sleep(10 * time.Second)
@@ -113,7 +113,7 @@
 }
 
 // TestCopyOfEarlierTimelineIsIgnored has a router that was suspended or cut off still hold the
-// copy of an earlier timeline, with a higher revision, when the store stops answering the others.
+// copy of an earlier timeline, with a higher revision, when the store stops responding to the others.
 func TestCopyOfEarlierTimelineIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		isolated := newFakeFeed(withTimeline(1, batch(50, true, "a1")))
--- a/directory/timing.go
+++ b/directory/timing.go
@@ -4,22 +4,22 @@
 
 // Timing has the wait times of calls between routers and to the store. They are chosen so that
 // every router learns of a change at the store within a given time, the propagation time, even if
-// a router on the way has stopped answering.
+// a router on the way has stopped responding.
 type Timing struct {
-	// WatchWait is how long a watch of the store waits, WatchMargin how much longer its answer
+	// WatchWait is how long a watch of the store waits, WatchMargin how much longer its response
 	// may take. An unresponsive store is detected early enough for the routers that follow this
 	// one.
 	WatchWait, WatchMargin time.Duration
 	// RelayWait is how long a watch at another router waits: somewhat longer than a watch of the
 	// store, at whose end the other router confirms its copy. RelayMargin is how much longer
-	// the answer may take, and the time limit of a list from another router. Together with a
+	// the response may take, and the time limit of a list from another router. Together with a
 	// few lists and one call to the store they stay within the propagation time.
 	RelayWait, RelayMargin time.Duration
 	// MaxAge is how old a current copy may be: the wait of the other router's own watch and the
-	// time to detect that the store does not answer. TurnStep is the delay between the turns in
+	// time to detect that the store does not respond. TurnStep is the delay between the turns in
 	// which routers ask the store in place of the watchers.
 	MaxAge, TurnStep time.Duration
-	// BatchDelay is the pause after an answer with changes, so that changes in quick succession
+	// BatchDelay is the pause after a response with changes, so that changes in quick succession
 	// are delivered together.
 	BatchDelay time.Duration
 	// PeerBackoff is how long a router that failed is not asked again.
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -8,7 +8,7 @@
 	"github.com/slipwick/slipwick/balance"
 )
 
-// TestTimingFitsPropagationTime has a router on the way stop answering. The remaining time has to
+// TestTimingFitsPropagationTime has a router on the way stop responding. The remaining time has to
 // suffice for one more call.
 func TestTimingFitsPropagationTime(t *testing.T) {
 	for _, within := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
@@ -20,7 +20,7 @@
 		if got := r.RelayWait + r.RelayMargin + remainder; got > within {
 			t.Errorf("within %v: got %v for an unresponsive router and one more call, want at most that time", within, got)
 		}
-		// A router that the store no longer answers still has a copy that counts as current. Its
+		// A router that the store no longer responds to still has a copy that counts as current. Its
 		// followers list from the store after that.
 		if got := r.MaxAge + remainder; got > within {
 			t.Errorf("within %v: got %v until a copy is stale and for one more call, want at most that time", within, got)
@@ -47,7 +47,7 @@
 		b.RecordFailure()
 		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
-		list.expect(t, "when the store answers after more than a heartbeat", "a", "b")
+		list.expect(t, "when the store responds after more than a heartbeat", "a", "b")
 		time.Sleep(960 * time.Millisecond)
 		list.expect(t, "before LeaveTime is over", "a")
 	})
