--- a/exchange/fuzz_test.go
+++ b/exchange/fuzz_test.go
@@ -49,8 +49,8 @@
 	})
 }
 
-// FuzzCacheSnapshot checks that no answer to a cache query makes its reader panic, or return more
-// than the answer can hold.
+// FuzzCacheSnapshot checks that no response to a cache query makes its reader panic, or return more
+// than the response can hold.
 func FuzzCacheSnapshot(f *testing.F) {
 	seed, _ := proto.Marshal(encodeSnapshot(&balance.CacheSnapshot{
 		Engines: []uint64{7},
--- a/exchange/recoveringfleet_test.go
+++ b/exchange/recoveringfleet_test.go
@@ -30,7 +30,7 @@
 	routers map[string]*Recovery
 	// lists counts how often each engine listed its cache.
 	lists map[string]int
-	// partsSent counts the parts in answers to queries between routers, enginesNamed the engines
+	// partsSent counts the parts in responses to queries between routers, enginesNamed the engines
 	// that the queries named.
 	partsSent, enginesNamed int
 	// unresponsive are the engines that never list their cache.
--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -122,7 +122,7 @@
 
 // learnMissing queries routers and engines round after round, until no cache is unknown or maxRounds
 // have passed. The rounds are less frequent while nothing is learnt: a few of many engines may never
-// answer, and each round has to look at all engines, whether their caches are known or not.
+// respond, and each round has to look at all engines, whether their caches are known or not.
 func (r *Recovery) learnMissing(ctx context.Context) {
 	previous, intervals := math.MaxInt, 1
 	for round := 0; round < maxRounds; round += intervals {
@@ -195,7 +195,7 @@
 		limited, cancel := context.WithTimeout(ctx, queryTimeout)
 		snapshot, err := r.QueryRouter(limited, other, &query)
 		cancel()
-		// A router that doesn't answer is skipped; the next round queries another one.
+		// A router that doesn't respond is skipped; the next round queries another one.
 		if err == nil {
 			r.Balancer.MergeCacheSnapshot(snapshot)
 		}
@@ -229,7 +229,7 @@
 }
 
 // listCaches asks some of the engines for which this router's turn has come to list their caches,
-// in parallel, and waits for their answers.
+// in parallel, and waits for their responses.
 func (r *Recovery) listCaches(ctx context.Context, engines []slipwick.Backend, turn int) {
 	if r.ListCache == nil {
 		return
@@ -254,7 +254,7 @@
 		listings.Go(func() {
 			limited, cancel := context.WithTimeout(ctx, listTimeout)
 			defer cancel()
-			// The cache of an engine that doesn't answer stays unknown. ListCache logs the reason.
+			// The cache of an engine that doesn't respond stays unknown. ListCache logs the reason.
 			if parts, err := r.ListCache(limited, engine); err == nil {
 				r.Balancer.RecordCachedParts(engine.ID, parts)
 			}
--- a/exchange/recovery_test.go
+++ b/exchange/recovery_test.go
@@ -135,8 +135,8 @@
 	})
 }
 
-// TestRecoveryEndsDespiteUnresponsiveEngineAndRouter has one engine and one router that answer
-// nothing. Everything else has to be learnt within seconds.
+// TestRecoveryEndsDespiteUnresponsiveEngineAndRouter has one engine and one router that
+// respond to nothing. Everything else has to be learnt within seconds.
 func TestRecoveryEndsDespiteUnresponsiveEngineAndRouter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newRecoveringFleet()
@@ -207,7 +207,7 @@
 }
 
 // TestQueriesNameMissingEngines restarts a fleet with pools of several sizes, in which some engines
-// never answer. Once the caches of all others are known, a query must name these few engines and not
+// never respond. Once the caches of all others are known, a query must name these few engines and not
 // all whose caches are known.
 func TestQueriesNameMissingEngines(t *testing.T) {
 	const unresponsive = 3
--- a/exchange/snapshot.go
+++ b/exchange/snapshot.go
@@ -13,21 +13,21 @@
 	"github.com/slipwick/slipwick/httpclient"
 )
 
-// CacheSnapshotPath is the path at which a router answers cache queries with a snapshot of its
-// cache index, the parts of prompts that it knows engines to have cached. The answer is sent over
+// CacheSnapshotPath is the path at which a router responds to cache queries with a snapshot of its
+// cache index, the parts of prompts that it knows engines to have cached. The response is sent over
 // TCP: after a lost datagram, cached parts would stay unknown until an engine prefills them again.
 const CacheSnapshotPath = "/homes"
 
-// maxSnapshotSize bounds the bytes of an accepted query or answer, at a few times the size of the
+// maxSnapshotSize bounds the bytes of an accepted query or response, at a few times the size of the
 // snapshot of a full cache index.
 const maxSnapshotSize = 4 << 20
 
-// CacheSnapshotServer answers cache queries of other routers. Set Balancer before use.
+// CacheSnapshotServer responds to cache queries of other routers. Set Balancer before use.
 type CacheSnapshotServer struct {
 	Balancer *balance.Balancer
 }
 
-// ServeHTTP answers a query with an encoded exchangepb.Knowledge.
+// ServeHTTP responds to a query with an encoded exchangepb.Knowledge.
 func (s *CacheSnapshotServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	message, err := readMessage(r.Body)
 	if err != nil {
@@ -40,12 +40,12 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	// The write fails only if the other router is gone, which then needs no answer.
+	// The write fails only if the other router is gone, which then needs no response.
 	_, _ = w.Write(body)
 }
 
 // FetchCacheSnapshot queries the router at host:port for what it knows of the caches of engines. It
-// blocks until the answer arrives or ctx ends.
+// blocks until the response arrives or ctx ends.
 func FetchCacheSnapshot(
 	ctx context.Context, client *http.Client, address string, q *balance.CacheQuery,
 ) (*balance.CacheSnapshot, error) {
@@ -89,8 +89,8 @@
 }
 
 // encodeQuery marks the known engines of a query as covered, or the wanted ones as not covered.
-// Routers of an older version read only the known ones, and answer a query for wanted engines with
-// all that they know.
+// Routers of an older version read only the known ones, and respond to a query for wanted engines
+// with all that they know.
 func encodeQuery(q *balance.CacheQuery) *exchangepb.Knowledge {
 	message := &exchangepb.Knowledge{}
 	for _, engine := range q.Known {
