--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -132,7 +132,7 @@
 	})
 }
 
-// releaseAttempt tells the owner that the current attempt is over, in case the owner holds it in
+// releaseAttempt reports to the owner that the current attempt is over, in case the owner holds it in
 // its queue or has granted it.
 func (c *Coordinator) releaseAttempt(a *acquisition) {
 	c.sendRelease(a.owner, a.engine(), a.id, slipwick.EvidenceNone)
@@ -212,7 +212,8 @@
 	return c.view.Owner(engine)
 }
 
-// sendRelease tells the owner that a slot is free again, or that a queued request no longer waits.
+// sendRelease reports to the owner that a slot is free again, or that a queued request no longer
+// waits.
 func (c *Coordinator) sendRelease(owner string, engine, id uint64, evidence slipwick.Evidence) {
 	envelope := c.outbox.envelopeFor(owner)
 	envelope.Releases = append(envelope.Releases, &peerpb.SlotRelease{
--- a/admission/answers.go
+++ b/admission/answers.go
@@ -123,7 +123,7 @@
 		if !taken[a.engine()] && c.isUsable(a, position) {
 			c.recordSlot(a, true)
 			id := a.id
-			// The renewal tells the owner about the slot, if the owner can be reached.
+			// The renewal reports the slot to the owner, if the owner can be reached.
 			c.renewSlots(func(s *slot) bool { return s == c.slots[id] })
 			return
 		}
--- a/admission/displaced.go
+++ b/admission/displaced.go
@@ -19,7 +19,7 @@
 	}, placed.GetAt())
 }
 
-// sendPlaced tells the owner of the chat's first choice which backend server serves the chat
+// sendPlaced reports to the owner of the chat's first choice which backend server serves the chat
 // instead.
 func (c *Coordinator) sendPlaced(a *acquisition) {
 	firstChoice := a.pool.Backends[a.ranking[0]]
--- a/admission/grants.go
+++ b/admission/grants.go
@@ -163,8 +163,8 @@
 	return c.Share(workspace).Weight
 }
 
-// decline answers a request that is not queued, or no longer: it tells the router to try elsewhere
-// or, on the last attempt, refuses the request.
+// decline answers a request that is not queued, or no longer: it sends the router elsewhere or,
+// on the last attempt, refuses the request.
 func (c *Coordinator) decline(o *ownedBackend, key leaseKey, request *peerpb.SlotRequest, retryAfter time.Duration) {
 	if request.GetTry() != peerpb.Try_TRY_LAST {
 		c.sendAnswer(key, peerpb.Decision_DECISION_MOVE_ON, 0)
@@ -179,7 +179,7 @@
 	})
 }
 
-// maxRetryAfter limits the time after which a refused caller is told to try again.
+// maxRetryAfter limits the time after which a refused caller is asked to try again.
 const maxRetryAfter = time.Minute
 
 // expireQueued declines a queued request whose time is over, if it is still queued.
