--- a/balance/server.go
+++ b/balance/server.go
@@ -26,7 +26,7 @@
 	Entry
 	// poolIndex is the index in the pool, -1 if the server is in none.
 	poolIndex int
-	// hash identifies the incarnation. What routers know and tell each other of a server
+	// hash identifies the incarnation. What routers know and send each other about a server
 	// belongs to one incarnation, so that nothing about an earlier one is applied to a later
 	// one, also if it arrives late. The hash also determines the server's rank. If the ID did,
 	// a restarted server would get the same prompts again although its cache is lost.
--- a/balance/update.go
+++ b/balance/update.go
@@ -17,8 +17,8 @@
 	Leaving     []uint64
 }
 
-// OutcomeCounts has the numbers of requests that ended since the last update, at a server or, in a canary,
-// at all servers of one side.
+// OutcomeCounts has the numbers of requests that ended since the last update, at a server or, in a
+// canary, at all servers of one side.
 type OutcomeCounts struct {
 	// Server is the hash of the server's incarnation, or the key of the side of a canary.
 	Server uint64
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -37,7 +37,7 @@
 	// has given up on the rest. Requests that arrive earlier wait for a limited time. A nil channel
 	// disables the wait.
 	Ready, CachesKnown <-chan struct{}
-	// Observer is told how each request ended.
+	// Observer receives how each request ended.
 	Observer Observer
 
 	table atomic.Pointer[routing.Table]
--- a/gateway/suspension_test.go
+++ b/gateway/suspension_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestSuspensionCountsTowardsTheDeadline has the router's box be suspended while the first backend
-// server works on a request and then fails. The second has to be told the time that is really left,
+// server works on a request and then fails. The second has to receive the time that is really left,
 // and must not be sent the request if none is left.
 func TestSuspensionCountsTowardsTheDeadline(t *testing.T) {
 	for suspension, want := range map[time.Duration]int64{time.Second: 2, 30 * time.Second: 1} {
