--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -187,7 +187,7 @@
 }
 
 // respond sends the boxes that the requester does not know, in packets of bounded size. At least
-// one packet is sent: its digest tells the requester whether both know the same.
+// one packet is sent: its digest shows the requester whether both know the same.
 func (n *Node) respond(address string, request *memberpb.Packet) {
 	if request.GetPackets() == 0 {
 		n.sendAll(address)
--- a/membership/learn_fleet_bench_test.go
+++ b/membership/learn_fleet_bench_test.go
@@ -9,8 +9,8 @@
 	"github.com/slipwick/slipwick/membership/memberpb"
 )
 
-// BenchmarkLearnFleet receives the packets that tell a starting router of a fleet, each of them
-// twice.
+// BenchmarkLearnFleet receives the packets that announce the boxes of a fleet to a starting router,
+// each of them twice.
 func BenchmarkLearnFleet(b *testing.B) {
 	for _, size := range []int{250, 500, 1000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
