--- a/emulation/baseline.go
+++ b/emulation/baseline.go
@@ -13,7 +13,7 @@
 // owners with.
 type Baseline func(meter *Meter) BaselineAdmission
 
-// BaselineAdmission is an admission that is told of each new view.
+// BaselineAdmission is an admission that receives each new view.
 type BaselineAdmission interface {
 	slipwick.Admission
 	SetView(view *placement.View)
--- a/emulation/engine.go
+++ b/emulation/engine.go
@@ -6,7 +6,7 @@
 	lru "github.com/hashicorp/golang-lru/v2/simplelru"
 )
 
-// Engine is a fake engine. It holds a bounded LRU cache of chats' prefixes.
+// Engine is an emulated engine. It holds a bounded LRU cache of chats' prefixes.
 type Engine struct {
 	ID string
 
--- a/emulation/world.go
+++ b/emulation/world.go
@@ -217,7 +217,7 @@
 }
 
 // ReplaceEngine replaces an engine by a new one with an empty cache, in a new
-// version of the configuration, and tells all routers.
+// version of the configuration, and applies it at all routers.
 func (w *World) ReplaceEngine(id, newID string) {
 	w.mu.Lock()
 	next := *w.snapshot
