--- a/standin/enginecache.go
+++ b/standin/enginecache.go
@@ -9,8 +9,8 @@
 	"github.com/slipwick/slipwick"
 )
 
-// maxCacheEvents is how many cache events an engine keeps. A caller that asks for
-// older ones is told of a gap.
+// maxCacheEvents is how many cache events an engine keeps. The response to a caller
+// that asks for older ones reports a gap.
 const maxCacheEvents = 1024
 
 // cachedTokens returns how many tokens of the request's prompt are cached.
