--- a/feed.go
+++ b/feed.go
@@ -28,7 +28,7 @@
 	Revision uint64 `json:"revision"`
 	// Age is the time since the store was last known to be in this state.
 	Age time.Duration `json:"age,omitempty"`
-	// StableFor is how long the store has answered without an outage or a restore from a
+	// StableFor is how long the store has responded without an outage or a restore from a
 	// backup, as far as the routers that relayed the batch know; 0 if one has just ended or if
 	// unknown.
 	StableFor time.Duration `json:"steady,omitempty"`
