--- a/cmd/internal/daemon/probe.go
+++ b/cmd/internal/daemon/probe.go
@@ -50,8 +50,8 @@
 	probes.Wait()
 }
 
-// probe reads the load report of one engine and tells the coordinator whether the engine is up,
-// leaving or unreachable.
+// probe reads the load report of one engine and reports to the coordinator whether the engine is
+// up, leaving or unreachable.
 func (r *Router) probe(ctx context.Context, backend slipwick.Backend) {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/cmd/internal/gatewayd/quarantine_test.go
+++ b/cmd/internal/gatewayd/quarantine_test.go
@@ -215,8 +215,8 @@
 // each time: some 60 crashes of 18 engines in 15 s, which interrupted all other requests
 // there, and their retries were interrupted by the next crash. Routers counted the broken
 // connection as a failure of the engine alone, retried elsewhere, and neither remembered the
-// request by its content nor told other routers. The test fails if crashes are not tracked by
-// request.
+// request by its content nor reported it to other routers. The test fails if crashes are not
+// tracked by request.
 func TestRequestThatCrashesEnginesIsQuarantined(t *testing.T) {
 	f := newCrashingFleet(t, 6)
 	first := startUnready(t, f.fixture, f.feeds(), "r1")
--- a/cmd/internal/gatewayd/rollouts.go
+++ b/cmd/internal/gatewayd/rollouts.go
@@ -16,7 +16,7 @@
 
 const (
 	// feedRollouts is the name of the feed of rollout orders, each of which is a store entry that
-	// tells the routers to move a pool's requests to a new version of its backend servers.
+	// orders the routers to move a pool's requests to a new version of its backend servers.
 	feedRollouts = "rollouts"
 	// rolloutCheckInterval is the interval at which a router compares the old and the new
 	// version. rolloutWriteInterval is the interval at which a watcher of the store tries to
--- a/cmd/slipwickd/soak/store_test.go
+++ b/cmd/slipwickd/soak/store_test.go
@@ -57,7 +57,7 @@
 	mode         storeMode
 	healthySince time.Time
 	// timeline starts at 1 and grows by one each time the store is restored from a backup. The
-	// header Store-Era tells it to gateways. revision is that of the latest write.
+	// header Store-Era sends it to gateways. revision is that of the latest write.
 	timeline, revision int
 	// objects are the current objects, by kind and name.
 	objects map[string]map[string]object
