--- a/dispatch/budget.go
+++ b/dispatch/budget.go
@@ -11,8 +11,9 @@
 	retryBurst = 10
 )
 
-// Budget limits retries to a fraction of the requests, so that a failing pool does not get more
-// load than a healthy one. The zero value is a full budget. It is safe for concurrent use.
+// Budget limits the retries of one router to a fraction of its requests, so that a failing pool does
+// not get more load than a healthy one; a retry.Budget limits those of a whole fleet. The zero value
+// is a full budget. It is safe for concurrent use.
 type Budget struct {
 	mu sync.Mutex
 	// spent is the number of retries taken from the budget and not yet earned back.
