--- a/gateway/result.go
+++ b/gateway/result.go
@@ -1,6 +1,6 @@
 package gateway
 
-// result is the outcome of one send.
+// result is how one send ended.
 type result int
 
 const (
