--- a/admission/acquire.go
+++ b/admission/acquire.go
@@ -132,7 +132,7 @@
 	})
 }
 
-// releaseAttempt tells the owner that the current attempt is over, in case the owner holds it in
+// releaseAttempt reports to the owner that the current attempt is over, in case the owner holds it in
 // its queue or has granted it.
 func (c *Coordinator) releaseAttempt(a *acquisition) {
 	c.sendRelease(a.owner, a.engine(), a.id, slipwick.EvidenceNone)
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -64,7 +64,8 @@
 	})
 }
 
-// sendRelease tells the owner that a slot is free again, or that a queued request no longer waits.
+// sendRelease reports to the owner that a slot is free again, or that a queued request no longer
+// waits.
 func (c *Coordinator) sendRelease(owner string, engine, id uint64, evidence slipwick.Evidence) {
 	envelope := c.outbox.envelopeFor(owner)
 	envelope.Releases = append(envelope.Releases, &peerpb.SlotRelease{
--- a/balance/canary.go
+++ b/balance/canary.go
@@ -156,7 +156,7 @@
 			if side.unsent == (VersionCounts{}) {
 				continue
 			}
-			update.Outcomes = append(update.Outcomes, Outcomes{
+			update.Outcomes = append(update.Outcomes, OutcomeCounts{
 				Server: side.key,
 				Good:   side.unsent.Good,
 				Failed: side.unsent.Bad,
@@ -167,7 +167,7 @@
 }
 
 // receiveCanaryCountsLocked takes canary counts of another router.
-func (b *Balancer) receiveCanaryCountsLocked(o *Outcomes) {
+func (b *Balancer) receiveCanaryCountsLocked(o *OutcomeCounts) {
 	for _, c := range b.canaries {
 		for _, side := range []*canarySide{&c.oldSide, &c.newSide} {
 			if side.key == o.Server {
--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -87,7 +87,7 @@
 	maxResumes           = 3
 )
 
-// ReadSettings reads and checks a settings file. The error is jsonfile.Mistakes when the
+// ReadSettings reads and checks a settings file. The error is jsonfile.ValidationErrors when the
 // file could be read but is not valid.
 func ReadSettings(path string) (*Settings, error) {
 	source, err := os.ReadFile(path)
@@ -99,13 +99,13 @@
 		return nil, err
 	}
 	settings := &Settings{}
-	mistakes := document.Decode(settings)
-	if peers := settings.TLS.Peers; len(mistakes) == 0 && peers != nil && peers.Authorities == "" {
-		mistakes = append(mistakes, document.Mistake("/tls/peers/authorities", "missing or empty",
+	errs := document.Decode(settings)
+	if peers := settings.TLS.Peers; len(errs) == 0 && peers != nil && peers.Authorities == "" {
+		errs = append(errs, document.ErrorAt("/tls/peers/authorities", "missing or empty",
 			"name the PEM file of the authority that signs the fleet's certificates"))
 	}
-	if len(mistakes) > 0 {
-		return nil, mistakes
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return settings, nil
 }
--- a/directory/backends_test.go
+++ b/directory/backends_test.go
@@ -55,7 +55,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "after the removal", "a")
@@ -68,17 +68,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false), backendChange("c", false)})
 		time.Sleep(5 * time.Second)
 		b.RecordFailure()
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true), backendChange("c", true)})
-		list.expect(t, "when the store answers again", "a", "b", "c")
+		list.expect(t, "when the store responds again", "a", "b", "c")
 		time.Sleep(time.Second)
 		b.Apply([]Change[balance.Entry]{backendChange("b", false)})
 		time.Sleep(time.Second)
-		list.expect(t, "two seconds after the store answers again", "a", "b")
+		list.expect(t, "two seconds after the store responds again", "a", "b")
 	})
 }
 
@@ -89,11 +89,11 @@
 		var list listRecorder
 		b := NewBackends(list.apply)
 		b.Heartbeat, b.LeaveTime = 600*time.Millisecond, time.Second
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(900 * time.Millisecond)
 		b.RecordFailure()
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "when the store answers after more than a heartbeat", "a", "b")
 		time.Sleep(960 * time.Millisecond)
@@ -105,18 +105,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		var list listRecorder
 		b := NewBackends(list.apply)
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(time.Second)
 		b.RecordFailure()
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		list.expect(t, "after the removal", "a")
 	})
 }
 
 // TestEntriesRemovedInShortGapAreDroppedInTime has a router receive nothing for less than
-// Backends.LeaveTime while the store answers other routers. An entry may have been removed as early as
+// Backends.LeaveTime while the store responds to other routers. An entry may have been removed as early as
 // the start of the gap.
 //
 // It guards against the following failure: one router of eighty sent a request to a removed server
@@ -129,12 +129,12 @@
 			var list listRecorder
 			b := NewBackends(list.apply)
 			b.LeaveTime = leave
-			b.RecordAnswer(0, 0)
+			b.RecordResponse(0, 0)
 			b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 			gapStart := time.Now()
 			time.Sleep(gap)
 			b.RecordFailure()
-			b.RecordAnswer(0, 0)
+			b.RecordResponse(0, 0)
 			b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 			time.Sleep(time.Until(gapStart.Add(leave)))
 			synctest.Wait()
@@ -153,11 +153,11 @@
 		b := NewBackends(list.apply)
 		b.LeaveTime = leave
 		confirmed := time.Now().Add(-age)
-		b.RecordAnswer(age, 0)
+		b.RecordResponse(age, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(gap)
 		b.RecordFailure()
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		time.Sleep(time.Until(confirmed.Add(leave)))
 		synctest.Wait()
@@ -166,7 +166,7 @@
 }
 
 // TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce has a router receive nothing for longer
-// than the threshold of an outage, and then learn from another router that the store has answered
+// than the threshold of an outage, and then learn from another router that the store has responded
 // in the meantime. No entry expired because of an outage, so a removed entry means that its server
 // has left.
 func TestEntriesRemovedInOutageOfOneRouterAreDroppedAtOnce(t *testing.T) {
@@ -174,11 +174,11 @@
 		var list listRecorder
 		b := NewBackends(list.apply)
 		b.LeaveTime = 2 * time.Second
-		b.RecordAnswer(0, 0)
+		b.RecordResponse(0, 0)
 		b.Apply([]Change[balance.Entry]{backendChange("a", false), backendChange("b", false)})
 		time.Sleep(4 * time.Second)
 		b.RecordFailure()
-		b.RecordAnswer(100*time.Millisecond, time.Minute)
+		b.RecordResponse(100*time.Millisecond, time.Minute)
 		b.Apply([]Change[balance.Entry]{backendChange("b", true)})
 		synctest.Wait()
 		list.expect(t, "after the gap", "a")
--- a/directory/invalidentry_test.go
+++ b/directory/invalidentry_test.go
@@ -61,7 +61,7 @@
 		}, nil
 	}
 	follower.OnChange = backends.Apply
-	follower.OnAnswer = func(batch *slipwick.FeedBatch) { backends.RecordAnswer(batch.Age, batch.StableFor) }
+	follower.OnResponse = func(batch *slipwick.FeedBatch) { backends.RecordResponse(batch.Age, batch.StableFor) }
 	follower.OnError = func(error) {
 		w.errors++
 		backends.RecordFailure()
@@ -107,7 +107,7 @@
 }
 
 // TestEntryIsUnusedWhileInvalid makes a valid entry invalid and valid again, both while the store
-// answers and during an outage.
+// responses and during an outage.
 func TestEntryIsUnusedWhileInvalid(t *testing.T) {
 	for _, isDown := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/jsonfile/document.go
+++ b/jsonfile/document.go
@@ -10,12 +10,12 @@
 	"github.com/tailscale/hujson"
 )
 
-// rootPath stands for the whole document in mistakes, as its JSON pointer is empty.
+// rootPath stands for the whole document in errors, as its JSON pointer is empty.
 const rootPath = "/"
 
 // Document is a parsed file.
 type Document struct {
-	// File is the name of the document in mistakes.
+	// File is the name of the document in errors.
 	File string
 
 	source []byte
@@ -25,7 +25,7 @@
 // syntaxLine matches the line number in hujson's message for malformed input.
 var syntaxLine = regexp.MustCompile(`line (\d+)`)
 
-// Parse parses the source. The error, if any, is Mistakes.
+// Parse parses the source. The error, if any, is ValidationErrors.
 func Parse(file string, source []byte) (*Document, error) {
 	root, err := hujson.Parse(source)
 	if err == nil {
@@ -39,7 +39,7 @@
 	if found := syntaxLine.FindStringSubmatch(err.Error()); found != nil {
 		line, _ = strconv.Atoi(found[1])
 	}
-	return nil, Mistakes{
+	return nil, ValidationErrors{
 		{
 			File:    file,
 			Line:    line,
@@ -51,28 +51,28 @@
 }
 
 // Decode decodes the document into target, a pointer to a struct, and returns all
-// mistakes: unknown fields, duplicate fields and wrong types, or, if there are none
+// errors: unknown fields, duplicate fields and wrong types, or, if there are none
 // of these, values that violate the validate tags.
-func (d *Document) Decode(target any) Mistakes {
-	mistakes := d.checkTypes(target)
-	if len(mistakes) > 0 {
-		return mistakes
+func (d *Document) Decode(target any) ValidationErrors {
+	errs := d.checkTypes(target)
+	if len(errs) > 0 {
+		return errs
 	}
 	standard := d.root.Clone()
 	standard.Standardize()
 	if err := json.Unmarshal(standard.Pack(), target); err != nil {
-		return Mistakes{d.Mistake("", err.Error(), "correct the value")}
+		return ValidationErrors{d.ErrorAt("", err.Error(), "correct the value")}
 	}
 	return d.checkValues(target)
 }
 
-// Mistake returns a mistake at the JSON pointer, with the line of the value there.
-func (d *Document) Mistake(pointer, message, remedy string) Mistake {
+// ErrorAt returns a validation error at the JSON pointer, with the line of the value there.
+func (d *Document) ErrorAt(pointer, message, remedy string) ValidationError {
 	path := pointer
 	if path == "" {
 		path = rootPath
 	}
-	return Mistake{
+	return ValidationError{
 		File:    d.File,
 		Line:    d.Line(pointer),
 		Path:    path,
--- a/jsonfile/typecheck.go
+++ b/jsonfile/typecheck.go
@@ -14,19 +14,19 @@
 // typeChecker compares the values of a document with the Go types that they are decoded into.
 type typeChecker struct {
 	document *Document
-	mistakes Mistakes
+	errs     ValidationErrors
 }
 
-func (d *Document) checkTypes(target any) Mistakes {
+func (d *Document) checkTypes(target any) ValidationErrors {
 	c := typeChecker{
 		document: d,
 	}
 	c.checkValue("", &d.root, reflect.TypeOf(target).Elem())
-	return c.mistakes
+	return c.errs
 }
 
 func (c *typeChecker) add(pointer, message, remedy string) {
-	c.mistakes = append(c.mistakes, c.document.Mistake(pointer, message, remedy))
+	c.errs = append(c.errs, c.document.ErrorAt(pointer, message, remedy))
 }
 
 func (c *typeChecker) checkValue(pointer string, value *hujson.Value, goType reflect.Type) {
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -38,7 +38,7 @@
 	Kind              string            `json:"kind" validate:"oneof=repeatable single stream"`
 	Timeout           jsonfile.Duration `json:"timeout" validate:"min=0"`
 	ResponseObjective jsonfile.Duration `json:"objective" validate:"min=0"`
-	PauseObjective    jsonfile.Duration `json:"pause" validate:"min=0"`
+	GapObjective      jsonfile.Duration `json:"pause" validate:"min=0"`
 	Priority          int               `json:"priority" validate:"min=0,max=9"`
 	MaxAttempts       int               `json:"max_attempts" validate:"min=0"`
 	AllowAnonymous    bool              `json:"anonymous"`
@@ -83,39 +83,39 @@
 }
 
 // Parse parses and checks a file, which error messages call by the name. The error is
-// jsonfile.Mistakes.
+// jsonfile.ValidationErrors.
 func Parse(name string, source []byte) (*File, error) {
 	document, err := jsonfile.Parse(name, source)
 	if err != nil {
 		return nil, err
 	}
 	file := &File{}
-	mistakes := document.Decode(file)
-	if len(mistakes) == 0 {
-		mistakes = file.checkTargets(document)
+	errs := document.Decode(file)
+	if len(errs) == 0 {
+		errs = file.checkTargets(document)
 	}
-	if len(mistakes) > 0 {
-		return nil, mistakes
+	if len(errs) > 0 {
+		return nil, errs
 	}
 	return file, nil
 }
 
 // checkTargets finds routes to pools that the file does not declare.
-func (f *File) checkTargets(document *jsonfile.Document) jsonfile.Mistakes {
+func (f *File) checkTargets(document *jsonfile.Document) jsonfile.ValidationErrors {
 	declared := make(map[string]bool, len(f.Pools))
 	for i := range f.Pools {
 		declared[f.Pools[i].Name] = true
 	}
-	var mistakes jsonfile.Mistakes
+	var errs jsonfile.ValidationErrors
 	for i := range f.Routes {
 		for _, target := range f.Routes[i].Targets {
 			if !declared[target.Pool] {
-				mistakes = append(mistakes, document.Mistake(pointer("routes", i), "no pool "+target.Pool,
+				errs = append(errs, document.ErrorAt(pointer("routes", i), "no pool "+target.Pool,
 					"name one of the file's pools"))
 			}
 		}
 	}
-	return mistakes
+	return errs
 }
 
 // Table returns the file's routing table.
@@ -174,7 +174,7 @@
 		Kind:              routing.Kind(r.Kind),
 		Timeout:           time.Duration(r.Timeout),
 		ResponseObjective: time.Duration(r.ResponseObjective),
-		PauseObjective:    time.Duration(r.PauseObjective),
+		GapObjective:      time.Duration(r.GapObjective),
 		Priority:          r.Priority,
 		MaxAttempts:       max(r.MaxAttempts, 1),
 		AllowAnonymous:    r.AllowAnonymous,
