--- a/cachelister.go
+++ b/cachelister.go
@@ -2,8 +2,7 @@
 
 import "context"
 
-// CacheLister lists the parts of prompts that engines have cached. Package balance says what a part
-// of a prompt is.
+// CacheLister lists the parts of prompts (see balance.Part) that engines have cached.
 type CacheLister interface {
 	// CachedParts returns the IDs of the parts that the engine at address (host:port) has
 	// cached. The Notice is valid even if the error is not nil. The call is expensive for
--- a/position.go
+++ b/position.go
@@ -4,7 +4,8 @@
 // that is restored from a backup starts a new timeline, in which it assigns the revisions after
 // the backup again, to different changes.
 type Position struct {
-	// Timeline is the number of restores from a backup; 0 if unknown.
+	// Timeline is the number of the timeline, which grows with each restore from a backup; 0 if
+	// unknown.
 	Timeline uint64
 	// Revision is the number of the last change.
 	Revision uint64
