--- a/rollout/comparison.go
+++ b/rollout/comparison.go
@@ -25,7 +25,8 @@
 	// of its responses was observed.
 	priorBad       = 1.0
 	priorResponses = 50.0
-	// maxRate keeps the logarithms finite.
+	// maxRate bounds the rate of bad responses of the alternative hypothesis to less than 1, so that
+	// the logarithms are finite.
 	maxRate = 0.95
 	// recentDecay is the weight that earlier responses of the old version keep in its recent rate
 	// of bad ones, from one observation to the next.
@@ -71,8 +72,8 @@
 	return c.alarmed
 }
 
-// baselineRate returns the old version's rate of bad responses since the start of the rollout, or
-// the recent one if that is higher.
+// baselineRate records the old version's counts and returns its rate of bad responses since the
+// start of the rollout, or the recent one if that is higher.
 func (c *Comparison) baselineRate(old Counts) float64 {
 	c.recentTotal = recentDecay*c.recentTotal + float64(old.total()-c.old.total())
 	c.recentBad = recentDecay*c.recentBad + float64(old.Bad-c.old.Bad)
