--- a/fleet/relayposition.go
+++ b/fleet/relayposition.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// A small fleet has minWatchers routers that watch the store: one, and a second in case the
-	// first is cut off. A fleet of any size needs no more than maxWatchers.
+	// A region with few routers has minWatchers that watch the store: one, and a second in case the
+	// first is cut off. A region of any size needs no more than maxWatchers.
 	minWatchers = 2
 	maxWatchers = 3
 	// routersPerRelay bounds the routers that follow one relay, so that a large configuration,
@@ -30,8 +30,9 @@
 )
 
 // RelayPosition is a router's position in the relay tree, through which the store's changes reach
-// the fleet: a few routers watch the store, others follow these, and in a large fleet the rest
-// follow the others. To follow a router, its relay, is to get the changes from it.
+// the fleet: a few routers, the watchers, watch the store, others follow the watchers, and in a
+// large fleet further levels of routers follow those. To follow a router, its relay, is to get the
+// changes from it.
 //
 // Each region has a tree of its own. In it, the routers are ranked by their rendezvous score for a
 // fixed key, from 0: the watchers rank first, and each further level of the tree has the ranks after
--- a/fleet/relayposition_reference_test.go
+++ b/fleet/relayposition_reference_test.go
@@ -22,7 +22,7 @@
 	return sorted
 }
 
-// referenceRelayPosition is FindRelayPosition with the whole fleet sorted.
+// referenceRelayPosition is FindRelayPosition with all routers of the region sorted.
 func referenceRelayPosition(self slipwick.Router, routers []slipwick.Router) RelayPosition {
 	ranked := sortedByScore(placement.IDHash("watch"), inRegion(self, routers))
 	rank := slices.IndexFunc(ranked, func(r slipwick.Router) bool { return r.ID == self.ID })
@@ -48,8 +48,8 @@
 }
 
 // TestRelayPositionMatchesReference guards against positions that FindRelayPosition gets wrong
-// because it does not sort the whole fleet, for fleets of any size and routers that are in the list
-// themselves or not.
+// because it does not sort all routers of the region, for fleets of any size and routers that are in
+// the list themselves or not.
 func TestRelayPositionMatchesReference(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		size := rapid.OneOf(rapid.IntRange(0, 12), rapid.IntRange(13, 1200)).Draw(r, "size")
