--- a/routing/route.go
+++ b/routing/route.go
@@ -11,15 +11,16 @@
 	Kind   Kind
 	// Timeout is the longest that the router spends on a request.
 	Timeout time.Duration
-	// ResponseObjective is the longest time to the response, for a stream to its first event, that
-	// counts as good.
+	// ResponseObjective is the longest time to the start of the response that counts as good; 0 if
+	// none is configured.
 	ResponseObjective time.Duration
 	// PauseObjective is the longest pause between events of a stream that counts as good; 0 if none
 	// is configured.
 	PauseObjective time.Duration
 	// Priority ranks requests; 0 is the most urgent.
 	Priority int
-	// MaxAttempts bounds the number of backend servers that may run one request.
+	// MaxAttempts bounds how often one request may run. A send after which it certainly did not run
+	// does not count.
 	MaxAttempts int
 	// AllowAnonymous says that requests need no key.
 	AllowAnonymous bool
