--- a/tablefile/feed.go
+++ b/tablefile/feed.go
@@ -128,11 +128,11 @@
 func (f *Feed) List(context.Context) (slipwick.FeedBatch, error) {
 	source, err := os.ReadFile(f.Path)
 	if err != nil {
-		return slipwick.FeedBatch{}, invalidFile(err)
+		return slipwick.FeedBatch{}, invalidFileError(err)
 	}
 	file, err := Parse(f.Path, source)
 	if err != nil {
-		return slipwick.FeedBatch{}, invalidFile(err)
+		return slipwick.FeedBatch{}, invalidFileError(err)
 	}
 	entries, err := f.entries(file, source)
 	return slipwick.FeedBatch{
@@ -164,7 +164,7 @@
 	}
 }
 
-func invalidFile(cause error) error {
+func invalidFileError(cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindInvalidConfiguration,
 		Message: "the table file is not used; the last valid state stays in force",
--- a/tablefile/file.go
+++ b/tablefile/file.go
@@ -58,7 +58,7 @@
 type Pool struct {
 	Name           string `json:"name" validate:"required"`
 	MaxConnections int    `json:"max_connections" validate:"min=0"`
-	// Engine says that the backend servers cache prompts, CanFetchPrompts that
+	// Engine says that the backend servers are model engines, CanFetchPrompts that
 	// they can fetch cached prompts from each other.
 	Engine          bool `json:"engine"`
 	CanFetchPrompts bool `json:"fetches"`
