--- a/keyfiles/loader.go
+++ b/keyfiles/loader.go
@@ -14,8 +14,9 @@
 type Files struct {
 	Certificate string `json:"certificate" validate:"required"`
 	Key         string `json:"key" validate:"required"`
-	// Authorities is the file with the certificates of the authorities that sign the
-	// fleet's certificates. If it is empty, a server requires no certificate of its clients.
+	// Authorities is the file with the certificates of the certificate authorities (CAs) that
+	// sign the fleet's certificates. If it is empty, a server requires no certificate of its
+	// clients.
 	Authorities string `json:"authorities"`
 }
 
