--- a/httpclient/client.go
+++ b/httpclient/client.go
@@ -74,7 +74,7 @@
 func Request(ctx context.Context, method, url string, body []byte) (*http.Request, error) {
 	var reader io.Reader
 	if len(body) > 0 {
-		reader = &singleUseReader{
+		reader = &readerOnly{
 			Reader: bytes.NewReader(body),
 		}
 	}
@@ -86,8 +86,8 @@
 	return request, nil
 }
 
-// singleUseReader hides the reader's type, for which net/http would set GetBody.
-type singleUseReader struct {
+// readerOnly hides the reader's type, for which net/http would set GetBody.
+type readerOnly struct {
 	io.Reader
 }
 
