--- a/chat/completion.go
+++ b/chat/completion.go
@@ -44,6 +44,7 @@
 	return nil
 }
 
+// choice returns the choice with the index. If the completion has none yet, choice adds it.
 func (c *Completion) choice(index int) *Choice {
 	for i := range c.Choices {
 		if c.Choices[i].Index == index {
@@ -70,6 +71,7 @@
 	}
 }
 
+// addToolCall merges a part of a tool call into the call with the same index, or adds it as a new call.
 func (m *Message) addToolCall(part ToolCall) {
 	for i := range m.ToolCalls {
 		call := &m.ToolCalls[i]
--- a/chat/request.go
+++ b/chat/request.go
@@ -31,18 +31,18 @@
 func Parse(body []byte) (*Request, error) {
 	request := &Request{}
 	if err := json.Unmarshal(body, request); err != nil {
-		return nil, invalidRequest("the body is not a JSON chat request", err)
+		return nil, invalidRequestError("the body is not a JSON chat request", err)
 	}
 	if request.Model == "" {
-		return nil, invalidRequest("the body has no model", nil)
+		return nil, invalidRequestError("the body has no model", nil)
 	}
 	if len(request.Messages) == 0 {
-		return nil, invalidRequest("the body has no messages", nil)
+		return nil, invalidRequestError("the body has no messages", nil)
 	}
 	return request, nil
 }
 
-func invalidRequest(message string, cause error) error {
+func invalidRequestError(message string, cause error) error {
 	return &slipwick.Error{
 		Kind:    slipwick.KindInvalidRequest,
 		Message: message,
@@ -78,7 +78,7 @@
 func EnableStreaming(body []byte) ([]byte, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return nil, invalidRequest("the body is not a JSON object", err)
+		return nil, invalidRequestError("the body is not a JSON object", err)
 	}
 	fields["stream"] = json.RawMessage(`true`)
 	fields["stream_options"] = json.RawMessage(`{"include_usage":true}`)
