--- a/engine/client.go
+++ b/engine/client.go
@@ -111,8 +111,8 @@
 	return nil
 }
 
-// control makes a call that does not stream. The body can be read until controlTimeout has passed
-// since the call began; the caller closes it.
+// control makes a call whose response is not a stream of events. The body can be read until
+// controlTimeout has passed since the call began; the caller closes it.
 func (c *Client) control(ctx context.Context, method, path string) (*http.Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, controlTimeout)
 	context.AfterFunc(ctx, cancel)
