--- a/claims/claim.go
+++ b/claims/claim.go
@@ -44,6 +44,10 @@
 	return Claim{}, err
 }
 
+// holderRetryDelay is the pause before a claim is sent again after CLAIM_MOVED, or after no answer
+// within AnswerTimeout.
+const holderRetryDelay = 50 * time.Millisecond
+
 // requestClaim asks the journal's holder until it grants or refuses the claim, or time is up.
 func (c *Claims) requestClaim(ctx context.Context, claim Claim, answers <-chan *peerpb.ClaimAnswer) error {
 	ctx, cancel := context.WithTimeout(ctx, c.Policy.WriteTimeout+c.Policy.AnswerTimeout)
--- a/claims/claims.go
+++ b/claims/claims.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"sync"
-	"time"
 
 	"golang.org/x/time/rate"
 
@@ -232,7 +231,3 @@
 		// Answers to repeated requests are the same.
 	}
 }
-
-// holderRetryDelay is the pause before a claim is sent again after CLAIM_MOVED, or after no answer
-// within AnswerTimeout.
-const holderRetryDelay = 50 * time.Millisecond
--- a/claims/journal.go
+++ b/claims/journal.go
@@ -1,9 +1,7 @@
 package claims
 
 import (
-	"cmp"
 	"context"
-	"slices"
 	"sync/atomic"
 	"time"
 
@@ -273,14 +271,3 @@
 	j.stats.Writes.Add(1)
 	j.stats.Bytes.Add(int64(bytes))
 }
-
-func sortedBySequence(slots map[uint64]*segment) []*segment {
-	ordered := make([]*segment, 0, len(slots))
-	for _, s := range slots {
-		ordered = append(ordered, s)
-	}
-	slices.SortFunc(ordered, func(a, b *segment) int {
-		return cmp.Compare(a.content.GetSequence(), b.content.GetSequence())
-	})
-	return ordered
-}
--- a/claims/takeover.go
+++ b/claims/takeover.go
@@ -1,7 +1,9 @@
 package claims
 
 import (
+	"cmp"
 	"context"
+	"slices"
 	"time"
 
 	"github.com/pkg/errors"
@@ -83,6 +85,17 @@
 	return found
 }
 
+func sortedBySequence(slots map[uint64]*segment) []*segment {
+	ordered := make([]*segment, 0, len(slots))
+	for _, s := range slots {
+		ordered = append(ordered, s)
+	}
+	slices.SortFunc(ordered, func(a, b *segment) int {
+		return cmp.Compare(a.content.GetSequence(), b.content.GetSequence())
+	})
+	return ordered
+}
+
 // errJournalFull means that all slots are in use and the journal's oldest segment has not expired.
 var errJournalFull = errors.New("the journal is full; raise MaxSegments or lower KeyLifetime")
 
