--- a/peer/conn.go
+++ b/peer/conn.go
@@ -28,7 +28,7 @@
 	close  func()
 }
 
-// attach uses a stream that the other router opened, unless there is one.
+// attach makes a stream that the other router opened the stream in use, unless there is one.
 func (c *peerConn) attach(stream sender) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/peer/mesh_test.go
+++ b/peer/mesh_test.go
@@ -56,11 +56,11 @@
 		}
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	failed := make(chan error, 1)
-	go func() { failed <- mesh.Run(ctx) }()
+	runResult := make(chan error, 1)
+	go func() { runResult <- mesh.Run(ctx) }()
 	stop = func() {
 		cancel()
-		if err := <-failed; err != nil {
+		if err := <-runResult; err != nil {
 			t.Errorf("got error %v after a stop, want none", err)
 		}
 	}
