--- a/claims/claims.go
+++ b/claims/claims.go
@@ -228,6 +228,7 @@
 	select {
 	case answers <- answer:
 	default:
-		// Answers to repeated requests are the same.
+		// The channel still holds an answer to an earlier copy of the request. Claim reads that
+		// one, and repeats the request if it is CLAIM_MOVED.
 	}
 }
--- a/claims/fakestore_test.go
+++ b/claims/fakestore_test.go
@@ -18,11 +18,11 @@
 	objects map[string]slipwick.Object
 	last    slipwick.Version
 	outage  bool
-	// slow is the maximum delay that is added to a call. loseAnswer and late are the shares of writes
-	// that take effect, at once or later, although the caller gets an error.
-	slow             time.Duration
-	loseAnswer, late float64
-	writes, bytes    int
+	// maxDelay is the maximum delay that is added to a call. lostResponses and lateWrites are the
+	// shares of writes that take effect, at once or later, although the caller gets an error.
+	maxDelay                  time.Duration
+	lostResponses, lateWrites float64
+	writes, bytes             int
 
 	// Faults of the store itself: it acknowledges writes that it does not store, or ignores the
 	// version of writes.
@@ -47,7 +47,7 @@
 // pause sleeps for the duration of a call.
 func (f *fakeStore) pause() {
 	f.mu.Lock()
-	length := time.Millisecond + time.Duration(f.random.Int64N(int64(4*time.Millisecond)+int64(f.slow)))
+	length := time.Millisecond + time.Duration(f.random.Int64N(int64(4*time.Millisecond)+int64(f.maxDelay)))
 	f.mu.Unlock()
 	time.Sleep(length)
 }
@@ -84,7 +84,7 @@
 	switch {
 	case f.outage:
 		return 0, errDown()
-	case draw < f.late:
+	case draw < f.lateWrites:
 		later := time.Duration(f.random.Int64N(int64(500 * time.Millisecond)))
 		time.AfterFunc(later, func() {
 			f.mu.Lock()
@@ -92,7 +92,7 @@
 			_, _ = f.put(key, value, version)
 		})
 		return 0, errDown()
-	case draw < f.late+f.loseAnswer:
+	case draw < f.lateWrites+f.lostResponses:
 		_, _ = f.put(key, value, version)
 		return 0, errDown()
 	case f.dropsWrites && draw > 0.5:
--- a/claims/fleet_test.go
+++ b/claims/fleet_test.go
@@ -21,11 +21,11 @@
 	random *rand.Rand
 	nodes  map[string]*node
 	ids    []string
-	// lose and double are the shares of messages that are lost or delivered twice; delay is the
-	// maximum delay that is added to a message.
-	lose   float64
-	double float64
-	delay  time.Duration
+	// lostMessages and duplicatedMessages are the shares of messages that are lost or delivered
+	// twice; maxDelay is the maximum delay that is added to a message.
+	lostMessages       float64
+	duplicatedMessages float64
+	maxDelay           time.Duration
 }
 
 // node is one router. While it is paused, its messages and its calls to the store wait.
@@ -152,25 +152,25 @@
 	from  *node
 }
 
-func (l *fleetTransport) Send(router string, envelope *peerpb.Envelope) {
-	f := l.fleet
+func (t *fleetTransport) Send(router string, envelope *peerpb.Envelope) {
+	f := t.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	to := f.nodes[router]
-	if to == nil || l.from.isKilled() || f.random.Float64() < f.lose {
+	if to == nil || t.from.isKilled() || f.random.Float64() < f.lostMessages {
 		return
 	}
 	times := 1
-	if f.random.Float64() < f.double {
+	if f.random.Float64() < f.duplicatedMessages {
 		times = 2
 	}
 	for range times {
-		after := time.Millisecond + time.Duration(f.random.Int64N(int64(2*time.Millisecond+f.delay)))
+		after := time.Millisecond + time.Duration(f.random.Int64N(int64(2*time.Millisecond+f.maxDelay)))
 		time.AfterFunc(after, func() {
-			l.from.waitWhilePaused()
+			t.from.waitWhilePaused()
 			to.waitWhilePaused()
 			if !to.isKilled() {
-				to.claims.Receive(l.from.id, envelope)
+				to.claims.Receive(t.from.id, envelope)
 			}
 		})
 	}
--- a/claims/history_test.go
+++ b/claims/history_test.go
@@ -33,14 +33,14 @@
 	started       time.Time
 }
 
-func (h *history) run(a attempt) {
+func (h *history) recordRun(a attempt) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.runsByAttempt[a.id]++
 	h.runsByKey[a.key]++
 }
 
-func (h *history) add(a attempt, began time.Time, got result) {
+func (h *history) recordResult(a attempt, began time.Time, got result) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.operations = append(h.operations, porcupine.Operation{
@@ -112,6 +112,8 @@
 	},
 }
 
+// step returns the states that a key may have after an attempt with the result; none if the result
+// is not possible in the state before.
 func step(state keyState, got result) []any {
 	after := keyState{
 		ran:     true,
@@ -161,12 +163,12 @@
 		t.Run(tc.name, func(t *testing.T) {
 			for seed := range uint64(maxSchedules) {
 				s := schedule{
-					seed:    seed,
-					routers: 3,
-					keys:    6,
-					resends: 4,
-					pauses:  2,
-					views:   4,
+					seed:        seed,
+					routers:     3,
+					keys:        6,
+					sends:       4,
+					pauses:      2,
+					viewChanges: 4,
 				}
 				tc.inject(&s)
 				if violations, _ := s.run(t); len(violations) > 0 {
--- a/claims/journal.go
+++ b/claims/journal.go
@@ -152,7 +152,7 @@
 		j.setStoreFailing(false)
 	}
 	for _, p := range waiting {
-		j.reply(p.from, p.claimant, result, 0)
+		j.sendAnswer(p.from, p.claimant, result, 0)
 	}
 	return err
 }
@@ -205,7 +205,7 @@
 		// follow the write.
 		return j.repeatedEntry(m.claim), true
 	default:
-		j.reply(m.from, m.claim.GetClaimant(), peerpb.ClaimResult_CLAIM_TAKEN, known.state)
+		j.sendAnswer(m.from, m.claim.GetClaimant(), peerpb.ClaimResult_CLAIM_TAKEN, known.state)
 		return nil, false
 	}
 }
@@ -236,7 +236,7 @@
 	}
 }
 
-func (j *journal) reply(router string, claimant uint64, result peerpb.ClaimResult, state peerpb.ClaimState) {
+func (j *journal) sendAnswer(router string, claimant uint64, result peerpb.ClaimResult, state peerpb.ClaimState) {
 	j.answer(router, &peerpb.ClaimAnswer{
 		Claimant: claimant,
 		Result:   result,
@@ -250,7 +250,7 @@
 		select {
 		case m := <-j.inbox:
 			if m.claim != nil {
-				j.reply(m.from, m.claim.GetClaimant(), result, 0)
+				j.sendAnswer(m.from, m.claim.GetClaimant(), result, 0)
 			}
 		default:
 			return
--- a/claims/measure_test.go
+++ b/claims/measure_test.go
@@ -67,8 +67,8 @@
 		float64(refused)/float64(count))
 }
 
-// measureTakeover removes a random router from the views of the others, and claims until a router
-// grants.
+// measureTakeover removes a random router from the views of the others, and measures the time until
+// one of these has granted a claim of a key.
 func measureTakeover(t *testing.T) {
 	const runs = 50
 	latency := hdrhistogram.New(1, 100_000, 3)
--- a/claims/schedule_test.go
+++ b/claims/schedule_test.go
@@ -17,16 +17,16 @@
 // schedule describes one random run.
 type schedule struct {
 	seed uint64
-	// resends is how often a caller sends each key.
-	routers, keys, resends int
-	// pauses and kills count paused and killed routers, views the changes of a router's view of the
-	// fleet.
-	pauses, kills, views int
-	outage, slow         bool
-	// lostAnswers and lateWrite are shares of writes to the store, lose and double shares of messages
-	// between routers.
-	lostAnswers, lateWrite float64
-	lose, double           float64
+	// sends is how often a caller sends each key.
+	routers, keys, sends int
+	// pauses and kills count paused and killed routers, viewChanges the changes of a router's view
+	// of the fleet.
+	pauses, kills, viewChanges int
+	outage, slow               bool
+	// lostResponses and lateWrites are shares of writes to the store, as in fakeStore; lostMessages
+	// and duplicatedMessages are shares of messages between routers, as in fleet.
+	lostResponses, lateWrites        float64
+	lostMessages, duplicatedMessages float64
 	// inject puts a fault in at the start, for the whole run.
 	inject func(f *fleet)
 	// misreport makes routers report not-run after they sent the request.
@@ -36,19 +36,19 @@
 func drawSchedule(t *rapid.T) schedule {
 	share := func(name string) float64 { return float64(rapid.IntRange(0, 3).Draw(t, name)) / 10 }
 	return schedule{
-		seed:        rapid.Uint64().Draw(t, "seed"),
-		routers:     rapid.IntRange(2, 4).Draw(t, "routers"),
-		keys:        rapid.IntRange(1, 6).Draw(t, "keys"),
-		resends:     rapid.IntRange(1, 4).Draw(t, "resends"),
-		pauses:      rapid.IntRange(0, 2).Draw(t, "pauses"),
-		kills:       rapid.IntRange(0, 1).Draw(t, "kills"),
-		views:       rapid.IntRange(0, 4).Draw(t, "views"),
-		outage:      rapid.Bool().Draw(t, "outage"),
-		slow:        rapid.Bool().Draw(t, "slow"),
-		lostAnswers: share("lost answers"),
-		lateWrite:   share("late writes"),
-		lose:        share("lost messages"),
-		double:      share("doubled messages"),
+		seed:               rapid.Uint64().Draw(t, "seed"),
+		routers:            rapid.IntRange(2, 4).Draw(t, "routers"),
+		keys:               rapid.IntRange(1, 6).Draw(t, "keys"),
+		sends:              rapid.IntRange(1, 4).Draw(t, "resends"),
+		pauses:             rapid.IntRange(0, 2).Draw(t, "pauses"),
+		kills:              rapid.IntRange(0, 1).Draw(t, "kills"),
+		viewChanges:        rapid.IntRange(0, 4).Draw(t, "views"),
+		outage:             rapid.Bool().Draw(t, "outage"),
+		slow:               rapid.Bool().Draw(t, "slow"),
+		lostResponses:      share("lost answers"),
+		lateWrites:         share("late writes"),
+		lostMessages:       share("lost messages"),
+		duplicatedMessages: share("doubled messages"),
 	}
 }
 
@@ -63,13 +63,13 @@
 			started:       time.Now(),
 		}
 		f.store.set(func(store *fakeStore) {
-			store.loseAnswer, store.late = s.lostAnswers, s.lateWrite
+			store.lostResponses, store.lateWrites = s.lostResponses, s.lateWrites
 			if s.slow {
-				store.slow = 300 * time.Millisecond
+				store.maxDelay = 300 * time.Millisecond
 			}
 		})
 		f.mu.Lock()
-		f.lose, f.double, f.delay = s.lose, s.double, 20*time.Millisecond
+		f.lostMessages, f.duplicatedMessages, f.maxDelay = s.lostMessages, s.duplicatedMessages, 20*time.Millisecond
 		f.mu.Unlock()
 		if s.inject != nil {
 			s.inject(f)
@@ -77,7 +77,7 @@
 		random := rand.New(rand.NewPCG(s.seed, 11))
 		var tasks sync.WaitGroup
 		s.scheduleFaults(f, random, &tasks)
-		s.call(f, h, random, &tasks)
+		s.startCallers(f, h, random, &tasks)
 		tasks.Wait()
 		f.stop()
 		// Delayed writes and messages arrive before the synctest bubble ends.
@@ -107,7 +107,7 @@
 		id, length := f.ids[random.IntN(len(f.ids))], anyTime(random)
 		later(func() { f.node(id).pauseFor(length) })
 	}
-	for range s.views {
+	for range s.viewChanges {
 		id, without := f.ids[random.IntN(len(f.ids))], f.ids[random.IntN(len(f.ids))]
 		later(func() { f.node(id).claims.SetRouters(routersOf(others(f.ids, without))) })
 	}
@@ -139,35 +139,36 @@
 	return kept
 }
 
-// call has callers send each key several times, through any router, sometimes through two at once.
-func (s schedule) call(f *fleet, h *history, random *rand.Rand, tasks *sync.WaitGroup) {
+// startCallers starts a caller for each key, which sends it several times, through any router and
+// sometimes through two at once.
+func (s schedule) startCallers(f *fleet, h *history, random *rand.Rand, tasks *sync.WaitGroup) {
 	id := 0
 	for range s.keys {
 		after := anyTime(random)
 		seed := random.Uint64()
 		first := id
-		id += s.resends * 2
+		id += s.sends * 2
 		tasks.Go(func() {
 			time.Sleep(after)
-			own := rand.New(rand.NewPCG(seed, 1))
-			key := newKey(own)
-			for i := range s.resends {
-				doubled := own.IntN(3) == 0
+			callerRandom := rand.New(rand.NewPCG(seed, 1))
+			key := newKey(callerRandom)
+			for i := range s.sends {
+				doubled := callerRandom.IntN(3) == 0
 				a := attempt{
 					key: key,
 					id:  first + 2*i,
 				}
 				b := a
 				b.id++
-				routers := own.Perm(len(f.ids))
-				draws := [2]float64{own.Float64(), own.Float64()}
+				routers := callerRandom.Perm(len(f.ids))
+				draws := [2]float64{callerRandom.Float64(), callerRandom.Float64()}
 				var pair sync.WaitGroup
 				pair.Go(func() { s.send(f, h, a, f.ids[routers[0]], draws[0]) })
 				if doubled {
 					pair.Go(func() { s.send(f, h, b, f.ids[routers[1]], draws[1]) })
 				}
 				pair.Wait()
-				time.Sleep(time.Duration(own.Int64N(int64(2 * time.Second))))
+				time.Sleep(time.Duration(callerRandom.Int64N(int64(2 * time.Second))))
 			}
 		})
 	}
@@ -187,7 +188,7 @@
 	}
 	if err != nil {
 		failure, _ := slipwick.AsError(err)
-		h.add(a, began, result{
+		h.recordResult(a, began, result{
 			outcome:     failure.Outcome,
 			fromEarlier: failure.Kind == slipwick.KindKeyUsed,
 		})
@@ -198,7 +199,7 @@
 	if !n.isKilled() {
 		n.claims.RecordOutcome(claim, outcome)
 	}
-	h.add(a, began, result{
+	h.recordResult(a, began, result{
 		outcome: outcome,
 	})
 }
@@ -213,16 +214,16 @@
 	case draw < 0.3:
 		return slipwick.OutcomeUnknown
 	case draw < 0.4:
-		h.run(a)
+		h.recordRun(a)
 		if s.misreport {
 			return slipwick.OutcomeNotRun
 		}
 		return slipwick.OutcomeUnknown
 	case draw < 0.5:
-		h.run(a)
+		h.recordRun(a)
 		return slipwick.OutcomeFailed
 	default:
-		h.run(a)
+		h.recordRun(a)
 		return slipwick.OutcomeCompleted
 	}
 }
