--- a/membership/catchup.go
+++ b/membership/catchup.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// wantedPackets returns how many response packets to request outside the catch-up.
+// wantedPackets returns how many response packets to request from a router that a packet came from:
+// startupPackets while this router is starting, then maxResponsePackets.
 func (n *Node) wantedPackets() uint32 {
 	if n.isStarting() {
 		return startupPackets
@@ -134,7 +135,8 @@
 	return maxResponsePackets
 }
 
-// requestSync asks the router at the address for what it knows and this one does not.
+// requestSync asks the router at the address for what it knows and this one does not; without
+// CatchUp, for all that it knows.
 func (n *Node) requestSync(address string, packets uint32) {
 	if n.CatchUp {
 		n.send(address, n.syncRequest(packets, false))
@@ -187,7 +189,8 @@
 }
 
 // respond sends the boxes that the requester does not know, in packets of bounded size. At least
-// one packet is sent: its digest tells the requester whether both know the same.
+// one packet is sent: its digest tells the requester whether both know the same. A request without
+// a number of packets gets all boxes.
 func (n *Node) respond(address string, request *memberpb.Packet) {
 	if request.GetPackets() == 0 {
 		n.sendAll(address)
@@ -224,8 +227,8 @@
 	}
 }
 
-// receiveResponse counts a response to a sync request of this router, after its updates were
-// applied.
+// receiveResponse counts a KIND_NEWS packet, after its updates were applied, if it is a response to
+// a sync request of this router. Other packets of the kind have the sequence 0.
 func (n *Node) receiveResponse(packet *memberpb.Packet) {
 	switch {
 	case packet.GetSequence() == 0:
--- a/membership/member.go
+++ b/membership/member.go
@@ -50,7 +50,8 @@
 	return m.update.GetState() == memberpb.State_STATE_DEAD
 }
 
-// mayOwn reports whether the router is neither leaving, dead nor flapping.
+// mayOwn reports whether the router may own backend servers, because it is neither leaving, dead
+// nor flapping.
 func (m *member) mayOwn(policy *Policy, now time.Time) bool {
 	state := m.update.GetState()
 	alive := state == memberpb.State_STATE_LIVE || state == memberpb.State_STATE_SUSPECT
--- a/membership/node_test.go
+++ b/membership/node_test.go
@@ -81,10 +81,10 @@
 	packets map[string][]memberpb.Kind
 }
 
-func (s *recordingTransport) Send(address string, encoded []byte) {
+func (rt *recordingTransport) Send(address string, encoded []byte) {
 	packet := &memberpb.Packet{}
 	if proto.Unmarshal(encoded, packet) == nil {
-		s.packets[address] = append(s.packets[address], packet.GetKind())
+		rt.packets[address] = append(rt.packets[address], packet.GetKind())
 	}
 }
 
--- a/membership/probe.go
+++ b/membership/probe.go
@@ -63,7 +63,8 @@
 	n.apply(update)
 }
 
-// nextTarget returns the next router of a shuffled round, or nil if all other routers are dead.
+// nextTarget returns the next router of the round, which has all other routers that are not dead, in
+// random order. After the last one it starts a new round. It returns nil if all others are dead.
 func (n *Node) nextTarget() *member {
 	for range 2 {
 		for len(n.probeRound) > 0 {
