--- a/directory/fakefeed_test.go
+++ b/directory/fakefeed_test.go
@@ -115,7 +115,7 @@
 // fakePeers provides other routers whose copies are fakes.
 type fakePeers struct {
 	// isWatcher makes the router follow the store. relayIDs are the routers that it follows
-	// otherwise, in order, and all others that it knows.
+	// otherwise, in order, and all others that it knows; relays has their copies by ID.
 	isWatcher bool
 	relays    map[string]*fakeFeed
 	relayIDs  []string
--- a/directory/fleet_test.go
+++ b/directory/fleet_test.go
@@ -62,18 +62,18 @@
 		},
 	} {
 		for _, size := range []int{8, 62, 295} {
-			for seed := range 5 {
+			for variant := range 5 {
 				synctest.Test(t, func(t *testing.T) {
 					f := newSimFleet(size)
 					stop := f.start(t)
-					// The seeds vary the time since the latest confirmation of the copies.
-					time.Sleep(5*time.Second + time.Duration(seed)*371*time.Millisecond)
+					// The variants differ in the time since the latest confirmation of the copies.
+					time.Sleep(5*time.Second + time.Duration(variant)*371*time.Millisecond)
 					fail(f)
-					time.Sleep(time.Duration(seed%2) * 50 * time.Millisecond)
+					time.Sleep(time.Duration(variant%2) * 50 * time.Millisecond)
 					f.setValue("1")
 					time.Sleep(fleetPropagationTime - 100*time.Millisecond)
 					if got := f.countLagging("1"); got > 0 {
-						t.Errorf("%d routers, %s, seed %d: got %d without the change in time, want none", size, name, seed, got)
+						t.Errorf("%d routers, %s, variant %d: got %d without the change in time, want none", size, name, variant, got)
 					}
 					stop()
 				})
@@ -88,22 +88,22 @@
 // stop working.
 func TestChangeIsKnownInHalfOfTheTimeThoughAThirdIsCutOff(t *testing.T) {
 	for _, size := range []int{62, 125, 250} {
-		for seed := range 4 {
+		for variant := range 4 {
 			synctest.Test(t, func(t *testing.T) {
 				f := newSimFleet(size)
 				stop := f.start(t)
-				time.Sleep(5*time.Second + time.Duration(seed)*371*time.Millisecond)
+				time.Sleep(5*time.Second + time.Duration(variant)*371*time.Millisecond)
 				for i, r := range f.routers {
-					if i%3 == seed%3 {
+					if i%3 == variant%3 {
 						r.set(func(r *simRouter) { r.storeRefuses = true })
 					}
 				}
-				time.Sleep(time.Duration(seed) * 500 * time.Millisecond)
+				time.Sleep(time.Duration(variant) * 500 * time.Millisecond)
 				f.setValue("1")
 				time.Sleep(fleetPropagationTime / 2)
 				if got := f.countLagging("1"); got > 0 {
-					t.Errorf("%d routers, seed %d: got %d without the change in half of the propagation time, want none",
-						size, seed, got)
+					t.Errorf("%d routers, variant %d: got %d without the change in half of the propagation time, want none",
+						size, variant, got)
 				}
 				stop()
 			})
--- a/directory/invalidentry_test.go
+++ b/directory/invalidentry_test.go
@@ -41,14 +41,14 @@
 	reasons map[string]error
 }
 
-func (w *backendsFollower) run(ctx context.Context) *Follower[balance.Entry] {
+func (b *backendsFollower) run(ctx context.Context) *Follower[balance.Entry] {
 	var recorder listRecorder
 	backends := NewBackends(func(changes *balance.Changes) {
 		recorder.apply(changes)
-		w.list = slices.Clone(recorder.ids)
+		b.list = slices.Clone(recorder.ids)
 	})
-	w.reasons = make(map[string]error)
-	follower := NewFollower[balance.Entry](w.store, NewMirror())
+	b.reasons = make(map[string]error)
+	follower := NewFollower[balance.Entry](b.store, NewMirror())
 	follower.Decode = func(name string, value []byte) (balance.Entry, error) {
 		if string(value) == "invalid" {
 			return balance.Entry{}, errors.New("no address")
@@ -63,15 +63,15 @@
 	follower.OnChange = backends.Apply
 	follower.OnAnswer = func(batch *slipwick.FeedBatch) { backends.RecordAnswer(batch.Age, batch.StableFor) }
 	follower.OnError = func(error) {
-		w.errors++
+		b.errors++
 		backends.RecordFailure()
 	}
 	follower.OnInvalid = func(name string, reason error) {
 		if reason == nil {
-			delete(w.reasons, name)
+			delete(b.reasons, name)
 			return
 		}
-		w.reasons[name] = reason
+		b.reasons[name] = reason
 	}
 	go follower.Run(ctx)
 	return follower
@@ -90,16 +90,16 @@
 			entries = append(entries, fmt.Sprintf("s%02d=ready", i))
 			want = append(want, fmt.Sprintf("s%02d", i))
 		}
-		w := &backendsFollower{
+		b := &backendsFollower{
 			store: newFakeFeed(serverBatch(1, true, entries...)),
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		follower := w.run(ctx)
+		follower := b.run(ctx)
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
-		if !slices.Equal(w.list, want) || w.errors != 0 || len(w.reasons) != 10 {
+		if !slices.Equal(b.list, want) || b.errors != 0 || len(b.reasons) != 10 {
 			t.Errorf("got %v, %d failures of the store, %d invalid entries; want %v, none and ten",
-				w.list, w.errors, len(w.reasons), want)
+				b.list, b.errors, len(b.reasons), want)
 		}
 		cancel()
 		<-follower.Done()
@@ -111,28 +111,28 @@
 func TestEntryIsUnusedWhileInvalid(t *testing.T) {
 	for _, isDown := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := &backendsFollower{
+			b := &backendsFollower{
 				store: newFakeFeed(serverBatch(1, true, "a=ready", "b=ready")),
 			}
 			ctx, cancel := context.WithCancel(t.Context())
-			follower := w.run(ctx)
+			follower := b.run(ctx)
 			time.Sleep(time.Second)
 			if isDown {
-				w.store.setError(errors.New("down"))
+				b.store.setError(errors.New("down"))
 				time.Sleep(10 * time.Second)
 			}
-			w.store.Apply(serverBatch(2, false, "b=invalid"))
-			w.store.setError(nil)
+			b.store.Apply(serverBatch(2, false, "b=invalid"))
+			b.store.setError(nil)
 			time.Sleep(time.Second)
 			synctest.Wait()
-			if got, want := w.list, []string{"a"}; !slices.Equal(got, want) {
+			if got, want := b.list, []string{"a"}; !slices.Equal(got, want) {
 				t.Errorf("down %t: got %v, want %v", isDown, got, want)
 			}
-			w.store.Apply(serverBatch(3, false, "b=ready"))
+			b.store.Apply(serverBatch(3, false, "b=ready"))
 			time.Sleep(time.Second)
 			synctest.Wait()
-			if got, want := w.list, []string{"a", "b"}; !slices.Equal(got, want) || len(w.reasons) > 0 {
-				t.Errorf("down %t: got %v, reasons %v; want %v and none", isDown, got, w.reasons, want)
+			if got, want := b.list, []string{"a", "b"}; !slices.Equal(got, want) || len(b.reasons) > 0 {
+				t.Errorf("down %t: got %v, reasons %v; want %v and none", isDown, got, b.reasons, want)
 			}
 			cancel()
 			<-follower.Done()
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -290,10 +290,10 @@
 	to http.Handler
 }
 
-func (w *handlerTransport) RoundTrip(request *http.Request) (*http.Response, error) {
+func (t *handlerTransport) RoundTrip(request *http.Request) (*http.Response, error) {
 	time.Sleep(time.Millisecond)
 	recorder := httptest.NewRecorder()
-	w.to.ServeHTTP(recorder, request)
+	t.to.ServeHTTP(recorder, request)
 	time.Sleep(time.Millisecond)
 	if err := request.Context().Err(); err != nil {
 		return nil, err
--- a/directory/sharedfeed.go
+++ b/directory/sharedfeed.go
@@ -231,7 +231,7 @@
 			})
 		if watched.isCurrent {
 			s.setKeepsRelay(watched.batch.Age > timing.WatchWait)
-			s.avoidIfOthersReachIt(relayPosition, &watched.batch)
+			s.avoidStoreIfOthersReachIt(relayPosition, &watched.batch)
 			return s.record(watched.batch, nil)
 		}
 		others := s.listPeers(ctx, candidates[1:], timing.RelayMargin)
--- a/directory/simpeerfeed_test.go
+++ b/directory/simpeerfeed_test.go
@@ -14,8 +14,8 @@
 }
 
 // reach waits for the latency, or until ctx ends if one of the two routers is unreachable.
-func (c *simPeerFeed) reach(ctx context.Context) error {
-	for _, r := range []*simRouter{c.from, c.to} {
+func (f *simPeerFeed) reach(ctx context.Context) error {
+	for _, r := range []*simRouter{f.from, f.to} {
 		r.mu.Lock()
 		unreachable := r.unresponsive || r.isolated
 		r.mu.Unlock()
@@ -28,33 +28,33 @@
 	return ctx.Err()
 }
 
-func (c *simPeerFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
-	if err := c.reach(ctx); err != nil {
+func (f *simPeerFeed) List(ctx context.Context) (slipwick.FeedBatch, error) {
+	if err := f.reach(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
-	batch, err := c.to.follower.Mirror.AwaitList(ctx, firstCopyWait)
+	batch, err := f.to.follower.Mirror.AwaitList(ctx, firstCopyWait)
 	batch.Hops++
-	if err == nil && c.from.fleet.maxSends > 0 {
-		return c.send(ctx, &batch)
+	if err == nil && f.from.fleet.maxSends > 0 {
+		return f.send(ctx, &batch)
 	}
 	if err == nil {
 		notifyBegin(ctx)
 	}
-	if err == nil && c.from.fleet.transferTime > 0 {
-		sleep(ctx, c.from.fleet.transferTime)
+	if err == nil && f.from.fleet.transferTime > 0 {
+		sleep(ctx, f.from.fleet.transferTime)
 	}
 	return batch, errors.Join(err, ctx.Err())
 }
 
-func (c *simPeerFeed) Watch(
+func (f *simPeerFeed) Watch(
 	ctx context.Context, after slipwick.Position, wait time.Duration,
 ) (slipwick.FeedBatch, error) {
-	if err := c.reach(ctx); err != nil {
+	if err := f.reach(ctx); err != nil {
 		return slipwick.FeedBatch{}, err
 	}
-	batch, err := c.to.follower.Mirror.Watch(ctx, after, wait)
+	batch, err := f.to.follower.Mirror.Watch(ctx, after, wait)
 	batch.Hops++
-	if failed := c.reach(ctx); failed != nil {
+	if failed := f.reach(ctx); failed != nil {
 		return slipwick.FeedBatch{}, failed
 	}
 	return batch, err
@@ -62,9 +62,9 @@
 
 // send transfers a list, whose duration allows for the other transfers on the link, or refuses it
 // if too many are under way.
-func (c *simPeerFeed) send(ctx context.Context, batch *slipwick.FeedBatch) (slipwick.FeedBatch, error) {
+func (f *simPeerFeed) send(ctx context.Context, batch *slipwick.FeedBatch) (slipwick.FeedBatch, error) {
 	isRefused := false
-	c.to.set(func(r *simRouter) {
+	f.to.set(func(r *simRouter) {
 		isRefused = r.sending >= r.fleet.maxSends
 		if !isRefused {
 			r.sending++
@@ -73,8 +73,8 @@
 	if isRefused {
 		return slipwick.FeedBatch{}, loadingError(storeRetryInterval)
 	}
-	defer c.to.set(func(r *simRouter) { r.sending-- })
+	defer f.to.set(func(r *simRouter) { r.sending-- })
 	notifyBegin(ctx)
-	sleep(ctx, time.Duration(c.from.fleet.maxSends)*c.from.fleet.transferTime)
+	sleep(ctx, time.Duration(f.from.fleet.maxSends)*f.from.fleet.transferTime)
 	return *batch, ctx.Err()
 }
--- a/directory/takeover.go
+++ b/directory/takeover.go
@@ -112,9 +112,9 @@
 	s.avoidStoreUntil = clock.Now().Add(s.storeBackoff)
 }
 
-// avoidIfOthersReachIt makes a watcher avoid the store for checkFactor times Timing.MaxAge once it
-// learns that the store has answered other routers since it failed here.
-func (s *SharedFeed) avoidIfOthersReachIt(relayPosition *fleet.RelayPosition, batch *slipwick.FeedBatch) {
+// avoidStoreIfOthersReachIt makes a watcher avoid the store for checkFactor times Timing.MaxAge once
+// it learns that the store has answered other routers since it failed here.
+func (s *SharedFeed) avoidStoreIfOthersReachIt(relayPosition *fleet.RelayPosition, batch *slipwick.FeedBatch) {
 	s.mu.Lock()
 	othersReachIt := relayPosition.IsWatcher && !s.storeFailedAt.IsZero() &&
 		clock.Now().Add(-batch.Age).After(s.storeFailedAt)
--- a/directory/timing_test.go
+++ b/directory/timing_test.go
@@ -9,21 +9,21 @@
 // suffice for one more call.
 func TestTimingFitsPropagationTime(t *testing.T) {
 	for _, within := range []time.Duration{600 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second} {
-		r := TimingWithin(within)
+		timing := TimingWithin(within)
 		remainder := within / 5
-		if got := r.WatchWait + r.WatchMargin + remainder; got > within {
+		if got := timing.WatchWait + timing.WatchMargin + remainder; got > within {
 			t.Errorf("within %v: got %v for an unresponsive store and one more call, want at most that time", within, got)
 		}
-		if got := r.RelayWait + r.RelayMargin + remainder; got > within {
+		if got := timing.RelayWait + timing.RelayMargin + remainder; got > within {
 			t.Errorf("within %v: got %v for an unresponsive router and one more call, want at most that time", within, got)
 		}
 		// A router that the store no longer answers still has a copy that counts as current. Its
 		// followers list from the store after that.
-		if got := r.MaxAge + remainder; got > within {
+		if got := timing.MaxAge + remainder; got > within {
 			t.Errorf("within %v: got %v until a copy is stale and for one more call, want at most that time", within, got)
 		}
-		if r.MaxAge < r.WatchWait+r.WatchMargin {
-			t.Errorf("within %v: got a maximum age of %v, want at least the time of a watch", within, r.MaxAge)
+		if timing.MaxAge < timing.WatchWait+timing.WatchMargin {
+			t.Errorf("within %v: got a maximum age of %v, want at least the time of a watch", within, timing.MaxAge)
 		}
 	}
 	if got, want := TimingWithin(0), TimingWithin(DefaultPropagationTime); got != want {
