--- a/directory/encoding_test.go
+++ b/directory/encoding_test.go
@@ -83,18 +83,18 @@
 	for _, encoding := range []string{jsonType, protobufType} {
 		b.Run(encoding, func(b *testing.B) {
 			mirror := NewMirror()
-			whole := slipwick.FeedBatch{
+			snapshot := slipwick.FeedBatch{
 				IsSnapshot: true,
 				Revision:   1,
 			}
 			for i := range 10_000 {
-				whole.Entries = append(whole.Entries, slipwick.FeedEntry{
+				snapshot.Entries = append(snapshot.Entries, slipwick.FeedEntry{
 					Name: fmt.Sprintf("s-%08x", i*2654435761),
 					Value: fmt.Appendf(nil, `{"service":"pool","address":"10.%d.%d.%d:80","zone":"z","version":"v1",`+
 						`"sequence":%d,"slots":16,"state":"ready","born":%d}`, i>>16, i>>8&255, i&255, i, 1_700_000_000_000+i),
 				})
 			}
-			mirror.Apply(&whole)
+			mirror.Apply(&snapshot)
 			server := &RelayServer{
 				Mirrors: map[string]*Mirror{
 					"f": mirror,
--- a/directory/firstlist_bench_test.go
+++ b/directory/firstlist_bench_test.go
@@ -13,14 +13,14 @@
 func BenchmarkFirstList(b *testing.B) {
 	for _, size := range []int{2_500, 5_000, 10_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			whole := slipwick.FeedBatch{
+			snapshot := slipwick.FeedBatch{
 				IsSnapshot: true,
 				Revision:   1,
 			}
 			changes := make([]Change[balance.Entry], 0, size)
 			for i := range size {
 				id := fmt.Sprintf("s-%08x", i*2654435761)
-				whole.Entries = append(whole.Entries, slipwick.FeedEntry{
+				snapshot.Entries = append(snapshot.Entries, slipwick.FeedEntry{
 					Name:  id,
 					Value: []byte("entry"),
 				})
@@ -41,7 +41,7 @@
 			b.ReportAllocs()
 			for b.Loop() {
 				mirror := NewMirror()
-				mirror.Apply(&whole)
+				mirror.Apply(&snapshot)
 				balancer := balance.New("z")
 				NewBackends(balancer.ChangeBackends).Apply(changes)
 			}
--- a/directory/mirror.go
+++ b/directory/mirror.go
@@ -22,7 +22,7 @@
 	entries map[string][]byte
 	// changes are the latest changes, oldest first. gaps are the ranges of revisions in which
 	// changes may be missing.
-	changes []change
+	changes []changeRecord
 	gaps    []gap
 	// position is the state of the store that the copy holds. Changes up to the revision
 	// discardedThrough have been discarded.
@@ -157,7 +157,7 @@
 	}
 	// A change is recorded even if the value is what it was before: a router that saw the state
 	// in between needs it.
-	m.changes = append(m.changes, change{
+	m.changes = append(m.changes, changeRecord{
 		name:     e.Name,
 		revision: revision,
 	})
--- a/directory/mirrorchanges.go
+++ b/directory/mirrorchanges.go
@@ -13,8 +13,8 @@
 	changesPerObject = 2
 )
 
-// change is the name of an object that changed, and the revision of the change.
-type change struct {
+// changeRecord is the name of an object that changed, and the revision of the change.
+type changeRecord struct {
 	name     string
 	revision uint64
 }
--- a/directory/refusalcost_test.go
+++ b/directory/refusalcost_test.go
@@ -21,17 +21,17 @@
 func TestRefusalCostDoesNotGrowWithList(t *testing.T) {
 	for _, size := range []int{10_000, 20_000, 40_000} {
 		mirror := NewMirror()
-		whole := slipwick.FeedBatch{
+		snapshot := slipwick.FeedBatch{
 			IsSnapshot: true,
 			Revision:   1,
 		}
 		for i := range size {
-			whole.Entries = append(whole.Entries, slipwick.FeedEntry{
+			snapshot.Entries = append(snapshot.Entries, slipwick.FeedEntry{
 				Name:  fmt.Sprint("s", i),
 				Value: binary.BigEndian.AppendUint64(nil, rand.Uint64()),
 			})
 		}
-		mirror.Apply(&whole)
+		mirror.Apply(&snapshot)
 		server := &RelayServer{
 			Mirrors: map[string]*Mirror{
 				"f": mirror,
--- a/directory/relayserver_test.go
+++ b/directory/relayserver_test.go
@@ -44,7 +44,7 @@
 	mirror := NewMirror()
 	want := largeBatch(3)
 	mirror.Apply(want)
-	relays := &RelayServer{
+	relayServer := &RelayServer{
 		Mirrors: map[string]*Mirror{
 			"f": mirror,
 		},
@@ -53,7 +53,7 @@
 	sent := 0
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		recorder := httptest.NewRecorder()
-		relays.ServeHTTP(recorder, r)
+		relayServer.ServeHTTP(recorder, r)
 		mu.Lock()
 		sent += recorder.Body.Len()
 		mu.Unlock()
@@ -92,7 +92,7 @@
 	if sent > maxBytes {
 		t.Errorf("got %d bytes to %d routers, want at most %d", sent, routers, maxBytes)
 	}
-	if got := len(relays.encoded); got != 1 {
+	if got := len(relayServer.encoded); got != 1 {
 		t.Errorf("got %d encodings, want 1 for all routers", got)
 	}
 }
@@ -127,7 +127,7 @@
 func TestOlderRoutersAreUnderstood(t *testing.T) {
 	mirror := NewMirror()
 	mirror.Apply(batch(3, true, "a1"))
-	relays := &RelayServer{
+	relayServer := &RelayServer{
 		Mirrors: map[string]*Mirror{
 			"f": mirror,
 		},
@@ -135,7 +135,7 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		r.URL.RawQuery = ""
 		recorder := httptest.NewRecorder()
-		relays.ServeHTTP(recorder, r)
+		relayServer.ServeHTTP(recorder, r)
 		for name, values := range recorder.Header() {
 			if name != hopsHeader {
 				w.Header()[name] = values
