--- a/claims/claims.go
+++ b/claims/claims.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"math/rand/v2"
 	"sync"
-	"time"
 
 	"golang.org/x/time/rate"
 
@@ -229,10 +228,7 @@
 	select {
 	case answers <- answer:
 	default:
-		// Answers to repeated requests are the same.
+		// The channel still holds an answer to an earlier copy of the request. Claim reads that
+		// one, and repeats the request if it is CLAIM_MOVED.
 	}
 }
-
-// holderRetryDelay is the pause before a claim is sent again after CLAIM_MOVED, or after no answer
-// within AnswerTimeout.
-const holderRetryDelay = 50 * time.Millisecond
--- a/claims/journal.go
+++ b/claims/journal.go
@@ -1,9 +1,7 @@
 package claims
 
 import (
-	"cmp"
 	"context"
-	"slices"
 	"sync/atomic"
 	"time"
 
@@ -154,7 +152,7 @@
 		j.setStoreFailing(false)
 	}
 	for _, p := range waiting {
-		j.reply(p.from, p.claimant, result, 0)
+		j.sendAnswer(p.from, p.claimant, result, 0)
 	}
 	return err
 }
@@ -207,7 +205,7 @@
 		// follow the write.
 		return j.repeatedEntry(m.claim), true
 	default:
-		j.reply(m.from, m.claim.GetClaimant(), peerpb.ClaimResult_CLAIM_TAKEN, known.state)
+		j.sendAnswer(m.from, m.claim.GetClaimant(), peerpb.ClaimResult_CLAIM_TAKEN, known.state)
 		return nil, false
 	}
 }
@@ -238,7 +236,7 @@
 	}
 }
 
-func (j *journal) reply(router string, claimant uint64, result peerpb.ClaimResult, state peerpb.ClaimState) {
+func (j *journal) sendAnswer(router string, claimant uint64, result peerpb.ClaimResult, state peerpb.ClaimState) {
 	j.answer(router, &peerpb.ClaimAnswer{
 		Claimant: claimant,
 		Result:   result,
@@ -252,7 +250,7 @@
 		select {
 		case m := <-j.inbox:
 			if m.claim != nil {
-				j.reply(m.from, m.claim.GetClaimant(), result, 0)
+				j.sendAnswer(m.from, m.claim.GetClaimant(), result, 0)
 			}
 		default:
 			return
@@ -273,14 +271,3 @@
 	j.stats.Writes.Add(1)
 	j.stats.Bytes.Add(int64(bytes))
 }
-
-func sortedBySequence(slots map[uint64]*segment) []*segment {
-	ordered := make([]*segment, 0, len(slots))
-	for _, s := range slots {
-		ordered = append(ordered, s)
-	}
-	slices.SortFunc(ordered, func(a, b *segment) int {
-		return cmp.Compare(a.content.GetSequence(), b.content.GetSequence())
-	})
-	return ordered
-}
