--- a/cmd/slipwickd/soak/crash_test.go
+++ b/cmd/slipwickd/soak/crash_test.go
@@ -13,10 +13,10 @@
 	// workspace, method, URI and body, so that all crash requests count as the same one.
 	crashBody = "ends servers"
 	// maxQuarantineDelay is the time after the third crash by which all gateways must have
-	// quarantined the request. Up to maxLateAttempts attempts may reach backend servers later, which
-	// is what the platform tolerates. The limits hold only while gateways keep running: attempts
-	// through a gateway that was disturbed within settleTime are not counted, and killing all
-	// gateways resets the counts.
+	// quarantined the request. Up to maxLateAttempts attempts may reach backend servers later, as
+	// they may already be under way at that time. The limits hold only while gateways keep running:
+	// attempts through a gateway that was disturbed within settleTime are not counted, and killing
+	// all gateways resets the counts.
 	maxQuarantineDelay = 2 * time.Second
 	maxLateAttempts    = 3
 	// crashRequestInterval is the pause between two crash requests of a caller. Callers send
--- a/cmd/slipwickd/soak/notices_test.go
+++ b/cmd/slipwickd/soak/notices_test.go
@@ -13,9 +13,8 @@
 	// it may still send new requests of callers to that server.
 	maxAnnounceDelay = time.Second
 	// requestedPause is the pause that servers which shed load ask for with Retry-After. A gateway
-	// may send a server at most maxRequestsInPause requests within it, which is what the platform
-	// tolerates. Requests in the first maxPauseDelay are not counted, as they may already have been
-	// under way.
+	// may send a server at most maxRequestsInPause requests within it. Requests in the first
+	// maxPauseDelay are not counted, as they may already have been under way.
 	requestedPause     = 1500 * time.Millisecond
 	maxPauseDelay      = 500 * time.Millisecond
 	maxRequestsInPause = 2
--- a/cmd/slipwickd/soak/recorder_test.go
+++ b/cmd/slipwickd/soak/recorder_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// maxLeaveDelay is how long a backend server may still get requests after the store accepted its
-// draining state. maxConfigDelay is the time after which a configuration version that the store
+// maxLeaveDelay is how long a backend server may still get new requests after the store accepted
+// its draining state. maxConfigDelay is the time after which a configuration version that the store
 // accepted must be in force. Both are checked only if the gateway has been undisturbed, and the
 // store healthy, for longer than settleTime.
 const (
