--- a/balance/state.go
+++ b/balance/state.go
@@ -18,7 +18,8 @@
 	Evacuated bool  `json:"evacuated"`
 	ColdMS    int64 `json:"cold_ms"`
 
-	// Leaving says that the server's entry in the list marks it as leaving.
+	// Leaving says that the server's entry in the list marks it as leaving, so that it gets no new
+	// requests.
 	Leaving bool `json:"leaving"`
 	// SaysLeaving says that the server announced in a response that it is leaving, PausedMS how
 	// many milliseconds remain of the pause that it asked this router for.
