--- a/gateway/observer.go
+++ b/gateway/observer.go
@@ -53,8 +53,9 @@
 	// Result is delivered, failed, refused, cut, or left, which means that the caller has
 	// disconnected.
 	Result string
-	// Reason is why the request was refused or not sent again. It is empty if the last send ended
-	// the request: the response was delivered or cut, or the caller disconnected.
+	// Reason is why the request was refused or not sent again, also if the caller had disconnected
+	// or a part of the response had been forwarded by then. It is empty if the last send itself
+	// ended the request: the response was delivered or cut, or the caller disconnected.
 	Reason string
 	// Status is the status of the response to a failed or refused request, and 0 otherwise.
 	Status int
