--- a/upstream/timeouts.go
+++ b/upstream/timeouts.go
@@ -27,9 +27,10 @@
 // errResponseTimeout is the cause of the errors of exchanges that one of the Timeouts ended.
 var errResponseTimeout = errors.New("no data within the response timeout")
 
-// awaitData blocks until a byte can be read, the connection is closed or onTimeout ends the
-// exchange. It calls onTimeout when wait has passed, and again after each further wait that
-// onTimeout returns.
+// awaitData blocks until a byte can be read, the connection is closed, ctx ends or onTimeout ends
+// the exchange. It calls onTimeout when wait has passed, and again after each further wait that
+// onTimeout returns. If wait is 0 or NoTimeout, it returns at once, and if onTimeout returns
+// NoTimeout, it returns then: it leaves the blocking to the next read.
 func (c *connection) awaitData(ctx context.Context, wait time.Duration, onTimeout func() time.Duration) error {
 	if wait <= 0 || wait == NoTimeout || c.reader.Buffered() > 0 {
 		return nil
