--- a/directory/sharedfeed.go
+++ b/directory/sharedfeed.go
@@ -175,10 +175,10 @@
 }
 
 // sinceRestoreLocked returns the longest time that can have passed since the store was restored
-// from a backup, if it was. A store is restored only after an outage, and so neither before it was
-// last known to be in the known timeline nor before the latest call to it that failed. It returns
-// 0, for unknown, if both are longer than Timing.MaxAge ago: a router that made no call for that
-// long cannot tell.
+// from a backup, if it was. It assumes that a store is restored only after an outage, and so neither
+// before it was last known to be in the known timeline nor before the latest call to it that
+// failed. It returns 0, for unknown, if both are longer than Timing.MaxAge ago: a router that made
+// no call for that long cannot tell.
 func (s *SharedFeed) sinceRestoreLocked() time.Duration {
 	last := s.confirmedAt
 	if s.storeFailedAt.After(last) {
