--- a/fleet/relayposition.go
+++ b/fleet/relayposition.go
@@ -22,9 +22,10 @@
 	remoteRelays = 3
 	// If none of its relays has a current copy of the store, a router asks its reserves: the first
 	// reserveFactor * watchers routers by rank. If none of these has one either, some routers take
-	// over from the watchers, that is, call the store themselves until a watcher has a current copy
-	// again. They do so in takeoverTurns turns, each of which doubles the number of routers that
-	// call the store.
+	// over from the watchers, that is, call the store themselves. They do so in takeoverTurns turns,
+	// each of which doubles the number of routers that call the store. They call it until one of
+	// their relays has a current copy again, those of turn 0 until a watcher has one that it read
+	// from the store itself.
 	reserveFactor = 2
 	takeoverTurns = 3
 )
