--- a/Makefile
+++ b/Makefile
@@ -28,14 +28,14 @@
 measure:
 	go test ./emulation -run TestMeasure -measure -case "$(CASE)" -policy "$(POLICY)" -timeout 30m -v | grep Benchmark
 
-# Runs the fault soak of the gateway once: SEED= draws the faults, FOR= says how
-# long they come.
+# Runs the soak test of the gateway once, with injected faults: SEED= is the seed of their random
+# choice, FOR= how long faults are injected.
 SEED ?= 1
 FOR ?= 20s
 soak:
 	go test ./cmd/slipwickd/soak -count 1 -v -soak-seed $(SEED) -soak-for $(FOR) -timeout 1h
 
-# Feeds each decoder of bytes from outside with drawn ones, each for FUZZ_FOR.
+# Runs the fuzz tests, which feed random input to the decoders of external data, each for FUZZ_FOR.
 FUZZ_FOR ?= 2s
 fuzz:
 	@for file in $$(grep -rl '^func Fuzz' --include=*_test.go .); do \
