--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -214,9 +214,8 @@
 		Number:  501,
 		Name:    "router-died",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The router in the field died does not respond to probes. " +
-			"If it is a chat router, others now own its backend servers and hold its claim journals.",
-		Remedy: "None if its box was replaced; otherwise check the box and the network.",
+		Meaning: "The router in the field died fails probes; others now own its backend servers and claim journals, if any.",
+		Remedy:  "None if its box was replaced; otherwise check the box and the network.",
 	}
 	BackendLeaving = Event{
 		Number:  401,
