--- a/cmd/internal/events/catalogue.go
+++ b/cmd/internal/events/catalogue.go
@@ -214,7 +214,7 @@
 		Number:  501,
 		Name:    "router-died",
 		Level:   zerolog.WarnLevel,
-		Meaning: "The router in the field died does not respond to probes; other routers now own what it owned.",
+		Meaning: "The router in the field died fails probes; others now own its backend servers and claim journals, if any.",
 		Remedy:  "None if its box was replaced; otherwise check the box and the network.",
 	}
 	BackendLeaving = Event{
