--- a/emulation/cases.go
+++ b/emulation/cases.go
@@ -125,8 +125,8 @@
 }
 
 // churn replaces an engine every 10 seconds, alternately after a planned stop
-// and after a crash. Meanwhile another engine starts and cancels a planned stop
-// every 3 seconds.
+// and after a crash. Meanwhile another engine starts a planned stop and
+// cancels it again, in turn, at intervals of 3 seconds.
 func churn(w *World) {
 	const interval, replacementDelay, flapInterval = 10 * time.Second, 3 * time.Second, 3 * time.Second
 	flapping := w.Engines()[0]
--- a/emulation/meter.go
+++ b/emulation/meter.go
@@ -123,7 +123,8 @@
 	m.totalInFlight--
 }
 
-// recordSkew records the current skew.
+// recordSkew records the current ratio of the busiest engine's load to the mean,
+// unless the mean is below minMeanLoad.
 func (m *Meter) recordSkew() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
