--- a/cmd/internal/gatewayd/notices_test.go
+++ b/cmd/internal/gatewayd/notices_test.go
@@ -21,8 +21,8 @@
 	inFlightMargin = 500 * time.Millisecond
 	// requestedPause is the pause that servers ask for.
 	requestedPause = 2 * time.Second
-	// noticeRequestInterval is the interval between two requests to a router,
-	// noticeTestDuration how long they are sent.
+	// noticeRequestInterval is the interval between two requests to a router, and the pause after
+	// each event of a response. noticeTestDuration is how long requests are sent.
 	noticeRequestInterval = 15 * time.Millisecond
 	noticeTestDuration    = 4 * time.Second
 	// routerHeader is the request header with the ID of the router that the test sends to.
--- a/cmd/internal/gatewayd/quarantine_test.go
+++ b/cmd/internal/gatewayd/quarantine_test.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// crashDelay is how long the request runs until it crashes its engine, restartDelay how
-	// long the engine is down.
+	// crashDelay is how long the request runs until it crashes its engine, and the pause after each
+	// event of other responses. restartDelay is how long the engine is down.
 	crashDelay   = 30 * time.Millisecond
 	restartDelay = 700 * time.Millisecond
 	// crashRequestInterval is the interval between two requests, crashTestDuration how long
