--- a/balance/notice.go
+++ b/balance/notice.go
@@ -109,9 +109,9 @@
 	b.receiveNoticeLocked(lease.server, notice)
 }
 
-// RecordNoticeFrom takes what a backend server announced about itself in a response to
-// something other than a request. It is ignored unless the incarnation that was asked is the
-// one listed.
+// RecordNoticeFrom takes what a backend server announced about itself in a response to a call that
+// the router makes for itself, such as one that lists the server's cache, and not for a caller. It
+// is ignored unless the incarnation that was called is the one listed.
 func (b *Balancer) RecordNoticeFrom(backend *slipwick.Backend, notice slipwick.Notice) {
 	if !notice.Leaving && notice.Pause <= 0 {
 		return
--- a/balance/prompt.go
+++ b/balance/prompt.go
@@ -58,7 +58,7 @@
 	} else {
 		b.startPrefillLocked(prompt, lease, now)
 	}
-	b.recordCachedPartsLocked(parts, chosen)
+	b.recordPlacementLocked(parts, chosen)
 	return lease
 }
 
@@ -153,8 +153,9 @@
 	return c.score > other.score
 }
 
-// recordCachedPartsLocked records that a server will have the parts cached, also for the next update.
-func (b *Balancer) recordCachedPartsLocked(parts []uint64, s *server) {
+// recordPlacementLocked records, in the cache index and for the next update, that an engine will have
+// the parts of a prompt cached because a request with that prompt goes there.
+func (b *Balancer) recordPlacementLocked(parts []uint64, s *server) {
 	for _, part := range parts {
 		if b.cacheIndex.addLocal(part, s.hash) && len(b.pendingCachedParts) < maxPendingItems {
 			b.pendingCachedParts = append(b.pendingCachedParts, CachedPart{
--- a/balance/suspension_test.go
+++ b/balance/suspension_test.go
@@ -9,7 +9,7 @@
 	"github.com/slipwick/slipwick/clock"
 )
 
-// TestAgesCountSuspensions suspends a router's machine between two decisions. The counts that it
+// TestAgesCountSuspensions suspends a router's box between two decisions. The counts that it
 // received and the ejections that it decided on must age by the time of the suspension.
 func TestAgesCountSuspensions(t *testing.T) {
 	for _, sleep := range []time.Duration{time.Second, 5 * time.Second, 30 * time.Second} {
