--- a/exchange/recovery.go
+++ b/exchange/recovery.go
@@ -17,9 +17,9 @@
 	// initialQueries is the number of other routers queried before any engine is asked: in a fleet
 	// of which half has just restarted, all four routers queried are among that half in one of 16
 	// cases.
+	initialQueries = 4
 	// One in remoteQueryInterval queries goes to a router of any data centre, the others to one of
 	// the same data centre, because traffic between data centres is expensive.
-	initialQueries      = 4
 	remoteQueryInterval = 3
 	// queryTimeout bounds a query to a router, listTimeout the listing of an engine's cache.
 	queryTimeout = 200 * time.Millisecond
--- a/exchange/snapshot_test.go
+++ b/exchange/snapshot_test.go
@@ -30,7 +30,7 @@
 	}
 	learn()
 	if got := len(syncers[1].Balancer.EnginesWithUnknownCaches("p")); got != 20 {
-		t.Errorf("the other router does not know all caches: got %d of 20 engines missing, want all", got)
+		t.Errorf("queried router knows no cache completely: got %d of 20 engines missing, want all", got)
 	}
 	syncers[0].Balancer.MarkCachesKnown()
 	learn()
--- a/exchange/syncer_test.go
+++ b/exchange/syncer_test.go
@@ -124,7 +124,9 @@
 		for _, syncer := range syncers {
 			<-syncer.Done()
 		}
-		// The bound is 1.6 (load factor) * 90 / 20 + 2 (load slack); an engine below it gets one more.
+		// With the default load factor of 2 and slack of 3, a router uses the bound 1.6 * mean + 2: it
+		// leaves the rest to requests that other routers send meanwhile. The mean is 90 / 20, and an
+		// engine below the bound gets one more.
 		for id, got := range counts {
 			if got > 11 {
 				t.Errorf("%s: got %d of 90 requests at 20 engines, want at most 11", id, got)
