--- a/gateway/serve_test.go
+++ b/gateway/serve_test.go
@@ -15,7 +15,7 @@
 		wantStatus int
 		wantSecond int64
 	}{
-		"refused": {
+		"rejected": {
 			first:      rejectNotRun,
 			wantStatus: http.StatusOK,
 			wantSecond: 1,
@@ -66,9 +66,9 @@
 
 func TestRepeatableRequestIsRetriedAfterAnyFailure(t *testing.T) {
 	for name, first := range map[string]func(*backend, http.ResponseWriter, *http.Request){
-		"broken":  breakAfter("half"),
-		"failed":  respondWith(http.StatusInternalServerError, "failure"),
-		"refused": rejectNotRun,
+		"broken":   breakAfter("half"),
+		"failed":   respondWith(http.StatusInternalServerError, "failure"),
+		"rejected": rejectNotRun,
 		"without stamp": func(_ *backend, w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "invalid")
 		},
--- a/gateway/timeouts_test.go
+++ b/gateway/timeouts_test.go
@@ -209,7 +209,7 @@
 		t.Errorf("got %d %q, want the late response", got.status, got.body)
 	}
 	if got := f.gateway.Balancer.TakeUpdate().CachedParts; len(got) != 1 {
-		t.Errorf("got %v, want the one engine that computed the prompt", got)
+		t.Errorf("got %v, want the one engine that prefilled the prompt", got)
 	}
 }
 
