--- a/placement/routers.go
+++ b/placement/routers.go
@@ -20,7 +20,7 @@
 
 // TopRouters returns the count routers with the highest rendezvous scores for the key, best first,
 // or all of them if there are fewer. It takes a single pass instead of sorting all routers, since
-// each member of a large fleet calls it whenever any router changes.
+// each router of a large fleet calls it whenever any router changes.
 func TopRouters(key uint64, routers []slipwick.Router, count int) []slipwick.Router {
 	best := make([]routerScore, 0, count+1)
 	for i := range routers {
