--- a/directory/backends.go
+++ b/directory/backends.go
@@ -45,7 +45,7 @@
 	// ids has the IDs of the published backend servers, by the name of their entry.
 	ids map[string]string
 	// respondedAt is when the latest response arrived, confirmedAt when the store was in the state
-	// of that answer.
+	// of that response.
 	respondedAt, confirmedAt time.Time
 	// failed is true if the latest call failed, inOutage if the store had not responded for some
 	// time.
--- a/directory/follower_test.go
+++ b/directory/follower_test.go
@@ -188,7 +188,9 @@
 	})
 }
 
-func TestFollowerKeepsTheLastReadableValue(t *testing.T) {
+// TestFollowerReportsUndecodableValueAsInvalid has an object change to a value that cannot be decoded.
+// The follower reports it as invalid, so that follow keeps the last value that could be decoded.
+func TestFollowerReportsUndecodableValueAsInvalid(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		store := newFakeFeed(batch(1, true, "a1"))
 		state, stop := follow(t, store)
--- a/directory/invalidentry_test.go
+++ b/directory/invalidentry_test.go
@@ -107,7 +107,7 @@
 }
 
 // TestEntryIsUnusedWhileInvalid makes a valid entry invalid and valid again, both while the store
-// responses and during an outage.
+// responds and during an outage.
 func TestEntryIsUnusedWhileInvalid(t *testing.T) {
 	for _, isDown := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
--- a/directory/simfleet_test.go
+++ b/directory/simfleet_test.go
@@ -185,7 +185,7 @@
 }
 
 // countLagging returns the number of routers that do not know the value, without those that are
-// unresponsive or that the store does not respond.
+// unresponsive or that the store does not respond to.
 func (f *simFleet) countLagging(value string) int {
 	n := 0
 	for _, r := range f.routers {
