--- a/membership/update_queue_test.go
+++ b/membership/update_queue_test.go
@@ -43,6 +43,7 @@
 			t.Errorf("take %d: got an update sent %d times while another was sent %d times", takes, most, least)
 		}
 	}
+	// take rounds the logarithm of the fleet's size up, here to 5.
 	limit := sendFactor * 5
 	for id, n := range sent {
 		if n != limit {
