--- a/directory/modelrestores_test.go
+++ b/directory/modelrestores_test.go
@@ -219,9 +219,9 @@
 }
 
 // TestDepartedIncarnationGetsNothingAfterTwoRestores runs a history in which a router sent again to
-// an incarnation that it knew to have left, and the router knew it late. A server crashes and
-// starts again; then the store is restored twice within seconds from backups of before that, the
-// first older than the crash, and is down shortly afterwards. The cause is not traced.
+// an incarnation that it knew to have left. A server crashes and starts again; then the store is
+// restored twice within seconds, first from a backup that is older than the crash, and is down for
+// a moment shortly afterwards. The cause is not traced.
 func TestDepartedIncarnationGetsNothingAfterTwoRestores(t *testing.T) {
 	const ms = time.Millisecond
 	const rounds = 40
