--- a/cmd/slipwick/apply/apply.go
+++ b/cmd/slipwick/apply/apply.go
@@ -1,4 +1,4 @@
-// Package apply is the command slipwick apply.
+// Package apply implements slipwick apply.
 package apply
 
 import (
@@ -14,52 +14,53 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-const help = `Put a file, or all JSON files of a folder, in force as the whole configuration.
+const help = `Replace the whole configuration by a file, or by all JSON files of a folder.
 
-Either everything is accepted or nothing changes. When another operator applied
-something meanwhile, nothing is written and the exit code is 3.
+Either the whole configuration is accepted or nothing changes. If another
+operator has applied a change in the meantime, nothing is written and the exit
+code is 3.
 
-Example:
+Examples:
   slipwick apply -f configuration/
   slipwick apply -f configuration/ --dry-run
   slipwick apply -f configuration/ --if-version 7
   slipwick apply -f configuration/ --wait --router 127.0.0.1:9090`
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	Factory *cli.Factory
 	Path    string
 	DryRun  bool
-	// IfVersion is the version that has to be in force; 0 takes any.
+	// IfVersion is the version that has to be in force; 0 allows any.
 	IfVersion uint64
 	Wait      bool
-	// Timeout bounds the wait.
+	// Timeout limits the wait for the routers.
 	Timeout time.Duration
 	JSON    bool
 }
 
-// result is what the command prints.
+// result is the JSON output of the command.
 type result struct {
 	Version slipwick.Version       `json:"version"`
 	Changes []configuration.Change `json:"changes"`
 	Written bool                   `json:"written"`
 }
 
-// Register adds the command.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("apply", help), choose, func(ctx context.Context) error {
+	clause := cli.Add(app.Command("apply", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
 	clause.Flag("file", "File or folder.").Short('f').Required().StringVar(&options.Path)
-	clause.Flag("dry-run", "Check and compare, but write nothing.").BoolVar(&options.DryRun)
-	clause.Flag("if-version", "Apply only if this version, from get config, is still in force.").
+	clause.Flag("dry-run", "Check the files and show the changes, but write nothing.").BoolVar(&options.DryRun)
+	clause.Flag("if-version", "Apply only if this version, as printed by get config, is still in force.").
 		Uint64Var(&options.IfVersion)
-	clause.Flag("wait", "Wait until the routers named with --router have it in force.").BoolVar(&options.Wait)
-	clause.Flag("timeout", "Bound of the wait.").Default(defaultTimeout).DurationVar(&options.Timeout)
-	clause.Flag("json", "Print JSON.").BoolVar(&options.JSON)
+	clause.Flag("wait", "Wait until the routers given with --router use the new version.").BoolVar(&options.Wait)
+	clause.Flag("timeout", "Longest wait for the routers.").Default(defaultTimeout).DurationVar(&options.Timeout)
+	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
 }
 
 func run(ctx context.Context, options *Options) error {
@@ -78,19 +79,20 @@
 	}
 	if !options.DryRun && len(outcome.Changes) > 0 {
 		if outcome.Version, err = write(ctx, options, keeper, &state, version); err != nil {
-			return explain(ctx, keeper, &state, err)
+			return explainConflict(ctx, keeper, &state, err)
 		}
 		outcome.Written = true
 	}
 	if options.Wait && !options.DryRun {
-		if err := wait(ctx, options, outcome.Version); err != nil {
+		if err := waitForRouters(ctx, options, outcome.Version); err != nil {
 			return err
 		}
 	}
-	return show(options, outcome)
+	return printResult(options, outcome)
 }
 
-// write replaces the version in force, if it is the one that was asked for.
+// write replaces the configuration in force and returns the new version. It fails with
+// slipwick.KindConflict if another version is in force than --if-version names.
 func write(
 	ctx context.Context, options *Options, keeper *configuration.Repository,
 	state *configuration.State, version slipwick.Version,
@@ -99,33 +101,35 @@
 		return 0, &slipwick.Error{
 			Kind:    slipwick.KindConflict,
 			Message: fmt.Sprintf("version %d is no longer in force", options.IfVersion),
-			Remedy:  "read the one in force with slipwick get config",
+			Remedy:  "read the version in force with slipwick get config",
 		}
 	}
 	return keeper.Apply(ctx, state, version)
 }
 
-// explain adds to a conflict what the winner changed.
-func explain(ctx context.Context, keeper *configuration.Repository, state *configuration.State, err error) error {
+// explainConflict adds to a conflict how the files differ from the version that another operator has
+// applied. Other errors are returned unchanged.
+func explainConflict(ctx context.Context, keeper *configuration.Repository, state *configuration.State, err error) error {
 	if !slipwick.IsKind(err, slipwick.KindConflict) {
 		return err
 	}
-	winner, version, readErr := keeper.Current(ctx)
+	applied, version, readErr := keeper.Current(ctx)
 	if readErr != nil {
 		return err
 	}
-	text := fmt.Sprintf("version %d was applied meanwhile; your files differ from it in:", version)
-	for _, change := range configuration.Diff(&winner, state) {
+	text := fmt.Sprintf("version %d was applied in the meantime; your files differ from it in:", version)
+	for _, change := range configuration.Diff(&applied, state) {
 		text += fmt.Sprintf("\n  %s %s", change.Kind, change.Entry)
 	}
 	return &slipwick.Error{
 		Kind:    slipwick.KindConflict,
 		Message: text,
-		Remedy:  "join both in your files, then apply again",
+		Remedy:  "merge the changes into your files, then apply again",
 	}
 }
 
-func show(options *Options, outcome result) error {
+// printResult prints the changes, and on a terminal also the version.
+func printResult(options *Options, outcome result) error {
 	table := cli.Table{
 		Header: []string{"CHANGE", "ENTRY"},
 	}
@@ -138,12 +142,12 @@
 	if options.JSON || !options.Factory.Streams.Terminal {
 		return nil
 	}
-	verb := "in force already, as version"
+	summary := "already in force as version"
 	if outcome.Written {
-		verb = "applied as version"
+		summary = "applied as version"
 	} else if options.DryRun {
-		verb = "not written; in force is version"
+		summary = "not written; the version in force is"
 	}
-	_, err := fmt.Fprintf(options.Factory.Streams.Out, "%s %d\n", verb, outcome.Version)
+	_, err := fmt.Fprintf(options.Factory.Streams.Out, "%s %d\n", summary, outcome.Version)
 	return err
 }
--- a/cmd/slipwick/apply/wait.go
+++ b/cmd/slipwick/apply/wait.go
@@ -12,11 +12,12 @@
 
 const (
 	defaultTimeout = "30s"
-	pollEvery      = 200 * time.Millisecond
+	pollInterval   = 200 * time.Millisecond
 )
 
-// wait returns when all routers named have the version in force.
-func wait(ctx context.Context, options *Options, version slipwick.Version) error {
+// waitForRouters returns when all routers given with --router use the version or a later one. It
+// fails with slipwick.KindUnavailable after --timeout.
+func waitForRouters(ctx context.Context, options *Options, version slipwick.Version) error {
 	addresses, err := options.Factory.RouterAddresses()
 	if err != nil {
 		return err
@@ -24,14 +25,15 @@
 	ctx, cancel := context.WithTimeout(ctx, options.Timeout)
 	defer cancel()
 	for _, address := range addresses {
-		if err := waitFor(ctx, options, address, version); err != nil {
+		if err := waitForRouter(ctx, options, address, version); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func waitFor(ctx context.Context, options *Options, address string, version slipwick.Version) error {
+// waitForRouter polls the status of one router until it uses the version or ctx ends.
+func waitForRouter(ctx context.Context, options *Options, address string, version slipwick.Version) error {
 	for {
 		var status daemon.Status
 		err := options.Factory.ReadRouter(ctx, address, "/v1/status", &status)
@@ -43,10 +45,10 @@
 			return &slipwick.Error{
 				Kind:    slipwick.KindUnavailable,
 				Message: fmt.Sprintf("version %d is applied, but not yet in force at router %s", version, address),
-				Remedy:  "look at the router with slipwick status",
+				Remedy:  "check the router with slipwick status",
 				Cause:   err,
 			}
-		case <-time.After(pollEvery):
+		case <-time.After(pollInterval):
 		}
 	}
 }
--- a/cmd/slipwick/completion/completion.go
+++ b/cmd/slipwick/completion/completion.go
@@ -1,4 +1,4 @@
-// Package completion is the command slipwick completion.
+// Package completion implements slipwick completion.
 package completion
 
 import (
@@ -9,7 +9,7 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-const help = `Print a shell's completion script.
+const help = `Print the completion script of a shell.
 
 Example:
   source <(slipwick completion bash)`
@@ -19,18 +19,18 @@
 	"zsh":  kingpin.ZshCompletionTemplate,
 }
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	App   *kingpin.Application
 	Shell string
 }
 
-// Register adds the command.
-func Register(app *kingpin.Application, _ *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(app *kingpin.Application, _ *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		App: app,
 	}
-	clause := cli.Add(app.Command("completion", help), choose, func(context.Context) error {
+	clause := cli.Add(app.Command("completion", help), selectCommand, func(context.Context) error {
 		return run(options)
 	})
 	clause.Arg("shell", "bash or zsh.").Required().EnumVar(&options.Shell, "bash", "zsh")
--- a/cmd/slipwick/demo/demo.go
+++ b/cmd/slipwick/demo/demo.go
@@ -1,4 +1,4 @@
-// Package demo is the command slipwick demo.
+// Package demo implements slipwick demo.
 package demo
 
 import (
@@ -12,15 +12,15 @@
 	"github.com/slipwick/slipwick/cmd/internal/emulator"
 )
 
-const help = `Run routers against stand-ins of platform and engines, in this process.
+const help = `Run routers with emulated engines and an emulated platform in this process.
 
-Chats return in bursts; one engine is lost, one leaves, and a router is
-drained. The platform's URL is shown, so that other commands can be tried.
+Chats continue in bursts; one engine fails, one leaves, and a router is drained.
+The URL of the platform is printed, so that other commands can be tried with it.
 
 Example:
   slipwick demo --for 20s --routers 3 --engines 8`
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	Factory  *cli.Factory
 	JSON     bool
@@ -34,19 +34,19 @@
 	defaultChats   = "160"
 )
 
-// Register adds the command.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("demo", help), choose, func(ctx context.Context) error {
+	clause := cli.Add(app.Command("demo", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
-	clause.Flag("for", "How long callers send requests.").Default(defaultFor).DurationVar(&options.Scenario.For)
-	clause.Flag("seed", "Seed of the random choices.").Default("1").Uint64Var(&options.Scenario.Seed)
+	clause.Flag("for", "How long the callers send requests.").Default(defaultFor).DurationVar(&options.Scenario.For)
+	clause.Flag("seed", "Seed of the random number generator.").Default("1").Uint64Var(&options.Scenario.Seed)
 	clause.Flag("routers", "Number of routers, 2 to 50.").Default(defaultRouters).IntVar(&options.Scenario.Routers)
 	clause.Flag("engines", "Number of engines, 3 to 200.").Default(defaultEngines).IntVar(&options.Scenario.Engines)
-	clause.Flag("chats", "Number of chats that return, 1 to 5000.").Default(defaultChats).
+	clause.Flag("chats", "Number of chats, 1 to 5000.").Default(defaultChats).
 		IntVar(&options.Scenario.Chats)
 	clause.Flag("json", "Print one JSON object.").BoolVar(&options.JSON)
 }
--- a/cmd/slipwick/diff/diff.go
+++ b/cmd/slipwick/diff/diff.go
@@ -1,4 +1,4 @@
-// Package diff is the command slipwick diff.
+// Package diff implements slipwick diff.
 package diff
 
 import (
@@ -11,30 +11,30 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-const help = `Show how files differ from the configuration in force.
+const help = `Show the differences between files and the configuration in force.
 
-The exit code is 5 when they differ.
+The exit code is 5 if there are differences.
 
 Example:
   slipwick diff -f configuration/`
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	Factory *cli.Factory
 	Path    string
 	JSON    bool
 }
 
-// Register adds the command.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("diff", help), choose, func(ctx context.Context) error {
+	clause := cli.Add(app.Command("diff", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
 	clause.Flag("file", "File or folder.").Short('f').Required().StringVar(&options.Path)
-	clause.Flag("json", "Print JSON.").BoolVar(&options.JSON)
+	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
 }
 
 func run(ctx context.Context, options *Options) error {
--- a/cmd/slipwick/evacuate/evacuate.go
+++ b/cmd/slipwick/evacuate/evacuate.go
@@ -1,4 +1,4 @@
-// Package evacuate is the command slipwick evacuate.
+// Package evacuate implements slipwick evacuate.
 package evacuate
 
 import (
@@ -14,20 +14,21 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-const help = `Have the backend servers of a data centre get nothing new, or end that.
+const help = `Send no new requests to the backend servers of a data centre, or end that.
 
-Changes the list of evacuated data centres in a gateway's table file, which
-gateways read anew by themselves; comments in it stay. Requests that run there
-go on, and engines elsewhere still fetch prompts from there. On a platform with
-a store the operators evacuate there, and this command is not needed.
+Changes the list of evacuated data centres in a gateway's table file and keeps
+its comments; the gateways reload the file on their own. Requests in progress
+in the data centre continue, and engines elsewhere can still fetch cached
+prompts from it. On a platform with a store, evacuations are written to the
+store and this command is not needed.
 
-slipwick gateways shows which gateways follow.
+slipwick gateways shows which gateways have applied the evacuation.
 
 Examples:
   slipwick evacuate jekaba --table /etc/slipwick/table.jsonc
   slipwick evacuate jekaba --table /etc/slipwick/table.jsonc --end`
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	Factory    *cli.Factory
 	DataCentre string
@@ -35,23 +36,23 @@
 	End        bool
 }
 
-// Register adds the command.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("evacuate", help), choose, func(context.Context) error {
+	clause := cli.Add(app.Command("evacuate", help), selectCommand, func(context.Context) error {
 		return run(options)
 	})
 	clause.Arg("data-centre", "The data centre's name.").Required().StringVar(&options.DataCentre)
 	clause.Flag("table", "The gateways' table file.").Required().StringVar(&options.Table)
-	clause.Flag("end", "Take the data centre back.").BoolVar(&options.End)
+	clause.Flag("end", "End the evacuation.").BoolVar(&options.End)
 }
 
 func run(options *Options) error {
 	source, err := os.ReadFile(options.Table)
 	if err != nil {
-		return errors.Wrap(err, "read the table")
+		return errors.Wrap(err, "read the table file")
 	}
 	changed, err := tablefile.SetEvacuated(options.Table, source, options.DataCentre, !options.End)
 	if err != nil {
@@ -64,23 +65,24 @@
 	if err := replaceFile(options.Table, changed); err != nil {
 		return err
 	}
-	text := "evacuated; gateways follow within a second"
+	message := "evacuated; gateways apply it within a second"
 	if options.End {
-		text = "taken back; gateways follow within a second"
+		message = "evacuation ended; gateways apply it within a second"
 	}
-	_, err = fmt.Fprintf(options.Factory.Streams.Out, "%s: %s\n", options.DataCentre, text)
+	_, err = fmt.Fprintf(options.Factory.Streams.Out, "%s: %s\n", options.DataCentre, message)
 	return err
 }
 
-// replaceFile writes beside the file and renames, so that nobody reads half of it.
+// replaceFile replaces the content of a file atomically: it writes a temporary file in the same folder
+// and renames it, so that gateways never read half a table.
 func replaceFile(path string, content []byte) error {
 	info, err := os.Stat(path)
 	if err != nil {
-		return errors.Wrap(err, "write the table")
+		return errors.Wrap(err, "write the table file")
 	}
-	beside := path + ".new"
-	if err := os.WriteFile(beside, content, info.Mode().Perm()); err != nil {
-		return errors.Wrap(err, "write the table")
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, content, info.Mode().Perm()); err != nil {
+		return errors.Wrap(err, "write the table file")
 	}
-	return errors.Wrap(os.Rename(beside, path), "write the table")
+	return errors.Wrap(os.Rename(temporary, path), "write the table file")
 }
--- a/cmd/slipwick/gateways/gateways.go
+++ b/cmd/slipwick/gateways/gateways.go
@@ -1,4 +1,4 @@
-// Package gateways is the command slipwick gateways.
+// Package gateways implements slipwick gateways.
 package gateways
 
 import (
@@ -15,30 +15,30 @@
 	"github.com/slipwick/slipwick/cmd/internal/gatewayd"
 )
 
-const help = `Show the gateways' state, as each one sees it.
+const help = `Show the state of gateways, as each one reports it.
 
-The routers are named by the gateways' metrics addresses.
+For a gateway, --router takes its metrics address.
 
 Examples:
   slipwick gateways --router 10.0.0.5:9090 --router 10.0.0.6:9090
   slipwick gateways --router 10.0.0.5:9090 --backends`
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	Factory  *cli.Factory
 	JSON     bool
 	Backends bool
 }
 
-// Register adds the command.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("gateways", help), choose, func(ctx context.Context) error {
+	clause := cli.Add(app.Command("gateways", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
-	clause.Flag("json", "Print JSON.").BoolVar(&options.JSON)
+	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
 	clause.Flag("backends", "Show each gateway's backend servers.").BoolVar(&options.Backends)
 }
 
@@ -70,7 +70,7 @@
 	for i := range statuses {
 		s := &statuses[i]
 		table.Rows = append(table.Rows, []string{
-			s.Router, s.DataCentre, stateOf(s), strconv.FormatUint(s.Configuration, 10), strconv.Itoa(len(s.Members)),
+			s.Router, s.DataCentre, gatewayState(s), strconv.FormatUint(s.Configuration, 10), strconv.Itoa(len(s.Members)),
 			strconv.FormatBool(s.WatchesStore), strconv.FormatInt(s.InFlight, 10), strconv.Itoa(s.KnownParts),
 			strconv.Itoa(s.MissingCaches), strings.Join(s.Evacuated, " "), strconv.Itoa(s.Quarantined),
 		})
@@ -78,7 +78,8 @@
 	return table
 }
 
-func stateOf(s *gatewayd.Status) string {
+// gatewayState returns the value of the STATE column of a gateway.
+func gatewayState(s *gatewayd.Status) string {
 	switch {
 	case s.Draining:
 		return "draining"
@@ -105,20 +106,21 @@
 	return table
 }
 
+// backendState returns the value of the STATE column of a backend server.
 func backendState(b *balance.State) string {
 	switch {
 	case b.Leaving:
 		return "leaving"
 	case b.SaysLeaving:
-		return "says that it leaves"
+		return "leaving (announced)"
 	case b.Evacuated:
 		return "evacuated"
 	case b.RestMS > 0:
-		return fmt.Sprintf("asked for %d ms more of rest", b.RestMS)
+		return fmt.Sprintf("paused for %d ms", b.RestMS)
 	case b.Out:
-		return fmt.Sprintf("out for %d ms", b.OutMS)
+		return fmt.Sprintf("ejected for %d ms", b.OutMS)
 	case b.Silent:
-		return "silent"
+		return "unresponsive"
 	case b.ColdMS > 0:
 		return fmt.Sprintf("cold for %d ms", b.ColdMS)
 	default:
--- a/cmd/slipwick/get/get.go
+++ b/cmd/slipwick/get/get.go
@@ -1,4 +1,4 @@
-// Package get joins the commands below slipwick get.
+// Package get registers the subcommands of slipwick get.
 package get
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/slipwick/slipwick/cmd/slipwick/get/config"
 )
 
-// Register adds the commands.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
-	config.Register(app.Command("get", "Read what the platform keeps."), factory, choose)
+// Register adds the commands to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
+	config.Register(app.Command("get", "Read what the platform stores."), factory, selectCommand)
 }
--- a/cmd/slipwick/main.go
+++ b/cmd/slipwick/main.go
@@ -1,4 +1,4 @@
-// Command slipwick is the operators' command line.
+// Command slipwick is the command line for operators of a fleet of routers.
 package main
 
 import (
--- a/cmd/slipwick/report/burn/burn.go
+++ b/cmd/slipwick/report/burn/burn.go
@@ -1,4 +1,4 @@
-// Package burn is the command slipwick report burn.
+// Package burn implements slipwick report burn.
 package burn
 
 import (
@@ -15,21 +15,21 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-const help = `Show how fast each workspace's error budget burns.
+const help = `Show the error budget burn rate of each workspace.
 
-A burn of 1 spends the budget exactly; above 1 it runs out early. The routers
-count in memory, so a window reaches back to their last start at most.
+A burn rate of 1 uses up the budget exactly; above 1 it runs out early. The
+routers count in memory, so a window does not reach back beyond their last start.
 
 Example:
   slipwick report burn --router 127.0.0.1:9090`
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	Factory *cli.Factory
 	JSON    bool
 }
 
-// row is one workspace in one window.
+// row holds the counts and burn rates of one workspace in one window.
 type row struct {
 	Workspace    string      `json:"workspace"`
 	Window       string      `json:"window"`
@@ -38,15 +38,15 @@
 	FirstToken   burn.Rate   `json:"first_token_burn"`
 }
 
-// Register adds the command.
-func Register(parent *kingpin.CmdClause, factory *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(parent *kingpin.CmdClause, factory *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(parent.Command("burn", help), choose, func(ctx context.Context) error {
+	clause := cli.Add(parent.Command("burn", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
-	clause.Flag("json", "Print JSON.").BoolVar(&options.JSON)
+	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
 }
 
 func run(ctx context.Context, options *Options) error {
@@ -54,25 +54,25 @@
 	if err != nil {
 		return err
 	}
-	counts, err := collect(ctx, options.Factory)
+	counts, err := sumCounts(ctx, options.Factory)
 	if err != nil {
 		return err
 	}
-	rows := rowsOf(&state, counts)
+	rows := burnRows(&state, counts)
 	table := cli.Table{
 		Header: []string{"WORKSPACE", "WINDOW", "REQUESTS", "BAD", "AVAILABILITY BURN", "FIRST-TOKEN BURN"},
 	}
 	for _, r := range rows {
 		table.Rows = append(table.Rows, []string{
 			r.Workspace, r.Window, fmt.Sprint(r.Counts.Total), fmt.Sprint(r.Counts.Bad),
-			text(r.Availability), text(r.FirstToken),
+			formatRate(r.Availability), formatRate(r.FirstToken),
 		})
 	}
 	return options.Factory.Streams.Print(options.JSON, rows, table)
 }
 
-// collect adds up the counts of all routers, by workspace and window.
-func collect(ctx context.Context, factory *cli.Factory) (map[string][]burn.Counts, error) {
+// sumCounts returns the sums of the counts of all routers, by workspace and window.
+func sumCounts(ctx context.Context, factory *cli.Factory) (map[string][]burn.Counts, error) {
 	addresses, err := factory.RouterAddresses()
 	if err != nil {
 		return nil, err
@@ -95,13 +95,13 @@
 	return sums, nil
 }
 
-func rowsOf(state *configuration.State, counts map[string][]burn.Counts) []row {
+func burnRows(state *configuration.State, counts map[string][]burn.Counts) []row {
 	rows := []row{}
 	for _, workspace := range state.Workspaces {
 		for i, window := range counts[workspace.Name] {
 			rows = append(rows, row{
 				Workspace:    workspace.Name,
-				Window:       short(burn.Windows[i]),
+				Window:       windowLabel(burn.Windows[i]),
 				Counts:       window,
 				Availability: burn.Availability(window, workspace.Objectives.Availability),
 				FirstToken:   burn.FirstToken(window),
@@ -120,14 +120,14 @@
 	return rows
 }
 
-func short(window time.Duration) string {
+func windowLabel(window time.Duration) string {
 	if window < time.Hour {
 		return fmt.Sprintf("%dm", int(window.Minutes()))
 	}
 	return fmt.Sprintf("%dh", int(window.Hours()))
 }
 
-func text(rate burn.Rate) string {
+func formatRate(rate burn.Rate) string {
 	if rate == nil {
 		return "-"
 	}
--- a/cmd/slipwick/report/report.go
+++ b/cmd/slipwick/report/report.go
@@ -1,4 +1,4 @@
-// Package report joins the commands below slipwick report.
+// Package report registers the subcommands of slipwick report.
 package report
 
 import (
@@ -8,7 +8,7 @@
 	"github.com/slipwick/slipwick/cmd/slipwick/report/burn"
 )
 
-// Register adds the commands.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
-	burn.Register(app.Command("report", "Work out reports."), factory, choose)
+// Register adds the commands to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
+	burn.Register(app.Command("report", "Print reports."), factory, selectCommand)
 }
--- a/cmd/slipwick/root/root.go
+++ b/cmd/slipwick/root/root.go
@@ -1,4 +1,4 @@
-// Package root joins the operators' commands.
+// Package root parses the command line of slipwick and runs the selected command.
 package root
 
 import (
@@ -27,10 +27,12 @@
 
 Output is a table on a terminal and JSON elsewhere; --json forces JSON.
 
-Exit codes: 0 done, 1 failed, 2 wrong command line or file, 3 another operator
-won, 4 the platform or a router gave no answer, 5 diff found differences.`
+Exit codes: 0 success, 1 failed, 2 invalid command line or file, 3 conflict with
+a change by another operator, 4 the platform or a router did not respond, 5 diff
+found differences.`
 
-// Main runs one command and gives the exit code.
+// Main runs one command and returns the exit code. SIGINT and SIGTERM cancel the command. An error
+// is printed to streams.Err.
 func Main(streams cli.Streams, args []string) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -41,16 +43,18 @@
 	return cli.ExitOK
 }
 
-// errHelp ends a command line that only asked for help.
-var errHelp = errors.New("help shown")
+// errHelp is the value of the panic with which Run leaves kingpin after it has printed help;
+// kingpin would otherwise continue to parse.
+var errHelp = errors.New("help printed")
 
-// Run runs one command.
+// Run parses the arguments and runs the selected command. A command line that asks for help is not
+// an error.
 func Run(ctx context.Context, streams cli.Streams, args []string) (err error) {
 	app := kingpin.New("slipwick", help)
 	app.UsageWriter(streams.Out).ErrorWriter(streams.Err).Terminate(func(int) { panic(errHelp) })
 	defer func() {
-		if thrown := recover(); thrown != nil && thrown != any(errHelp) {
-			panic(thrown)
+		if recovered := recover(); recovered != nil && recovered != any(errHelp) {
+			panic(recovered)
 		}
 	}()
 	app.HelpFlag.Short('h')
@@ -58,23 +62,23 @@
 		Streams: streams,
 	}
 	factory.Register(app)
-	var chosen cli.Command
-	choose := func(command cli.Command) { chosen = command }
-	apply.Register(app, factory, choose)
-	diff.Register(app, factory, choose)
-	get.Register(app, factory, choose)
-	status.Register(app, factory, choose)
-	evacuate.Register(app, factory, choose)
-	gateways.Register(app, factory, choose)
-	report.Register(app, factory, choose)
-	demo.Register(app, factory, choose)
-	version.Register(app, factory, choose)
-	completion.Register(app, factory, choose)
+	var selected cli.Command
+	selectCommand := func(command cli.Command) { selected = command }
+	apply.Register(app, factory, selectCommand)
+	diff.Register(app, factory, selectCommand)
+	get.Register(app, factory, selectCommand)
+	status.Register(app, factory, selectCommand)
+	evacuate.Register(app, factory, selectCommand)
+	gateways.Register(app, factory, selectCommand)
+	report.Register(app, factory, selectCommand)
+	demo.Register(app, factory, selectCommand)
+	version.Register(app, factory, selectCommand)
+	completion.Register(app, factory, selectCommand)
 	if _, err := app.Parse(args); err != nil {
 		return cli.Usage(err, "run slipwick --help")
 	}
-	if chosen == nil {
-		return cli.Usage(errors.New("no command given"), "run slipwick --help")
+	if selected == nil {
+		return cli.Usage(errors.New("no command specified"), "run slipwick --help")
 	}
-	return chosen(ctx)
+	return selected(ctx)
 }
--- a/cmd/slipwick/status/status.go
+++ b/cmd/slipwick/status/status.go
@@ -1,4 +1,4 @@
-// Package status is the command slipwick status.
+// Package status implements slipwick status.
 package status
 
 import (
@@ -11,26 +11,26 @@
 	"github.com/slipwick/slipwick/cmd/internal/daemon"
 )
 
-const help = `Show the routers' state.
+const help = `Show the state of routers.
 
 Example:
   slipwick status --router 127.0.0.1:9090 --router 127.0.0.1:9091`
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	Factory *cli.Factory
 	JSON    bool
 }
 
-// Register adds the command.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("status", help), choose, func(ctx context.Context) error {
+	clause := cli.Add(app.Command("status", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
-	clause.Flag("json", "Print JSON.").BoolVar(&options.JSON)
+	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
 }
 
 func run(ctx context.Context, options *Options) error {
--- a/cmd/slipwick/version/version.go
+++ b/cmd/slipwick/version/version.go
@@ -1,4 +1,4 @@
-// Package version is the command slipwick version.
+// Package version implements slipwick version.
 package version
 
 import (
@@ -12,27 +12,27 @@
 	"github.com/slipwick/slipwick/cmd/internal/cli"
 )
 
-// Options are the command's settings.
+// Options holds the flags and arguments of the command.
 type Options struct {
 	Factory *cli.Factory
 	JSON    bool
 }
 
-// info is what the command prints.
+// info is the JSON output of the command.
 type info struct {
 	Version string `json:"version"`
 	Go      string `json:"go"`
 }
 
-// Register adds the command.
-func Register(app *kingpin.Application, factory *cli.Factory, choose cli.Choose) {
+// Register adds the command to the command line.
+func Register(app *kingpin.Application, factory *cli.Factory, selectCommand cli.Choose) {
 	options := &Options{
 		Factory: factory,
 	}
-	clause := cli.Add(app.Command("version", "Print the version."), choose, func(context.Context) error {
+	clause := cli.Add(app.Command("version", "Print the version."), selectCommand, func(context.Context) error {
 		return run(options)
 	})
-	clause.Flag("json", "Print JSON.").BoolVar(&options.JSON)
+	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
 }
 
 func run(options *Options) error {
