--- a/cmd/internal/cli/exit.go
+++ b/cmd/internal/cli/exit.go
@@ -42,7 +42,7 @@
 }
 
 // NewUsageError returns a *UsageError, for which ExitCode returns ExitUsage.
-func Usage(cause error, remedy string) error {
+func NewUsageError(cause error, remedy string) error {
 	return &UsageError{
 		Cause:  cause,
 		Remedy: remedy,
--- a/cmd/slipwick/demo/demo.go
+++ b/cmd/slipwick/demo/demo.go
@@ -53,7 +53,7 @@
 
 func run(ctx context.Context, options *Options) error {
 	if err := options.Scenario.Check(); err != nil {
-		return cli.Usage(err, "run slipwick demo --help")
+		return cli.NewUsageError(err, "run slipwick demo --help")
 	}
 	streams := options.Factory.Streams
 	options.Scenario.Progress = func(at time.Duration, text string) {
--- a/cmd/slipwick/root/root.go
+++ b/cmd/slipwick/root/root.go
@@ -75,10 +75,10 @@
 	version.Register(app, factory, selectCommand)
 	completion.Register(app, factory, selectCommand)
 	if _, err := app.Parse(args); err != nil {
-		return cli.Usage(err, "run slipwick --help")
+		return cli.NewUsageError(err, "run slipwick --help")
 	}
 	if selected == nil {
-		return cli.Usage(errors.New("no command specified"), "run slipwick --help")
+		return cli.NewUsageError(errors.New("no command specified"), "run slipwick --help")
 	}
 	return selected(ctx)
 }
--- a/cmd/slipwickd/serve/gateway.go
+++ b/cmd/slipwickd/serve/gateway.go
@@ -51,14 +51,14 @@
 		StringsVar(&options.Switches)
 	app.HelpFlag.Short('h')
 	if _, err := app.Parse(args); err != nil {
-		return streams.Fail("slipwickd gateway", cli.Usage(err, "run slipwickd gateway --help"))
+		return streams.Fail("slipwickd gateway", cli.NewUsageError(err, "run slipwickd gateway --help"))
 	}
 	process, err := options.process()
 	if err != nil {
 		return streams.Fail("slipwickd gateway", settingsError(err))
 	}
 	if process.Switches, err = balance.ParseSwitches(options.Switches); err != nil {
-		return streams.Fail("slipwickd gateway", cli.Usage(err, "run slipwickd gateway --help"))
+		return streams.Fail("slipwickd gateway", cli.NewUsageError(err, "run slipwickd gateway --help"))
 	}
 	if options.Check {
 		_, _ = streams.Out.Write([]byte("the settings are valid\n"))
--- a/cmd/slipwickd/serve/serve.go
+++ b/cmd/slipwickd/serve/serve.go
@@ -48,7 +48,7 @@
 	app.Flag("check", "Check the settings file and exit.").BoolVar(&options.Check)
 	app.HelpFlag.Short('h')
 	if _, err := app.Parse(args); err != nil {
-		return streams.Fail("slipwickd", cli.Usage(err, "run slipwickd --help"))
+		return streams.Fail("slipwickd", cli.NewUsageError(err, "run slipwickd --help"))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -84,5 +84,5 @@
 	if errors.As(err, &mistakes) {
 		return mistakes
 	}
-	return cli.Usage(err, "specify a readable settings file with --config")
+	return cli.NewUsageError(err, "specify a readable settings file with --config")
 }
