--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -25,11 +25,11 @@
 func (r *Router) assemble() {
 	r.platform = &objectapi.Client{
 		BaseURL: r.Settings.Platform.URL,
-		HTTP:    httpclient.NewCounted(&r.sent, &r.received),
+		HTTP:    httpclient.NewCounted(&r.platformSent, &r.platformReceived),
 	}
 	r.follower = &configuration.Follower{
 		Store:    r.platform,
-		Watches:  r.watches.Load,
+		Watches:  r.watchesPlatform.Load,
 		OnChange: r.applySnapshot,
 		OnError:  r.logPlatformError,
 	}
@@ -90,6 +90,7 @@
 	}
 }
 
+// workspaceShare returns the share of a workspace in the configuration in force, zero if it has none.
 func (r *Router) workspaceShare(name string) admission.Share {
 	current := r.follower.Current()
 	if current == nil {
--- a/cmd/internal/daemon/fleet.go
+++ b/cmd/internal/daemon/fleet.go
@@ -36,7 +36,7 @@
 // onHealth queues a change of health. The coordinator calls it and must not be called from it.
 func (r *Router) onHealth(backend string, health admission.Health) {
 	select {
-	case r.health <- healthUpdate{
+	case r.healthUpdates <- healthUpdate{
 		backend: backend,
 		health:  health,
 	}:
@@ -51,7 +51,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case update := <-r.health:
+		case update := <-r.healthUpdates:
 			r.logHealth(update)
 			r.node.SetBackend(update.backend, fleet.MemberState(update.health))
 		}
@@ -73,11 +73,11 @@
 // onMembershipChange applies a change of the fleet or of the state of backend servers.
 func (r *Router) onMembershipChange(change membership.Change) {
 	r.viewer.SetFleet(change.Routers, fleet.BackendStates(change.Backends))
-	r.eligible.Store(&change.Routers)
+	r.members.Store(&change.Routers)
 	if r.joined.Load() {
 		r.claims.SetRouters(change.Routers)
 	}
-	r.watches.Store(fleet.IsPlatformWatcher(r.self(), change.Routers))
+	r.watchesPlatform.Store(fleet.IsPlatformWatcher(r.self(), change.Routers))
 	for _, id := range change.Died {
 		events.RouterDied.On(&r.Log).Str("died", id).Send()
 		r.coordinator.HandleRouterFailure(id)
@@ -133,8 +133,8 @@
 		return
 	}
 	r.joined.Store(true)
-	if eligible := r.eligible.Load(); eligible != nil {
-		r.claims.SetRouters(*eligible)
+	if members := r.members.Load(); members != nil {
+		r.claims.SetRouters(*members)
 	}
 }
 
--- a/cmd/internal/daemon/frontend.go
+++ b/cmd/internal/daemon/frontend.go
@@ -36,7 +36,8 @@
 	claims     *claims.Claims
 	burn       burn.Recorder
 	routes     atomic.Pointer[routes]
-	closed     atomic.Bool
+	// stopping is set once the router refuses new requests because it is draining.
+	stopping atomic.Bool
 }
 
 // callerRequest is the state of one request of a caller. The handlers fill it in step by step.
@@ -55,7 +56,7 @@
 // configuration or is stopping.
 func (f *frontend) accept(c echo.Context) (*callerRequest, error) {
 	current := f.routes.Load()
-	if current == nil || f.closed.Load() {
+	if current == nil || f.stopping.Load() {
 		c.Response().Header().Set("Connection", "close")
 		return nil, &slipwick.Error{
 			Kind:       slipwick.KindNotReady,
--- a/cmd/internal/daemon/router.go
+++ b/cmd/internal/daemon/router.go
@@ -46,28 +46,34 @@
 	// exchanges the crashes with the other routers.
 	crashTracker  *quarantine.Tracker
 	crashGossiper *exchange.CrashGossiper
-	health        chan healthUpdate
-	eligible      atomic.Pointer[[]slipwick.Router]
+	// healthUpdates queues the health changes that this router detects as an owner.
+	healthUpdates chan healthUpdate
+	// members holds the routers of the latest membership change.
+	members atomic.Pointer[[]slipwick.Router]
 
 	// joined is set once the router has had the time to learn of the other live
 	// routers, draining once it was asked to stop.
 	joined   atomic.Bool
 	draining atomic.Bool
-	watches  atomic.Bool
-	sent     atomic.Int64
-	received atomic.Int64
-	started  chan struct{}
-	done     chan struct{}
+	// watchesPlatform is set if this router is one of those that watch the
+	// configuration on the platform.
+	watchesPlatform atomic.Bool
+	// platformSent and platformReceived count the bytes of calls to the platform.
+	platformSent     atomic.Int64
+	platformReceived atomic.Int64
+
+	started chan struct{}
+	done    chan struct{}
 }
 
 // NewRouter returns a router that Run starts.
 func NewRouter(settings *Settings, log zerolog.Logger) *Router {
 	return &Router{
-		Settings: settings,
-		Log:      log.With().Str("router", settings.ID).Logger(),
-		health:   make(chan healthUpdate, healthQueueSize),
-		started:  make(chan struct{}),
-		done:     make(chan struct{}),
+		Settings:      settings,
+		Log:           log.With().Str("router", settings.ID).Logger(),
+		healthUpdates: make(chan healthUpdate, healthQueueSize),
+		started:       make(chan struct{}),
+		done:          make(chan struct{}),
 	}
 }
 
@@ -85,7 +91,7 @@
 // the platform and other routers. Membership packets count with their headers, streams only
 // with the payload of TCP. Call it only after Started.
 func (r *Router) ControlBytes() int64 {
-	return r.sent.Load() + r.received.Load() + r.mesh.Sent.Load() + r.mesh.Received.Load() +
+	return r.platformSent.Load() + r.platformReceived.Load() + r.mesh.Sent.Load() + r.mesh.Received.Load() +
 		r.udp.Sent.Load() + r.udp.Received.Load()
 }
 
@@ -147,7 +153,7 @@
 	r.draining.Store(true)
 	r.node.Leave()
 	time.Sleep(r.Settings.Limits.Announce.Or(defaultAnnounce))
-	r.frontend.closed.Store(true)
+	r.frontend.stopping.Store(true)
 	ctx, cancel := context.WithTimeout(context.Background(), r.Settings.Limits.Drain.Or(defaultDrain))
 	defer cancel()
 	err := callers.Shutdown(ctx)
--- a/cmd/internal/daemon/settings.go
+++ b/cmd/internal/daemon/settings.go
@@ -52,7 +52,9 @@
 type Limits struct {
 	BodyBytes int64 `json:"body_bytes" validate:"min=0"`
 	// MaxSlotWait limits how long a request waits for a slot.
-	MaxSlotWait   jsonfile.Duration `json:"hold" validate:"min=0"`
+	MaxSlotWait jsonfile.Duration `json:"hold" validate:"min=0"`
+	// FirstToken limits the wait for the first token of a chat, BetweenTokens the
+	// wait between two tokens.
 	FirstToken    jsonfile.Duration `json:"first_token" validate:"min=0"`
 	BetweenTokens jsonfile.Duration `json:"between_tokens" validate:"min=0"`
 	// Service bounds the time of a call to a plain service.
