--- a/balance/state.go
+++ b/balance/state.go
@@ -25,9 +25,9 @@
 	SaysLeaving bool  `json:"says_leaving"`
 	RestMS      int64 `json:"rest_ms"`
 
-	// Out says that the server gets no new requests because it is ejected, OutMS for how many
+	// Ejected says that the server gets no new requests because it is ejected, OutMS for how many
 	// milliseconds more, Silent that it has not sent anything for a while.
-	Out    bool  `json:"out"`
+	Ejected    bool  `json:"out"`
 	OutMS  int64 `json:"out_ms"`
 	Silent bool  `json:"silent"`
 	// InFlight counts this router's requests there.
@@ -55,12 +55,12 @@
 			SaysLeaving: s.notices.saysLeaving(),
 			RestMS:      s.notices.remainingPause(now).Milliseconds(),
 
-			Out:       now.Before(s.ejectedUntil),
+			Ejected:       now.Before(s.ejectedUntil),
 			Silent:    b.isUnresponsiveLocked(s, now),
 			InFlight:  s.inFlight,
 			ErrorRate: s.errors.rate,
 		}
-		if state.Out {
+		if state.Ejected {
 			state.OutMS = s.ejectedUntil.Sub(now).Milliseconds()
 		}
 		states = append(states, state)
--- a/cmd/slipwick/gateways/gateways.go
+++ b/cmd/slipwick/gateways/gateways.go
@@ -117,7 +117,7 @@
 		return "evacuated"
 	case b.RestMS > 0:
 		return fmt.Sprintf("paused for %d ms", b.RestMS)
-	case b.Out:
+	case b.Ejected:
 		return fmt.Sprintf("ejected for %d ms", b.OutMS)
 	case b.Silent:
 		return "silent"
