--- a/balance/state.go
+++ b/balance/state.go
@@ -28,7 +28,7 @@
 	// Ejected says that the server gets no new requests because it is ejected, OutMS for how many
 	// milliseconds more, Silent that it has not sent anything for a while.
 	Ejected    bool  `json:"out"`
-	OutMS  int64 `json:"out_ms"`
+	EjectedMS  int64 `json:"out_ms"`
 	Silent bool  `json:"silent"`
 	// InFlight counts this router's requests there.
 	InFlight int `json:"in_flight"`
@@ -61,7 +61,7 @@
 			ErrorRate: s.errors.rate,
 		}
 		if state.Ejected {
-			state.OutMS = s.ejectedUntil.Sub(now).Milliseconds()
+			state.EjectedMS = s.ejectedUntil.Sub(now).Milliseconds()
 		}
 		states = append(states, state)
 	}
--- a/cmd/slipwick/gateways/gateways.go
+++ b/cmd/slipwick/gateways/gateways.go
@@ -118,7 +118,7 @@
 	case b.RestMS > 0:
 		return fmt.Sprintf("paused for %d ms", b.RestMS)
 	case b.Ejected:
-		return fmt.Sprintf("ejected for %d ms", b.OutMS)
+		return fmt.Sprintf("ejected for %d ms", b.EjectedMS)
 	case b.Silent:
 		return "silent"
 	case b.ColdMS > 0:
