--- a/admission/policy.go
+++ b/admission/policy.go
@@ -34,7 +34,7 @@
 	// ReportExpiry is how long a load report is valid.
 	ReportExpiry time.Duration
 	// RiseChange and FallChange are the relative changes of the load that are reported without
-	// waiting for RefreshEvery.
+	// waiting for RefreshInterval.
 	RiseChange, FallChange float64
 	// QueuePressureRatio is the ratio of queued requests to slots held above which an owner
 	// concludes that the load of the pool is rising.
@@ -74,12 +74,12 @@
 		MaxAttempts:           3,
 		OwnerTimeout:          300 * time.Millisecond,
 		LeaseTime:             30 * time.Second,
-		RenewInterval:            10 * time.Second,
+		RenewInterval:         10 * time.Second,
 		OrphanLeaseTime:       5 * time.Second,
 		TakeoverWindow:        3 * time.Second,
 		MinReportInterval:     250 * time.Millisecond,
 		PressedReportInterval: 25 * time.Millisecond,
-		RefreshInterval:          2 * time.Second,
+		RefreshInterval:       2 * time.Second,
 		ReportExpiry:          5 * time.Second,
 		RiseChange:            0.08,
 		FallChange:            0.03,
--- a/admission/slot.go
+++ b/admission/slot.go
@@ -16,7 +16,7 @@
 	local bool
 }
 
-// renewDue renews, every RenewEvery, the slots that have been held for at least that long.
+// renewDue renews, every RenewInterval, the slots that have been held for at least that long.
 func (c *Coordinator) renewDue(now time.Time) {
 	if now.Sub(c.renewedAt) < c.Policy.RenewInterval {
 		return
--- a/admission/status.go
+++ b/admission/status.go
@@ -39,7 +39,7 @@
 			Backend:  o.backend.ID,
 			Pool:     o.pool,
 			InFlight: len(o.leases),
-			Queued:     o.queue.len(),
+			Queued:   o.queue.len(),
 			Limit:    c.slotLimit(o),
 			Health:   o.health.state.String(),
 		})
--- a/balance/state.go
+++ b/balance/state.go
@@ -20,15 +20,15 @@
 
 	// Leaving says that the server gets no new requests because it is ending.
 	Leaving bool `json:"leaving"`
-	// SaysLeaving says that the server announced in a response that it is leaving, RestMS for
+	// SaysLeaving says that the server announced in a response that it is leaving, PausedMS for
 	// how many milliseconds it still wants no requests from this router.
 	SaysLeaving bool  `json:"says_leaving"`
-	PausedMS      int64 `json:"rest_ms"`
+	PausedMS    int64 `json:"rest_ms"`
 
-	// Ejected says that the server gets no new requests because it is ejected, OutMS for how many
-	// milliseconds more, Silent that it has not sent anything for a while.
-	Ejected    bool  `json:"out"`
-	EjectedMS  int64 `json:"out_ms"`
+	// Ejected says that the server gets no new requests because it is ejected, EjectedMS for how
+	// many milliseconds more, Unresponsive that it has not sent anything for a while.
+	Ejected      bool  `json:"out"`
+	EjectedMS    int64 `json:"out_ms"`
 	Unresponsive bool  `json:"silent"`
 	// InFlight counts this router's requests there.
 	InFlight int `json:"in_flight"`
@@ -53,12 +53,12 @@
 			Leaving:    s.Leaving,
 
 			SaysLeaving: s.notices.saysLeaving(),
-			PausedMS:      s.notices.remainingPause(now).Milliseconds(),
+			PausedMS:    s.notices.remainingPause(now).Milliseconds(),
 
-			Ejected:       now.Before(s.ejectedUntil),
-			Unresponsive:    b.isUnresponsiveLocked(s, now),
-			InFlight:  s.inFlight,
-			ErrorRate: s.errors.rate,
+			Ejected:      now.Before(s.ejectedUntil),
+			Unresponsive: b.isUnresponsiveLocked(s, now),
+			InFlight:     s.inFlight,
+			ErrorRate:    s.errors.rate,
 		}
 		if state.Ejected {
 			state.EjectedMS = s.ejectedUntil.Sub(now).Milliseconds()
--- a/cmd/internal/daemon/assemble.go
+++ b/cmd/internal/daemon/assemble.go
@@ -131,7 +131,7 @@
 			}
 		},
 		Quarantine: r.crashTracker,
-		HasCrashed:     refusesConnections,
+		HasCrashed: refusesConnections,
 
 		MaxSlotWait: r.Settings.Limits.MaxSlotWait.Or(defaultMaxSlotWait),
 		Limits:      r.Settings.Limits.stream(),
--- a/cmd/slipwick/root/root_test.go
+++ b/cmd/slipwick/root/root_test.go
@@ -203,8 +203,8 @@
 			Backends: []balance.State{
 				{
 					ID:        "b1",
-					Ejected:       true,
-					EjectedMS:     250,
+					Ejected:   true,
+					EjectedMS: 250,
 					ErrorRate: 0.31,
 				},
 				{
--- a/directory/modelfleet_test.go
+++ b/directory/modelfleet_test.go
@@ -242,7 +242,7 @@
 	r.cut = cut
 }
 
-// FleetKnown, Place, Others and Relay implement Peers.
+// FleetKnown, RelayPosition, Others and Relay implement Peers.
 func (r *modelRouter) FleetKnown() <-chan struct{} { return r.fleetKnown }
 
 func (r *modelRouter) RelayPosition() fleet.RelayPosition {
--- a/dispatch/dispatcher.go
+++ b/dispatch/dispatcher.go
@@ -28,10 +28,10 @@
 	MaxSlotWait time.Duration
 	Limits      stream.Limits
 	// Quarantine records the requests during which backend servers crashed and refuses those that
-	// crashed several; nil turns this off. IsGone reports whether a backend server whose connection
+	// crashed several; nil turns this off. HasCrashed reports whether a backend server whose connection
 	// was lost has crashed.
 	Quarantine *quarantine.Tracker
-	HasCrashed     func(context.Context, slipwick.Backend) bool
+	HasCrashed func(context.Context, slipwick.Backend) bool
 
 	budgets PoolBudgets
 }
--- a/membership/policy.go
+++ b/membership/policy.go
@@ -37,7 +37,7 @@
 		IndirectProbes:   3,
 		SuspicionTimeout: 2 * time.Second,
 		Fanout:           3,
-		UpdatesPerPacket:    8,
+		UpdatesPerPacket: 8,
 		SyncAfter:        3,
 		MinSyncInterval:  5 * time.Second,
 		DeadRetention:    2 * time.Hour,
