--- a/cmd/slipwick/diff/diff.go
+++ b/cmd/slipwick/diff/diff.go
@@ -33,7 +33,7 @@
 	clause := cli.AddCommand(app.Command("diff", help), selectCommand, func(ctx context.Context) error {
 		return run(ctx, options)
 	})
-	clause.Flag("file", "File or folder.").Short('f').Required().StringVar(&options.Path)
+	clause.Flag("file", "File or directory.").Short('f').Required().StringVar(&options.Path)
 	clause.Flag("json", "Print JSON, also on a terminal.").BoolVar(&options.JSON)
 }
 
--- a/cmd/slipwick/evacuate/evacuate.go
+++ b/cmd/slipwick/evacuate/evacuate.go
@@ -73,8 +73,8 @@
 	return err
 }
 
-// replaceFile replaces the content of a file atomically: it writes a temporary file in the same folder
-// and renames it, so that gateways never read half a table.
+// replaceFile replaces the content of a file atomically: it writes a temporary file in the same
+// directory and renames it, so that gateways never read half a table.
 func replaceFile(path string, content []byte) error {
 	info, err := os.Stat(path)
 	if err != nil {
--- a/cmd/slipwick/root/root_test.go
+++ b/cmd/slipwick/root/root_test.go
@@ -36,7 +36,7 @@
 	return code, stdout.String(), stderr.String()
 }
 
-// writeFile writes text to a file in a temporary folder and returns its path.
+// writeFile writes text to a file in a temporary directory and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "state.jsonc")
