--- a/cmd/internal/gatewayd/status.go
+++ b/cmd/internal/gatewayd/status.go
@@ -16,8 +16,8 @@
 	DataCentre string `json:"data_centre"`
 	Ready      bool   `json:"ready"`
 	Draining   bool   `json:"draining"`
-	// Configuration is the version in force; 0 before there is one.
-	Configuration uint64 `json:"configuration"`
+	// ConfigurationVersion is the version in force; 0 before there is one.
+	ConfigurationVersion uint64 `json:"configuration"`
 	// Members are the IDs of the routers that it considers alive, including itself.
 	Members []string `json:"members"`
 	// WatchesStore says that it follows the store itself rather than another router.
@@ -55,7 +55,7 @@
 		Backends:      p.balancer.States(),
 	}
 	if table := p.gateway.Table(); table != nil {
-		s.Configuration = table.Version
+		s.ConfigurationVersion = table.Version
 	}
 	for _, r := range p.node.Routers() {
 		s.Members = append(s.Members, r.ID)
--- a/cmd/slipwick/gateways/gateways.go
+++ b/cmd/slipwick/gateways/gateways.go
@@ -73,8 +73,9 @@
 	for i := range statuses {
 		s := &statuses[i]
 		table.Rows = append(table.Rows, []string{
-			s.Router, s.DataCentre, gatewayState(s), strconv.FormatUint(s.Configuration, 10), strconv.Itoa(len(s.Members)),
-			strconv.FormatBool(s.WatchesStore), strconv.FormatInt(s.InFlight, 10), strconv.Itoa(s.KnownParts),
+			s.Router, s.DataCentre, gatewayState(s), strconv.FormatUint(s.ConfigurationVersion, 10),
+			strconv.Itoa(len(s.Members)), strconv.FormatBool(s.WatchesStore),
+			strconv.FormatInt(s.InFlight, 10), strconv.Itoa(s.KnownParts),
 			strconv.Itoa(s.MissingCaches), strings.Join(s.Evacuated, " "), strconv.Itoa(s.Quarantined),
 		})
 	}
