--- a/cmd/slipwick/evacuate/evacuate.go
+++ b/cmd/slipwick/evacuate/evacuate.go
@@ -25,8 +25,8 @@
 slipwick gateways shows which gateways have applied the evacuation.
 
 Examples:
-  slipwick evacuate jekaba --table /etc/slipwick/table.jsonc
-  slipwick evacuate jekaba --table /etc/slipwick/table.jsonc --end`
+  slipwick evacuate east-1 --table /etc/slipwick/table.jsonc
+  slipwick evacuate east-1 --table /etc/slipwick/table.jsonc --end`
 
 // Options holds the flags and arguments of the command.
 type Options struct {
