--- a/cmd/internal/cli/exit.go
+++ b/cmd/internal/cli/exit.go
@@ -52,11 +52,11 @@
 // ExitCode returns the exit code for an error; ExitOK for nil.
 func ExitCode(err error) int {
 	var usage *UsageError
-	var mistakes jsonfile.ValidationErrors
+	var errs jsonfile.ValidationErrors
 	switch {
 	case err == nil:
 		return ExitOK
-	case errors.As(err, &usage), errors.As(err, &mistakes), slipwick.IsKind(err, slipwick.KindInvalidConfiguration):
+	case errors.As(err, &usage), errors.As(err, &errs), slipwick.IsKind(err, slipwick.KindInvalidConfiguration):
 		return ExitUsage
 	case slipwick.IsKind(err, slipwick.KindConflict):
 		return ExitConflict
--- a/cmd/internal/gatewayd/filesettings.go
+++ b/cmd/internal/gatewayd/filesettings.go
@@ -96,8 +96,8 @@
 		return nil, Feeds{}, err
 	}
 	f := &FileSettings{}
-	if mistakes := document.Decode(f); len(mistakes) > 0 {
-		return nil, Feeds{}, mistakes
+	if errs := document.Decode(f); len(errs) > 0 {
+		return nil, Feeds{}, errs
 	}
 	table := f.Table
 	if !filepath.IsAbs(table) {
--- a/cmd/slipwickd/serve/serve.go
+++ b/cmd/slipwickd/serve/serve.go
@@ -77,12 +77,12 @@
 	return daemon.NewRouter(settings, log).Run(ctx)
 }
 
-// settingsError returns the mistakes in a settings file, or a usage error if the settings cannot be
+// settingsError returns the errors in a settings file, or a usage error if the settings cannot be
 // read.
 func settingsError(err error) error {
-	var mistakes jsonfile.ValidationErrors
-	if errors.As(err, &mistakes) {
-		return mistakes
+	var errs jsonfile.ValidationErrors
+	if errors.As(err, &errs) {
+		return errs
 	}
 	return cli.NewUsageError(err, "specify a readable settings file with --config")
 }
